--- a/internal/front/sessions_test.go
+++ b/internal/front/sessions_test.go
@@ -145,12 +145,12 @@
 func TestSweep(t *testing.T) {
 	r, past := bounded(t, 8)
 	var held []*client
-	for range 3 {
+	for i := range 3 {
 		s := r.session(t)
 		s.ready()
+		r.state(idle, i+1) // sessions become idle in the order in which they were opened
 		held = append(held, s)
 	}
-	r.state(idle, 3)
 	l := r.Front.sessions.Load()
 	past.Store(int64(idleAtLeast) - 1)
 	if l.sweep(); l.count() != 3 {
--- a/internal/reducer/kin.go
+++ b/internal/reducer/kin.go
@@ -1,6 +1,7 @@
 package reducer
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 	"time"
@@ -316,12 +317,18 @@
 	for _, id := range slices.Sorted(maps.Keys(r.backends)) {
 		x.Entries = append(x.Entries, *r.backends[id])
 	}
-	for id, f := range r.fetches {
+	for _, id := range slices.SortedFunc(maps.Keys(r.fetches), compareFetchIDs) {
+		f := r.fetches[id]
 		x.Out = append(x.Out, f.req.began(id, f.backend))
 	}
 	return x
 }
 
+// compareFetchIDs orders attempts by request, then by attempt number.
+func compareFetchIDs(a, b FetchID) int {
+	return cmp.Or(cmp.Compare(a.Req, b.Req), cmp.Compare(a.Attempt, b.Attempt))
+}
+
 func (q *req) began(id FetchID, backend string) Began {
 	return Began{Request: q.event.Request, CallID: q.callID, Attempt: id.Attempt, Backend: backend, Booked: q.maybe}
 }
--- a/internal/reducer/reducer_test.go
+++ b/internal/reducer/reducer_test.go
@@ -422,3 +422,30 @@
 		t.Errorf("counters %+v", c)
 	}
 }
+
+// A successor adopts open attempts in the order in which they were made, the same every time: a
+// backend's open attempts are kept oldest first.
+func TestOpenAttemptsAreHandedOverInOrder(t *testing.T) {
+	set := testSettings
+	set.Plans = append(slices.Clone(set.Plans), lemongate.Plan{Name: "free", Price: 1})
+	var entries []Entry
+	for i := range 20 {
+		entries = append(entries, entry(fmt.Sprintf("b%d", i), "h:1", lemongate.Live, 0))
+	}
+	r, _ := New(time.Hour, Config{Settings: set, Seed: 1, Known: entries})
+	sent := 0
+	for id := range ReqID(30) {
+		ev := read(id+1, time.Hour, time.Second)
+		ev.Plan = "free"
+		sent += len(only[StartFetch](r.Step(time.Hour, ev)))
+	}
+	inherit := r.pack()
+	if sent < 10 || len(inherit.Out) != sent {
+		t.Fatalf("%d attempts started, %d handed over", sent, len(inherit.Out))
+	}
+	if !slices.IsSortedFunc(inherit.Out, func(a, b Began) int {
+		return compareFetchIDs(FetchID{a.ID, a.Attempt}, FetchID{b.ID, b.Attempt})
+	}) {
+		t.Errorf("handed over out of order: %+v", inherit.Out)
+	}
+}
