--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,174 @@
+// Package golden helps tests that compare stored forms with files written by an earlier release.
+package golden
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"unsafe"
+)
+
+// A Filler gives each field of a value a value of its own, in the order of the fields.
+// Booleans cannot differ each: the one with number i is bit Pattern of i+1, so that over
+// Patterns fillings no two of them agree.
+type Filler struct {
+	Pattern int
+
+	numbers  int
+	bytes    int
+	booleans int
+}
+
+// Patterns is the number of fillings that tell up to 127 booleans apart.
+const Patterns = 7
+
+// Fill fills what a pointer points to, unexported fields too. Fields that are not stored
+// (json:"-") and functions, channels and interfaces stay as they are.
+func (f *Filler) Fill(pointer any) { f.fill(reflect.ValueOf(pointer).Elem()) }
+
+func (f *Filler) fill(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		f.booleans++
+		v.SetBool(f.booleans>>f.Pattern&1 == 1)
+	case reflect.Int8:
+		f.bytes++
+		v.SetInt(int64(f.bytes % 127))
+	case reflect.Uint8:
+		f.bytes++
+		v.SetUint(uint64(f.bytes % 251))
+	case reflect.Int, reflect.Int16, reflect.Int32, reflect.Int64:
+		f.numbers++
+		v.SetInt(int64(f.numbers))
+	case reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		f.numbers++
+		v.SetUint(uint64(f.numbers))
+	case reflect.Float32, reflect.Float64:
+		f.numbers++
+		v.SetFloat(float64(f.numbers) + 0.5)
+	case reflect.String:
+		f.numbers++
+		v.SetString(fmt.Sprintf("text%d", f.numbers))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem())
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			f.fill(v.Index(i))
+		}
+	case reflect.Array:
+		for i := range v.Len() {
+			f.fill(v.Index(i))
+		}
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		for range 2 {
+			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+			f.fill(key)
+			f.fill(value)
+			v.SetMapIndex(key, value)
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			field := v.Type().Field(i)
+			if field.Tag.Get("json") == "-" {
+				continue
+			}
+			f.fill(reflect.NewAt(field.Type, unsafe.Pointer(v.Field(i).UnsafeAddr())).Elem())
+		}
+	}
+}
+
+// Read returns a file of testdata.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// Equal compares bytes with a file of testdata.
+func Equal(t testing.TB, name string, got []byte) {
+	t.Helper()
+	want := Read(t, name)
+	if string(got) == string(want) {
+		return
+	}
+	at := 0
+	for at < min(len(got), len(want)) && got[at] == want[at] {
+		at++
+	}
+	from := max(at-60, 0)
+	t.Errorf("%s: differs at byte %d:\ngot  ...%s\nwant ...%s", name, at, got[from:min(at+60, len(got))], want[from:min(at+60, len(want))])
+}
+
+var mapKey = regexp.MustCompile(`^(text)?[0-9]+$`)
+
+// Fields lists the leaves of a JSON document by their paths, such as "peers.7.epoch", with their
+// JSON text. Of a list of objects and of a map that a Filler made, only the first element counts.
+func Fields(t testing.TB, data []byte) map[string]string {
+	t.Helper()
+	var document any
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber()
+	if err := decoder.Decode(&document); err != nil {
+		t.Fatal(err)
+	}
+	fields := map[string]string{}
+	collect(fields, "", document)
+	return fields
+}
+
+func collect(fields map[string]string, path string, node any) {
+	switch node := node.(type) {
+	case map[string]any:
+		keys := slices.Sorted(maps.Keys(node))
+		if len(keys) > 0 && mapKey.MatchString(keys[0]) {
+			keys = keys[:1]
+		}
+		for _, key := range keys {
+			collect(fields, strings.TrimPrefix(path+"."+key, "."), node[key])
+		}
+		return
+	case []any:
+		if len(node) > 0 {
+			if _, isObject := node[0].(map[string]any); isObject {
+				collect(fields, path+".0", node[0])
+				return
+			}
+		}
+	}
+	text, _ := json.Marshal(node)
+	fields[path] = string(text)
+}
+
+// Match compares the live value of each path with the stored field, and demands a live value for
+// each field.
+func Match(t testing.TB, fields map[string]string, live map[string]any) {
+	t.Helper()
+	for path, value := range live {
+		text, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if stored, ok := fields[path]; !ok || stored != string(text) {
+			t.Errorf("%s: decoded %s, stored %q", path, text, stored)
+		}
+	}
+	for path := range fields {
+		if _, ok := live[path]; !ok {
+			t.Errorf("%s: stored, and compared with no live field", path)
+		}
+	}
+}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -281,9 +281,9 @@
 	return nil
 }
 
-// Relink builds what follows from the rest in a Ledger that was unpacked from another
+// relink builds what follows from the rest in a Ledger that was unpacked from another
 // process's. The configuration has to be that one's.
-func (l *Ledger) Relink(c Config) {
+func (l *Ledger) relink(c Config) {
 	c.Limiters = max(c.Limiters, 1)
 	l.Config = c
 	for _, hash := range slices.Sorted(maps.Keys(l.accounts)) {
--- a/snapshot.go
+++ b/snapshot.go
@@ -7,7 +7,6 @@
 	"hash/fnv"
 	"math"
 	"slices"
-	"unicode"
 
 	jsoniter "github.com/json-iterator/go"
 
@@ -15,32 +14,17 @@
 )
 
 // This file moves what a Gateway remembers to the one of another process, which takes over
-// from it. All state goes but what is tagged json:"-": that follows from the settings, from
-// other state, or is about requests, which stay where they are.
+// from it. The stored form is in snapshot_state.go.
 
-// state is the codec of a snapshot: it packs fields that are not exported too.
-var state = func() jsoniter.API {
-	api := jsoniter.Config{SortMapKeys: true, CaseSensitive: true}.Froze()
-	api.RegisterExtension(&ownFields{})
-	return api
-}()
-
-// ownFields has a field that is not exported packed under its name.
-type ownFields struct{ jsoniter.DummyExtension }
-
-func (*ownFields) UpdateStructDescriptor(d *jsoniter.StructDescriptor) {
-	for _, b := range d.Fields {
-		if name := b.Field.Name(); unicode.IsLower(rune(name[0])) {
-			b.FromNames, b.ToNames = []string{name}, []string{name}
-		}
-	}
-}
+// stateCodec reads and writes snapshots. Field names count in their case: names of one type
+// differ by that alone.
+var stateCodec = jsoniter.Config{SortMapKeys: true, CaseSensitive: true}.Froze()
 
 // A snapshot is what goes over.
 type snapshot struct {
-	Print   uint64 // of the settings: by others the state means nothing
-	Epoch   uint32
-	Gateway *Gateway
+	Fingerprint uint64        `json:"Print"` // of the settings: under others the state means nothing
+	Epoch       uint32        `json:"Epoch"`
+	Limiter     *limiterState `json:"Gateway"`
 }
 
 // Snapshot packs what this Gateway remembers. Requests do not go with it: those that wait
@@ -50,7 +34,8 @@
 	if !g.running {
 		return nil, errors.New("snapshot: nothing has come yet")
 	}
-	data, err := state.Marshal(snapshot{Print: print(g.set), Epoch: g.set.Epoch, Gateway: g})
+	state := newLimiterState(g)
+	data, err := stateCodec.Marshal(snapshot{Fingerprint: fingerprint(g.set), Epoch: g.set.Epoch, Limiter: &state})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -62,26 +47,30 @@
 // are an error: rights that were cut by others would be counted wrong.
 func Resume(set Settings, seed uint64, data []byte) (*Gateway, error) {
 	g := New(set, seed)
-	s := snapshot{Gateway: g}
-	if err := state.Unmarshal(data, &s); err != nil {
+	state := newLimiterState(g) // a field that is not stored keeps the value of a start
+	s := snapshot{Limiter: &state}
+	if err := stateCodec.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	switch {
-	case s.Print != print(set):
+	case s.Fingerprint != fingerprint(set):
 		return nil, errors.New("snapshot: of other settings")
-	case s.Gateway != g || g.ledger == nil || len(g.classes) != len(set.Classes):
+	case s.Limiter == nil || s.Limiter.Ledger == nil || len(s.Limiter.Classes) != len(set.Classes):
 		return nil, errors.New("snapshot: not whole")
 	}
+	s.Limiter.restore(g)
 	g.set.Epoch = s.Epoch
+	g.ledger = quota.Restore(*s.Limiter.Ledger, g.quotaConfig())
 	g.relink()
 	return g, nil
 }
 
-// print tells settings apart by all that decides.
-func print(set Settings) uint64 {
+// fingerprint tells settings apart by all that decides. Other releases compare it with their own:
+// it is taken of a stored form, whose names do not change.
+func fingerprint(set Settings) uint64 {
 	set.Epoch = 0
 	h := fnv.New64a()
-	state.NewEncoder(h).Encode(set)
+	_ = stateCodec.NewEncoder(h).Encode(newSettingsState(set)) // a hash takes all, and settings come from JSON
 	return h.Sum64()
 }
 
@@ -95,7 +84,6 @@
 	slices.SortStableFunc(g.preferred, func(a, b *class) int {
 		return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.Aim, b.Aim))
 	})
-	g.ledger.Relink(g.quotaConfig())
 	g.order = slices.DeleteFunc(g.order, func(c *customer) bool {
 		if c.number >= len(g.set.Plans) { // of none of the settings: its requests are all that there is of it
 			return true
