--- /dev/null
+++ b/internal/config/format_test.go
@@ -0,0 +1,60 @@
+package config
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lemongate/internal/golden"
+)
+
+// The operators' file of 0.8.0 is read as it was then: each of its fields has a value of its own.
+func TestOperatorFileOfEarlierRelease(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "operator.json")
+	err := os.WriteFile(path, []byte(`{"takeover": {"on": true, "dir": "/here", "silence_ms": 1001, "trial_s": 12},
+		"leases": {"on": true, "length_ms": 4003, "keepers": 3, "tasks": ["trials", "rollup", "restarts"]},
+		"rollup": {"dir": "/there", "period_s": 61}, "restarts": {"most": 2, "turn_s": 31}}`), 0o600)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var c Config
+	if err := c.Operator(path); err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "takeover %s %v %v\n", c.Takeover.Dir, c.Takeover.Silence, c.Takeover.Trial)
+	fmt.Fprintf(&b, "leases %v %d %v\n", c.Leases.Length, c.Leases.Keepers, c.Leases.Tasks)
+	fmt.Fprintf(&b, "rollup %s %v\n", c.Rollup.Dir, c.Rollup.Every)
+	fmt.Fprintf(&b, "restarts %d %v\n", c.Walk.Most, c.Walk.Turn)
+	golden.Equal(t, "operator.txt", []byte(b.String()))
+	golden.Equal(t, "operator.schema.json", OperatorSchema())
+}
+
+// The environment variables that are read, at the start and at a reload.
+func TestEnvironmentOfEarlierRelease(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(`{"name": "of the file", "discovery": "127.0.0.1:1"}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var b strings.Builder
+	for _, load := range []func(func(string) string, time.Time) (*Config, error){Load, Reload} {
+		var names []string
+		_, err := load(func(name string) string {
+			names = append(names, name)
+			if name == "ROUTER_CONFIG" {
+				return path
+			}
+			return ""
+		}, time.Now())
+		slices.Sort(names)
+		fmt.Fprintf(&b, "%v\n", names)
+		if err == nil {
+			t.Error("a configuration without settings")
+		}
+	}
+	golden.Equal(t, "environment.txt", []byte(b.String()))
+}
--- /dev/null
+++ b/internal/console/format_test.go
@@ -0,0 +1,61 @@
+package console
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"lemongate/internal/golden"
+	"lemongate/internal/reducer"
+)
+
+// Paths, methods, statuses, content types, metric names, labels and JSON that scrapers and scripts
+// read of 0.8.0. Help texts are for people and may change.
+func TestCallsOfEarlierRelease(t *testing.T) {
+	c, addr := serve(t)
+	var b strings.Builder
+	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	ask := func(method, path string) {
+		r, err := http.NewRequest(method, "http://"+addr+path, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp, err := client.Do(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer resp.Body.Close()
+		body, err := io.ReadAll(resp.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&b, "%s %s: %d %s\n", method, path, resp.StatusCode, resp.Header.Get("Content-Type"))
+		if resp.StatusCode < 300 && path != "/healthcheck" {
+			for line := range strings.Lines(string(body)) {
+				if !strings.HasPrefix(line, "# HELP") {
+					b.WriteString(line)
+				}
+			}
+		}
+	}
+	every := []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodDelete}
+	for _, method := range every {
+		ask(method, "/healthcheck")
+	}
+	ask(http.MethodGet, "/turn")
+	ask(http.MethodGet, "/leases")
+	c.Ready(true)
+	var f reducer.Figures
+	(&golden.Filler{}).Fill(&f)
+	f.Turns.On = true
+	c.Publish(f)
+	for _, path := range []string{"/healthcheck", "/stats", "/leases", "/turn", "/turn?forget=3", "/turn?forget=x", "/", "/metrics"} {
+		for _, method := range every {
+			ask(method, path)
+		}
+	}
+	golden.Equal(t, "calls.txt", []byte(b.String()))
+}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -172,3 +172,4 @@
 		}
 	}
 }
+
--- /dev/null
+++ b/internal/lab/sim/format_test.go
@@ -0,0 +1,19 @@
+package sim
+
+import (
+	"encoding/json"
+	"testing"
+
+	"lemongate/internal/golden"
+)
+
+// What came of a run has the fields that 0.8.0 wrote: the bounds of experiments name them.
+func TestResultOfEarlierRelease(t *testing.T) {
+	var r Result
+	(&golden.Filler{}).Fill(&r)
+	data, err := json.Marshal(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "result.json", data)
+}
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -222,17 +222,17 @@
 
 // A KeeperLegacy is what a keeper remembers, on its way to another process of its limiter.
 type KeeperLegacy struct {
-	Task     uint32
-	Born     time.Duration // by the clock that both go by
-	Promised Ballot
-	Under    Ballot // of the lease that it has noted, until Until
-	Life     uint32
-	Token    uint64
-	Until    time.Duration
-	Known    uint64
-	Mark     uint64
-	Told     []Limiter
-	Sure     []Limiter
+	Task     uint32        `json:"Task"`
+	Born     time.Duration `json:"Born"` // by the clock that both go by
+	Promised Ballot        `json:"Promised"`
+	Under    Ballot        `json:"Under"` // of the lease that it has noted, until Until
+	Life     uint32        `json:"Life"`
+	Token    uint64        `json:"Token"`
+	Until    time.Duration `json:"Until"`
+	Known    uint64        `json:"Known"`
+	Mark     uint64        `json:"Mark"`
+	Told     []Limiter     `json:"Told"`
+	Sure     []Limiter     `json:"Sure"`
 }
 
 // Legacy packs what this limiter's keepers remember. The agent must answer nobody after it: whoever
--- /dev/null
+++ b/internal/lease/format_test.go
@@ -0,0 +1,57 @@
+package lease
+
+import (
+	"encoding/hex"
+	"fmt"
+	"strings"
+	"testing"
+
+	"lemongate/internal/golden"
+)
+
+// Messages of each kind that 0.8.0 packed are read as what they were packed from, and packed to the
+// same bytes.
+func TestFormatOfEarlierRelease(t *testing.T) {
+	var b strings.Builder
+	var sent []Message
+	for kind := range NKinds {
+		m := Message{}
+		(&golden.Filler{Pattern: int(kind) % 2}).Fill(&m)
+		m.Kind = kind
+		sent = append(sent, m)
+		fmt.Fprintf(&b, "%v %x\n", kind, m.Append(nil))
+	}
+	golden.Equal(t, "messages.txt", []byte(b.String()))
+	for i, line := range strings.Split(strings.TrimSpace(string(golden.Read(t, "messages.txt"))), "\n") {
+		_, packed, _ := strings.Cut(line, " ")
+		data, err := hex.DecodeString(packed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, ok := Parse(data); !ok || got != sent[i] {
+			t.Errorf("read as %+v, want %+v", got, sent[i])
+		}
+	}
+}
+
+// What operators are shown of leases has the fields that scripts read.
+func TestViewOfEarlierRelease(t *testing.T) {
+	for pattern := range 2 {
+		var v View
+		(&golden.Filler{Pattern: pattern}).Fill(&v)
+		data, err := viewCodec.Marshal([]View{v})
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Equal(t, fmt.Sprintf("view-%d.json", pattern), data)
+	}
+}
+
+// The phases of a contender are told by the names of 0.8.0.
+func TestPhaseNamesOfEarlierRelease(t *testing.T) {
+	var names []byte
+	for phase := Idle; phase <= Proposing; phase++ {
+		names = fmt.Appendf(names, "%v\n", phase)
+	}
+	golden.Equal(t, "phases.txt", names)
+}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -17,9 +17,9 @@
 
 // A Ballot names one try to get or renew a lease. Later ones are greater.
 type Ballot struct {
-	Round uint32
-	Epoch uint32 // of the limiter's start, so that one life's ballots are not another's
-	By    Limiter
+	Round uint32  `json:"Round"`
+	Epoch uint32  `json:"Epoch"` // of the limiter's start, so that one life's ballots are not another's
+	By    Limiter `json:"By"`
 }
 
 // Compare orders ballots.
--- a/internal/node/kin.go
+++ b/internal/node/kin.go
@@ -11,7 +11,6 @@
 	jsoniter "github.com/json-iterator/go"
 	"go.uber.org/zap"
 
-	"lemongate/internal/fetch"
 	"lemongate/internal/handover"
 	"lemongate/internal/handover/link"
 	"lemongate/internal/peer"
@@ -19,38 +18,16 @@
 )
 
 // This file carries a takeover's events and effects over the link to the other process, see
-// internal/handover. What is said goes as JSON, so that versions that know more fields than
-// others understand each other.
-
-// format is of the frames. A process that says another is turned away, and waits until the
-// address is free.
-const format = 1
-
-// Frames beside those that the machine speaks of.
-const (
-	frameBegan uint8 = uint8(handover.NKinds) + iota
-	frameEnded
-	frameRelay
-	frameGave
-	frameReply
-	frameSession
-)
+// internal/handover. The form of what is said is in frames.go.
 
 var codec = jsoniter.Config{CaseSensitive: true}.Froze()
 
-// hello is what a successor says first.
-type hello struct {
-	Format       int
-	Name, Listen string
-	Peers        string
-}
-
-func (n *Node) hello() hello {
-	return hello{Format: format, Name: n.conf.Name, Listen: n.conf.Listen, Peers: n.conf.PeerListen.String()}
+func (n *Node) hello() helloFrame {
+	return helloFrame{Format: linkFormat, Name: n.conf.Name, Listen: n.conf.Listen, Peers: n.conf.PeerListen.String()}
 }
 
 // unfit says why a successor is none of this process, or nothing.
-func (h hello) unfit(mine hello) string {
+func (h helloFrame) unfit(mine helloFrame) string {
 	switch {
 	case h.Format != mine.Format:
 		return fmt.Sprintf("speaks format %d, not %d", h.Format, mine.Format)
@@ -60,18 +37,6 @@
 	return ""
 }
 
-// Contents of the frames, whose Content has a type of its own here.
-type (
-	relayFrame struct {
-		reducer.Relayed
-		Content *fetch.Req
-	}
-	replyFrame struct {
-		reducer.Answer
-		Reply *fetch.Reply
-	}
-)
-
 // kin is what a node has of the other process.
 type kin struct {
 	path string
@@ -147,19 +112,15 @@
 	case reducer.KinFence:
 		n.kin.link.Kill()
 	case reducer.KinBegan:
-		n.say(frameBegan, e.Began)
+		n.say(frameBegan, newBeganFrame(e.Began))
 	case reducer.KinEnded:
-		n.say(frameEnded, e.Ended)
+		n.say(frameEnded, newEndedFrame(e.Ended))
 	case reducer.KinRelay:
-		content, _ := e.Content.(*fetch.Req)
-		e.Relayed.Content = nil
-		n.say(frameRelay, relayFrame{Relayed: e.Relayed, Content: content})
+		n.say(frameRelay, newRelayFrame(e.Relayed))
 	case reducer.KinGave:
 		n.say(frameGave, e.Req)
 	case reducer.KinReply:
-		reply, _ := e.Answer.Reply.(*fetch.Reply)
-		e.Answer.Reply = nil
-		n.say(frameReply, replyFrame{Answer: e.Answer, Reply: reply})
+		n.say(frameReply, newReplyFrame(e.Answer))
 	case reducer.Open:
 		if err := n.start(e.Wait); err != nil {
 			n.fail(err)
@@ -268,7 +229,7 @@
 // meet hears who comes.
 func (n *Node) meet(c *link.Conn) {
 	f, err := c.Read()
-	var who hello
+	var who helloFrame
 	if err != nil || f.Kind != uint8(handover.Hello) || codec.Unmarshal(f.Body, &who) != nil {
 		c.Close()
 		return
@@ -300,56 +261,9 @@
 	}
 }
 
-// decode words a frame as an event, a session's as none.
-func decode(f link.Frame) (reducer.Event, error) {
-	ev, err := read(f)
-	if err != nil {
-		return nil, err
-	}
-	return ev, nil
-}
-
-func read(f link.Frame) (reducer.Event, error) {
-	switch f.Kind {
-	case uint8(handover.Transfer):
-		e := &reducer.KinHeard{Kind: handover.Transfer, Inherit: &reducer.Inherit{}, Sockets: f.Sockets}
-		if codec.Unmarshal(f.Body, e.Inherit) != nil {
-			e.Inherit = nil
-		}
-		return e, nil
-	case frameBegan:
-		e := &reducer.KinOut{}
-		return e, codec.Unmarshal(f.Body, &e.Began)
-	case frameEnded:
-		e := &reducer.KinOver{}
-		return e, codec.Unmarshal(f.Body, &e.Ended)
-	case frameRelay:
-		var x relayFrame
-		err := codec.Unmarshal(f.Body, &x)
-		x.Relayed.Content = x.Content
-		return &reducer.KinAsked{Relayed: x.Relayed}, err
-	case frameGave:
-		var e reducer.KinLeft
-		return e, codec.Unmarshal(f.Body, &e.Req)
-	case frameReply:
-		var x replyFrame
-		err := codec.Unmarshal(f.Body, &x)
-		if x.Answer.Reply = x.Reply; x.Reply == nil && x.Kind == reducer.Served {
-			err = errors.Join(err, errors.New("an answer without content"))
-		}
-		return &reducer.KinAnswered{Answer: x.Answer}, err
-	case frameSession:
-		return nil, nil
-	}
-	if f.Kind >= uint8(handover.NKinds) {
-		return nil, errors.New("unknown")
-	}
-	return &reducer.KinHeard{Kind: handover.Kind(f.Kind)}, nil
-}
-
 // transfer sends the state, the clients' listener and the peers' socket.
 func (n *Node) transfer(x reducer.Inherit) {
-	body, err := codec.Marshal(x)
+	body, err := codec.Marshal(newStateFrame(x))
 	if err != nil {
 		n.log.Error("takeover", zap.Error(err))
 	}
--- a/internal/rollup/book.go
+++ b/internal/rollup/book.go
@@ -27,14 +27,14 @@
 
 // A Key is a customer on a plan.
 type Key struct {
-	Customer string
-	Plan     uint8
+	Customer string `json:"Customer"`
+	Plan     uint8  `json:"Plan"`
 }
 
 // An Entry is what one customer used.
 type Entry struct {
 	Key
-	Units uint64 // in parts
+	Units uint64 `json:"Units"` // in parts
 }
 
 // A Book has what one limiter sent on. It is not safe for concurrent use.
@@ -48,8 +48,9 @@
 
 // closed is a period that is over, and what came between the one before and it.
 type closed struct {
-	Period, From uint32 // From: the first period that it covers; 0 for the start of the life
-	Pages        [][]byte
+	Period uint32   `json:"Period"`
+	From   uint32   `json:"From"` // the first period that it covers; 0 for the start of the life
+	Pages  [][]byte `json:"Pages"`
 }
 
 // NewBook returns an empty one. A life is told apart from others of its limiter.
@@ -163,10 +164,11 @@
 
 // A Legacy is a book on its way to another process of the same limiter.
 type Legacy struct {
-	Life, Last uint32
-	Token      uint64
-	Open       []Entry
-	Closed     *closed
+	Life   uint32  `json:"Life"`
+	Last   uint32  `json:"Last"`
+	Token  uint64  `json:"Token"`
+	Open   []Entry `json:"Open"`
+	Closed *closed `json:"Closed"`
 }
 
 // Legacy packs the book.
--- /dev/null
+++ b/internal/walk/format_test.go
@@ -0,0 +1,42 @@
+package walk
+
+import (
+	"encoding/hex"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lemongate/internal/golden"
+)
+
+// Messages of each kind that 0.8.0 packed are read as what they were packed from, and packed to the
+// same bytes.
+func TestFormatOfEarlierRelease(t *testing.T) {
+	var b strings.Builder
+	var sent []Message
+	for kind := range nKinds {
+		m := Message{}
+		(&golden.Filler{Pattern: int(kind) % 2}).Fill(&m)
+		m.Kind, m.Left = kind, 1234*time.Millisecond
+		sent = append(sent, m)
+		fmt.Fprintf(&b, "%d %x\n", kind, m.Append(nil))
+	}
+	golden.Equal(t, "messages.txt", []byte(b.String()))
+	for i, line := range strings.Split(strings.TrimSpace(string(golden.Read(t, "messages.txt"))), "\n") {
+		_, packed, _ := strings.Cut(line, " ")
+		data, err := hex.DecodeString(packed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, ok := Parse(data); !ok || !reflect.DeepEqual(got, sent[i]) {
+			t.Errorf("read as %+v, want %+v", got, sent[i])
+		}
+	}
+	slots := []Limiter{3, 511 - 2, 0}
+	golden.Equal(t, "mark.txt", fmt.Appendf(nil, "%d\n", next(next(0, nil), slots)))
+	if got := Slots(next(0, slots)); !reflect.DeepEqual(got, slots) {
+		t.Errorf("slots %v, want %v", got, slots)
+	}
+}
