--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -172,4 +172,3 @@
 		}
 	}
 }
-
--- /dev/null
+++ b/internal/lab/experiment/equivalence_test.go
@@ -0,0 +1,213 @@
+package experiment
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash"
+	"hash/fnv"
+	"maps"
+	"math"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lemongate/internal/golden"
+	"lemongate/internal/lab/sim"
+	"lemongate/internal/reducer"
+)
+
+// equivalenceSeed is the seed of the recorded runs.
+const equivalenceSeed = 3
+
+// recorded are the experiments that are recorded, and how much of each in seconds: beyond its first
+// faults where they come early enough. The others take minutes, run on processes, or repeat these.
+var recorded = []struct {
+	name    string
+	seconds float64
+}{
+	{"empty-start", 14}, {"rejoin", 16}, {"upgrade", 9}, {"lease", 25}, {"rollup", 20}, {"walk", 22}, {"zone-loss", 8},
+}
+
+// largeTierSeconds is how much is recorded of a tier of 80 limiters.
+const largeTierSeconds = 2
+
+// Every limiter of every case of the experiments takes in the same events and asks for the same
+// effects as 0.8.0 did (with open attempts handed over in order). A run is closed: one decision that
+// differs changes what comes after it. The digest is over kinds and values; no name of a type or
+// field enters it. Texts for people are left out.
+func TestSameDecisionsAsEarlierRelease(t *testing.T) {
+	type run struct {
+		name     string
+		scenario sim.Scenario
+		line     string
+	}
+	var runs []*run
+	for _, r := range recorded {
+		data, err := os.ReadFile(filepath.Join("../../../lab/experiments", r.name+".json"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		x, err := Parse(data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, c := range x.Cases {
+			sc, err := x.scenario(c)
+			if err != nil {
+				t.Fatal(err)
+			}
+			sc.Seconds = r.seconds
+			if sc.Limiters >= 80 {
+				sc.Seconds = largeTierSeconds
+			}
+			runs = append(runs, &run{name: r.name + ": " + c.Name, scenario: x.shifted(sc, equivalenceSeed)})
+		}
+	}
+	var wait sync.WaitGroup
+	for _, r := range runs {
+		wait.Go(func() {
+			d := newDigest()
+			sim.RunObserved(r.scenario, equivalenceSeed, d.observe)
+			r.line = fmt.Sprintf("%s: %d events, %d effects, %016x", r.name, d.events, d.effects, d.hash.Sum64())
+		})
+	}
+	wait.Wait()
+	var b strings.Builder
+	for _, r := range runs {
+		b.WriteString(r.line + "\n")
+	}
+	golden.Equal(t, "decisions.txt", []byte(b.String()))
+}
+
+// A digest is taken of the events and effects of a run.
+type digest struct {
+	hash            hash.Hash64
+	events, effects int
+}
+
+func newDigest() *digest { return &digest{hash: fnv.New64a()} }
+
+func (d *digest) observe(limiter int, now time.Duration, ev reducer.Event, effects []reducer.Effect) {
+	d.events++
+	d.number(uint64(limiter))
+	d.number(uint64(now))
+	if ev != nil {
+		d.number(uint64(eventKind(ev)))
+		d.value(reflect.ValueOf(ev))
+	}
+	for _, e := range effects {
+		if _, isText := e.(reducer.Log); isText {
+			continue
+		}
+		d.effects++
+		d.number(uint64(effectKind(e)))
+		d.value(reflect.ValueOf(e))
+	}
+}
+
+func (d *digest) number(v uint64) {
+	d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
+}
+
+// value takes in all that a value holds, in the order of its fields. What the edges pass through
+// unread is left out, and so is text that tells people why.
+func (d *digest) value(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		if v.Bool() {
+			d.number(1)
+		} else {
+			d.number(0)
+		}
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		d.number(uint64(v.Int()))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		d.number(v.Uint())
+	case reflect.Float64:
+		d.number(math.Float64bits(v.Float()))
+	case reflect.String:
+		d.number(uint64(v.Len()))
+		d.hash.Write([]byte(v.String()))
+	case reflect.Pointer:
+		if v.IsNil() {
+			d.number(0)
+			return
+		}
+		d.value(v.Elem())
+	case reflect.Slice, reflect.Array:
+		d.number(uint64(v.Len()))
+		for i := range v.Len() {
+			d.value(v.Index(i))
+		}
+	case reflect.Map:
+		keys := v.MapKeys()
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+		for _, key := range keys {
+			d.value(key)
+			d.value(v.MapIndex(key))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if !reasons[v.Type().Field(i).Name] {
+				d.value(v.Field(i))
+			}
+		}
+	case reflect.Interface: // contents and links
+	default:
+		panic(fmt.Sprintf("no digest of a %v", v.Kind()))
+	}
+}
+
+// reasons are the names of fields that tell people why.
+var reasons = map[string]bool{"Why": true}
+
+var (
+	eventKinds  = kinds(events)
+	effectKinds = kinds(effects)
+)
+
+func kinds[T any](list []T) map[reflect.Type]int {
+	numbers := map[reflect.Type]int{}
+	for i, e := range list {
+		numbers[reflect.TypeOf(e)] = i + 1
+	}
+	return numbers
+}
+
+func eventKind(ev reducer.Event) int { return kindOf(eventKinds, ev) }
+
+func effectKind(e reducer.Effect) int { return kindOf(effectKinds, e) }
+
+func kindOf(numbers map[reflect.Type]int, x any) int {
+	number, ok := numbers[reflect.TypeOf(x)]
+	if !ok {
+		panic(fmt.Sprintf("%T has no number, known are %v", x, slices.Collect(maps.Keys(numbers))))
+	}
+	return number
+}
+
+// events and effects are numbered by their places here, which never change.
+var (
+	events = []reducer.Event{
+		&reducer.Arrived{}, &reducer.Left{}, reducer.Malformed{}, &reducer.SessionClosed{}, &reducer.FetchEnded{},
+		&reducer.ProbeEnded{}, &reducer.Listed{}, &reducer.Heard{}, reducer.Ticked{}, reducer.ReloadAsked{},
+		&reducer.Reloaded{}, reducer.Terminated{}, reducer.FrontClosed{}, &reducer.KinMet{}, &reducer.KinHeard{},
+		reducer.KinGone{}, &reducer.KinOut{}, &reducer.KinOver{}, &reducer.KinAsked{}, reducer.KinLeft{},
+		&reducer.KinAnswered{}, reducer.UseWritten{}, reducer.TurnAsked{}, reducer.TurnForgotten{},
+	}
+	effects = []reducer.Effect{
+		reducer.StartFetch{}, reducer.StopFetch{}, reducer.WithdrawFetch{}, reducer.Answer{}, reducer.Probe{},
+		reducer.DropBackend{}, reducer.Tell{}, reducer.SetTimer{}, reducer.Ready{}, reducer.EndSessions{},
+		reducer.CloseFront{}, reducer.Reload{}, reducer.Watch{}, reducer.Exit{}, reducer.Log{}, reducer.KinSeek{},
+		reducer.KinAccept{}, reducer.KinDeny{}, reducer.KinSend{}, reducer.KinTransfer{}, reducer.KinHang{},
+		reducer.KinFence{}, reducer.KinBegan{}, reducer.KinEnded{}, reducer.KinRelay{}, reducer.KinGave{},
+		reducer.KinReply{}, reducer.Open{}, reducer.TakeOver{}, reducer.Pause{}, reducer.Unpause{},
+		reducer.MoveSessions{}, reducer.Takes{}, reducer.Share{}, reducer.Await{}, reducer.Quit{},
+		reducer.Publish{}, reducer.WriteUse{},
+	}
+)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -150,6 +150,14 @@
 	result    Result
 	waits     []float64
 	leases    judge
+	observe   Observer // nil for none
+}
+
+// observed shows the Observer what a limiter did, if there is one.
+func (s *sim) observed(l *limiter, ev reducer.Event, effects []reducer.Effect) {
+	if s.observe != nil {
+		s.observe(l.number, l.clock(), ev, effects)
+	}
 }
 
 // An item is something that happens at a time; items of one time in the order
@@ -190,9 +198,17 @@
 func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 func seconds(v float64) time.Duration      { return time.Duration(v * float64(time.Second)) }
 
+// An Observer sees each event that a limiter took in, at that limiter's time, and the effects that it
+// asked for. The event is nil for a start. Neither may be kept or changed.
+type Observer func(limiter int, now time.Duration, ev reducer.Event, effects []reducer.Effect)
+
 // Run plays a Scenario and tells what came of it.
-func Run(sc Scenario, seed uint64) Result {
+func Run(sc Scenario, seed uint64) Result { return RunObserved(sc, seed, nil) }
+
+// RunObserved is Run with an Observer, or none.
+func RunObserved(sc Scenario, seed uint64, observe Observer) Result {
 	s := &sim{
+		observe: observe,
 		sc: sc, random: rand.New(rand.NewPCG(seed, 1)), network: rand.New(rand.NewPCG(seed, 2)), now: start,
 		end: start + seconds(sc.Seconds), calls: map[callKey]*call{}, ways: map[[2]int]bool{},
 	}
@@ -281,6 +297,7 @@
 	}
 	core, effects := reducer.New(l.clock(), c)
 	l.core = core
+	s.observed(l, nil, effects)
 	l.carry(effects)
 	if c.Takeover != nil && l.kin.other == nil {
 		l.step(reducer.KinGone{Epoch: s.epoch()})
@@ -338,6 +355,7 @@
 	begin := time.Now()
 	effects := l.core.Step(l.clock(), ev)
 	l.sim.cpu += time.Since(begin)
+	l.sim.observed(l, ev, effects)
 	l.carry(effects)
 }
 
