--- a/internal/lab/experiment/equivalence_test.go
+++ b/internal/lab/experiment/equivalence_test.go
@@ -164,7 +164,7 @@
 }
 
 // reasons are the names of fields that tell people why.
-var reasons = map[string]bool{"Why": true}
+var reasons = map[string]bool{"Why": true, "Reason": true}
 
 var (
 	eventKinds  = kinds(events)
