--- a/cmd/lemongate/leases.go
+++ b/cmd/lemongate/leases.go
@@ -50,16 +50,16 @@
 	for _, v := range list {
 		held, token, left := "no", "-", "-"
 		if v.Holds {
-			held, token, left = "yes", strconv.FormatUint(v.Token, 10), v.For.Round(time.Millisecond).String()
+			held, token, left = "yes", strconv.FormatUint(v.Token, 10), v.ValidFor.Round(time.Millisecond).String()
 		}
-		keepers := strings.Trim(fmt.Sprint(v.Keepers), "[]")
+		keepers := strings.Trim(fmt.Sprint(v.Acceptors), "[]")
 		c := v.Counts
 		who := "-"
 		if v.Holder >= 0 {
 			who = strconv.Itoa(v.Holder)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\t%d\t%d\n",
-			v.Task, who, held, token, left, v.Phase, keepers, v.Keeps, c.Won, c.Renewed, c.Lost, c.Given, c.Refused, c.Waited)
+			v.Task, who, held, token, left, v.Phase, keepers, v.IsAcceptor, c.Won, c.Renewed, c.Lost, c.Released, c.RejectedLate, c.Waited)
 	}
 	return w.Flush()
 }
--- a/cmd/lemongate/main.go
+++ b/cmd/lemongate/main.go
@@ -18,7 +18,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"lemongate/internal/config"
-	"lemongate/internal/node"
+	"lemongate/internal/eventloop"
 )
 
 // release is the version told by the version command; CHANGELOG.md says what
@@ -103,16 +103,16 @@
 	if err != nil {
 		return err
 	}
-	clock := node.NewClock(rate)
+	clock := eventloop.NewClock(rate)
 	c, err := config.Load(os.Getenv, clock.Zero())
 	if err != nil {
 		return err
 	}
-	if err := c.Operator(cmd.String("operator")); err != nil {
+	if err := c.LoadOperator(cmd.String("operator")); err != nil {
 		return err
 	}
 	limit(c.Limits, 1)
-	return node.Run(c, clock, log, node.Controls{
+	return eventloop.Run(c, clock, log, eventloop.Controls{
 		Dump: dump, Stop: stop, Reload: reload,
 		Share: func(part float64) { limit(c.Limits, part) },
 		Load:  func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Zero()) },
@@ -158,15 +158,15 @@
 }
 
 func check(_ context.Context, cmd *cli.Command) error {
-	c, err := config.Load(os.Getenv, node.NewClock(1).Zero())
+	c, err := config.Load(os.Getenv, eventloop.NewClock(1).Zero())
 	if err != nil {
 		return err
 	}
-	if err := c.Operator(cmd.String("operator")); err != nil {
+	if err := c.LoadOperator(cmd.String("operator")); err != nil {
 		return err
 	}
 	fmt.Fprintf(cmd.Root().Writer, "%s: limiter %d of %d, %d classes, %d plans, %d known backends\n",
-		c.Name, c.Settings.Self, c.Settings.Gateways, len(c.Settings.Classes), len(c.Settings.Plans), len(c.Known))
+		c.Name, c.Settings.Self, c.Settings.Limiters, len(c.Settings.Classes), len(c.Settings.Plans), len(c.KnownEndpoints))
 	return nil
 }
 
--- a/internal/console/console.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
-// Package console answers the operators' calls: whether this process takes clients,
+// Package admin answers the operators' calls: whether this process takes clients,
 // and its figures. It decides nothing and asks the rest of the program nothing: it
 // shows what it was handed last, so no caller can slow a req or wait for one.
-package console
+package admin
 
 import (
 	"container/list"
@@ -19,8 +19,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"go.uber.org/zap"
 
+	"lemongate/internal/core"
 	"lemongate/internal/lease"
-	"lemongate/internal/reducer"
 )
 
 const (
@@ -33,13 +33,13 @@
 	againAfter = time.Second // the address could not be listened on
 )
 
-// A Console serves one address. Its methods may be called from any goroutine.
-type Console struct {
+// A Server serves one address. Its methods may be called from any goroutine.
+type Server struct {
 	log    *zap.Logger
 	server *http.Server
 	ready  atomic.Bool
-	now    atomic.Pointer[reducer.Figures]
-	post   func(reducer.Event)
+	now    atomic.Pointer[core.Metrics]
+	post   func(core.Event)
 	done   context.Context
 	end    context.CancelFunc
 }
@@ -47,10 +47,10 @@
 // New returns a Console that does not listen yet. Wrote tells how many attempts were
 // written to backends whole; it is asked at each call and must not wait. Post takes what
 // operators want; it may wait for the loop, but holds up nobody else.
-func New(wrote func() uint64, post func(reducer.Event), log *zap.Logger) *Console {
-	c := &Console{log: log, post: post}
+func New(wrote func() uint64, post func(core.Event), log *zap.Logger) *Server {
+	c := &Server{log: log, post: post}
 	c.done, c.end = context.WithCancel(context.Background())
-	c.now.Store(&reducer.Figures{})
+	c.now.Store(&core.Metrics{})
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{now: &c.now, wrote: wrote})
 	mux := http.NewServeMux()
@@ -70,7 +70,7 @@
 
 // Serve answers calls at an address until Close. An address that cannot be listened on
 // is tried again: a limiter that serves its clients does not end for its console.
-func (c *Console) Serve(addr string) {
+func (c *Server) Serve(addr string) {
 	for c.done.Err() == nil {
 		l, err := (&net.ListenConfig{}).Listen(c.done, "tcp", addr)
 		if err == nil {
@@ -87,7 +87,7 @@
 }
 
 // ServeOn answers calls that come to a listener until Close.
-func (c *Console) ServeOn(l net.Listener) error {
+func (c *Server) ServeOn(l net.Listener) error {
 	if err := c.server.Serve(&places{Listener: l}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -95,18 +95,18 @@
 }
 
 // Close ends all calls.
-func (c *Console) Close() {
+func (c *Server) Close() {
 	c.end()
 	c.server.Close()
 }
 
-// Ready sets whether this process takes clients.
-func (c *Console) Ready(is bool) { c.ready.Store(is) }
+// SetReady sets whether this process takes clients.
+func (c *Server) SetReady(is bool) { c.ready.Store(is) }
 
 // Publish takes the figures that are shown from now on.
-func (c *Console) Publish(f reducer.Figures) { c.now.Store(&f) }
+func (c *Server) Publish(f core.Metrics) { c.now.Store(&f) }
 
-func (c *Console) health(w http.ResponseWriter, _ *http.Request) {
+func (c *Server) health(w http.ResponseWriter, _ *http.Request) {
 	if !c.ready.Load() {
 		http.Error(w, "takes no clients", http.StatusServiceUnavailable)
 		return
@@ -115,7 +115,7 @@
 }
 
 // leases shows how the tasks stand that one limiter does at a time.
-func (c *Console) leases(w http.ResponseWriter, _ *http.Request) {
+func (c *Server) leases(w http.ResponseWriter, _ *http.Request) {
 	list := c.now.Load().Leases
 	if list == nil {
 		list = []lease.View{}
@@ -126,22 +126,22 @@
 
 // turn shows how planned restarts stand, and takes an operator's word: POST wants a turn here, or with
 // forget=N has the place of a limiter freed that will not come back; DELETE wants none.
-func (c *Console) turn(w http.ResponseWriter, r *http.Request) {
-	now := c.now.Load().Turns
-	if !now.On {
+func (c *Server) turn(w http.ResponseWriter, r *http.Request) {
+	now := c.now.Load().RestartSlots
+	if !now.Enabled {
 		http.Error(w, "no turns at restarts are set", http.StatusNotFound)
 		return
 	}
 	code := http.StatusOK
 	if r.Method != http.MethodGet {
-		var ev reducer.Event = reducer.TurnAsked{Want: r.Method == http.MethodPost}
+		var ev core.Event = core.RestartSlotRequested{Wanted: r.Method == http.MethodPost}
 		if text := r.URL.Query().Get("forget"); text != "" {
 			n, err := strconv.ParseUint(text, 10, 16)
 			if err != nil || r.Method != http.MethodPost {
 				http.Error(w, "forget: want the number of a limiter, by POST", http.StatusBadRequest)
 				return
 			}
-			ev = reducer.TurnForgotten{Limiter: int(n)}
+			ev = core.RestartSlotReleased{Limiter: int(n)}
 		}
 		c.post(ev)
 		code = http.StatusAccepted
@@ -163,7 +163,7 @@
 
 // A collector turns the figures into Prometheus's form.
 type collector struct {
-	now   *atomic.Pointer[reducer.Figures]
+	now   *atomic.Pointer[core.Metrics]
 	wrote func() uint64
 }
 
@@ -181,7 +181,7 @@
 	gauge := func(d *prometheus.Desc, v int) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(v))
 	}
-	for _, l := range f.Lanes {
+	for _, l := range f.Classes {
 		counter(completed, l.Completed, l.Class)
 		counter(rejected, l.Rejected, l.Class)
 		counter(failed, l.Failed, l.Class)
--- a/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -1,4 +1,4 @@
-package lemongate
+package admission
 
 import (
 	"cmp"
@@ -30,12 +30,12 @@
 // Snapshot packs what this Gateway remembers. Requests do not go with it: those that wait
 // have to be withdrawn first (Gone), what is out is for Adopted. It says nothing new to its
 // peers from here on, and must not be asked to admit again but after Renewed.
-func (g *Gateway) Snapshot() ([]byte, error) {
-	if !g.running {
+func (g *Controller) Snapshot() ([]byte, error) {
+	if !g.started {
 		return nil, errors.New("snapshot: nothing has come yet")
 	}
 	state := newLimiterState(g)
-	data, err := stateCodec.Marshal(snapshot{Fingerprint: fingerprint(g.set), Epoch: g.set.Epoch, Limiter: &state})
+	data, err := stateCodec.Marshal(snapshot{Fingerprint: fingerprint(g.settings), Epoch: g.settings.Epoch, Limiter: &state})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -45,7 +45,7 @@
 // Resume returns a Gateway that goes on where the one of a snapshot stood, in its epoch, so
 // that its peers see no restart. Settings that decide otherwise than those of the snapshot
 // are an error: rights that were cut by others would be counted wrong.
-func Resume(set Settings, seed uint64, data []byte) (*Gateway, error) {
+func Resume(set Settings, seed uint64, data []byte) (*Controller, error) {
 	g := New(set, seed)
 	state := newLimiterState(g) // a field that is not stored keeps the value of a start
 	s := snapshot{Limiter: &state}
@@ -59,7 +59,7 @@
 		return nil, errors.New("snapshot: not whole")
 	}
 	s.Limiter.restore(g)
-	g.set.Epoch = s.Epoch
+	g.settings.Epoch = s.Epoch
 	g.ledger = quota.Restore(*s.Limiter.Ledger, g.quotaConfig())
 	g.relink()
 	return g, nil
@@ -75,102 +75,104 @@
 }
 
 // relink builds what follows from the rest.
-func (g *Gateway) relink() {
-	clear(g.byName)
-	g.preferred = slices.Clone(g.classes)
+func (g *Controller) relink() {
+	clear(g.classesByName)
+	g.classesByWeight = slices.Clone(g.classes)
 	for _, c := range g.classes {
-		g.byName[c.Name] = c
+		g.classesByName[c.Name] = c
 	}
-	slices.SortStableFunc(g.preferred, func(a, b *class) int {
-		return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.Aim, b.Aim))
+	slices.SortStableFunc(g.classesByWeight, func(a, b *requestClass) int {
+		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.LatencyObjective, b.LatencyObjective))
 	})
-	g.order = slices.DeleteFunc(g.order, func(c *customer) bool {
-		if c.number >= len(g.set.Plans) { // of none of the settings: its requests are all that there is of it
+	g.customerOrder = slices.DeleteFunc(g.customerOrder, func(c *customer) bool {
+		if c.planIndex >= len(g.settings.Plans) { // of none of the settings: its requests are all that there is of it
 			return true
 		}
-		c.plan, c.held, c.open = &g.set.Plans[c.number], 0, 0
-		if c.account = g.ledger.Find(hashOf(c.name), c.number, c.first, c.size); c.account == nil {
+		c.plan, c.queued, c.inFlight = &g.settings.Plans[c.planIndex], 0, 0
+		if c.account = g.ledger.Find(hashOf(c.name), c.planIndex, c.firstLimiter, c.setSize); c.account == nil {
 			return true
 		}
-		g.places(c)
+		g.syncSlots(c)
 		g.customers[customerKey{c.name, c.plan.Name}] = c
 		return false
 	})
-	for _, b := range g.known {
-		if b.told > 0 {
-			g.news = append(g.news, b)
+	for _, b := range g.backendsByID {
+		if b.gossipRepeats > 0 {
+			g.pendingObservations = append(g.pendingObservations, b)
 		}
 	}
-	slices.SortFunc(g.news, func(a, b *backend) int { return cmp.Or(cmp.Compare(a.heard, b.heard), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(g.pendingObservations, func(a, b *backend) int {
+		return cmp.Or(cmp.Compare(a.observedAt, b.observedAt), cmp.Compare(a.ID, b.ID))
+	})
 	for _, p := range g.peers {
-		if p.waits {
-			g.telling = append(g.telling, p)
+		if p.queued {
+			g.queuedPeers = append(g.queuedPeers, p)
 		}
 	}
-	slices.SortFunc(g.telling, func(a, b *peer) int { return cmp.Compare(a.number, b.number) })
-	g.merge(&List{Kind: ListChanges})
-	g.wakeAt, g.dueAt = math.MaxInt64, g.now // the first event asks for the timer
+	slices.SortFunc(g.queuedPeers, func(a, b *peer) int { return cmp.Compare(a.number, b.number) })
+	g.mergeEndpoints(&EndpointList{Kind: ListDelta})
+	g.timerAt, g.nextDueAt = math.MaxInt64, g.now // the first event asks for the timer
 }
 
-// Adopted tells of an attempt that another process has out for this gateway's customers: it
+// AttemptAdopted tells of an attempt that another process has out for this gateway's customers: it
 // counts at its backend and among its customer's places until its Outcome.
-type Adopted struct {
+type AttemptAdopted struct {
 	Request
 	Attempt int
 	Backend string
 }
 
-// Renewed tells that another process stood in for this one, and what it granted is not
+// EpochRenewed tells that another process stood in for this one, and what it granted is not
 // known: what is held of the stores is what a limiter holds that starts anew.
-type Renewed struct{ Epoch uint32 }
+type EpochRenewed struct{ Epoch uint32 }
 
-func (*Adopted) event() {}
-func (Renewed) event()  {}
+func (*AttemptAdopted) event() {}
+func (EpochRenewed) event()    {}
 
 // adopt books an attempt of another process.
-func (g *Gateway) adopt(ev *Adopted) {
-	c, b := g.byName[ev.Class], g.known[ev.Backend]
+func (g *Controller) adopt(ev *AttemptAdopted) {
+	c, b := g.classesByName[ev.Class], g.backendsByID[ev.Backend]
 	if c == nil || b == nil {
 		return
 	}
 	r := g.requests[ev.ID]
 	if r == nil {
-		r = &request{Request: &ev.Request, class: c, customer: g.lookup(&ev.Request), came: g.now, over: true}
+		r = &request{Request: &ev.Request, class: c, customer: g.lookupCustomer(&ev.Request), receivedAt: g.now, ended: true}
 		g.requests[ev.ID] = r
 	}
-	if r.at != nil {
-		r.stop()
+	if r.backend != nil {
+		r.finishAttempt()
 	}
 	r.attempts = ev.Attempt
-	r.start(b, g.now)
-	g.places(r.customer)
+	r.startAt(b, g.now)
+	g.syncSlots(r.customer)
 }
 
 // renew starts the ledger anew.
-func (g *Gateway) renew(epoch uint32) {
-	g.set.Epoch = epoch
+func (g *Controller) renew(epoch uint32) {
+	g.settings.Epoch = epoch
 	g.ledger = quota.New(g.quotaConfig(), g.now)
-	if !slices.Contains(g.set.ReportFields, "util") {
-		g.ledger.Resolve(quota.Fresh, g.now)
+	if !slices.Contains(g.settings.LoadReportFields, "util") {
+		g.ledger.Resolve(quota.TierStarted, g.now)
 	}
-	g.starting = nil
-	for _, b := range g.known {
-		b.reported = false
+	g.initialUtilizations = nil
+	for _, b := range g.backendsByID {
+		b.initialReportSeen = false
 	}
 	for _, p := range g.peers {
-		p.sent = 0
+		p.lastSentSeq = 0
 	}
-	g.customers, g.order = map[customerKey]*customer{}, nil
+	g.customers, g.customerOrder = map[customerKey]*customer{}, nil
 	for _, r := range g.requests { // those that are out still count
 		c := r.customer
 		if key := (customerKey{c.name, c.plan.Name}); g.customers[key] == nil {
-			c.account = g.ledger.Account(c.account.Hash, c.number, c.first, c.size, g.now)
-			g.customers[key], g.order = c, append(g.order, c)
-			g.places(c)
+			c.account = g.ledger.Account(c.account.CustomerHash, c.planIndex, c.firstLimiter, c.setSize, g.now)
+			g.customers[key], g.customerOrder = c, append(g.customerOrder, c)
+			g.syncSlots(c)
 		}
 	}
-	slices.SortFunc(g.order, func(a, b *customer) int {
+	slices.SortFunc(g.customerOrder, func(a, b *customer) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.plan.Name, b.plan.Name))
 	})
-	g.greet()
+	g.announceToPeers()
 }
--- a/snapshot_state.go
+++ b/internal/admission/snapshot_state.go
@@ -1,4 +1,4 @@
-package lemongate
+package admission
 
 import (
 	"time"
@@ -73,13 +73,13 @@
 
 // classSettingsState is the stored form of a Class of the settings.
 type classSettingsState struct {
-	Name              string        `json:"Name"`
-	Effect            Effect        `json:"Effect"`
-	IdempotencyScope  Group         `json:"Group"`
-	IdempotencyWindow time.Duration `json:"Window"`
-	LatencyObjective  time.Duration `json:"Aim"`
-	Deadline          time.Duration `json:"Deadline"`
-	Weight            float64       `json:"Worth"`
+	Name              string           `json:"Name"`
+	Effect            Idempotency      `json:"Effect"`
+	IdempotencyScope  IdempotencyScope `json:"Group"`
+	IdempotencyWindow time.Duration    `json:"Window"`
+	LatencyObjective  time.Duration    `json:"Aim"`
+	Deadline          time.Duration    `json:"Deadline"`
+	Weight            float64          `json:"Worth"`
 }
 
 // backendState is the stored form of what is known of a backend.
@@ -193,176 +193,176 @@
 	CeilingBurst   float64 `json:"CeilingBurst"`
 }
 
-func newLimiterState(x *Gateway) limiterState {
+func newLimiterState(x *Controller) limiterState {
 	return limiterState{
 		Now:                        x.now,
-		Started:                    x.running,
+		Started:                    x.started,
 		Classes:                    memento.List(x.classes, newClassState),
-		Backends:                   memento.Values(x.known, newBackendState),
+		Backends:                   memento.Values(x.backendsByID, newBackendState),
 		MeanLoad:                   x.meanLoad,
 		Ledger:                     ledgerState(x.ledger),
-		Customers:                  memento.List(x.order, newCustomerState),
-		FirstRequestAt:             x.first,
-		Leaving:                    x.left,
-		InitialUtilizations:        x.starting,
+		Customers:                  memento.List(x.customerOrder, newCustomerState),
+		FirstRequestAt:             x.firstRequestAt,
+		Leaving:                    x.leaving,
+		InitialUtilizations:        x.initialUtilizations,
 		Peers:                      memento.Values(x.peers, newPeerState),
-		TransferRequestsPacedUntil: x.paced,
-		MessagesPacedUntil:         x.pacedAll,
-		NextObservationsAt:         x.nextNews,
-		UrgentUntil:                x.alarm,
-		ProbeAllowance:             newAllowanceState(x.probes),
-		Rejections:                 newRejectionsState(x.turned),
-		NextControlAt:              x.nextPeriod,
-		FractionalWindow:           newAllowanceState(x.carry),
-		SlowStartAllowance:         newAllowanceState(x.cold),
-		WindowScale:                x.scale,
-		UpstreamPressure:           x.strain,
-		QuotaRate:                  x.quotas,
-		MedianLatencyPerAttempt:    x.typical,
-		WindowWasFull:              x.bound,
+		TransferRequestsPacedUntil: x.transferRequestsPacedUntil,
+		MessagesPacedUntil:         x.messagesPacedUntil,
+		NextObservationsAt:         x.nextObservationsAt,
+		UrgentUntil:                x.urgentUntil,
+		ProbeAllowance:             newAllowanceState(x.probeAllowance),
+		Rejections:                 newRejectionsState(x.rejections),
+		NextControlAt:              x.nextControlAt,
+		FractionalWindow:           newAllowanceState(x.fractionalWindow),
+		SlowStartAllowance:         newAllowanceState(x.slowStartAllowance),
+		WindowScale:                x.windowScale,
+		UpstreamPressure:           x.upstreamPressure,
+		QuotaRate:                  x.quotaRate,
+		MedianLatencyPerAttempt:    x.medianLatencyPerAttempt,
+		WindowWasFull:              x.windowWasFull,
 		RetryTokens:                x.retryTokens,
-		AttemptRate:                newRateState(x.sendRate),
-		PollDue:                    x.watch,
+		AttemptRate:                newRateState(x.attemptRate),
+		PollDue:                    x.pollDue,
 	}
 }
 
 // restore puts the state into a Gateway that knows its settings alone. The ledger needs the
 // configuration and is restored apart.
-func (s limiterState) restore(g *Gateway) {
+func (s limiterState) restore(g *Controller) {
 	g.now = s.Now
-	g.running = s.Started
+	g.started = s.Started
 	g.classes = memento.List(s.Classes, classState.restore)
-	g.known = memento.Values(s.Backends, backendState.restore)
+	g.backendsByID = memento.Values(s.Backends, backendState.restore)
 	g.meanLoad = s.MeanLoad
-	g.order = memento.List(s.Customers, customerState.restore)
-	g.first = s.FirstRequestAt
-	g.left = s.Leaving
-	g.starting = s.InitialUtilizations
+	g.customerOrder = memento.List(s.Customers, customerState.restore)
+	g.firstRequestAt = s.FirstRequestAt
+	g.leaving = s.Leaving
+	g.initialUtilizations = s.InitialUtilizations
 	g.peers = memento.Values(s.Peers, peerState.restore)
-	g.paced = s.TransferRequestsPacedUntil
-	g.pacedAll = s.MessagesPacedUntil
-	g.nextNews = s.NextObservationsAt
-	g.alarm = s.UrgentUntil
-	g.probes = s.ProbeAllowance.restore()
-	g.turned = s.Rejections.restore()
-	g.nextPeriod = s.NextControlAt
-	g.carry = s.FractionalWindow.restore()
-	g.cold = s.SlowStartAllowance.restore()
-	g.scale = s.WindowScale
-	g.strain = s.UpstreamPressure
-	g.quotas = s.QuotaRate
-	g.typical = s.MedianLatencyPerAttempt
-	g.bound = s.WindowWasFull
+	g.transferRequestsPacedUntil = s.TransferRequestsPacedUntil
+	g.messagesPacedUntil = s.MessagesPacedUntil
+	g.nextObservationsAt = s.NextObservationsAt
+	g.urgentUntil = s.UrgentUntil
+	g.probeAllowance = s.ProbeAllowance.restore()
+	g.rejections = s.Rejections.restore()
+	g.nextControlAt = s.NextControlAt
+	g.fractionalWindow = s.FractionalWindow.restore()
+	g.slowStartAllowance = s.SlowStartAllowance.restore()
+	g.windowScale = s.WindowScale
+	g.upstreamPressure = s.UpstreamPressure
+	g.quotaRate = s.QuotaRate
+	g.medianLatencyPerAttempt = s.MedianLatencyPerAttempt
+	g.windowWasFull = s.WindowWasFull
 	g.retryTokens = s.RetryTokens
-	g.sendRate = s.AttemptRate.restore()
-	g.watch = s.PollDue
+	g.attemptRate = s.AttemptRate.restore()
+	g.pollDue = s.PollDue
 }
 
-func newClassState(x *class) classState {
+func newClassState(x *requestClass) classState {
 	return classState{
 		classSettingsState: newClassSettingsState(x.Class),
 		Share:              x.share,
 		Credit:             x.credit,
-		RecentBudgets:      x.budgets,
-		BudgetsSeen:        x.asked,
-		UsualBudget:        x.usual,
+		RecentBudgets:      x.recentBudgets,
+		BudgetsSeen:        x.budgetsSeen,
+		UsualBudget:        x.usualBudget,
 		Arrivals:           x.arrivals,
-		Completed:          x.ended,
-		LatencySum:         x.latency,
-		AttemptsMeasured:   x.served,
-		AttemptLatencySum:  x.work,
-		ArrivalRate:        x.rate,
-		MeanLatency:        x.mean,
-		MeanSquaredLatency: x.mean2,
-		LatencySamples:     x.answers,
-		IdleLatency:        x.idle,
+		Completed:          x.completed,
+		LatencySum:         x.latencySum,
+		AttemptsMeasured:   x.attemptsMeasured,
+		AttemptLatencySum:  x.attemptLatencySum,
+		ArrivalRate:        x.arrivalRate,
+		MeanLatency:        x.meanLatency,
+		MeanSquaredLatency: x.meanSquaredLatency,
+		LatencySamples:     x.latencySamples,
+		IdleLatency:        x.idleLatency,
 	}
 }
 
-func (s classState) restore() *class {
-	return &class{
-		Class:    s.classSettingsState.restore(),
-		share:    s.Share,
-		credit:   s.Credit,
-		budgets:  s.RecentBudgets,
-		asked:    s.BudgetsSeen,
-		usual:    s.UsualBudget,
-		arrivals: s.Arrivals,
-		ended:    s.Completed,
-		latency:  s.LatencySum,
-		served:   s.AttemptsMeasured,
-		work:     s.AttemptLatencySum,
-		rate:     s.ArrivalRate,
-		mean:     s.MeanLatency,
-		mean2:    s.MeanSquaredLatency,
-		answers:  s.LatencySamples,
-		idle:     s.IdleLatency,
+func (s classState) restore() *requestClass {
+	return &requestClass{
+		Class:              s.classSettingsState.restore(),
+		share:              s.Share,
+		credit:             s.Credit,
+		recentBudgets:      s.RecentBudgets,
+		budgetsSeen:        s.BudgetsSeen,
+		usualBudget:        s.UsualBudget,
+		arrivals:           s.Arrivals,
+		completed:          s.Completed,
+		latencySum:         s.LatencySum,
+		attemptsMeasured:   s.AttemptsMeasured,
+		attemptLatencySum:  s.AttemptLatencySum,
+		arrivalRate:        s.ArrivalRate,
+		meanLatency:        s.MeanLatency,
+		meanSquaredLatency: s.MeanSquaredLatency,
+		latencySamples:     s.LatencySamples,
+		idleLatency:        s.IdleLatency,
 	}
 }
 
 func newClassSettingsState(x Class) classSettingsState {
 	return classSettingsState{
 		Name:              x.Name,
-		Effect:            x.Effect,
-		IdempotencyScope:  x.Group,
-		IdempotencyWindow: x.Window,
-		LatencyObjective:  x.Aim,
+		Effect:            x.Idempotency,
+		IdempotencyScope:  x.IdempotencyScope,
+		IdempotencyWindow: x.IdempotencyWindow,
+		LatencyObjective:  x.LatencyObjective,
 		Deadline:          x.Deadline,
-		Weight:            x.Worth,
+		Weight:            x.Weight,
 	}
 }
 
 func (s classSettingsState) restore() Class {
 	return Class{
-		Name:     s.Name,
-		Effect:   s.Effect,
-		Group:    s.IdempotencyScope,
-		Window:   s.IdempotencyWindow,
-		Aim:      s.LatencyObjective,
-		Deadline: s.Deadline,
-		Worth:    s.Weight,
+		Name:              s.Name,
+		Idempotency:       s.Effect,
+		IdempotencyScope:  s.IdempotencyScope,
+		IdempotencyWindow: s.IdempotencyWindow,
+		LatencyObjective:  s.LatencyObjective,
+		Deadline:          s.Deadline,
+		Weight:            s.Weight,
 	}
 }
 
 func newBackendState(x *backend) backendState {
 	return backendState{
 		backendEntryState:    newBackendEntryState(x.Backend),
-		LatencyPerAttempt:    x.slope,
-		Samples:              x.answers,
-		LastResponseAt:       x.seen,
-		FailureRate:          x.fails,
-		EjectedUntil:         x.until,
-		ConsecutiveEjections: x.doubts,
-		RejectedUntil:        x.turned,
-		Unavailable:          x.gone,
-		RemovedAt:            x.left,
-		GossipKey:            x.key,
-		RelativeLoad:         x.load,
-		ObservedAt:           x.heard,
-		GossipRepeats:        x.told,
-		AnnouncedFailureRate: x.toldFails,
-		InitialReportSeen:    x.reported,
+		LatencyPerAttempt:    x.latencyPerAttempt,
+		Samples:              x.samples,
+		LastResponseAt:       x.lastResponseAt,
+		FailureRate:          x.failureRate,
+		EjectedUntil:         x.ejectedUntil,
+		ConsecutiveEjections: x.consecutiveEjections,
+		RejectedUntil:        x.rejectedUntil,
+		Unavailable:          x.unavailable,
+		RemovedAt:            x.removedAt,
+		GossipKey:            x.gossipKey,
+		RelativeLoad:         x.relativeLoad,
+		ObservedAt:           x.observedAt,
+		GossipRepeats:        x.gossipRepeats,
+		AnnouncedFailureRate: x.announcedFailureRate,
+		InitialReportSeen:    x.initialReportSeen,
 	}
 }
 
 func (s backendState) restore() *backend {
 	return &backend{
-		Backend:   s.backendEntryState.restore(),
-		slope:     s.LatencyPerAttempt,
-		answers:   s.Samples,
-		seen:      s.LastResponseAt,
-		fails:     s.FailureRate,
-		until:     s.EjectedUntil,
-		doubts:    s.ConsecutiveEjections,
-		turned:    s.RejectedUntil,
-		gone:      s.Unavailable,
-		left:      s.RemovedAt,
-		key:       s.GossipKey,
-		load:      s.RelativeLoad,
-		heard:     s.ObservedAt,
-		told:      s.GossipRepeats,
-		toldFails: s.AnnouncedFailureRate,
-		reported:  s.InitialReportSeen,
+		Backend:              s.backendEntryState.restore(),
+		latencyPerAttempt:    s.LatencyPerAttempt,
+		samples:              s.Samples,
+		lastResponseAt:       s.LastResponseAt,
+		failureRate:          s.FailureRate,
+		ejectedUntil:         s.EjectedUntil,
+		consecutiveEjections: s.ConsecutiveEjections,
+		rejectedUntil:        s.RejectedUntil,
+		unavailable:          s.Unavailable,
+		removedAt:            s.RemovedAt,
+		gossipKey:            s.GossipKey,
+		relativeLoad:         s.RelativeLoad,
+		observedAt:           s.ObservedAt,
+		gossipRepeats:        s.GossipRepeats,
+		announcedFailureRate: s.AnnouncedFailureRate,
+		initialReportSeen:    s.InitialReportSeen,
 	}
 }
 
@@ -372,41 +372,41 @@
 		Zone:             x.Zone,
 		Cell:             x.Cell,
 		State:            x.State,
-		RelativeCapacity: x.Size,
-		StartedAt:        x.Started,
+		RelativeCapacity: x.RelativeCapacity,
+		StartedAt:        x.StartedAt,
 	}
 }
 
 func (s backendEntryState) restore() Backend {
 	return Backend{
-		ID:      s.ID,
-		Zone:    s.Zone,
-		Cell:    s.Cell,
-		State:   s.State,
-		Size:    s.RelativeCapacity,
-		Started: s.StartedAt,
+		ID:               s.ID,
+		Zone:             s.Zone,
+		Cell:             s.Cell,
+		State:            s.State,
+		RelativeCapacity: s.RelativeCapacity,
+		StartedAt:        s.StartedAt,
 	}
 }
 
 func newCustomerState(x *customer) customerState {
 	return customerState{
 		Name:         x.name,
-		PlanIndex:    x.number,
-		FirstLimiter: x.first,
-		SetSize:      x.size,
-		LastSeen:     x.seen,
-		MeanUnits:    x.units,
+		PlanIndex:    x.planIndex,
+		FirstLimiter: x.firstLimiter,
+		SetSize:      x.setSize,
+		LastSeen:     x.lastSeen,
+		MeanUnits:    x.meanUnits,
 	}
 }
 
 func (s customerState) restore() *customer {
 	return &customer{
-		name:   s.Name,
-		number: s.PlanIndex,
-		first:  s.FirstLimiter,
-		size:   s.SetSize,
-		seen:   s.LastSeen,
-		units:  s.MeanUnits,
+		name:         s.Name,
+		planIndex:    s.PlanIndex,
+		firstLimiter: s.FirstLimiter,
+		setSize:      s.SetSize,
+		lastSeen:     s.LastSeen,
+		meanUnits:    s.MeanUnits,
 	}
 }
 
@@ -415,70 +415,70 @@
 		Number:          x.number,
 		Epoch:           x.epoch,
 		Known:           x.known,
-		LastReceivedSeq: x.seq,
-		LastSentSeq:     x.sent,
-		DueAt:           x.due,
-		PacedUntil:      x.paced,
-		Queued:          x.waits,
+		LastReceivedSeq: x.lastReceivedSeq,
+		LastSentSeq:     x.lastSentSeq,
+		DueAt:           x.dueAt,
+		PacedUntil:      x.pacedUntil,
+		Queued:          x.queued,
 	}
 }
 
 func (s peerState) restore() *peer {
 	return &peer{
-		number: s.Number,
-		epoch:  s.Epoch,
-		known:  s.Known,
-		seq:    s.LastReceivedSeq,
-		sent:   s.LastSentSeq,
-		due:    s.DueAt,
-		paced:  s.PacedUntil,
-		waits:  s.Queued,
+		number:          s.Number,
+		epoch:           s.Epoch,
+		known:           s.Known,
+		lastReceivedSeq: s.LastReceivedSeq,
+		lastSentSeq:     s.LastSentSeq,
+		dueAt:           s.DueAt,
+		pacedUntil:      s.PacedUntil,
+		queued:          s.Queued,
 	}
 }
 
-func newAllowanceState(x saved) allowanceState {
+func newAllowanceState(x allowance) allowanceState {
 	return allowanceState{
 		Amount:    x.amount,
-		UpdatedAt: x.at,
+		UpdatedAt: x.updatedAt,
 	}
 }
 
-func (s allowanceState) restore() saved {
-	return saved{
-		amount: s.Amount,
-		at:     s.UpdatedAt,
+func (s allowanceState) restore() allowance {
+	return allowance{
+		amount:    s.Amount,
+		updatedAt: s.UpdatedAt,
 	}
 }
 
-func newRejectionsState(x Turned) rejectionsState {
+func newRejectionsState(x RejectionCounts) rejectionsState {
 	return rejectionsState{
-		OverQuota:        x.Beyond,
-		WindowFull:       x.Full,
-		QueueTimeout:     x.Held,
-		RetriesExhausted: x.Tried,
+		OverQuota:        x.OverQuota,
+		WindowFull:       x.WindowFull,
+		QueueTimeout:     x.QueueTimeout,
+		RetriesExhausted: x.RetriesExhausted,
 	}
 }
 
-func (s rejectionsState) restore() Turned {
-	return Turned{
-		Beyond: s.OverQuota,
-		Full:   s.WindowFull,
-		Held:   s.QueueTimeout,
-		Tried:  s.RetriesExhausted,
+func (s rejectionsState) restore() RejectionCounts {
+	return RejectionCounts{
+		OverQuota:        s.OverQuota,
+		WindowFull:       s.WindowFull,
+		QueueTimeout:     s.QueueTimeout,
+		RetriesExhausted: s.RetriesExhausted,
 	}
 }
 
-func newRateState(x decayed) rateState {
+func newRateState(x decayingRate) rateState {
 	return rateState{
 		Rate:      x.rate,
-		UpdatedAt: x.at,
+		UpdatedAt: x.updatedAt,
 	}
 }
 
-func (s rateState) restore() decayed {
-	return decayed{
-		rate: s.Rate,
-		at:   s.UpdatedAt,
+func (s rateState) restore() decayingRate {
+	return decayingRate{
+		rate:      s.Rate,
+		updatedAt: s.UpdatedAt,
 	}
 }
 
@@ -486,26 +486,26 @@
 	return settingsState{
 		Epoch:                 x.Epoch,
 		Self:                  x.Self,
-		Limiters:              x.Gateways,
+		Limiters:              x.Limiters,
 		Zone:                  x.Zone,
-		ClockResolution:       x.Tick,
+		ClockResolution:       x.ClockResolution,
 		Classes:               memento.List(x.Classes, newClassSettingsState),
 		Plans:                 memento.List(x.Plans, newPlanState),
-		ClientsMarkRetries:    x.MarksRetry,
+		ClientsMarkRetries:    x.ClientsMarkRetries,
 		MaxAttempts:           x.MaxAttempts,
 		MayCancel:             x.MayCancel,
 		MayProbe:              x.MayProbe,
-		GossipEnabled:         x.MayTell,
-		PeerMessagesPerSecond: x.PeerInPerSec,
+		GossipEnabled:         x.GossipEnabled,
+		PeerMessagesPerSecond: x.PeerMessagesPerSecond,
 		MaxRetryAfter:         x.MaxRetryAfter,
-		LoadReportFields:      x.ReportFields,
-		CapacitiesKnown:       x.SizesKnown,
-		PollEndpoints:         x.PullList,
+		LoadReportFields:      x.LoadReportFields,
+		CapacitiesKnown:       x.CapacitiesKnown,
+		PollEndpoints:         x.PollEndpoints,
 		DrainGrace:            x.DrainGrace,
-		SlowStartFraction:     x.ColdFrom,
-		SlowStartDuration:     x.WarmWithin,
-		OverloadMultiple:      x.FallMultiple,
-		OverloadDuration:      x.FallWithin,
+		SlowStartFraction:     x.SlowStartFraction,
+		SlowStartDuration:     x.SlowStartDuration,
+		OverloadMultiple:      x.OverloadMultiple,
+		OverloadDuration:      x.OverloadDuration,
 	}
 }
 
@@ -514,10 +514,10 @@
 		Name:           x.Name,
 		Rate:           x.Rate,
 		Burst:          x.Burst,
-		MaxConcurrent:  x.Open,
-		WeightFactor:   x.Price,
-		ExcessFraction: x.Excess,
-		OverQuotaCost:  x.Over,
+		MaxConcurrent:  x.MaxConcurrent,
+		WeightFactor:   x.WeightFactor,
+		ExcessFraction: x.ExcessFraction,
+		OverQuotaCost:  x.OverQuotaCost,
 		CeilingRate:    x.CeilingRate,
 		CeilingBurst:   x.CeilingBurst,
 	}
--- a/internal/seal/seal.go
+++ b/internal/checksum/checksum.go
@@ -1,6 +1,6 @@
-// Package seal ends datagrams with a check against noise: what is none of ours must not be taken for
+// Package checksum ends datagrams with a check against noise: what is none of ours must not be taken for
 // one. It is no guard against who means harm.
-package seal
+package checksum
 
 import (
 	"encoding/binary"
@@ -13,8 +13,8 @@
 // Append adds the seal of data.
 func Append(data []byte) []byte { return binary.BigEndian.AppendUint32(data, sum(data)) }
 
-// Open gives data without its seal, and tells whether that fits.
-func Open(data []byte) ([]byte, bool) {
+// Verify gives data without its seal, and tells whether that fits.
+func Verify(data []byte) ([]byte, bool) {
 	n := len(data) - Size
 	if n < 0 {
 		return nil, false
--- a/internal/reducer/timers.go
+++ b/internal/core/timers.go
@@ -1,4 +1,4 @@
-package reducer
+package core
 
 import (
 	"container/heap"
@@ -9,21 +9,21 @@
 type timer struct {
 	at   time.Duration
 	kind timerKind
-	id   FetchID // for a deadline its Req, for a fetch all of it
-	text string  // token of the Gateway
+	id   AttemptID // for a deadline its Req, for a fetch all of it
+	text string    // token of the Gateway
 }
 
 type timerKind uint8
 
 const (
-	gatewayTimer  timerKind = iota // a Wake that the Gateway asked for
-	deadlineTimer                  // a req must have its answer
-	fetchTimer                     // a fetch is not waited for any longer
-	settleTimer                    // ready, even if discovery is silent
-	graceTimer                     // after SIGTERM: accept nothing more
-	leaseTimer                     // a lease has something due
-	kinTimer                       // the takeover has something due
-	figuresTimer                   // figures changed since they were last published
+	controllerTimer timerKind = iota // a Wake that the Gateway asked for
+	deadlineTimer                    // a req must have its answer
+	attemptTimer                     // a fetch is not waited for any longer
+	discoveryTimer                   // ready, even if discovery is silent
+	graceTimer                       // after SIGTERM: accept nothing more
+	leaseTimer                       // a lease has something due
+	hotRestartTimer                  // the takeover has something due
+	metricsTimer                     // figures changed since they were last published
 )
 
 // timers is a heap, the earliest first.
@@ -50,4 +50,4 @@
 	return t[0], true
 }
 
-func (t *timers) drop() { heap.Pop(t) }
+func (t *timers) removeEarliest() { heap.Pop(t) }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,8 +17,8 @@
 	jsoniter "github.com/json-iterator/go"
 	"go.uber.org/zap"
 
-	"lemongate"
-	"lemongate/internal/reducer"
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
 )
 
 const (
@@ -66,13 +66,13 @@
 	StartedMS int64   `json:"startedAtMs"`
 }
 
-var states = map[string]lemongate.BackendState{
-	"up": lemongate.Live, "draining": lemongate.Draining, "removed": lemongate.Dead,
+var states = map[string]admission.BackendState{
+	"up": admission.Live, "draining": admission.Draining, "removed": admission.Removed,
 }
 
 // Decode reads one message. Origin is the Unix time at which the program's
 // clock stood at zero.
-func Decode(data []byte, origin time.Time) (list *reducer.Listed, generation int64, err error) {
+func Decode(data []byte, origin time.Time) (list *core.EndpointsUpdated, generation int64, err error) {
 	var m message
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &m); err != nil {
 		return nil, 0, badJSON(err)
@@ -86,13 +86,13 @@
 }
 
 // list words a message as an event.
-func (m *message) list(origin time.Time) (*reducer.Listed, error) {
+func (m *message) list(origin time.Time) (*core.EndpointsUpdated, error) {
 	if m.Reset && m.Instances == nil {
 		return nil, errors.New("list of backends: a whole list without instances")
 	}
-	list := &reducer.Listed{Kind: lemongate.ListChanges, Generation: m.Generation}
+	list := &core.EndpointsUpdated{Kind: admission.ListDelta, Generation: m.Generation}
 	if m.Reset {
-		list.Kind = lemongate.ListFull
+		list.Kind = admission.ListComplete
 	}
 	for _, x := range m.Instances {
 		if x.ID == "" {
@@ -100,33 +100,33 @@
 		}
 		state, known := states[x.Lifecycle]
 		if !known { // a word of later days: one odd entry must not cost the whole list
-			state = lemongate.Draining
+			state = admission.Draining
 		}
-		if _, _, err := net.SplitHostPort(x.Addr); err != nil && state == lemongate.Live {
+		if _, _, err := net.SplitHostPort(x.Addr); err != nil && state == admission.Live {
 			return nil, fmt.Errorf("list of backends: instance %q: %w", x.ID, err)
 		}
-		e := reducer.Entry{Addr: x.Addr, Backend: lemongate.Backend{
-			ID: x.ID, Zone: x.Zone, Cell: x.Cell, State: state, Size: x.Weight,
+		e := core.Endpoint{Addr: x.Addr, Backend: admission.Backend{
+			ID: x.ID, Zone: x.Zone, Cell: x.Cell, State: state, RelativeCapacity: x.Weight,
 		}}
 		if x.StartedMS > 0 {
-			e.Started = max(time.UnixMilli(x.StartedMS).Sub(origin), 0)
+			e.StartedAt = max(time.UnixMilli(x.StartedMS).Sub(origin), 0)
 		}
-		list.Entries = append(list.Entries, e)
+		list.Endpoints = append(list.Endpoints, e)
 	}
 	return list, nil
 }
 
 // A Watcher keeps a watch open.
 type Watcher struct {
-	Addr   string
-	Origin time.Time           // see Decode
-	Index  int64               // the generation held; grows as the watch tells of newer ones
-	Post   func(reducer.Event) // takes what was read
-	Log    *zap.Logger
-	Tier   int                   // limiters that watch the same discovery
-	Random func() float64        // overrides the source of chance, in [0, 1)
-	Silent time.Duration         // overrides how long a silent stream is trusted
-	Pause  func(d time.Duration) // overrides how a pause is spent
+	Addr           string
+	Origin         time.Time        // see Decode
+	Generation     int64            // the generation held; grows as the watch tells of newer ones
+	Post           func(core.Event) // takes what was read
+	Log            *zap.Logger
+	Limiters       int                   // limiters that watch the same discovery
+	Random         func() float64        // overrides the source of chance, in [0, 1)
+	SilenceTimeout time.Duration         // overrides how long a silent stream is trusted
+	Sleep          func(d time.Duration) // overrides how a pause is spent
 
 	mu   sync.Mutex
 	next string             // where to watch from now on; empty once there
@@ -150,7 +150,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if moved = w.next != ""; moved {
-		w.Addr, w.Index, w.next = w.next, 0, ""
+		w.Addr, w.Generation, w.next = w.next, 0, ""
 	}
 	if w.stay != nil {
 		w.stay()
@@ -168,8 +168,8 @@
 	if w.Random == nil {
 		w.Random = rand.Float64
 	}
-	spread := min(time.Duration(max(w.Tier-1, 0))*spreadEach, toldWithin)
-	most := max(backoffMost, min(time.Duration(w.Tier)*mostEach, toldWithin))
+	spread := min(time.Duration(max(w.Limiters-1, 0))*spreadEach, toldWithin)
+	most := max(backoffMost, min(time.Duration(w.Limiters)*mostEach, toldWithin))
 	backoff, refused := backoffFrom, 0
 	for ctx.Err() == nil {
 		stay, moved := w.settle(ctx)
@@ -202,8 +202,8 @@
 }
 
 func (w *Watcher) pause(ctx context.Context, d time.Duration) {
-	if w.Pause != nil {
-		w.Pause(d)
+	if w.Sleep != nil {
+		w.Sleep(d)
 		return
 	}
 	select {
@@ -223,7 +223,7 @@
 func (w *Watcher) watch(ctx context.Context, transport *http.Transport) (read int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := w.Silent
+	silent := w.SilenceTimeout
 	if silent == 0 {
 		silent = silentAfter
 	}
@@ -232,7 +232,7 @@
 	alarm := time.AfterFunc(silent, cancel)
 	defer alarm.Stop()
 
-	url := "http://" + w.Addr + "/v1/endpoints?stream=1&index=" + strconv.FormatInt(w.Index, 10)
+	url := "http://" + w.Addr + "/v1/endpoints?stream=1&index=" + strconv.FormatInt(w.Generation, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, fmt.Errorf("watch: %w", err)
@@ -249,17 +249,17 @@
 	for {
 		list, err := in.next(w.Origin)
 		if errors.Is(err, errUnread) {
-			w.Index = 0 // what it changed is unknown, so the whole list is wanted
+			w.Generation = 0 // what it changed is unknown, so the whole list is wanted
 		}
 		if err != nil {
 			return read, err
 		}
 		if read++; read == 1 {
-			w.Log.Info("backend list", zap.String("from", w.Addr), zap.Int64("asked", w.Index),
-				zap.Int64("generation", list.Generation), zap.Bool("whole", list.Kind == lemongate.ListFull),
-				zap.Int("entries", len(list.Entries)))
+			w.Log.Info("backend list", zap.String("from", w.Addr), zap.Int64("asked", w.Generation),
+				zap.Int64("generation", list.Generation), zap.Bool("whole", list.Kind == admission.ListComplete),
+				zap.Int("entries", len(list.Endpoints)))
 		}
-		w.Index = list.Generation
+		w.Generation = list.Generation
 		w.Post(list)
 	}
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -8,7 +8,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lemongate/internal/reducer"
+	"lemongate/internal/core"
 )
 
 // A stream reads the messages of a watch one by one, on one line each or indented over several,
@@ -38,7 +38,7 @@
 }
 
 // next waits for a message and reads it. One that was cut off or makes no sense is errUnread.
-func (s *stream) next(origin time.Time) (*reducer.Listed, error) {
+func (s *stream) next(origin time.Time) (*core.EndpointsUpdated, error) {
 	s.inside, s.left = false, maxList
 	s.alarm.Reset(s.silent)
 	if !s.values.More() && s.err != nil {
--- a/internal/node/frames.go
+++ b/internal/eventloop/frames.go
@@ -1,17 +1,17 @@
-package node
+package eventloop
 
 import (
 	"errors"
 	"time"
 
-	"lemongate"
-	"lemongate/internal/fetch"
-	"lemongate/internal/handover"
-	"lemongate/internal/handover/link"
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+	"lemongate/internal/hotrestart"
+	"lemongate/internal/hotrestart/link"
 	"lemongate/internal/lease"
 	"lemongate/internal/memento"
-	"lemongate/internal/reducer"
-	"lemongate/internal/rollup"
+	"lemongate/internal/upstream"
+	"lemongate/internal/usage"
 )
 
 // This file is the form of what two processes of a limiter say to each other, and the one place
@@ -24,7 +24,7 @@
 
 // Kinds of frames beside those that the machine speaks of.
 const (
-	frameBegan uint8 = uint8(handover.NKinds) + iota
+	frameBegan uint8 = uint8(hotrestart.NumKinds) + iota
 	frameEnded
 	frameRelay
 	frameGave
@@ -42,7 +42,7 @@
 
 // requestFrame is a lemongate.Request.
 type requestFrame struct {
-	ID       lemongate.RequestID `json:"ID"`
+	ID       admission.RequestID `json:"ID"`
 	Class    string              `json:"Class"`
 	Plan     string              `json:"Plan"`
 	Customer string              `json:"Customer"`
@@ -66,14 +66,14 @@
 type endedFrame struct {
 	Fetch   fetchIDFrame     `json:"Fetch"`
 	Backend string           `json:"Backend"`
-	Result  lemongate.Result `json:"Result"`
+	Result  admission.Result `json:"Result"`
 	Latency time.Duration    `json:"Latency"`
 	Report  []float64        `json:"Report"`
 }
 
 type fetchIDFrame struct {
-	Req     reducer.ReqID `json:"Req"`
-	Attempt int           `json:"Attempt"`
+	Req     core.RequestID `json:"Req"`
+	Attempt int            `json:"Attempt"`
 }
 
 // relayFrame passes a request on to the other process, with its content.
@@ -96,8 +96,8 @@
 
 // replyFrame is the answer to a request that was passed on.
 type replyFrame struct {
-	Req        reducer.ReqID      `json:"Req"`
-	Kind       reducer.AnswerKind `json:"Kind"`
+	Req        core.RequestID     `json:"Req"`
+	Kind       core.ResponseKind  `json:"Kind"`
 	RetryAfter time.Duration      `json:"RetryAfter"`
 	Reply      *replyContentFrame `json:"Reply"`
 }
@@ -110,15 +110,15 @@
 
 // stateFrame is all that goes over with handover.Transfer.
 type stateFrame struct {
-	Now        time.Duration        `json:"Now"`
-	Gate       []byte               `json:"Gate"`
-	Entries    []entryFrame         `json:"Entries"`
-	Generation int64                `json:"Generation"`
-	Source     string               `json:"Source"`
-	Last       reducer.ReqID        `json:"Last"`
-	Out        []beganFrame         `json:"Out"`
-	Use        *rollup.Legacy       `json:"Use"`
-	Keepers    []lease.KeeperLegacy `json:"Keepers"`
+	Now        time.Duration         `json:"Now"`
+	Gate       []byte                `json:"Gate"`
+	Entries    []entryFrame          `json:"Entries"`
+	Generation int64                 `json:"Generation"`
+	Source     string                `json:"Source"`
+	Last       core.RequestID        `json:"Last"`
+	Out        []beganFrame          `json:"Out"`
+	Use        *usage.RecorderState  `json:"Use"`
+	Keepers    []lease.AcceptorState `json:"Keepers"`
 }
 
 // entryFrame is an entry of the list of backends.
@@ -126,53 +126,53 @@
 	ID      string                 `json:"ID"`
 	Zone    string                 `json:"Zone"`
 	Cell    int                    `json:"Cell"`
-	State   lemongate.BackendState `json:"State"`
+	State   admission.BackendState `json:"State"`
 	Size    float64                `json:"Size"`
 	Started time.Duration          `json:"Started"`
 	Addr    string                 `json:"Addr"`
 }
 
-func newRequestFrame(r lemongate.Request) requestFrame {
+func newRequestFrame(r admission.Request) requestFrame {
 	return requestFrame{
 		ID: r.ID, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Units: r.Units, Budget: r.Budget,
-		First: r.First, Spread: r.Spread, Retry: r.Retry,
+		First: r.FirstLimiter, Spread: r.SetSize, Retry: r.IsRetry,
 	}
 }
 
-func (f requestFrame) request() lemongate.Request {
-	return lemongate.Request{
+func (f requestFrame) request() admission.Request {
+	return admission.Request{
 		ID: f.ID, Class: f.Class, Plan: f.Plan, Customer: f.Customer, Units: f.Units, Budget: f.Budget,
-		First: f.First, Spread: f.Spread, Retry: f.Retry,
+		FirstLimiter: f.First, SetSize: f.Spread, IsRetry: f.Retry,
 	}
 }
 
-func newBeganFrame(b reducer.Began) beganFrame {
+func newBeganFrame(b core.OpenAttempt) beganFrame {
 	return beganFrame{
-		requestFrame: newRequestFrame(b.Request), CallID: b.CallID, Attempt: b.Attempt, Backend: b.Backend, Booked: b.Booked,
+		requestFrame: newRequestFrame(b.Request), CallID: b.CallID, Attempt: b.Attempt, Backend: b.Backend, Booked: b.UsageRecorded,
 	}
 }
 
-func (f beganFrame) began() reducer.Began {
-	return reducer.Began{Request: f.request(), CallID: f.CallID, Attempt: f.Attempt, Backend: f.Backend, Booked: f.Booked}
+func (f beganFrame) began() core.OpenAttempt {
+	return core.OpenAttempt{Request: f.request(), CallID: f.CallID, Attempt: f.Attempt, Backend: f.Backend, UsageRecorded: f.Booked}
 }
 
-func newEndedFrame(e reducer.Ended) endedFrame {
+func newEndedFrame(e core.FinishedAttempt) endedFrame {
 	return endedFrame{
-		Fetch: fetchIDFrame{Req: e.Fetch.Req, Attempt: e.Fetch.Attempt}, Backend: e.Backend, Result: e.Result,
+		Fetch: fetchIDFrame{Req: e.Attempt.Request, Attempt: e.Attempt.Number}, Backend: e.Backend, Result: e.Result,
 		Latency: e.Latency, Report: e.Report,
 	}
 }
 
-func (f endedFrame) ended() reducer.Ended {
-	return reducer.Ended{
-		Fetch: reducer.FetchID{Req: f.Fetch.Req, Attempt: f.Fetch.Attempt}, Backend: f.Backend, Result: f.Result,
+func (f endedFrame) ended() core.FinishedAttempt {
+	return core.FinishedAttempt{
+		Attempt: core.AttemptID{Request: f.Fetch.Req, Number: f.Fetch.Attempt}, Backend: f.Backend, Result: f.Result,
 		Latency: f.Latency, Report: f.Report,
 	}
 }
 
-func newRelayFrame(r reducer.Relayed) relayFrame {
+func newRelayFrame(r core.ForwardedRequest) relayFrame {
 	f := relayFrame{requestFrame: newRequestFrame(r.Request), CallID: r.CallID}
-	if content, ok := r.Content.(*fetch.Req); ok && content != nil {
+	if content, ok := r.Content.(*upstream.Request); ok && content != nil {
 		f.Content = &contentFrame{
 			Method: content.Method, URI: content.URI, Host: content.Host, CallID: content.CallID, Key: content.Key,
 			Type: content.Type, Body: content.Body,
@@ -181,11 +181,11 @@
 	return f
 }
 
-func (f relayFrame) relayed() reducer.Relayed {
-	r := reducer.Relayed{Request: f.request(), CallID: f.CallID}
-	var content *fetch.Req
+func (f relayFrame) relayed() core.ForwardedRequest {
+	r := core.ForwardedRequest{Request: f.request(), CallID: f.CallID}
+	var content *upstream.Request
 	if c := f.Content; c != nil {
-		content = &fetch.Req{
+		content = &upstream.Request{
 			Method: c.Method, URI: c.URI, Host: c.Host, CallID: c.CallID, Key: c.Key, Type: c.Type, Body: c.Body,
 		}
 	}
@@ -193,57 +193,57 @@
 	return r
 }
 
-func newReplyFrame(a reducer.Answer) replyFrame {
-	f := replyFrame{Req: a.Req, Kind: a.Kind, RetryAfter: a.RetryAfter}
-	if reply, ok := a.Reply.(*fetch.Reply); ok && reply != nil {
+func newReplyFrame(a core.Respond) replyFrame {
+	f := replyFrame{Req: a.Request, Kind: a.Kind, RetryAfter: a.RetryAfter}
+	if reply, ok := a.Response.(*upstream.Response); ok && reply != nil {
 		f.Reply = &replyContentFrame{Type: reply.Type, Body: reply.Body}
 	}
 	return f
 }
 
 // answer is an error where an answer of a backend came without its content.
-func (f replyFrame) answer() (reducer.Answer, error) {
-	a := reducer.Answer{Req: f.Req, Kind: f.Kind, RetryAfter: f.RetryAfter}
-	var reply *fetch.Reply
+func (f replyFrame) answer() (core.Respond, error) {
+	a := core.Respond{Request: f.Req, Kind: f.Kind, RetryAfter: f.RetryAfter}
+	var reply *upstream.Response
 	if f.Reply != nil {
-		reply = &fetch.Reply{Type: f.Reply.Type, Body: f.Reply.Body}
+		reply = &upstream.Response{Type: f.Reply.Type, Body: f.Reply.Body}
 	}
-	a.Reply = reply
-	if reply == nil && f.Kind == reducer.Served {
+	a.Response = reply
+	if reply == nil && f.Kind == core.Served {
 		return a, errors.New("an answer without content")
 	}
 	return a, nil
 }
 
-func newEntryFrame(e reducer.Entry) entryFrame {
+func newEntryFrame(e core.Endpoint) entryFrame {
 	return entryFrame{
-		ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.State, Size: e.Size, Started: e.Started, Addr: e.Addr,
+		ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.State, Size: e.RelativeCapacity, Started: e.StartedAt, Addr: e.Addr,
 	}
 }
 
-func (f entryFrame) entry() reducer.Entry {
-	return reducer.Entry{
-		Backend: lemongate.Backend{ID: f.ID, Zone: f.Zone, Cell: f.Cell, State: f.State, Size: f.Size, Started: f.Started},
+func (f entryFrame) entry() core.Endpoint {
+	return core.Endpoint{
+		Backend: admission.Backend{ID: f.ID, Zone: f.Zone, Cell: f.Cell, State: f.State, RelativeCapacity: f.Size, StartedAt: f.Started},
 		Addr:    f.Addr,
 	}
 }
 
-func newStateFrame(x reducer.Inherit) stateFrame {
+func newStateFrame(x core.HandoverState) stateFrame {
 	return stateFrame{
-		Now: x.Now, Gate: x.Gate, Entries: memento.List(x.Entries, newEntryFrame), Generation: x.Generation,
-		Source: x.Source, Last: x.Last, Out: memento.List(x.Out, newBeganFrame), Use: x.Use, Keepers: x.Keepers,
+		Now: x.Now, Gate: x.Controller, Entries: memento.List(x.Endpoints, newEntryFrame), Generation: x.Generation,
+		Source: x.Source, Last: x.LastRequest, Out: memento.List(x.OpenAttempts, newBeganFrame), Use: x.Usage, Keepers: x.LeaseAcceptors,
 	}
 }
 
-func (f stateFrame) inherit() reducer.Inherit {
-	return reducer.Inherit{
-		Now: f.Now, Gate: f.Gate, Entries: memento.List(f.Entries, entryFrame.entry), Generation: f.Generation,
-		Source: f.Source, Last: f.Last, Out: memento.List(f.Out, beganFrame.began), Use: f.Use, Keepers: f.Keepers,
+func (f stateFrame) inherit() core.HandoverState {
+	return core.HandoverState{
+		Now: f.Now, Controller: f.Gate, Endpoints: memento.List(f.Entries, entryFrame.entry), Generation: f.Generation,
+		Source: f.Source, LastRequest: f.Last, OpenAttempts: memento.List(f.Out, beganFrame.began), Usage: f.Use, LeaseAcceptors: f.Keepers,
 	}
 }
 
 // decode reads a frame as an event. A frame that hands over a client session carries no event.
-func decode(f link.Frame) (reducer.Event, error) {
+func decode(f link.Frame) (core.Event, error) {
 	ev, err := read(f)
 	if err != nil {
 		return nil, err
@@ -251,42 +251,42 @@
 	return ev, nil
 }
 
-func read(f link.Frame) (reducer.Event, error) {
+func read(f link.Frame) (core.Event, error) {
 	switch f.Kind {
-	case uint8(handover.Transfer):
+	case uint8(hotrestart.Transfer):
 		var body stateFrame
-		ev := &reducer.KinHeard{Kind: handover.Transfer, Sockets: f.Sockets}
+		ev := &core.LinkMessageReceived{Kind: hotrestart.Transfer, Sockets: f.Sockets}
 		if codec.Unmarshal(f.Body, &body) == nil {
 			inherit := body.inherit()
-			ev.Inherit = &inherit
+			ev.State = &inherit
 		}
 		return ev, nil
 	case frameBegan:
 		var body beganFrame
 		err := codec.Unmarshal(f.Body, &body)
-		return &reducer.KinOut{Began: body.began()}, err
+		return &core.PeerAttemptStarted{OpenAttempt: body.began()}, err
 	case frameEnded:
 		var body endedFrame
 		err := codec.Unmarshal(f.Body, &body)
-		return &reducer.KinOver{Ended: body.ended()}, err
+		return &core.PeerAttemptFinished{FinishedAttempt: body.ended()}, err
 	case frameRelay:
 		var body relayFrame
 		err := codec.Unmarshal(f.Body, &body)
-		return &reducer.KinAsked{Relayed: body.relayed()}, err
+		return &core.ForwardedRequestReceived{ForwardedRequest: body.relayed()}, err
 	case frameGave:
-		var ev reducer.KinLeft
-		err := codec.Unmarshal(f.Body, &ev.Req)
+		var ev core.ForwardedRequestCanceled
+		err := codec.Unmarshal(f.Body, &ev.Request)
 		return ev, err
 	case frameReply:
 		var body replyFrame
 		err := codec.Unmarshal(f.Body, &body)
 		answer, incomplete := body.answer()
-		return &reducer.KinAnswered{Answer: answer}, errors.Join(err, incomplete)
+		return &core.ForwardedResponseReceived{Respond: answer}, errors.Join(err, incomplete)
 	case frameSession:
 		return nil, nil
 	}
-	if f.Kind >= uint8(handover.NKinds) {
+	if f.Kind >= uint8(hotrestart.NumKinds) {
 		return nil, errors.New("unknown")
 	}
-	return &reducer.KinHeard{Kind: handover.Kind(f.Kind)}, nil
+	return &core.LinkMessageReceived{Kind: hotrestart.Kind(f.Kind)}, nil
 }
--- a/internal/node/node.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package node runs the program: one goroutine feeds the reducer with what the
+// Package eventloop runs the program: one goroutine feeds the reducer with what the
 // edges post and has them carry out its effects.
-package node
+package eventloop
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 
 	"go.uber.org/zap"
 
+	"lemongate/internal/admin"
 	"lemongate/internal/config"
-	"lemongate/internal/console"
+	"lemongate/internal/core"
 	"lemongate/internal/discovery"
-	"lemongate/internal/fetch"
-	"lemongate/internal/front"
-	"lemongate/internal/peer"
-	"lemongate/internal/reducer"
+	"lemongate/internal/httpserver"
+	"lemongate/internal/peertransport"
+	"lemongate/internal/upstream"
 )
 
 const (
@@ -80,21 +80,21 @@
 	return time.Duration(float64(at-c.Now()) / c.rate)
 }
 
-// A Node is the running program.
-type Node struct {
+// A Loop is the running program.
+type Loop struct {
 	conf     *config.Config
 	clock    Clock
 	log      *zap.Logger
-	events   chan reducer.Event
+	events   chan core.Event
 	done     chan struct{}
-	reducer  *reducer.Reducer
-	front    *front.Front
-	fetches  *fetch.Pool
-	peers    *peer.Link // nil where there are none
+	reducer  *core.Machine
+	front    *httpserver.Server
+	fetches  *upstream.Client
+	peers    *peertransport.Transport // nil where there are none
 	listener net.Listener
 	serving  chan struct{} // closed once front is there
 	watcher  *discovery.Watcher
-	console  *console.Console // nil where none is wanted
+	console  *admin.Server // nil where none is wanted
 	load     func() (*config.Config, error)
 	timer    *time.Timer
 	exit     bool
@@ -119,8 +119,8 @@
 // Run serves until it is told to stop and has answered what it had taken, and
 // returns an error if it could not.
 func Run(c *config.Config, clock Clock, log *zap.Logger, controls Controls) error {
-	n := &Node{
-		conf: c, load: controls.Load, clock: clock, log: log, events: make(chan reducer.Event, inbox), done: make(chan struct{}),
+	n := &Loop{
+		conf: c, load: controls.Load, clock: clock, log: log, events: make(chan core.Event, inbox), done: make(chan struct{}),
 		timer: time.NewTimer(time.Hour), failed: make(chan error, 4), share: controls.Share, serving: make(chan struct{}),
 	}
 	n.wall.Store(&clock)
@@ -133,13 +133,13 @@
 			n.step(ev)
 			n.drain()
 		case <-n.timer.C:
-			n.step(reducer.Ticked{})
+			n.step(core.TimerFired{})
 		case <-controls.Dump:
 			n.dump()
 		case <-controls.Stop:
-			n.step(reducer.Terminated{})
+			n.step(core.ShutdownRequested{})
 		case <-controls.Reload:
-			n.step(reducer.ReloadAsked{})
+			n.step(core.ReloadRequested{})
 		case err := <-n.failed:
 			return err
 		}
@@ -150,24 +150,24 @@
 
 // open starts the edges that need no client, backend or peer yet, and the reducer, which says
 // what is to be opened next: all that there is, or a process to take over from.
-func (n *Node) open() {
+func (n *Loop) open() {
 	c := n.conf
-	n.fetches = fetch.New(fetch.Options{
+	n.fetches = upstream.New(upstream.Options{
 		ConnectTimeout: c.Settings.ConnectTimeout, IdleClose: c.Settings.IdleClose,
-		Fields: c.Settings.ReportFields, IdlePerBackend: spares(float64(c.Limits.Sockets), c.Settings.Gateways),
-		MostConns: int(float64(c.Limits.Sockets) * fetchPart), Post: n.post, Now: n.since,
+		LoadReportFields: c.Settings.LoadReportFields, MaxIdlePerBackend: spares(float64(c.Limits.Sockets), c.Settings.Limiters),
+		MaxConns: int(float64(c.Limits.Sockets) * fetchPart), Post: n.post, Now: n.since,
 	})
 	if c.Console != "" {
-		n.console = console.New(n.fetches.Wrote, n.post, n.log)
+		n.console = admin.New(n.fetches.AttemptsWritten, n.post, n.log)
 		go n.console.Serve(c.Console)
 	}
-	var effects []reducer.Effect
-	n.reducer, effects = reducer.New(n.clock.Now(), c.Reducer())
+	var effects []core.Effect
+	n.reducer, effects = core.New(n.clock.Now(), c.Core())
 	n.carryOut(effects)
 }
 
 // start opens the sockets that the configuration names.
-func (n *Node) start(wait bool) error {
+func (n *Loop) start(wait bool) error {
 	c := n.conf
 	var listener net.Listener
 	err := n.take(wait, func() (err error) {
@@ -178,7 +178,7 @@
 	})
 	if err == nil && c.PeerListen.IsValid() {
 		err = n.take(wait, func() (err error) {
-			n.peers, err = peer.Listen(c.PeerListen, c.Peers, c.PeersAll, n.post, n.log)
+			n.peers, err = peertransport.Listen(c.PeerListen, c.Peers, c.PeersAll, n.post, n.log)
 			return err
 		})
 		if err != nil {
@@ -194,7 +194,7 @@
 
 // take opens an address. With wait, a process that holds it and is about to end is waited for;
 // there is nothing else to be done yet.
-func (n *Node) take(wait bool, open func() error) error {
+func (n *Loop) take(wait bool, open func() error) error {
 	begin := time.Now()
 	for told := false; ; time.Sleep(addressEvery) {
 		err := open()
@@ -210,12 +210,12 @@
 }
 
 // serve begins with the sockets that are open.
-func (n *Node) serve(listener net.Listener, last reducer.ReqID, source string, generation int64) {
+func (n *Loop) serve(listener net.Listener, last core.RequestID, source string, generation int64) {
 	c := n.conf
 	n.listener = listener
-	n.front = front.New(front.Options{
-		Settings: c.Settings.Settings, MostUnits: c.Settings.MostUnits, Sessions: int(float64(c.Limits.Sockets) * frontPart),
-		Last: uint64(last), Now: n.clock.Now, Post: n.post, Log: n.log,
+	n.front = httpserver.New(httpserver.Options{
+		Settings: c.Settings.Settings, MaxUnits: c.Settings.MostUnits, MaxConns: int(float64(c.Limits.Sockets) * frontPart),
+		LastRequest: uint64(last), Now: n.clock.Now, Post: n.post, Log: n.log,
 	})
 	close(n.serving)
 	if n.peers != nil {
@@ -223,7 +223,7 @@
 		go n.peers.Write()
 	}
 	n.watcher = &discovery.Watcher{
-		Addr: source, Origin: n.clock.Zero(), Index: generation, Post: n.post, Log: n.log, Tier: c.Settings.Gateways,
+		Addr: source, Origin: n.clock.Zero(), Generation: generation, Post: n.post, Log: n.log, Limiters: c.Settings.Limiters,
 	}
 	n.edges.Go(func() { n.watcher.Run(n.ctx) })
 	go func() {
@@ -232,10 +232,10 @@
 		}
 	}()
 	n.log.Info("listening", zap.String("name", c.Name), zap.Stringer("at", listener.Addr()),
-		zap.Int("backends", len(c.Known)), zap.Int("peers", len(c.Peers)))
+		zap.Int("backends", len(c.KnownEndpoints)), zap.Int("peers", len(c.Peers)))
 }
 
-func (n *Node) close() {
+func (n *Loop) close() {
 	close(n.done) // edges wait for nobody any longer
 	n.cancel()
 	n.edges.Wait()
@@ -250,10 +250,10 @@
 }
 
 // since is the program's time, for those beside the loop: a takeover sets the clock.
-func (n *Node) since() time.Duration { return n.wall.Load().Now() }
+func (n *Loop) since() time.Duration { return n.wall.Load().Now() }
 
 // post hands an event to the loop.
-func (n *Node) post(ev reducer.Event) {
+func (n *Loop) post(ev core.Event) {
 	select {
 	case n.events <- ev:
 	case <-n.done:
@@ -261,7 +261,7 @@
 }
 
 // drain takes what waits already, so that one wake-up serves a batch.
-func (n *Node) drain() {
+func (n *Loop) drain() {
 	for range inbox {
 		select {
 		case ev := <-n.events:
@@ -272,7 +272,7 @@
 	}
 }
 
-func (n *Node) step(ev reducer.Event) {
+func (n *Loop) step(ev core.Event) {
 	if ev, ok := n.unwrap(ev); ok {
 		n.carryOut(n.reducer.Step(n.clock.Now(), ev))
 	}
@@ -280,60 +280,60 @@
 
 // carryOut has the edges do what the reducer asks for. None of it waits for a
 // socket.
-func (n *Node) carryOut(effects []reducer.Effect) {
+func (n *Loop) carryOut(effects []core.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
-		case reducer.StartFetch:
-			n.fetches.Start(e)
-		case reducer.StopFetch:
-			n.fetches.Stop(e.Fetch)
-		case reducer.WithdrawFetch:
-			n.fetches.Withdraw(e.Fetch)
-		case reducer.Answer:
+		case core.StartAttempt:
+			n.fetches.StartAttempt(e)
+		case core.CancelAttempt:
+			n.fetches.CancelAttempt(e.Attempt)
+		case core.WithdrawAttempt:
+			n.fetches.WithdrawAttempt(e.Attempt)
+		case core.Respond:
 			if n.front != nil {
-				n.front.Answer(e)
+				n.front.Respond(e)
 			}
-		case reducer.Probe:
+		case core.ProbeBackend:
 			n.fetches.Probe(e)
-		case reducer.DropBackend:
-			n.fetches.Drop(e.Backend)
-		case reducer.Tell:
+		case core.CloseBackendConns:
+			n.fetches.CloseBackendConns(e.Backend)
+		case core.SendToPeer:
 			if n.peers != nil {
-				n.peers.Tell(e.Peer, e.Data)
+				n.peers.Send(e.Peer, e.Data)
 			}
-		case reducer.SetTimer:
+		case core.SetTimer:
 			n.timer.Reset(n.clock.Until(e.At))
-		case reducer.Ready:
+		case core.SetReady:
 			if n.front != nil {
-				n.front.Ready(e.Is)
+				n.front.SetReady(e.Ready)
 			}
 			if n.console != nil {
-				n.console.Ready(e.Is)
+				n.console.SetReady(e.Ready)
 			}
-		case reducer.Publish:
-			n.console.Publish(e.Figures)
-		case reducer.EndSessions:
+		case core.PublishMetrics:
+			n.console.Publish(e.Metrics)
+		case core.DrainClientConns:
 			if n.front != nil {
-				n.front.EndSessions()
+				n.front.DrainConns()
 			}
-		case reducer.CloseFront:
+		case core.CloseServer:
 			go func() {
 				if n.front != nil {
 					n.front.Close(e.Within)
 				}
-				n.post(reducer.FrontClosed{})
+				n.post(core.ServerClosed{})
 			}()
-		case reducer.Reload:
+		case core.ReloadConfig:
 			go n.reload()
-		case reducer.Watch:
+		case core.WatchEndpoints:
 			if n.watcher != nil {
 				n.watcher.Move(e.Addr)
 			}
-		case reducer.Exit:
+		case core.Exit:
 			n.exit = true
-		case reducer.WriteUse:
+		case core.WriteUsage:
 			go n.writeUse(e)
-		case reducer.Log:
+		case core.Log:
 			n.log.Info(e.Text)
 		default:
 			n.carryOutKin(e)
@@ -342,24 +342,24 @@
 }
 
 // reload reads the configuration again and posts what it says.
-func (n *Node) reload() {
+func (n *Loop) reload() {
 	c, err := n.load()
 	if err != nil {
-		n.post(&reducer.Reloaded{Err: err})
+		n.post(&core.ConfigReloaded{Err: err})
 		return
 	}
-	n.post(&reducer.Reloaded{Discovery: c.Discovery})
+	n.post(&core.ConfigReloaded{Discovery: c.Discovery})
 }
 
 // writeUse writes a line of the fleet's use to the file of the lease that it is under, unless that has
 // ended, and tells so. Whoever reads goes by the token in the file's name.
-func (n *Node) writeUse(e reducer.WriteUse) {
-	done := reducer.UseWritten{Token: e.Token}
-	f, err := os.OpenFile(filepath.Join(n.conf.Rollup.Dir, fmt.Sprintf("use-%020d.jsonl", e.Token)), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
+func (n *Loop) writeUse(e core.WriteUsage) {
+	done := core.UsageWritten{Token: e.Token}
+	f, err := os.OpenFile(filepath.Join(n.conf.Usage.Dir, fmt.Sprintf("use-%020d.jsonl", e.Token)), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
 	if err == nil {
 		size, at := f.Seek(0, io.SeekEnd)
-		if done.Late = n.since() >= e.Before; !done.Late {
-			if _, err = f.Write(e.Line); err == nil {
+		if done.LeaseExpired = n.since() >= e.StartBefore; !done.LeaseExpired {
+			if _, err = f.Write(e.Report); err == nil {
 				err = f.Sync()
 			}
 			if err != nil && at == nil { // half a line would spoil the next one
@@ -374,10 +374,10 @@
 	n.post(done)
 }
 
-func (n *Node) dump() {
+func (n *Loop) dump() {
 	sessions := 0
 	if n.front != nil {
-		sessions = n.front.Sessions()
+		sessions = n.front.Conns()
 	}
 	n.log.Info("counters", zap.Stringer("phase", n.reducer.Phase()),
 		zap.Any("counts", n.reducer.Counters()), zap.Int("backend_connections", n.fetches.Conns()),
--- a/internal/peermsg/format_test.go
+++ b/internal/gossip/format_test.go
@@ -1,4 +1,4 @@
-package peermsg
+package gossip
 
 import (
 	"encoding/hex"
--- a/internal/handover/link/link.go
+++ b/internal/hotrestart/link/link.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Give sends a frame and returns once it is written, so that the sockets may be closed here.
-func (x *Conn) Give(kind uint8, body []byte, sockets ...syscall.Conn) error {
+// SendSync sends a frame and returns once it is written, so that the sockets may be closed here.
+func (x *Conn) SendSync(kind uint8, body []byte, sockets ...syscall.Conn) error {
 	done := make(chan error, 1)
 	select {
 	case <-x.over:
@@ -126,9 +126,9 @@
 	}
 }
 
-// Hang closes the stream after what was sent before. If that cannot be written at once, the
+// CloseAfterFlush closes the stream after what was sent before. If that cannot be written at once, the
 // other side may never learn of it, and is ended.
-func (x *Conn) Hang() {
+func (x *Conn) CloseAfterFlush() {
 	late := time.AfterFunc(hangWithin, func() {
 		x.Kill()
 		x.end()
--- a/internal/front/sessions.go
+++ b/internal/httpserver/conns.go
@@ -1,4 +1,4 @@
-package front
+package httpserver
 
 import (
 	"container/list"
