--- a/internal/front/front.go
+++ b/internal/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package front takes reqs in over HTTP/1.1 and writes their answers. It
+// Package httpserver takes reqs in over HTTP/1.1 and writes their answers. It
 // checks their form, hands them to the reducer, and decides nothing else.
-package front
+package httpserver
 
 import (
 	"context"
@@ -21,9 +21,9 @@
 
 	"go.uber.org/zap"
 
-	"lemongate"
-	"lemongate/internal/fetch"
-	"lemongate/internal/reducer"
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+	"lemongate/internal/upstream"
 )
 
 const (
@@ -43,20 +43,20 @@
 
 // Options set up a Front.
 type Options struct {
-	Settings  lemongate.Settings
-	MostUnits float64 // of one req; 0 for no bound
-	Sessions  int     // client sessions open at once; 0 for no bound
-	Last      uint64  // number that a process before this one gave a req at most
-	Now       func() time.Duration
-	Wall      func() time.Time // overrides the time by which client sessions are closed
-	Post      func(reducer.Event)
-	Log       *zap.Logger
+	Settings    admission.Settings
+	MaxUnits    float64 // of one req; 0 for no bound
+	MaxConns    int     // client sessions open at once; 0 for no bound
+	LastRequest uint64  // number that a process before this one gave a req at most
+	Now         func() time.Duration
+	Wall        func() time.Time // overrides the time by which client sessions are closed
+	Post        func(core.Event)
+	Log         *zap.Logger
 }
 
-// A Front serves the clients.
-type Front struct {
+// A Server serves the clients.
+type Server struct {
 	opt     Options
-	classes map[string]*lemongate.Class
+	classes map[string]*admission.Class
 	plans   map[string]bool
 	server  *http.Server
 	ready   atomic.Bool
@@ -71,17 +71,17 @@
 	lastCall time.Duration
 
 	mu      sync.Mutex
-	waiting map[reducer.ReqID]chan reducer.Answer
+	waiting map[core.RequestID]chan core.Respond
 }
 
 // New returns a Front that does not listen yet.
-func New(opt Options) *Front {
+func New(opt Options) *Server {
 	if opt.Wall == nil {
 		opt.Wall = time.Now
 	}
-	f := &Front{
-		opt: opt, classes: map[string]*lemongate.Class{}, plans: map[string]bool{},
-		waiting: map[reducer.ReqID]chan reducer.Answer{}, serves: make(chan struct{}), accepted: make(chan struct{}), part: 1, lastCall: lastCall,
+	f := &Server{
+		opt: opt, classes: map[string]*admission.Class{}, plans: map[string]bool{},
+		waiting: map[core.RequestID]chan core.Respond{}, serves: make(chan struct{}), accepted: make(chan struct{}), part: 1, lastCall: lastCall,
 	}
 	for i, c := range opt.Settings.Classes {
 		f.classes[c.Name] = &opt.Settings.Classes[i]
@@ -89,7 +89,7 @@
 	for _, p := range opt.Settings.Plans {
 		f.plans[p.Name] = true
 	}
-	f.last.Store(opt.Last)
+	f.last.Store(opt.LastRequest)
 	// The handler stands alone: a ServeMux would redirect unclean paths. The
 	// time to read a head ends with it; a time to read the whole req would run
 	// on while the req waits for its answer, and its end looks like a client
@@ -114,10 +114,10 @@
 func sessionOf(r *http.Request) *session { return r.Context().Value(sessionKey{}).(*session) }
 
 // Serve accepts clients until Close.
-func (f *Front) Serve(listener net.Listener) error {
-	l := newSessions(listener, f.opt.Sessions, f.opt.Wall)
-	l.onClose = func(was sessionState) { f.opt.Post(&reducer.SessionClosed{Unread: was == silent || was == reading}) }
-	l.onFull = func(told bool) { f.opt.Post(&reducer.SessionClosed{Unread: !told, Full: told}) }
+func (f *Server) Serve(listener net.Listener) error {
+	l := newSessions(listener, f.opt.MaxConns, f.opt.Wall)
+	l.onClose = func(was sessionState) { f.opt.Post(&core.ClientConnClosed{Unread: was == silent || was == reading}) }
+	l.onFull = func(told bool) { f.opt.Post(&core.ClientConnClosed{Unread: !told, Full: told}) }
 	l.full = f.full()
 	f.mu.Lock()
 	l.share(f.part)
@@ -135,7 +135,7 @@
 }
 
 // full is what a newcomer is told for which there is no room.
-func (f *Front) full() []byte {
+func (f *Server) full() []byte {
 	advice := ""
 	if d := f.opt.Settings.MaxRetryAfter; d > 0 {
 		advice = fmt.Sprintf("Retry-After: %.3f\r\n", d.Seconds())
@@ -143,8 +143,8 @@
 	return fmt.Appendf(nil, "HTTP/1.1 429 Too Many Requests\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n", advice)
 }
 
-// Adopt serves a client session that another process gave away between reqs.
-func (f *Front) Adopt(c net.Conn) {
+// AdoptConn serves a client session that another process gave away between reqs.
+func (f *Server) AdoptConn(c net.Conn) {
 	<-f.serves
 	l := f.sessions.Load()
 	if s := l.admit(c, idle); s != nil {
@@ -171,26 +171,26 @@
 func (o *one) Addr() net.Addr { return o.addr }
 
 // Pause ends accepting until Resume.
-func (f *Front) Pause() {
+func (f *Server) Pause() {
 	<-f.serves
 	f.sessions.Load().pause()
 }
 
 // Resume goes on accepting, and keeps the client sessions here.
-func (f *Front) Resume() {
+func (f *Server) Resume() {
 	<-f.serves
 	f.sessions.Load().resume()
 }
 
-// Move has client sessions between reqs given away, now and as they get there. Give returns
+// MoveConns has client sessions between reqs given away, now and as they get there. Give returns
 // once the session may be closed here.
-func (f *Front) Move(give func(syscall.Conn) error) {
+func (f *Server) MoveConns(give func(syscall.Conn) error) {
 	<-f.serves
 	f.sessions.Load().move(give)
 }
 
-// Share sets which part of the client sessions allowed may be open.
-func (f *Front) Share(part float64) {
+// SetResourceShare sets which part of the client sessions allowed may be open.
+func (f *Server) SetResourceShare(part float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.part = part
@@ -199,20 +199,20 @@
 	}
 }
 
-// Sessions tells how many client sessions are open.
-func (f *Front) Sessions() int {
+// Conns tells how many client sessions are open.
+func (f *Server) Conns() int {
 	if l := f.sessions.Load(); l != nil {
 		return l.count()
 	}
 	return 0
 }
 
-// Ready sets what GET /ready answers.
-func (f *Front) Ready(is bool) { f.ready.Store(is) }
+// SetReady sets what GET /ready answers.
+func (f *Server) SetReady(is bool) { f.ready.Store(is) }
 
-// EndSessions closes client sessions between reqs: the idle ones now, the others with their
+// DrainConns closes client sessions between reqs: the idle ones now, the others with their
 // answers. net/http's server would do so by SetKeepAlivesEnabled, but see session.Read.
-func (f *Front) EndSessions() {
+func (f *Server) DrainConns() {
 	f.ends.Store(true)
 	if l := f.sessions.Load(); l != nil {
 		l.end()
@@ -221,7 +221,7 @@
 
 // Close accepts nothing more and waits for the reqs in hand to be answered, and for sessions
 // that are given away to be gone. Shortly before the time is up no further req is read.
-func (f *Front) Close(within time.Duration) {
+func (f *Server) Close(within time.Duration) {
 	f.closes.Store(true)
 	if l := f.sessions.Load(); l != nil {
 		over, last := time.After(within), time.After(within-f.lastCall)
@@ -249,11 +249,11 @@
 	f.server.Close()
 }
 
-// Answer hands a req its answer. It never blocks.
-func (f *Front) Answer(a reducer.Answer) {
+// Respond hands a req its answer. It never blocks.
+func (f *Server) Respond(a core.Respond) {
 	f.mu.Lock()
-	answer := f.waiting[a.Req]
-	delete(f.waiting, a.Req)
+	answer := f.waiting[a.Request]
+	delete(f.waiting, a.Request)
 	f.mu.Unlock()
 	if answer != nil {
 		answer <- a // holds one, and one is all there is
@@ -261,7 +261,7 @@
 }
 
 // ServeHTTP sees one req of a client session through.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.ends.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -279,14 +279,14 @@
 	if !sessionOf(r).serves() {
 		panic(http.ErrAbortHandler)
 	}
-	ev.Left = r.Context().Err() != nil // it came with others, and its client has gone
-	answer := make(chan reducer.Answer, 1)
+	ev.Disconnected = r.Context().Err() != nil // it came with others, and its client has gone
+	answer := make(chan core.Respond, 1)
 	f.mu.Lock()
 	f.waiting[ev.ID] = answer
 	f.mu.Unlock()
 	f.opt.Post(ev)
 	left := r.Context().Done()
-	if ev.Left {
+	if ev.Disconnected {
 		left = nil
 	}
 	for {
@@ -299,15 +299,15 @@
 			return
 		case <-left: // or it ended its sending and reads on: nothing tells the two apart, so it is answered
 			left = nil
-			f.opt.Post(&reducer.Left{Req: ev.ID})
+			f.opt.Post(&core.ClientDisconnected{Request: ev.ID})
 		}
 	}
 }
 
 // turnAway answers at once what is no req, before its body has come: half of
 // one may be all that ever does.
-func (f *Front) turnAway(w http.ResponseWriter, r *http.Request, p *problem) {
-	f.opt.Post(reducer.Malformed{Cause: p.cause})
+func (f *Server) turnAway(w http.ResponseWriter, r *http.Request, p *problem) {
+	f.opt.Post(core.RequestMalformed{Cause: p.cause})
 	s := sessionOf(r)
 	if !s.serves() {
 		panic(http.ErrAbortHandler)
@@ -328,7 +328,7 @@
 	}
 }
 
-func (f *Front) serveReady(w http.ResponseWriter) {
+func (f *Server) serveReady(w http.ResponseWriter) {
 	if f.ready.Load() {
 		reject(w, http.StatusOK, "ready")
 		return
@@ -338,7 +338,7 @@
 
 // A problem is what makes a req none. It never costs a fetch.
 type problem struct {
-	cause  reducer.Cause
+	cause  core.MalformedCause
 	status int
 	text   string
 	ends   bool // where the next req would begin is not known, so the session ends
@@ -347,7 +347,7 @@
 // read checks the form of a req and words it as an event. What a backend or
 // the rules cannot use goes no further: on their side it would cost more, and
 // there it may pass for something else.
-func (f *Front) read(r *http.Request) (*reducer.Arrived, *problem) {
+func (f *Server) read(r *http.Request) (*core.RequestReceived, *problem) {
 	h, set := r.Header, &f.opt.Settings
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	name, customer, ok := splitPath(path)
@@ -361,13 +361,13 @@
 	// req. Clients here send a length, so what comes without is not looked into.
 	switch {
 	case len(r.TransferEncoding) > 0:
-		return nil, &problem{reducer.BadFraming, http.StatusLengthRequired, "Content-Length wanted, and nothing beside it", true}
+		return nil, &problem{core.BadFraming, http.StatusLengthRequired, "Content-Length wanted, and nothing beside it", true}
 	case !r.ProtoAtLeast(1, 1):
-		return nil, &problem{reducer.BadFraming, http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
+		return nil, &problem{core.BadFraming, http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
 	case r.ContentLength > maxBody:
-		return nil, &problem{reducer.BadFraming, http.StatusRequestEntityTooLarge, "body too long", true}
+		return nil, &problem{core.BadFraming, http.StatusRequestEntityTooLarge, "body too long", true}
 	case !ok || class == nil:
-		return nil, &problem{reducer.BadTarget, http.StatusNotFound, "no such class or customer", false}
+		return nil, &problem{core.BadTarget, http.StatusNotFound, "no such class or customer", false}
 	}
 	id, idOK := word(h, "X-Call-Id")
 	key, keyOK := word(h, "Idempotency-Key")
@@ -380,41 +380,41 @@
 	budgetOK = budgetOK && known && budget <= class.Deadline+budgetSlack
 	text, quotaOK := word(h, "Quota-Info")
 	quota, known := parseQuota(text)
-	gateways := max(set.Gateways, 1)
+	gateways := max(set.Limiters, 1)
 	quotaOK = quotaOK && known && quota.first < gateways && quota.spread <= gateways &&
-		(f.opt.MostUnits <= 0 || quota.units <= f.opt.MostUnits)
+		(f.opt.MaxUnits <= 0 || quota.units <= f.opt.MaxUnits)
 	method := http.MethodPost
-	if class.Effect == lemongate.Safe {
+	if class.Idempotency == admission.Idempotent {
 		method = http.MethodGet
 	}
 	switch {
 	case r.Method != method || method == http.MethodGet && r.ContentLength != 0:
-		return nil, &problem{reducer.BadMethod, http.StatusMethodNotAllowed, "the class has another method", false}
+		return nil, &problem{core.BadMethod, http.StatusMethodNotAllowed, "the class has another method", false}
 	case !idOK:
-		return nil, &problem{reducer.BadID, http.StatusBadRequest, "bad X-Call-Id", false}
-	case class.Effect == lemongate.Keyed && !keyOK || len(h["Idempotency-Key"]) > 1:
-		return nil, &problem{reducer.BadID, http.StatusBadRequest, "bad Idempotency-Key", false}
+		return nil, &problem{core.BadID, http.StatusBadRequest, "bad X-Call-Id", false}
+	case class.Idempotency == admission.IdempotentByKey && !keyOK || len(h["Idempotency-Key"]) > 1:
+		return nil, &problem{core.BadID, http.StatusBadRequest, "bad Idempotency-Key", false}
 	case !planOK || !f.plans[plan]:
-		return nil, &problem{reducer.BadPlan, http.StatusBadRequest, "unknown plan", false}
+		return nil, &problem{core.BadPlan, http.StatusBadRequest, "unknown plan", false}
 	case !budgetOK:
-		return nil, &problem{reducer.BadBudget, http.StatusBadRequest, "bad X-Budget", false}
+		return nil, &problem{core.BadBudget, http.StatusBadRequest, "bad X-Budget", false}
 	case !quotaOK:
-		return nil, &problem{reducer.BadQuota, http.StatusBadRequest, "bad Quota-Info", false}
+		return nil, &problem{core.BadQuota, http.StatusBadRequest, "bad Quota-Info", false}
 	}
 	body, err := f.readBody(r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, &problem{reducer.BadFraming, http.StatusRequestTimeout, "body did not come", true}
+		return nil, &problem{core.BadFraming, http.StatusRequestTimeout, "body did not come", true}
 	}
 	if err != nil {
-		return nil, &problem{reducer.BadFraming, http.StatusBadRequest, "body broken off", true}
+		return nil, &problem{core.BadFraming, http.StatusBadRequest, "body broken off", true}
 	}
-	return &reducer.Arrived{
-		At: f.opt.Now(), CallID: id,
-		Request: lemongate.Request{
-			ID: reducer.ReqID(f.last.Add(1)), Class: name, Plan: plan, Customer: customer, Units: quota.units,
-			Budget: min(budget, class.Deadline), First: quota.first, Spread: quota.spread, Retry: h.Get("X-Again") == "1",
+	return &core.RequestReceived{
+		ReceivedAt: f.opt.Now(), CallID: id,
+		Request: admission.Request{
+			ID: core.RequestID(f.last.Add(1)), Class: name, Plan: plan, Customer: customer, Units: quota.units,
+			Budget: min(budget, class.Deadline), FirstLimiter: quota.first, SetSize: quota.spread, IsRetry: h.Get("X-Again") == "1",
 		},
-		Content: &fetch.Req{
+		Content: &upstream.Request{
 			Method: r.Method, URI: r.RequestURI, Host: r.Host, CallID: id,
 			Key: key, Type: h.Get("Content-Type"), Body: body,
 		},
@@ -437,7 +437,7 @@
 
 // readBody reads a body whole. Its length is known, and within the bound; but
 // room is made for what has come, not for what is said to come.
-func (f *Front) readBody(r *http.Request) ([]byte, error) {
+func (f *Server) readBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
@@ -533,25 +533,25 @@
 }
 
 // write puts an answer on the wire. It is whole before the first byte goes out.
-func write(w http.ResponseWriter, a reducer.Answer) {
+func write(w http.ResponseWriter, a core.Respond) {
 	h := w.Header()
 	switch a.Kind {
-	case reducer.Served:
-		reply := a.Reply.(*fetch.Reply)
+	case core.Served:
+		reply := a.Response.(*upstream.Response)
 		if h["Content-Type"] = []string{reply.Type}; reply.Type == "" {
 			h["Content-Type"] = nil // not guessed from the body
 		}
 		h["Content-Length"] = []string{strconv.Itoa(len(reply.Body))}
 		w.WriteHeader(http.StatusOK)
 		w.Write(reply.Body)
-	case reducer.Refused:
+	case core.Rejected:
 		if a.RetryAfter > 0 {
 			h["Retry-After"] = []string{strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64)}
 		}
 		reject(w, http.StatusTooManyRequests, "refused, try again later")
-	case reducer.Clashed:
+	case core.DuplicateID:
 		reject(w, http.StatusConflict, "a req with this X-Call-Id is open")
-	case reducer.Failed:
+	case core.Failed:
 		reject(w, http.StatusBadGateway, "failed, it may have run")
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peertransport/transport.go
@@ -1,6 +1,6 @@
-// Package peer carries datagrams between limiters. It tells them apart by
+// Package peertransport carries datagrams between limiters. It tells them apart by
 // their source addresses and reads nothing of what they say.
-package peer
+package peertransport
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 
 	"go.uber.org/zap"
 
-	"lemongate/internal/reducer"
+	"lemongate/internal/core"
 )
 
 const (
@@ -24,15 +24,15 @@
 // flushWithin bounds how long Close waits for what is queued.
 const flushWithin = 100 * time.Millisecond
 
-// A Link is this limiter's end of the way to its peers.
-type Link struct {
+// A Transport is this limiter's end of the way to its peers.
+type Transport struct {
 	conn    *net.UDPConn
 	peers   []netip.AddrPort
 	all     netip.AddrPort
 	numbers map[netip.AddrPort]int
 	queue   chan datagram
 	written chan struct{} // closed when Write has ended
-	post    func(reducer.Event)
+	post    func(core.Event)
 	log     *zap.Logger
 
 	mu     sync.Mutex
@@ -46,17 +46,17 @@
 }
 
 // Listen opens the socket. Peers stand in the order of their numbers.
-func Listen(at netip.AddrPort, peers []netip.AddrPort, all netip.AddrPort, post func(reducer.Event), log *zap.Logger) (*Link, error) {
+func Listen(at netip.AddrPort, peers []netip.AddrPort, all netip.AddrPort, post func(core.Event), log *zap.Logger) (*Transport, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	return On(conn, peers, all, post, log), nil
+	return NewTransport(conn, peers, all, post, log), nil
 }
 
-// On goes on with a socket that is open.
-func On(conn *net.UDPConn, peers []netip.AddrPort, all netip.AddrPort, post func(reducer.Event), log *zap.Logger) *Link {
-	l := &Link{
+// NewTransport goes on with a socket that is open.
+func NewTransport(conn *net.UDPConn, peers []netip.AddrPort, all netip.AddrPort, post func(core.Event), log *zap.Logger) *Transport {
+	l := &Transport{
 		conn: conn, peers: peers, all: all, numbers: map[netip.AddrPort]int{},
 		queue: make(chan datagram, waiting), written: make(chan struct{}), closed: make(chan struct{}), post: post, log: log,
 	}
@@ -67,11 +67,11 @@
 }
 
 // Socket is the socket, for another process to go on with.
-func (l *Link) Socket() *net.UDPConn { return l.conn }
+func (l *Transport) Socket() *net.UDPConn { return l.conn }
 
 // Pause ends reading until Resume: what comes meanwhile is for who reads next, here or in
 // another process.
-func (l *Link) Pause() {
+func (l *Transport) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.paused == nil {
@@ -81,7 +81,7 @@
 }
 
 // Resume goes on reading.
-func (l *Link) Resume() {
+func (l *Transport) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.paused != nil {
@@ -92,7 +92,7 @@
 }
 
 // rest waits for Resume, or for the link's end.
-func (l *Link) rest() {
+func (l *Transport) rest() {
 	l.mu.Lock()
 	paused := l.paused
 	l.mu.Unlock()
@@ -108,7 +108,7 @@
 func plain(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
 
 // Read posts what comes in until the link is closed.
-func (l *Link) Read() {
+func (l *Transport) Read() {
 	// One byte more than allowed, so that a longer datagram shows.
 	buf := make([]byte, maxSize+1)
 	for {
@@ -128,12 +128,12 @@
 		if !known || n > maxSize {
 			number = -1
 		}
-		l.post(&reducer.Heard{From: number, Data: append([]byte(nil), buf[:n]...)})
+		l.post(&core.PeerMessageReceived{From: number, Data: append([]byte(nil), buf[:n]...)})
 	}
 }
 
 // Write sends what Tell has queued until the link is closed.
-func (l *Link) Write() {
+func (l *Transport) Write() {
 	defer close(l.written)
 	for d := range l.queue {
 		if _, err := l.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
@@ -142,9 +142,9 @@
 	}
 }
 
-// Tell queues a datagram for a limiter, or for all with a number below 0. It
+// Send queues a datagram for a limiter, or for all with a number below 0. It
 // never waits: datagrams may be lost anyway.
-func (l *Link) Tell(number int, data []byte) {
+func (l *Transport) Send(number int, data []byte) {
 	var to netip.AddrPort
 	switch {
 	case number < 0:
@@ -163,7 +163,7 @@
 }
 
 // Close ends Read and Write. Tell must not be called after it.
-func (l *Link) Close() error {
+func (l *Transport) Close() error {
 	close(l.queue)
 	close(l.closed)
 	select { // what was told last, such as that this limiter leaves, still goes out
--- a/internal/model/model.go
+++ b/internal/queueing/queueing.go
@@ -1,6 +1,6 @@
-// Package model holds the queueing model of the paper that lemongate follows:
+// Package queueing holds the queueing model of the paper that lemongate follows:
 // an M/G/1 queue that is given a share of the capacity.
-package model
+package queueing
 
 import "math"
 
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -4,58 +4,58 @@
 	"math"
 	"time"
 
-	"lemongate/internal/peermsg"
+	"lemongate/internal/gossip"
 )
 
 // An Account is what is held here of one customer's stores. Between two calls
 // it stands as of its last one; advance brings it up to now.
 type Account struct {
-	Hash uint32
-	Plan int  // place in the settings
-	Open int  // places in use here, kept by the caller
-	Gone bool // forgotten by Sweep
+	CustomerHash uint32
+	PlanIndex    int  // place in the settings
+	SlotsInUse   int  // places in use here, kept by the caller
+	Forgotten    bool // forgotten by Sweep
 
-	ledger      *Ledger `json:"-"`
-	first, size int
-	part        float64 // base part of the quota's store, 0 where this is no holder
-	even        float64 // one over the size of the set
-	roof        float64 // base part of the ceiling's store
+	ledger                *Ledger `json:"-"`
+	firstLimiter, setSize int
+	baseFraction          float64 // base part of the quota's store, 0 where this is no holder
+	evenFraction          float64 // one over the size of the set
+	ceilingFraction       float64 // base part of the ceiling's store
 
 	// Of a large set alone, see home.go.
-	homes   []int   // the home, and those that stand in for it
-	mine    int     // this limiter's place among these, or -1
-	view    view    // what the home told
-	credit  saved   // units that may be sent on here without a word
-	debt    float64 // units so sent that the home was not told of
-	unasked float64 // units asked for here that the home was not told of
-	thin    float64 // asks of a hot customer that may go
-	asked   bool    // the req at the head waits for a word
-	word    int     // what came since
-	hinted  bool    // an asker told what the level was
-	granted time.Duration
-	flying  []flight // of the ceiling, granted and maybe not there yet
-	aloft   float64  // their sum
-
-	places  int   // base places
-	lenders []int // the limiters that may help: the other holders
-	at      time.Duration
-	seen    time.Duration
-	quota   float64 // level: units that may be sent on here
-	ceiling float64
-	doubt   float64 // units that the start left open, see Standing
-	held    float64 // units taken and not sent yet
-	largest float64 // of a req, of late
-	taken   bool    // one was let go in doubt
-	demand  decayed
-	links   []link
-
-	drawn  uint16  // parts sent on in this life, modulo 2^16
-	whole  float64 // the true store, from what all say that they sent on; below 0 where nobody can say
-	wholly bool    // it is known
-	fresh  bool    // it was full when all began: a peer's first total counts from nothing
-	strays float64 // least of late that the true store holds beyond all parts
-	views  int     // looks at that
-	since  time.Duration
+	owners                []int     // the home, and those that stand in for it
+	ownerRank             int       // this limiter's place among these, or -1
+	ownerView             ownerView // what the home told
+	credit                allowance // units that may be sent on here without a word
+	unreportedUnits       float64   // units so sent that the home was not told of
+	unreportedDemand      float64   // units asked for here that the home was not told of
+	requestAllowance      float64   // asks of a hot customer that may go
+	requestOutstanding    bool      // the req at the head waits for a word
+	ownerDecision         int       // what came since
+	levelAnnounced        bool      // an asker told what the level was
+	lastGrantAt           time.Duration
+	ceilingInTransit      []inTransit // of the ceiling, granted and maybe not there yet
+	ceilingUnitsInTransit float64     // their sum
+
+	baseSlots               int   // base places
+	lenders                 []int // the limiters that may help: the other holders
+	advancedTo              time.Duration
+	lastSeen                time.Duration
+	quotaLevel              float64 // level: units that may be sent on here
+	ceilingLevel            float64
+	unresolvedUnits         float64 // units that the start left open, see Standing
+	reservedUnits           float64 // units taken and not sent yet
+	largestRequest          float64 // of a req, of late
+	admittedWhileUnresolved bool    // one was let go in doubt
+	demand                  decayingRate
+	links                   []link
+
+	consumed         uint16  // parts sent on in this life, modulo 2^16
+	totalLevel       float64 // the true store, from what all say that they sent on; below 0 where nobody can say
+	totalKnown       bool    // it is known
+	startedFull      bool    // it was full when all began: a peer's first total counts from nothing
+	unallocatedUnits float64 // least of late that the true store holds beyond all parts
+	unallocatedTicks int     // looks at that
+	unallocatedSince time.Duration
 }
 
 // A link is what stands between this limiter and one other for an account.
@@ -63,122 +63,122 @@
 	peer  int
 	epoch uint32 // of the peer: what was agreed with an earlier life of it is void
 
-	pending bool // an ask is out
-	nonce   uint16
-	since   time.Duration // its first telling
-	told    time.Duration // its last
-	queued  bool          // to be told
-	want    float64
-	over    float64
-	wantTo  int // places wanted
-	rest    time.Duration
-	got     loan // borrowed there: what the last answer said
-
-	out []grant // lent there, each until it ends: the peer goes by one of them
-
-	answer peermsg.Answer // the last one given, of a home
-	leant  time.Duration  // of a home's link to one that stands in: until when what that one gained of the ceiling was asked for
-	extra  uint8          // units asked for beside, of a large set
-
-	known  bool // what the peer told of itself
-	heir   bool // what it held was taken up
-	reborn bool // it did in an earlier life: what it tells next it sent on since
-	level  float64
-	drawn  uint16
-	asks   float64 // its demand
-	heard  time.Duration
-	needed bool // places are to be given back there
+	pending       bool // an ask is out
+	nonce         uint16
+	requestedAt   time.Duration // its first telling
+	lastSentAt    time.Duration // its last
+	queued        bool          // to be told
+	quotaWanted   float64
+	ceilingWanted float64
+	slotsWanted   int // places wanted
+	nextRequestAt time.Duration
+	borrowed      loan // borrowed there: what the last answer said
+
+	lent []grant // lent there, each until it ends: the peer goes by one of them
+
+	lastGrant            gossip.Grant  // the last one given, of a home
+	ceilingBorrowedUntil time.Duration // of a home's link to one that stands in: until when what that one gained of the ceiling was asked for
+	extraDemand          uint8         // units asked for beside, of a large set
+
+	known          bool // what the peer told of itself
+	reclaimed      bool // what it held was taken up
+	restarted      bool // it did in an earlier life: what it tells next it sent on since
+	level          float64
+	consumed       uint16
+	demand         float64 // its demand
+	heardAt        time.Duration
+	slotsRequested bool // places are to be given back there
 }
 
 // A loan is a part of the rate and size of both stores that is used here until
 // it ends by itself.
 type loan struct {
-	share  float64
-	places int
-	until  time.Duration
+	share     float64
+	slots     int
+	expiresAt time.Duration
 }
 
 // A grant is the lender's record of a loan. It ends later than the loan by what
 // two clocks may differ. Units in it are on their way.
 type grant struct {
 	loan
-	nonce       uint16
-	units, over float64
-	settled     time.Duration // they have come by then, or never will
-	answer      peermsg.Answer
+	nonce                    uint16
+	quotaUnits, ceilingUnits float64
+	deliveredBy              time.Duration // they have come by then, or never will
+	message                  gossip.Grant
 }
 
-// decayed is a rate a second with exponential forgetting.
-type decayed struct {
-	rate float64
-	at   time.Duration
+// decayingRate is a rate a second with exponential forgetting.
+type decayingRate struct {
+	rate      float64
+	updatedAt time.Duration
 }
 
-func (d *decayed) value(now time.Duration) float64 {
-	return d.rate * math.Exp(-(now-d.at).Seconds()/demandMemory.Seconds())
+func (d *decayingRate) value(now time.Duration) float64 {
+	return d.rate * math.Exp(-(now-d.updatedAt).Seconds()/demandMemory.Seconds())
 }
 
-func (d *decayed) add(now time.Duration, amount float64) {
-	d.rate, d.at = d.value(now)+amount/demandMemory.Seconds(), now
+func (d *decayingRate) add(now time.Duration, amount float64) {
+	d.rate, d.updatedAt = d.value(now)+amount/demandMemory.Seconds(), now
 }
 
 // advance brings an account up to now: its stores fill by the parts that it has,
 // from one end of a loan to the next.
 func (a *Account) advance(now time.Duration) {
-	if !a.small() { // nothing is lent but places
-		for a.at < now {
+	if !a.isAllocated() { // nothing is lent but places
+		for a.advancedTo < now {
 			next := now
-			if len(a.flying) > 0 {
-				next = min(max(a.flying[0].until, a.at), now)
+			if len(a.ceilingInTransit) > 0 {
+				next = min(max(a.ceilingInTransit[0].arrivesBy, a.advancedTo), now)
 			}
-			a.fill((next - a.at).Seconds(), true)
-			a.at = next
-			a.land()
+			a.refill((next - a.advancedTo).Seconds(), true)
+			a.advancedTo = next
+			a.settleInTransit()
 		}
-		a.expire()
+		a.expireLoans()
 		return
 	}
-	a.void()
-	for a.at < now {
+	a.dropStaleLinks()
+	for a.advancedTo < now {
 		next := now
 		earlier := func(at time.Duration) {
-			if at > a.at && at < next {
+			if at > a.advancedTo && at < next {
 				next = at
 			}
 		}
-		ready := a.readyAt()
+		ready := a.loansSettledAt()
 		earlier(ready)
 		for i := range a.links {
-			earlier(a.links[i].got.until)
-			for _, o := range a.links[i].out {
-				earlier(o.until)
-				earlier(o.settled)
+			earlier(a.links[i].borrowed.expiresAt)
+			for _, o := range a.links[i].lent {
+				earlier(o.expiresAt)
+				earlier(o.deliveredBy)
 			}
 		}
-		a.fill((next - a.at).Seconds(), a.at >= ready)
-		a.at = next
-		a.expire()
+		a.refill((next - a.advancedTo).Seconds(), a.advancedTo >= ready)
+		a.advancedTo = next
+		a.expireLoans()
 	}
 }
 
-// fill adds what some seconds bring. A part that holds more than its room, as one
+// refill adds what some seconds bring. A part that holds more than its room, as one
 // that has lent room or lost a loan, drains as fast as the others may fill: so all
 // parts together never gain while they hold as much as the whole store can.
-func (a *Account) fill(dt float64, ready bool) {
+func (a *Account) refill(dt float64, ready bool) {
 	p := a.plan()
-	quota, ceiling, units, over := a.shares(ready)
+	quota, ceiling, units, over := a.fractions(ready)
 	if p.Quota.Rate > 0 {
-		a.whole = min(a.whole+dt*p.Quota.Rate, p.Quota.Burst)
-		a.quota = poured(a.quota, quota*p.Quota.Burst-units, dt*p.Quota.Rate, quota, 1)
+		a.totalLevel = min(a.totalLevel+dt*p.Quota.Rate, p.Quota.Burst)
+		a.quotaLevel = refilled(a.quotaLevel, quota*p.Quota.Burst-units, dt*p.Quota.Rate, quota, 1)
 	}
 	if p.Ceiling.Rate > 0 {
-		a.ceiling = poured(a.ceiling, ceiling*p.Ceiling.Burst-over-a.held, dt*p.Ceiling.Rate, ceiling, 1-Drift)
+		a.ceilingLevel = refilled(a.ceilingLevel, ceiling*p.Ceiling.Burst-over-a.reservedUnits, dt*p.Ceiling.Rate, ceiling, 1-ClockDrift)
 	}
 }
 
-// poured is a level after the whole store gained some units, of which a share is
+// refilled is a level after the whole store gained some units, of which a share is
 // this part's.
-func poured(level, room, gain, share, slow float64) float64 {
+func refilled(level, room, gain, share, slow float64) float64 {
 	room = max(room, 0)
 	if level > room {
 		return max(room, level-gain*(1-share))
@@ -186,107 +186,107 @@
 	return min(level+gain*share*slow, room)
 }
 
-// shares are the parts of the two stores that are this limiter's to fill, and
+// fractions are the parts of the two stores that are this limiter's to fill, and
 // the units lent that are on their way and keep their room.
-func (a *Account) shares(ready bool) (quota, ceiling, units, over float64) {
-	quota, ceiling = a.part, a.roof
+func (a *Account) fractions(ready bool) (quota, ceiling, units, over float64) {
+	quota, ceiling = a.baseFraction, a.ceilingFraction
 	if !ready { // an earlier life may have lent as much as this
-		ceiling *= 1 - LendMost
+		ceiling *= 1 - MaxLentFraction
 	}
-	if !a.small() {
-		return quota, ceiling, 0, a.aloft
+	if !a.isAllocated() {
+		return quota, ceiling, 0, a.ceilingUnitsInTransit
 	}
 	moved := 0.0
 	for i := range a.links {
 		k := &a.links[i]
-		moved += k.got.share - k.lent()
-		for _, o := range k.out {
-			units += o.units
-			over += o.over
+		moved += k.borrowed.share - k.lentShare()
+		for _, o := range k.lent {
+			units += o.quotaUnits
+			over += o.ceilingUnits
 		}
 	}
-	if a.part > 0 {
+	if a.baseFraction > 0 {
 		dead := 0
 		for _, who := range a.lenders {
 			if p := a.ledger.peers[who]; p != nil && p.dead {
 				dead++
 			}
 		}
-		quota += a.part * float64(dead) / float64(len(a.lenders)+1-dead)
+		quota += a.baseFraction * float64(dead) / float64(len(a.lenders)+1-dead)
 	}
 	return max(quota+moved, 0), max(ceiling+moved, 0), units, over
 }
 
-// lent is the share that the peer may be using: the answer that it goes by is not
+// lentShare is the share that the peer may be using: the answer that it goes by is not
 // known for sure.
-func (k *link) lent() (share float64) {
-	for i := range k.out {
-		share = max(share, k.out[i].share)
+func (k *link) lentShare() (share float64) {
+	for i := range k.lent {
+		share = max(share, k.lent[i].share)
 	}
 	return share
 }
 
-// lentPlaces is likewise how many places.
-func (k *link) lentPlaces() (places int) {
-	for i := range k.out {
-		places = max(places, k.out[i].places)
+// lentSlots is likewise how many places.
+func (k *link) lentSlots() (places int) {
+	for i := range k.lent {
+		places = max(places, k.lent[i].slots)
 	}
 	return places
 }
 
-// small tells whether every limiter of the set has a base part of both stores; of
+// isAllocated tells whether every limiter of the set has a base part of both stores; of
 // a large one only the home has.
-func (a *Account) small() bool { return a.size <= Holders }
+func (a *Account) isAllocated() bool { return a.setSize <= SmallSetSize }
 
-func (a *Account) plan() *Plan { return &a.ledger.Plans[a.Plan] }
+func (a *Account) plan() *Plan { return &a.ledger.Plans[a.PlanIndex] }
 
-// readyAt is when no other limiter can still use what an earlier life lent it:
+// loansSettledAt is when no other limiter can still use what an earlier life lent it:
 // all of the set know of this life, or every lease has ended.
-func (a *Account) readyAt() time.Duration {
+func (a *Account) loansSettledAt() time.Duration {
 	l := a.ledger
-	at := l.born
-	if a.at >= l.born+lenderLease || !a.small() {
+	at := l.startedAt
+	if a.advancedTo >= l.startedAt+lenderLease || !a.isAllocated() {
 		return at
 	}
-	for i := range a.size {
-		who := (a.first + i) % l.Limiters
+	for i := range a.setSize {
+		who := (a.firstLimiter + i) % l.Limiters
 		if who == l.Self {
 			continue
 		}
 		if p := l.peers[who]; p != nil && p.acked {
-			at = max(at, min(p.ackedAt, l.born+lenderLease))
+			at = max(at, min(p.ackedAt, l.startedAt+lenderLease))
 		} else {
-			return l.born + lenderLease
+			return l.startedAt + lenderLease
 		}
 	}
 	return at
 }
 
-// expire drops loans and grants that have ended.
-func (a *Account) expire() {
+// expireLoans drops loans and grants that have ended.
+func (a *Account) expireLoans() {
 	for i := range a.links {
 		k := &a.links[i]
-		if k.got.until <= a.at {
-			k.got = loan{}
+		if k.borrowed.expiresAt <= a.advancedTo {
+			k.borrowed = loan{}
 		}
 		n := 0
-		for _, o := range k.out {
-			if o.settled <= a.at && o.units+o.over > 0 {
-				a.ledger.Count.Unheard += o.units
-				o.units, o.over = 0, 0
+		for _, o := range k.lent {
+			if o.deliveredBy <= a.advancedTo && o.quotaUnits+o.ceilingUnits > 0 {
+				a.ledger.Counts.UnitsUnacknowledged += o.quotaUnits
+				o.quotaUnits, o.ceilingUnits = 0, 0
 			}
-			if o.until > a.at {
-				k.out[n] = o
+			if o.expiresAt > a.advancedTo {
+				k.lent[n] = o
 				n++
 			}
 		}
-		k.out = k.out[:n]
+		k.lent = k.lent[:n]
 	}
 }
 
-// void ends what was agreed with an earlier life of a peer: its rights died with
+// dropStaleLinks ends what was agreed with an earlier life of a peer: its rights died with
 // it, and those lent by it are its new life's again.
-func (a *Account) void() {
+func (a *Account) dropStaleLinks() {
 	for i := range a.links {
 		k := &a.links[i]
 		p := a.ledger.peers[k.peer]
@@ -294,43 +294,43 @@
 			k.epoch = p.epoch
 		}
 		if p != nil && p.dead {
-			a.inherit(k)
+			a.reclaim(k)
 		}
 		if p != nil && p.epoch != k.epoch {
-			a.ledger.Count.Reclaimed += k.lent() * a.plan().Quota.Rate
+			a.ledger.Counts.RateReclaimed += k.lentShare() * a.plan().Quota.Rate
 			if k.known { // what it sent on at last nobody will ever tell
-				past := min((a.ledger.now - k.heard).Seconds(), 1)
-				a.whole -= min(k.asks, a.peerPart(k.peer)*a.plan().Quota.Rate) * past
+				past := min((a.ledger.lastMessageAt - k.heardAt).Seconds(), 1)
+				a.totalLevel -= min(k.demand, a.peerFraction(k.peer)*a.plan().Quota.Rate) * past
 			}
-			a.inherit(k)
-			*k = link{peer: k.peer, epoch: p.epoch, queued: k.queued, reborn: k.known}
+			a.reclaim(k)
+			*k = link{peer: k.peer, epoch: p.epoch, queued: k.queued, restarted: k.known}
 		}
 	}
 }
 
-// inherit takes up this limiter's part of what a peer held when it left or died.
+// reclaim takes up this limiter's part of what a peer held when it left or died.
 // The store still has these units, and the peer's next life starts without them.
-func (a *Account) inherit(k *link) {
+func (a *Account) reclaim(k *link) {
 	p := a.plan()
-	if !k.known || k.heir || a.part <= 0 || p.Quota.Rate <= 0 {
+	if !k.known || k.reclaimed || a.baseFraction <= 0 || p.Quota.Rate <= 0 {
 		return
 	}
-	k.heir = true
-	most := a.even * p.Quota.Burst
-	past := min((a.ledger.now - k.heard).Seconds(), 1)
-	level := min(max(k.level+(a.even*p.Quota.Rate-k.asks)*past, 0), most)
+	k.reclaimed = true
+	most := a.evenFraction * p.Quota.Burst
+	past := min((a.ledger.lastMessageAt - k.heardAt).Seconds(), 1)
+	level := min(max(k.level+(a.evenFraction*p.Quota.Rate-k.demand)*past, 0), most)
 	if k.level < 0 { // its debt is ours as well
 		level = k.level
 	}
-	a.quota += level / float64(len(a.lenders))
-	a.ledger.Count.Strayed += level / float64(len(a.lenders))
+	a.quotaLevel += level / float64(len(a.lenders))
+	a.ledger.Counts.UnitsRecovered += level / float64(len(a.lenders))
 }
 
 // link finds or starts what stands with a peer.
 func (a *Account) link(who int) *link {
 	for i := range a.links {
 		if k := &a.links[i]; k.peer == who {
-			if p := a.ledger.peers[who]; !a.small() && p != nil && p.epoch != k.epoch {
+			if p := a.ledger.peers[who]; !a.isAllocated() && p != nil && p.epoch != k.epoch {
 				if k.epoch == 0 { // not heard before: what is asked of it stands
 					k.epoch = p.epoch
 				} else {
@@ -348,20 +348,20 @@
 	return &a.links[len(a.links)-1]
 }
 
-// limit is how many places may be in use here.
-func (a *Account) limit() int {
-	n := a.places
+// slotLimit is how many places may be in use here.
+func (a *Account) slotLimit() int {
+	n := a.baseSlots
 	for i := range a.links {
-		n += a.links[i].got.places - a.links[i].lentPlaces()
+		n += a.links[i].borrowed.slots - a.links[i].lentSlots()
 	}
 	return n
 }
 
-// estimate is what a peer is thought to hold: by what it told last, by what it
+// estimatePeer is what a peer is thought to hold: by what it told last, by what it
 // has gained and spent since; of one that told nothing, that it is like this one.
-func (a *Account) estimate(k *link, now time.Duration) (level, demand float64) {
+func (a *Account) estimatePeer(k *link, now time.Duration) (level, demand float64) {
 	p := a.plan()
-	part := max(a.peerPart(k.peer)-k.got.share, 0)
+	part := max(a.peerFraction(k.peer)-k.borrowed.share, 0)
 	most := part * p.Quota.Burst
 	if p := a.ledger.peers[k.peer]; p != nil && now < p.silentUntil {
 		return 0, 0
@@ -369,26 +369,26 @@
 	if !k.known {
 		demand = min(a.demand.value(now)/2, unseenDemand*part*p.Quota.Rate)
 		level = most * unseenLevel
-		if s := a.ledger.standing; s == Unsure || s == Spent { // it started from nothing as well
-			level = min(level, part*p.Quota.Rate*(now-a.ledger.born).Seconds())
+		if s := a.ledger.recovery; s == RecoveryUnknown || s == TierRestarted { // it started from nothing as well
+			level = min(level, part*p.Quota.Rate*(now-a.ledger.startedAt).Seconds())
 		}
 		return level, demand
 	}
-	dt := (now - k.heard).Seconds()
-	return min(max(k.level+(part*p.Quota.Rate-k.asks)*dt, 0), most), k.asks
+	dt := (now - k.heardAt).Seconds()
+	return min(max(k.level+(part*p.Quota.Rate-k.demand)*dt, 0), most), k.demand
 }
 
-// peerPart is the base part of the quota's store that a peer has.
-func (a *Account) peerPart(who int) float64 {
-	return a.even
+// peerFraction is the base part of the quota's store that a peer has.
+func (a *Account) peerFraction(who int) float64 {
+	return a.evenFraction
 }
 
-// tellWhole is what is known here of the true store.
-func (a *Account) tellWhole() uint8 {
-	if !a.wholly {
-		return peermsg.Unknown
+// encodeTotal is what is known here of the true store.
+func (a *Account) encodeTotal() uint8 {
+	if !a.totalKnown {
+		return gossip.UnknownTotal
 	}
-	return uint8(max(a.whole, 0) / max(a.plan().Quota.Burst, 1e-3) * peermsg.WholeSteps)
+	return uint8(max(a.totalLevel, 0) / max(a.plan().Quota.Burst, 1e-3) * gossip.TotalSteps)
 }
 
 // reconcile takes in how a peer stands. Where all holders were heard of late, what
@@ -398,78 +398,78 @@
 // is on its way between two others looks astray for as long.
 func (a *Account) reconcile(k *link, level int8, drawn uint16, demand, whole uint8, now time.Duration) {
 	p := a.plan()
-	if whole != peermsg.Unknown && !a.wholly { // it has seen more than this life of ours
-		a.whole, a.wholly = float64(whole)/peermsg.WholeSteps*p.Quota.Burst, true
-		k.known, k.drawn = true, drawn
+	if whole != gossip.UnknownTotal && !a.totalKnown { // it has seen more than this life of ours
+		a.totalLevel, a.totalKnown = float64(whole)/gossip.TotalSteps*p.Quota.Burst, true
+		k.known, k.consumed = true, drawn
 	}
-	if k.known || k.reborn || a.fresh { // a new life counts from nothing
-		a.whole -= float64(int16(drawn-k.drawn)) / peermsg.Part
+	if k.known || k.restarted || a.startedFull { // a new life counts from nothing
+		a.totalLevel -= float64(int16(drawn-k.consumed)) / gossip.UnitParts
 	}
-	k.known, k.reborn, k.heard, k.drawn = true, false, now, drawn
-	k.level = float64(level) / peermsg.LevelSteps * p.Quota.Burst
-	k.asks = float64(demand) / peermsg.DemandSteps * p.Quota.Rate
-	if p.Quota.Rate <= 0 || a.part <= 0 {
+	k.known, k.restarted, k.heardAt, k.consumed = true, false, now, drawn
+	k.level = float64(level) / gossip.LevelSteps * p.Quota.Burst
+	k.demand = float64(demand) / gossip.DemandSteps * p.Quota.Rate
+	if p.Quota.Rate <= 0 || a.baseFraction <= 0 {
 		return
 	}
-	held := a.quota
+	held := a.quotaLevel
 	for _, who := range a.lenders {
 		o := a.link(who)
 		peer := a.ledger.peers[who]
 		if peer != nil && peer.dead {
 			continue // what it held strays
 		}
-		if !o.known || now-o.heard > strayHeard && (now-o.heard > strayQuiet || o.asks*(now-o.heard).Seconds() > 1) {
+		if !o.known || now-o.heardAt > strayHeard && (now-o.heardAt > strayQuiet || o.demand*(now-o.heardAt).Seconds() > 1) {
 			return
 		}
-		for _, g := range o.out {
-			held += g.units
+		for _, g := range o.lent {
+			held += g.quotaUnits
 		}
-		part := max(a.part+o.lent()-o.got.share, 0)
-		held += o.level + part*p.Quota.Rate*(now-o.heard).Seconds()
+		part := max(a.baseFraction+o.lentShare()-o.borrowed.share, 0)
+		held += o.level + part*p.Quota.Rate*(now-o.heardAt).Seconds()
 	}
-	if !a.wholly || a.whole < held { // the parts never hold more than there is
-		a.whole, a.wholly, a.views = held, true, 0
+	if !a.totalKnown || a.totalLevel < held { // the parts never hold more than there is
+		a.totalLevel, a.totalKnown, a.unallocatedTicks = held, true, 0
 		return
 	}
-	stray := a.whole - held - a.largest - p.Quota.Burst/peermsg.LevelSteps*float64(a.size)
-	if a.views == 0 || now-a.since > strayQuiet {
-		a.strays, a.since, a.views = stray, now, 0
+	stray := a.totalLevel - held - a.largestRequest - p.Quota.Burst/gossip.LevelSteps*float64(a.setSize)
+	if a.unallocatedTicks == 0 || now-a.unallocatedSince > strayQuiet {
+		a.unallocatedUnits, a.unallocatedSince, a.unallocatedTicks = stray, now, 0
 	}
-	a.strays = min(a.strays, stray)
-	if a.views++; a.views < strayViews || now-a.since < strayFor {
+	a.unallocatedUnits = min(a.unallocatedUnits, stray)
+	if a.unallocatedTicks++; a.unallocatedTicks < strayViews || now-a.unallocatedSince < strayFor {
 		return
 	}
-	if a.strays > 0 {
-		a.quota += a.strays * a.part
-		a.ledger.Count.Strayed += a.strays * a.part
+	if a.unallocatedUnits > 0 {
+		a.quotaLevel += a.unallocatedUnits * a.baseFraction
+		a.ledger.Counts.UnitsRecovered += a.unallocatedUnits * a.baseFraction
 	}
-	a.views = 0
+	a.unallocatedTicks = 0
 }
 
-// chance is the probability that the true store has a req's units, of which some
+// admissionProbability is the probability that the true store has a req's units, of which some
 // are short here. What was told gives what the store held, and how fast others
 // draw on it; what they drew unseen since is taken as exponential. Where nothing
 // was told yet, the others' parts stand for the store.
-func (a *Account) chance(units, short float64, now time.Duration) float64 {
+func (a *Account) admissionProbability(units, short float64, now time.Duration) float64 {
 	p := a.plan()
-	spare, unseen, told := 0.0, 0.0, a.wholly
+	spare, unseen, told := 0.0, 0.0, a.totalKnown
 	for _, who := range a.lenders {
 		k := a.link(who)
-		level, demand := a.estimate(k, now)
+		level, demand := a.estimatePeer(k, now)
 		past := settleWithin
 		if told = told && k.known; k.known {
-			past = min(now-k.heard+unseenWay, unseenMost)
-			demand = k.asks
+			past = min(now-k.heardAt+unseenWay, unseenMost)
+			demand = k.demand
 		}
 		spare += max(level-demand*settleWithin.Seconds(), 0)
-		drawn := max(demand, unseenLeast*p.Quota.Rate*a.even) * past.Seconds()
-		if k.known && now-k.heard < silentFor { // it goes by its own rights too, while it hears of ours
-			drawn = min(drawn, max(k.level, 0)+a.even*p.Quota.Rate*past.Seconds())
+		drawn := max(demand, unseenLeast*p.Quota.Rate*a.evenFraction) * past.Seconds()
+		if k.known && now-k.heardAt < silentFor { // it goes by its own rights too, while it hears of ours
+			drawn = min(drawn, max(k.level, 0)+a.evenFraction*p.Quota.Rate*past.Seconds())
 		}
 		unseen += drawn
 	}
 	if told {
-		spare, short = a.whole, units
+		spare, short = a.totalLevel, units
 	}
 	if spare < short {
 		return 0
@@ -477,7 +477,7 @@
 	return 1 - math.Exp(-(spare-short)/max(unseen, 1e-6))
 }
 
-// debtMost is how far below nothing the store may go here on chance.
-func (a *Account) debtMost() float64 {
-	return max(debtPart*a.plan().Quota.Burst*a.even, a.largest)
+// maxDebt is how far below nothing the store may go here on chance.
+func (a *Account) maxDebt() float64 {
+	return max(debtPart*a.plan().Quota.Burst*a.evenFraction, a.largestRequest)
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -24,28 +24,28 @@
 	"slices"
 	"time"
 
-	"lemongate/internal/peermsg"
+	"lemongate/internal/gossip"
 )
 
 const (
-	// Lease is how long a share is lent.
-	Lease = 2 * time.Second
-	// Drift is the most that a clock may run fast or slow, as a part.
-	Drift = 0.01
-	// LendMost is the part of its base that a limiter lends at most. What is left
+	// LoanDuration is how long a share is lent.
+	LoanDuration = 2 * time.Second
+	// ClockDrift is the most that a clock may run fast or slow, as a part.
+	ClockDrift = 0.01
+	// MaxLentFraction is the part of its base that a limiter lends at most. What is left
 	// is its new life's at once after a restart.
-	LendMost = 0.75
-	// Holders is how many limiters of a set have a part of a customer's stores at
+	MaxLentFraction = 0.75
+	// SmallSetSize is how many limiters of a set have a part of a customer's stores at
 	// most. A larger set has one, the customer's home, that holds them whole: with
 	// many parts each would be under one req, and every limiter that has none would
 	// ask them in turn, most often one that is empty. A smaller set meets the customer
 	// so often that a home could not say a word to each req at the pace of messages.
-	Holders = 8
+	SmallSetSize = 8
 
 	fewLimiters = 8 // in a tier of no more each pair has something to tell each other all the time
 
-	lenderWait   = askGivenUp + time.Duration(float64(askGivenUp)*2*Drift)
-	lenderLease  = Lease + time.Duration(float64(Lease)*2*Drift)
+	lenderWait   = askGivenUp + time.Duration(float64(askGivenUp)*2*ClockDrift)
+	lenderLease  = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
 	demandMemory = 2 * time.Second        // over which demand is seen
 	ahead        = 250 * time.Millisecond // of the demand: what a busy limiter keeps in hand
 	askRest      = 150 * time.Millisecond // between asks of one customer to one peer
@@ -81,129 +81,129 @@
 	dropMost     = 64                     // accounts looked at per Sweep
 )
 
-// A Store is a plan's: it fills at Rate (units a second) and holds Burst.
-type Store struct{ Rate, Burst float64 }
+// A Bucket is a plan's: it fills at Rate (units a second) and holds Burst.
+type Bucket struct{ Rate, Burst float64 }
 
 // A Plan is what a customer's stores are. A zero Rate or no Places means no such
 // limit.
 type Plan struct {
-	Quota, Ceiling Store
-	Places         int     // attempts out at once
-	Least          float64 // least chance at which a req may go without a right, 0 to 1
+	Quota, Ceiling   Bucket
+	Slots            int     // attempts out at once
+	LeastProbability float64 // least chance at which a req may go without a right, 0 to 1
 }
 
 // Config is what a Ledger is told at its start.
 type Config struct {
 	Self, Limiters int
-	Talks          bool // peers can be told
+	Gossips        bool // peers can be told
 	Plans          []Plan
 	Epoch          uint32 // grows with each start of this limiter
 }
 
-// A Standing is what a limiter makes of its start: with nothing in memory, the
+// A RecoveryState is what a limiter makes of its start: with nothing in memory, the
 // stores may be full (the tier is new) or spent (it was there before).
-type Standing uint8
+type RecoveryState uint8
 
 const (
-	Unsure   Standing = iota // one req of each customer may go; the rest wait
-	Fresh                    // the tier is new: all stores are full
-	Returned                 // the others were there before: what this one had is lost, the rest is with them
-	Spent                    // all were there before and lost it: the stores hold what they gained since, for sure
+	RecoveryUnknown  RecoveryState = iota // one req of each customer may go; the rest wait
+	TierStarted                           // the tier is new: all stores are full
+	LimiterRestarted                      // the others were there before: what this one had is lost, the rest is with them
+	TierRestarted                         // all were there before and lost it: the stores hold what they gained since, for sure
 )
 
-func (s Standing) String() string { return [...]string{"unsure", "fresh", "returned", "spent"}[s] }
+func (s RecoveryState) String() string { return [...]string{"unsure", "fresh", "returned", "spent"}[s] }
 
 // Counters count what became of rights, in units and numbers, since the start.
 type Counters struct {
-	Asks      uint64  `json:"asks"`      // sent, repeats included
-	Answers   uint64  `json:"answers"`   // sent
-	Got       float64 `json:"got"`       // units of quotas that came from others
-	Moved     float64 `json:"moved"`     // units that went to others
-	Unheard   float64 `json:"unheard"`   // of these, units that came or were lost without a word
-	Reclaimed float64 `json:"reclaimed"` // units a second taken back from a peer's earlier life
-	Strayed   float64 `json:"strayed"`   // units taken up that no limiter held
-	OnChance  uint64  `json:"on_chance"` // reqs let go without a right
-	Waited    uint64  `json:"waited"`    // reqs that waited for the others' word
-	Accounts  int     `json:"accounts"`  // customers held now
-	Standing  string  `json:"standing"`  // what the start was taken for
-	Silent    int     `json:"silent"`    // peers that do not answer now
-	Dead      uint64  `json:"dead"`      // times that a silent peer was taken for dead
+	RequestsSent         uint64  `json:"asks"`      // sent, repeats included
+	GrantsSent           uint64  `json:"answers"`   // sent
+	UnitsReceived        float64 `json:"got"`       // units of quotas that came from others
+	UnitsSent            float64 `json:"moved"`     // units that went to others
+	UnitsUnacknowledged  float64 `json:"unheard"`   // of these, units that came or were lost without a word
+	RateReclaimed        float64 `json:"reclaimed"` // units a second taken back from a peer's earlier life
+	UnitsRecovered       float64 `json:"strayed"`   // units taken up that no limiter held
+	AdmittedWithoutGrant uint64  `json:"on_chance"` // reqs let go without a right
+	Waited               uint64  `json:"waited"`    // reqs that waited for the others' word
+	Accounts             int     `json:"accounts"`  // customers held now
+	RecoveryState        string  `json:"standing"`  // what the start was taken for
+	SilentPeers          int     `json:"silent"`    // peers that do not answer now
+	PeersDeclaredDead    uint64  `json:"dead"`      // times that a silent peer was taken for dead
 }
 
 // A Ledger is what one limiter holds of all customers' stores. It is not safe
 // for concurrent use.
 type Ledger struct {
-	Config   `json:"-"`
-	Count    Counters
-	standing Standing
-	born     time.Duration
-	now      time.Duration // of the last message
-
-	total    decayed // units a second asked for here
-	mean     float64 // of total, over meanOver, while all peers are heard
-	spread   float64 // mean square of how it strays from that
-	looks    int
-	accounts map[uint32][]*Account // by the hash of the customer's name, which two may share
-	order    []*Account            `json:"-"` // as first met
-	swept    int
-	peers    map[int]*peer
-	nonce    uint16
-	homed    []*Account `json:"-"` // those whose home this is
-	hotAt    int        // among these: where the search for hot ones goes on
-	ready    []int      // peers to be told, in the order found
+	Config        `json:"-"`
+	Counts        Counters
+	recovery      RecoveryState
+	startedAt     time.Duration
+	lastMessageAt time.Duration // of the last message
+
+	totalDemand    decayingRate // units a second asked for here
+	meanDemand     float64      // of total, over meanOver, while all peers are heard
+	demandVariance float64      // mean square of how it strays from that
+	ticks          int
+	accounts       map[uint32][]*Account // by the hash of the customer's name, which two may share
+	accountOrder   []*Account            `json:"-"` // as first met
+	sweepIndex     int
+	peers          map[int]*peer
+	lastNonce      uint16
+	ownedAccounts  []*Account `json:"-"` // those whose home this is
+	hotCursor      int        // among these: where the search for hot ones goes on
+	readyPeers     []int      // peers to be told, in the order found
 }
 
 // A peer is another limiter.
 type peer struct {
-	epoch       uint32
-	known       bool
-	acked       bool // it knows of this life
-	ackedAt     time.Duration
-	heard       time.Duration
-	silentUntil time.Duration // it left asks unanswered, and is left alone for a while
-	missed      bool          // since then nothing came: it is asked, but not waited for
-	dead        bool          // silent, and its clients come here: its parts of quotas are shared out
-	asks        []*Account    `json:"-"`
-	answers     []peermsg.Answer
-	waiting     bool // stands in ready
+	epoch          uint32
+	known          bool
+	acked          bool // it knows of this life
+	ackedAt        time.Duration
+	heardAt        time.Duration
+	silentUntil    time.Duration // it left asks unanswered, and is left alone for a while
+	unresponsive   bool          // since then nothing came: it is asked, but not waited for
+	dead           bool          // silent, and its clients come here: its parts of quotas are shared out
+	queuedRequests []*Account    `json:"-"`
+	queuedGrants   []gossip.Grant
+	queuedForSend  bool // stands in ready
 }
 
 // New starts a Ledger at a time.
 func New(c Config, now time.Duration) *Ledger {
 	c.Limiters = max(c.Limiters, 1)
-	l := &Ledger{Config: c, born: now, accounts: map[uint32][]*Account{}, peers: map[int]*peer{}}
-	if !c.Talks || c.Limiters == 1 {
-		l.standing = Fresh // nothing else could ever tell
+	l := &Ledger{Config: c, startedAt: now, accounts: map[uint32][]*Account{}, peers: map[int]*peer{}}
+	if !c.Gossips || c.Limiters == 1 {
+		l.recovery = TierStarted // nothing else could ever tell
 	}
 	return l
 }
 
-// Standing is what the limiter makes of its start.
-func (l *Ledger) Standing() Standing { return l.standing }
+// Recovery is what the limiter makes of its start.
+func (l *Ledger) Recovery() RecoveryState { return l.recovery }
 
 // Resolve settles what the start left open. Only the first call counts.
-func (l *Ledger) Resolve(s Standing, now time.Duration) {
-	if l.standing != Unsure || s == Unsure {
+func (l *Ledger) Resolve(s RecoveryState, now time.Duration) {
+	if l.recovery != RecoveryUnknown || s == RecoveryUnknown {
 		return
 	}
-	l.standing = s
-	for _, a := range l.order {
+	l.recovery = s
+	for _, a := range l.accountOrder {
 		a.advance(now)
-		if s == Fresh {
-			a.quota += a.doubt
-			a.begin()
+		if s == TierStarted {
+			a.quotaLevel += a.unresolvedUnits
+			a.assumeFull()
 		}
-		a.doubt = 0
+		a.unresolvedUnits = 0
 	}
 }
 
-// begin takes the true store for full when all began.
-func (a *Account) begin() {
-	sent := float64(a.drawn) / peermsg.Part
-	a.whole, a.wholly, a.fresh = a.plan().Quota.Burst-sent, true, true
+// assumeFull takes the true store for full when all began.
+func (a *Account) assumeFull() {
+	sent := float64(a.consumed) / gossip.UnitParts
+	a.totalLevel, a.totalKnown, a.startedFull = a.plan().Quota.Burst-sent, true, true
 	for i := range a.links {
 		if k := &a.links[i]; k.known {
-			a.whole -= float64(k.drawn) / peermsg.Part
+			a.totalLevel -= float64(k.consumed) / gossip.UnitParts
 		}
 	}
 }
@@ -214,42 +214,42 @@
 func (l *Ledger) Account(hash uint32, plan, first, size int, now time.Duration) *Account {
 	a := l.Find(hash, plan, first, size)
 	if a == nil {
-		a = &Account{Hash: hash, Plan: plan, ledger: l, first: first % l.Limiters, size: min(max(size, 1), l.Limiters), at: l.born}
+		a = &Account{CustomerHash: hash, PlanIndex: plan, ledger: l, firstLimiter: first % l.Limiters, setSize: min(max(size, 1), l.Limiters), advancedTo: l.startedAt}
 		l.accounts[hash] = append(l.accounts[hash], a)
-		l.order = append(l.order, a)
+		l.accountOrder = append(l.accountOrder, a)
 		p := a.plan()
-		a.even = 1 / float64(a.size)
-		a.roof, a.mine = a.even, -1
-		if !a.small() {
-			a.settleHome(l)
+		a.evenFraction = 1 / float64(a.setSize)
+		a.ceilingFraction, a.ownerRank = a.evenFraction, -1
+		if !a.isAllocated() {
+			a.initOwned(l)
 			a.advance(now)
-			a.seen = now
+			a.lastSeen = now
 			return a
 		}
-		list := l.holders(a)
+		list := l.allocationHolders(a)
 		for i, who := range list {
 			if who == l.Self {
-				a.part = 1 / float64(len(list))
-				a.places = p.Places / len(list)
-				if i < p.Places%len(list) {
-					a.places++
+				a.baseFraction = 1 / float64(len(list))
+				a.baseSlots = p.Slots / len(list)
+				if i < p.Slots%len(list) {
+					a.baseSlots++
 				}
-			} else if l.Talks {
+			} else if l.Gossips {
 				a.lenders = append(a.lenders, who)
 			}
 		}
 		// As if met at the start: what it sent before is not known. Most customers come only once.
 		a.advance(now)
-		if full := a.part * p.Quota.Burst; l.standing == Fresh {
-			a.quota = max(a.quota, full)
-			if now-l.born < freshFor {
-				a.begin()
+		if full := a.baseFraction * p.Quota.Burst; l.recovery == TierStarted {
+			a.quotaLevel = max(a.quotaLevel, full)
+			if now-l.startedAt < freshFor {
+				a.assumeFull()
 			}
-		} else if l.standing == Unsure {
-			a.doubt = max(full-a.quota, 0)
+		} else if l.recovery == RecoveryUnknown {
+			a.unresolvedUnits = max(full-a.quotaLevel, 0)
 		}
 	}
-	a.seen = now
+	a.lastSeen = now
 	return a
 }
 
@@ -257,16 +257,16 @@
 func (l *Ledger) Find(hash uint32, plan, first, size int) *Account {
 	first, size = first%l.Limiters, min(max(size, 1), l.Limiters)
 	for _, a := range l.accounts[hash] {
-		if a.Plan == plan && a.first == first && a.size == size {
+		if a.PlanIndex == plan && a.firstLimiter == first && a.setSize == size {
 			return a
 		}
 	}
 	return nil
 }
 
-// askedOf finds the account that an answer of a peer is about: the one that asked, or of a word
+// accountOfGrant finds the account that an answer of a peer is about: the one that asked, or of a word
 // unasked the only one with that hash.
-func (l *Ledger) askedOf(who int, m peermsg.Answer) *Account {
+func (l *Ledger) accountOfGrant(who int, m gossip.Grant) *Account {
 	list := l.accounts[m.Customer]
 	for _, a := range list {
 		for i := range a.links {
@@ -288,104 +288,104 @@
 	l.Config = c
 	for _, hash := range slices.Sorted(maps.Keys(l.accounts)) {
 		for _, a := range l.accounts[hash] {
-			a.ledger, a.asked, a.word = l, false, silence
-			l.order = append(l.order, a)
-			if a.mine == 0 && !a.small() {
-				l.homed = append(l.homed, a)
+			a.ledger, a.requestOutstanding, a.ownerDecision = l, false, ownerSilent
+			l.accountOrder = append(l.accountOrder, a)
+			if a.ownerRank == 0 && !a.isAllocated() {
+				l.ownedAccounts = append(l.ownedAccounts, a)
 			}
 			for i := range a.links {
 				if k := &a.links[i]; k.queued {
 					p := l.peer(k.peer)
-					p.asks = append(p.asks, a)
-					l.wants(k.peer, p)
+					p.queuedRequests = append(p.queuedRequests, a)
+					l.markReady(k.peer, p)
 				}
 			}
 		}
 	}
 }
 
-// holders are the limiters of a small set, each of which has a base part of the
+// allocationHolders are the limiters of a small set, each of which has a base part of the
 // stores.
-func (l *Ledger) holders(a *Account) []int {
-	list := make([]int, a.size)
-	turn := int(a.Hash) % a.size // so that odd places are spread over the set
+func (l *Ledger) allocationHolders(a *Account) []int {
+	list := make([]int, a.setSize)
+	turn := int(a.CustomerHash) % a.setSize // so that odd places are spread over the set
 	for i := range list {
-		list[i] = (a.first + (i+turn)%a.size) % l.Limiters
+		list[i] = (a.firstLimiter + (i+turn)%a.setSize) % l.Limiters
 	}
 	return list
 }
 
-// A Word is what the ledger says of a req.
-type Word uint8
+// A Decision is what the ledger says of a req.
+type Decision uint8
 
 const (
-	Refused Word = iota // beyond the quota or the ceiling, as far as can be known
-	Granted             // its units are taken
-	Wait                // the others have been asked; Reserve again when they answered
+	Rejected Decision = iota // beyond the quota or the ceiling, as far as can be known
+	Granted                  // its units are taken
+	Pending                  // the others have been asked; Reserve again when they answered
 )
 
-// Demand books that a customer asks for units here, whether they are granted or not.
-func (l *Ledger) Demand(a *Account, units float64, now time.Duration) {
+// RecordDemand books that a customer asks for units here, whether they are granted or not.
+func (l *Ledger) RecordDemand(a *Account, units float64, now time.Duration) {
 	a.demand.add(now, units)
-	l.total.add(now, units)
-	a.largest = max(units, a.largest+(units-a.largest)/16)
-	if a.seen = now; !a.small() && a.mine != 0 {
-		a.unasked += units
+	l.totalDemand.add(now, units)
+	a.largestRequest = max(units, a.largestRequest+(units-a.largestRequest)/16)
+	if a.lastSeen = now; !a.isAllocated() && a.ownerRank != 0 {
+		a.unreportedDemand += units
 	}
 }
 
 // Reserve takes the units of a req if the customer has them, and else says
 // whether the others may. With last, nothing is waited for any longer. For a
 // refusal it tells how long until the units may be there.
-func (l *Ledger) Reserve(a *Account, units float64, last bool, now time.Duration) (Word, time.Duration) {
+func (l *Ledger) Reserve(a *Account, units float64, last bool, now time.Duration) (Decision, time.Duration) {
 	a.advance(now)
-	if !a.small() {
-		return l.reserveLarge(a, units, last, now)
+	if !a.isAllocated() {
+		return l.reserveOwned(a, units, last, now)
 	}
 	p := a.plan()
 	short, over, place := 0.0, 0.0, 0
-	if p.Quota.Rate > 0 && a.quota < units {
-		short = units - a.quota
+	if p.Quota.Rate > 0 && a.quotaLevel < units {
+		short = units - a.quotaLevel
 	}
 	if p.Ceiling.Rate > 0 {
-		over = max(units-a.ceiling, 0)
+		over = max(units-a.ceilingLevel, 0)
 	}
-	if p.Places > 0 && a.Open >= a.limit() {
+	if p.Slots > 0 && a.SlotsInUse >= a.slotLimit() {
 		place = 1
 	}
 	if over == 0 && place == 0 && short == 0 {
-		l.take(a, units, now)
+		l.consume(a, units, now)
 		return Granted, 0
 	}
 	chance := 0.0 // a ceiling is no matter of chance
-	if over == 0 && place == 0 && a.quota-units >= -a.debtMost() {
-		chance = a.chance(units, short, now)
-		if l.standing == Unsure && !a.taken && (last || l.allHeard(a)) {
+	if over == 0 && place == 0 && a.quotaLevel-units >= -a.maxDebt() {
+		chance = a.admissionProbability(units, short, now)
+		if l.recovery == RecoveryUnknown && !a.admittedWhileUnresolved && (last || l.allLendersKnown(a)) {
 			chance = 1
 		}
 	}
-	if chance < max(p.Least, sureChance) && !last {
-		if l.seek(a, short, over, place, now) || l.standing == Unsure && over == 0 && place == 0 && a.doubt >= short {
-			return Wait, 0
+	if chance < max(p.LeastProbability, sureChance) && !last {
+		if l.requestTransfers(a, short, over, place, now) || l.recovery == RecoveryUnknown && over == 0 && place == 0 && a.unresolvedUnits >= short {
+			return Pending, 0
 		}
 	}
-	if chance > 0 && chance >= max(p.Least, lastChance+lastLeast*p.Least) {
-		l.Count.OnChance++
-		a.taken = true
-		l.take(a, units, now)
+	if chance > 0 && chance >= max(p.LeastProbability, lastChance+lastLeast*p.LeastProbability) {
+		l.Counts.AdmittedWithoutGrant++
+		a.admittedWhileUnresolved = true
+		l.consume(a, units, now)
 		return Granted, 0
 	}
-	quota, ceiling, _, _ := a.shares(true)
+	quota, ceiling, _, _ := a.fractions(true)
 	wait := max(short/max(quota*p.Quota.Rate, 1e-3), over/max(ceiling*p.Ceiling.Rate, 1e-3))
 	if place > 0 {
 		wait = max(wait, settleWithin.Seconds()/4)
 	}
-	return Refused, time.Duration(min(wait, 3600) * float64(time.Second))
+	return Rejected, time.Duration(min(wait, 3600) * float64(time.Second))
 }
 
-// allHeard tells whether all that may help an account were heard in this life: if
+// allLendersKnown tells whether all that may help an account were heard in this life: if
 // one of them had served for longer, the start would be no open matter.
-func (l *Ledger) allHeard(a *Account) bool {
+func (l *Ledger) allLendersKnown(a *Account) bool {
 	for _, who := range a.lenders {
 		if !l.peer(who).known {
 			return false
@@ -394,74 +394,74 @@
 	return true
 }
 
-// take books units, and sees to it that a busy customer has some in hand.
-func (l *Ledger) take(a *Account, units float64, now time.Duration) {
+// consume books units, and sees to it that a busy customer has some in hand.
+func (l *Ledger) consume(a *Account, units float64, now time.Duration) {
 	p := a.plan()
 	if p.Quota.Rate > 0 {
-		a.quota -= units
-		a.whole -= units
-		a.drawn += uint16(math.Ceil(units * peermsg.Part))
+		a.quotaLevel -= units
+		a.totalLevel -= units
+		a.consumed += uint16(math.Ceil(units * gossip.UnitParts))
 	}
 	if p.Ceiling.Rate > 0 {
-		a.ceiling -= units
+		a.ceilingLevel -= units
 	}
-	a.held += units
-	l.seek(a, 0, 0, 0, now)
+	a.reservedUnits += units
+	l.requestTransfers(a, 0, 0, 0, now)
 }
 
-// Sent tells that units taken are on their way to a backend.
-func (a *Account) Sent(units float64) { a.held = max(a.held-units, 0) }
+// MarkSent tells that units taken are on their way to a backend.
+func (a *Account) MarkSent(units float64) { a.reservedUnits = max(a.reservedUnits-units, 0) }
 
-// GiveBack returns units that were taken and never sent.
-func (l *Ledger) GiveBack(a *Account, units float64, now time.Duration) {
+// Refund returns units that were taken and never sent.
+func (l *Ledger) Refund(a *Account, units float64, now time.Duration) {
 	a.advance(now)
-	a.Sent(units)
-	if p := a.plan(); p.Quota.Rate > 0 && !a.small() {
-		l.returns(a, units, now)
+	a.MarkSent(units)
+	if p := a.plan(); p.Quota.Rate > 0 && !a.isAllocated() {
+		l.refundOwned(a, units, now)
 	} else if p.Quota.Rate > 0 {
-		a.quota += units
-		a.whole += units
-		a.drawn -= uint16(math.Ceil(units * peermsg.Part))
+		a.quotaLevel += units
+		a.totalLevel += units
+		a.consumed -= uint16(math.Ceil(units * gossip.UnitParts))
 	}
 	if a.plan().Ceiling.Rate > 0 {
-		a.ceiling += units
+		a.ceilingLevel += units
 	}
 }
 
-// Freed tells that a place is free again: a borrowed one goes back at once.
-func (l *Ledger) Freed(a *Account, now time.Duration) {
-	if a.plan().Places <= 0 || a.Open >= a.limit() {
+// ReleaseSlot tells that a place is free again: a borrowed one goes back at once.
+func (l *Ledger) ReleaseSlot(a *Account, now time.Duration) {
+	if a.plan().Slots <= 0 || a.SlotsInUse >= a.slotLimit() {
 		return
 	}
 	for i := range a.links {
 		k := &a.links[i]
-		if k.got.places > 0 {
-			k.got.places--
-			k.needed = true
-			l.queue(a, k, now)
+		if k.borrowed.slots > 0 {
+			k.borrowed.slots--
+			k.slotsRequested = true
+			l.queueRequest(a, k, now)
 			return
 		}
 	}
 }
 
-// seek asks the others for what an account lacks: for reqs that wait, and ahead
+// requestTransfers asks the others for what an account lacks: for reqs that wait, and ahead
 // of need for a busy customer. It tells whether a word is to be waited for.
-func (l *Ledger) seek(a *Account, short, over float64, place int, now time.Duration) (waits bool) {
+func (l *Ledger) requestTransfers(a *Account, short, over float64, place int, now time.Duration) (waits bool) {
 	p := a.plan()
 	demand := a.demand.value(now)
 	want, overWant := short, over
 	if p.Quota.Rate > 0 {
-		if keep := demand*ahead.Seconds() + a.largest; a.quota < keep && a.part > 0 {
-			want = max(want, keep-a.quota)
+		if keep := demand*ahead.Seconds() + a.largestRequest; a.quotaLevel < keep && a.baseFraction > 0 {
+			want = max(want, keep-a.quotaLevel)
 		}
 	}
 	if p.Ceiling.Rate > 0 {
-		if keep := demand*ahead.Seconds() + a.largest; a.ceiling < keep {
-			overWant = max(overWant, keep-a.ceiling)
+		if keep := demand*ahead.Seconds() + a.largestRequest; a.ceilingLevel < keep {
+			overWant = max(overWant, keep-a.ceilingLevel)
 		}
 	}
-	busy := p.Quota.Rate > 0 && demand*wantMargin > a.part*p.Quota.Rate
-	if want <= 0 && overWant <= 0 && place == 0 && !(busy && a.renews(now)) {
+	busy := p.Quota.Rate > 0 && demand*wantMargin > a.baseFraction*p.Quota.Rate
+	if want <= 0 && overWant <= 0 && place == 0 && !(busy && a.loanExpiring(now)) {
 		return false
 	}
 	urgent := short > 0 || over > 0 || place > 0
@@ -472,161 +472,161 @@
 		if now < peer.silentUntil || peer.dead {
 			continue
 		}
-		if k.pending && now-k.since < askGivenUp {
-			if now-k.told > askRepeat && !k.queued {
-				l.queue(a, k, now)
+		if k.pending && now-k.requestedAt < askGivenUp {
+			if now-k.lastSentAt > askRepeat && !k.queued {
+				l.queueRequest(a, k, now)
 			}
-			waits = waits || urgent && !peer.missed
+			waits = waits || urgent && !peer.unresponsive
 			asked++
 			continue
 		}
 		if k.pending { // nothing came
 			k.pending = false
-			if peer.heard < k.since {
-				peer.silentUntil, peer.missed = now+silentFor, true
+			if peer.heardAt < k.requestedAt {
+				peer.silentUntil, peer.unresponsive = now+silentFor, true
 				continue
 			}
 		}
-		level, theirs := a.estimate(k, now)
-		spare := level > a.largest*3/4 && (urgent || level > theirs*ahead.Seconds())
-		lendable := p.Quota.Rate > 0 && a.peerPart(who)*p.Quota.Rate > theirs*spareMargin+shareLeast*p.Quota.Rate
-		renews := busy && k.got.share > 0 && k.got.until-now < renewWithin
-		news := now-k.heard > newsAfter
+		level, theirs := a.estimatePeer(k, now)
+		spare := level > a.largestRequest*3/4 && (urgent || level > theirs*ahead.Seconds())
+		lendable := p.Quota.Rate > 0 && a.peerFraction(who)*p.Quota.Rate > theirs*spareMargin+shareLeast*p.Quota.Rate
+		renews := busy && k.borrowed.share > 0 && k.borrowed.expiresAt-now < renewWithin
+		news := now-k.heardAt > newsAfter
 		ceilings := p.Ceiling.Rate > 0 && overWant > 0
 		useful := !k.known || spare || renews || place > 0 || (lendable && busy || ceilings || urgent) && news
-		if !useful || now < k.rest {
+		if !useful || now < k.nextRequestAt {
 			continue
 		}
-		l.number()
-		k.pending, k.nonce, k.since, k.told, k.rest = true, l.nonce, now, now, now+askRest
-		k.want, k.over, k.wantTo = want, overWant, place
-		l.queue(a, k, now)
+		l.nextNonce()
+		k.pending, k.nonce, k.requestedAt, k.lastSentAt, k.nextRequestAt = true, l.lastNonce, now, now, now+askRest
+		k.quotaWanted, k.ceilingWanted, k.slotsWanted = want, overWant, place
+		l.queueRequest(a, k, now)
 		asked++
-		waits = waits || urgent && !peer.missed
+		waits = waits || urgent && !peer.unresponsive
 	}
 	return waits
 }
 
-// renews tells whether a borrowed share is about to end.
-func (a *Account) renews(now time.Duration) bool {
+// loanExpiring tells whether a borrowed share is about to end.
+func (a *Account) loanExpiring(now time.Duration) bool {
 	for i := range a.links {
-		if got := a.links[i].got; got.share > 0 && got.until-now < renewWithin {
+		if got := a.links[i].borrowed; got.share > 0 && got.expiresAt-now < renewWithin {
 			return true
 		}
 	}
 	return false
 }
 
-// queue has a peer told of an account.
-func (l *Ledger) queue(a *Account, k *link, now time.Duration) {
+// queueRequest has a peer told of an account.
+func (l *Ledger) queueRequest(a *Account, k *link, now time.Duration) {
 	if k.queued {
 		return
 	}
 	k.queued = true
 	p := l.peer(k.peer)
-	p.asks = append(p.asks, a)
-	l.wants(k.peer, p)
+	p.queuedRequests = append(p.queuedRequests, a)
+	l.markReady(k.peer, p)
 }
 
-func (l *Ledger) wants(who int, p *peer) {
-	if !p.waiting {
-		p.waiting = true
-		l.ready = append(l.ready, who)
+func (l *Ledger) markReady(who int, p *peer) {
+	if !p.queuedForSend {
+		p.queuedForSend = true
+		l.readyPeers = append(l.readyPeers, who)
 	}
 }
 
-// Ready lists the peers for which there is something new to tell since the last
+// TakeReadyPeers lists the peers for which there is something new to tell since the last
 // call.
-func (l *Ledger) Ready() []int {
-	list := l.ready
-	l.ready = nil
+func (l *Ledger) TakeReadyPeers() []int {
+	list := l.readyPeers
+	l.readyPeers = nil
 	for _, who := range list {
-		l.peers[who].waiting = false
+		l.peers[who].queuedForSend = false
 	}
 	return list
 }
 
-// Owes tells whether a peer waits for an answer. There are no more of them than asks
+// HasGrantsFor tells whether a peer waits for an answer. There are no more of them than asks
 // come in.
-func (l *Ledger) Owes(who int) bool {
+func (l *Ledger) HasGrantsFor(who int) bool {
 	p := l.peers[who]
-	return p != nil && len(p.answers) > 0
+	return p != nil && len(p.queuedGrants) > 0
 }
 
-// Wants tells whether a peer is to be asked for something.
-func (l *Ledger) Wants(who int) bool {
+// HasRequestsFor tells whether a peer is to be asked for something.
+func (l *Ledger) HasRequestsFor(who int) bool {
 	p := l.peers[who]
-	return p != nil && len(p.asks) > 0
+	return p != nil && len(p.queuedRequests) > 0
 }
 
 // Compose takes from what a peer is to be told what fits into a message, and
 // tells whether there is more.
-func (l *Ledger) Compose(who int, now time.Duration) (asks []peermsg.Ask, answers []peermsg.Answer, more bool) {
+func (l *Ledger) Compose(who int, now time.Duration) (asks []gossip.TransferRequest, answers []gossip.Grant, more bool) {
 	p := l.peer(who)
-	for len(p.asks) > 0 && len(asks) < peermsg.MaxAsks {
-		a := p.asks[0]
-		p.asks = p.asks[1:]
+	for len(p.queuedRequests) > 0 && len(asks) < gossip.MaxRequests {
+		a := p.queuedRequests[0]
+		p.queuedRequests = p.queuedRequests[1:]
 		k := a.link(who)
-		if k.queued = false; !k.pending && !k.needed {
+		if k.queued = false; !k.pending && !k.slotsRequested {
 			continue
 		}
-		if k.needed && !k.pending {
-			l.number()
-			k.nonce, k.want, k.over, k.wantTo = l.nonce, 0, 0, 0
-			if !a.small() {
-				k.owe(a)
+		if k.slotsRequested && !k.pending {
+			l.nextNonce()
+			k.nonce, k.quotaWanted, k.ceilingWanted, k.slotsWanted = l.lastNonce, 0, 0, 0
+			if !a.isAllocated() {
+				k.attachDebt(a)
 			}
 		}
-		k.needed = false
-		k.told = now
-		asks = append(asks, l.ask(a, k, now))
-		l.Count.Asks++
+		k.slotsRequested = false
+		k.lastSentAt = now
+		asks = append(asks, l.buildRequest(a, k, now))
+		l.Counts.RequestsSent++
 	}
-	n := min(len(p.answers), peermsg.MaxAnswers)
-	answers, p.answers = p.answers[:n:n], p.answers[n:]
-	l.Count.Answers += uint64(n)
-	if l.Limiters > Holders && n < tellHot {
-		answers = append(answers, l.hot(tellHot-n, now)...)
+	n := min(len(p.queuedGrants), gossip.MaxGrants)
+	answers, p.queuedGrants = p.queuedGrants[:n:n], p.queuedGrants[n:]
+	l.Counts.GrantsSent += uint64(n)
+	if l.Limiters > SmallSetSize && n < tellHot {
+		answers = append(answers, l.hotCustomerUpdates(tellHot-n, now)...)
 	}
-	if len(p.asks) == 0 {
-		p.asks = nil
+	if len(p.queuedRequests) == 0 {
+		p.queuedRequests = nil
 	}
-	return asks, answers, len(p.asks)+len(p.answers) > 0
+	return asks, answers, len(p.queuedRequests)+len(p.queuedGrants) > 0
 }
 
-// number moves on to the next name of an ask. None is 0: that is what a home tells
+// nextNonce moves on to the next name of an ask. None is 0: that is what a home tells
 // unasked.
-func (l *Ledger) number() {
-	if l.nonce++; l.nonce == 0 {
-		l.nonce = 1
+func (l *Ledger) nextNonce() {
+	if l.lastNonce++; l.lastNonce == 0 {
+		l.lastNonce = 1
 	}
 }
 
-func (l *Ledger) ask(a *Account, k *link, now time.Duration) peermsg.Ask {
+func (l *Ledger) buildRequest(a *Account, k *link, now time.Duration) gossip.TransferRequest {
 	a.advance(now)
-	if !a.small() {
-		return a.askLarge(k, now)
+	if !a.isAllocated() {
+		return a.buildOwnedRequest(k, now)
 	}
-	quota, _, _, _ := a.shares(true)
-	return peermsg.Ask{
-		Customer: a.Hash, Plan: uint8(a.Plan), First: uint16(a.first), Size: uint16(a.size), Nonce: k.nonce,
-		Want: parts(k.want), Over: parts(k.over), Demand: a.tellDemand(now), Level: a.tellLevel(),
-		Drawn: a.drawn, Whole: a.tellWhole(), Share: uint8(min(max(quota-k.got.share, 0), 1) * peermsg.ShareSteps), Held: uint8(min(k.got.places, math.MaxUint8)),
-		Places: uint8(k.wantTo),
+	quota, _, _, _ := a.fractions(true)
+	return gossip.TransferRequest{
+		Customer: a.CustomerHash, Plan: uint8(a.PlanIndex), FirstLimiter: uint16(a.firstLimiter), SetSize: uint16(a.setSize), Nonce: k.nonce,
+		QuotaWanted: encodeUnits(k.quotaWanted), CeilingWanted: encodeUnits(k.ceilingWanted), Demand: a.encodeDemand(now), Level: a.encodeLevel(),
+		Consumed: a.consumed, TotalLevel: a.encodeTotal(), Share: uint8(min(max(quota-k.borrowed.share, 0), 1) * gossip.ShareSteps), SlotsHeld: uint8(min(k.borrowed.slots, math.MaxUint8)),
+		SlotsWanted: uint8(k.slotsWanted),
 	}
 }
 
-func (a *Account) tellDemand(now time.Duration) uint8 {
-	return uint8(min(math.Ceil(a.demand.value(now)/max(a.plan().Quota.Rate, 1e-3)*peermsg.DemandSteps), math.MaxUint8))
+func (a *Account) encodeDemand(now time.Duration) uint8 {
+	return uint8(min(math.Ceil(a.demand.value(now)/max(a.plan().Quota.Rate, 1e-3)*gossip.DemandSteps), math.MaxUint8))
 }
 
-func (a *Account) tellLevel() int8 {
-	return int8(math.Floor(min(max(a.quota/max(a.plan().Quota.Burst, 1e-3), -1), 1) * peermsg.LevelSteps))
+func (a *Account) encodeLevel() int8 {
+	return int8(math.Floor(min(max(a.quotaLevel/max(a.plan().Quota.Burst, 1e-3), -1), 1) * gossip.LevelSteps))
 }
 
-// parts turns units into the parts that messages count in, rounded down.
-func parts(units float64) uint16 {
-	return uint16(min(max(units, 0)*peermsg.Part, math.MaxUint16))
+// encodeUnits turns units into the parts that messages count in, rounded down.
+func encodeUnits(units float64) uint16 {
+	return uint16(min(max(units, 0)*gossip.UnitParts, math.MaxUint16))
 }
 
 // peer finds or starts what is remembered of a limiter.
@@ -639,20 +639,20 @@
 	return p
 }
 
-// Heard tells that a message came from a peer, in which life that is, whether it
+// ObservePeer tells that a message came from a peer, in which life that is, whether it
 // knows of this life, and for how long reqs came there and here (in quarters of a
 // second). It is false where the message is of an earlier life and does not count.
-func (l *Ledger) Heard(who int, epoch uint32, knows bool, theirs, ours uint8, now time.Duration) bool {
+func (l *Ledger) ObservePeer(who int, epoch uint32, knows bool, theirs, ours uint8, now time.Duration) bool {
 	p := l.peer(who)
-	l.now = now
-	if p.known && int32(epoch-p.epoch) < 0 && now-p.heard < olderEpoch {
+	l.lastMessageAt = now
+	if p.known && int32(epoch-p.epoch) < 0 && now-p.heardAt < olderEpoch {
 		return false
 	}
 	if p.known && p.epoch != epoch {
-		p.answers = nil
+		p.queuedGrants = nil
 	}
-	p.epoch, p.known, p.heard, p.silentUntil = epoch, true, now, 0
-	p.dead, p.missed = theirs == peermsg.Left, false
+	p.epoch, p.known, p.heardAt, p.silentUntil = epoch, true, now, 0
+	p.dead, p.unresponsive = theirs == gossip.LeavingAge, false
 	if p.dead {
 		return true
 	}
@@ -660,199 +660,199 @@
 		p.acked, p.ackedAt = true, now
 	}
 	if int(theirs) >= int(ours)+olderBy {
-		l.Resolve(Returned, now)
+		l.Resolve(LimiterRestarted, now)
 	}
 	return true
 }
 
-// Asked takes in how a customer stands at a peer, and lends what it may.
-func (l *Ledger) Asked(who int, m peermsg.Ask, now time.Duration) {
-	size := int(m.Size)
-	if int(m.Plan) >= len(l.Plans) || int(m.First) >= l.Limiters || size == 0 || size > l.Limiters {
+// HandleRequest takes in how a customer stands at a peer, and lends what it may.
+func (l *Ledger) HandleRequest(who int, m gossip.TransferRequest, now time.Duration) {
+	size := int(m.SetSize)
+	if int(m.Plan) >= len(l.Plans) || int(m.FirstLimiter) >= l.Limiters || size == 0 || size > l.Limiters {
 		return
 	}
-	inSet := func(n int) bool { return (n-int(m.First)+l.Limiters)%l.Limiters < size }
+	inSet := func(n int) bool { return (n-int(m.FirstLimiter)+l.Limiters)%l.Limiters < size }
 	if !inSet(who) || !inSet(l.Self) {
 		return
 	}
 	seen := now
-	if old := l.Find(m.Customer, int(m.Plan), int(m.First), size); old != nil {
-		seen = max(old.seen, now-demandMemory)
+	if old := l.Find(m.Customer, int(m.Plan), int(m.FirstLimiter), size); old != nil {
+		seen = max(old.lastSeen, now-demandMemory)
 	}
-	a := l.Account(m.Customer, int(m.Plan), int(m.First), size, now)
-	a.seen = max(a.seen, seen)
+	a := l.Account(m.Customer, int(m.Plan), int(m.FirstLimiter), size, now)
+	a.lastSeen = max(a.lastSeen, seen)
 	a.advance(now)
-	if !a.small() {
-		l.askedLarge(who, a, m, now)
+	if !a.isAllocated() {
+		l.handleOwnedRequest(who, a, m, now)
 		return
 	}
 	k := a.link(who)
-	a.reconcile(k, m.Level, m.Drawn, m.Demand, m.Whole, now)
-	for i := range k.out {
-		if k.out[i].nonce == m.Nonce { // the answer was lost
-			l.answer(who, k.out[i].answer)
+	a.reconcile(k, m.Level, m.Consumed, m.Demand, m.TotalLevel, now)
+	for i := range k.lent {
+		if k.lent[i].nonce == m.Nonce { // the answer was lost
+			l.queueGrant(who, k.lent[i].message)
 			return
 		}
 	}
-	for i := range k.out { // what was on its way is there by now, or never will be
-		k.out[i].units, k.out[i].over = 0, 0
-		k.out[i].places = min(k.out[i].places, int(m.Held))
+	for i := range k.lent { // what was on its way is there by now, or never will be
+		k.lent[i].quotaUnits, k.lent[i].ceilingUnits = 0, 0
+		k.lent[i].slots = min(k.lent[i].slots, int(m.SlotsHeld))
 	}
-	k.out = slices.DeleteFunc(k.out, func(g grant) bool { return g.share == 0 && g.places == 0 })
-	l.answer(who, l.lend(a, k, m, now))
+	k.lent = slices.DeleteFunc(k.lent, func(g grant) bool { return g.share == 0 && g.slots == 0 })
+	l.queueGrant(who, l.lend(a, k, m, now))
 }
 
-func (l *Ledger) answer(who int, m peermsg.Answer) {
+func (l *Ledger) queueGrant(who int, m gossip.Grant) {
 	p := l.peer(who)
-	p.answers = slices.DeleteFunc(p.answers, func(o peermsg.Answer) bool { return o.Customer == m.Customer })
-	p.answers = append(p.answers, m)
-	l.wants(who, p)
+	p.queuedGrants = slices.DeleteFunc(p.queuedGrants, func(o gossip.Grant) bool { return o.Customer == m.Customer })
+	p.queuedGrants = append(p.queuedGrants, m)
+	l.markReady(who, p)
 }
 
 // lend moves units and lends a share to a peer that asks: so much of what both
 // hold as is its part of what both want, and of the rate what is not wanted here.
-func (l *Ledger) lend(a *Account, k *link, m peermsg.Ask, now time.Duration) peermsg.Answer {
+func (l *Ledger) lend(a *Account, k *link, m gossip.TransferRequest, now time.Duration) gossip.Grant {
 	p := a.plan()
-	ready := now >= a.readyAt()
-	mine, theirs := a.demand.value(now), k.asks
+	ready := now >= a.loansSettledAt()
+	mine, theirs := a.demand.value(now), k.demand
 	weight := 1.0
 	if mine+theirs > 0 {
 		weight = theirs / (mine + theirs)
 	}
-	g := grant{nonce: m.Nonce, loan: loan{until: now + lenderLease}, settled: now + lenderWait}
-	quota, ceiling, _, overFlying := a.shares(ready)
+	g := grant{nonce: m.Nonce, loan: loan{expiresAt: now + lenderLease}, deliveredBy: now + lenderWait}
+	quota, ceiling, _, overFlying := a.fractions(ready)
 	lent, most := 0.0, 0.0 // to others, and to this one
 	for i := range a.links {
 		if o := &a.links[i]; o != k {
-			lent += o.lent()
+			lent += o.lentShare()
 		}
 	}
-	most = k.lent()
-	if p.Quota.Rate > 0 && (m.Want > 0 || m.Demand > 0) {
-		spare := min(quota+most-mine*spareMargin/p.Quota.Rate, LendMost*a.part-lent)
+	most = k.lentShare()
+	if p.Quota.Rate > 0 && (m.QuotaWanted > 0 || m.Demand > 0) {
+		spare := min(quota+most-mine*spareMargin/p.Quota.Rate, MaxLentFraction*a.baseFraction-lent)
 		if !ready {
 			spare = 0
 		}
-		lack := min(theirs*wantMargin/p.Quota.Rate, 1) - float64(m.Share)/peermsg.ShareSteps
-		if g.share = math.Floor(min(spare, lack)*peermsg.ShareSteps) / peermsg.ShareSteps; g.share < shareLeast {
+		lack := min(theirs*wantMargin/p.Quota.Rate, 1) - float64(m.Share)/gossip.ShareSteps
+		if g.share = math.Floor(min(spare, lack)*gossip.ShareSteps) / gossip.ShareSteps; g.share < shareLeast {
 			g.share = 0
 		}
-		fair := min((a.quota+max(k.level, -a.quota))*weight-k.level, float64(m.Want)/peermsg.Part)
+		fair := min((a.quotaLevel+max(k.level, -a.quotaLevel))*weight-k.level, float64(m.QuotaWanted)/gossip.UnitParts)
 		if g.share > 0 { // what the smaller part has no room for goes along
-			fair = max(fair, a.quota-(quota+most-max(most, g.share))*p.Quota.Burst)
+			fair = max(fair, a.quotaLevel-(quota+most-max(most, g.share))*p.Quota.Burst)
 		}
-		g.units = float64(parts(min(fair, a.quota))) / peermsg.Part
+		g.quotaUnits = float64(encodeUnits(min(fair, a.quotaLevel))) / gossip.UnitParts
 	}
-	if ready && p.Ceiling.Rate > 0 && m.Over > 0 {
-		room := LendMost*a.even*p.Ceiling.Burst - (lent+max(g.share, most))*p.Ceiling.Burst - overFlying
-		most := a.ceiling * max(weight, 1-mine/max(mine+ceiling*p.Ceiling.Rate, 1e-6))
-		g.over = float64(parts(min(most, float64(m.Over)/peermsg.Part, max(room, 0)))) / peermsg.Part
+	if ready && p.Ceiling.Rate > 0 && m.CeilingWanted > 0 {
+		room := MaxLentFraction*a.evenFraction*p.Ceiling.Burst - (lent+max(g.share, most))*p.Ceiling.Burst - overFlying
+		most := a.ceilingLevel * max(weight, 1-mine/max(mine+ceiling*p.Ceiling.Rate, 1e-6))
+		g.ceilingUnits = float64(encodeUnits(min(most, float64(m.CeilingWanted)/gossip.UnitParts, max(room, 0)))) / gossip.UnitParts
 	}
-	if free := a.limit() - a.Open; p.Places > 0 && m.Places > 0 && free > 0 {
-		g.places = min(int(m.Places), free) + k.lentPlaces()
+	if free := a.slotLimit() - a.SlotsInUse; p.Slots > 0 && m.SlotsWanted > 0 && free > 0 {
+		g.slots = min(int(m.SlotsWanted), free) + k.lentSlots()
 	}
-	a.quota -= g.units
-	a.ceiling -= g.over
-	l.Count.Moved += g.units
-	g.answer = peermsg.Answer{
-		Customer: a.Hash, Nonce: m.Nonce, Units: parts(g.units), Over: parts(g.over),
-		Share: uint8(math.Round(g.share * peermsg.ShareSteps)), Places: uint8(g.places),
-		Drawn: a.drawn, Whole: a.tellWhole(), Demand: a.tellDemand(now),
+	a.quotaLevel -= g.quotaUnits
+	a.ceilingLevel -= g.ceilingUnits
+	l.Counts.UnitsSent += g.quotaUnits
+	g.message = gossip.Grant{
+		Customer: a.CustomerHash, Nonce: m.Nonce, QuotaUnits: encodeUnits(g.quotaUnits), CeilingUnits: encodeUnits(g.ceilingUnits),
+		Share: uint8(math.Round(g.share * gossip.ShareSteps)), Slots: uint8(g.slots),
+		Consumed: a.consumed, TotalLevel: a.encodeTotal(), Demand: a.encodeDemand(now),
 	}
-	k.out = append(k.out, g)
-	k.out[len(k.out)-1].answer.Level = a.tellLevel()
-	return k.out[len(k.out)-1].answer
+	k.lent = append(k.lent, g)
+	k.lent[len(k.lent)-1].message.Level = a.encodeLevel()
+	return k.lent[len(k.lent)-1].message
 }
 
-// Answered takes in what a peer moved here. It gives the account if the answer
+// HandleGrant takes in what a peer moved here. It gives the account if the answer
 // is one to an ask that is out, for reqs that wait.
-func (l *Ledger) Answered(who int, m peermsg.Answer, now time.Duration) *Account {
-	a := l.askedOf(who, m)
+func (l *Ledger) HandleGrant(who int, m gossip.Grant, now time.Duration) *Account {
+	a := l.accountOfGrant(who, m)
 	if a == nil {
 		return nil
 	}
 	a.advance(now)
-	if !a.small() {
-		l.answeredLarge(who, a, m, now)
+	if !a.isAllocated() {
+		l.handleOwnedGrant(who, a, m, now)
 		return a
 	}
 	k := a.link(who)
-	if !k.pending || k.nonce != m.Nonce || now >= k.since+askGivenUp {
+	if !k.pending || k.nonce != m.Nonce || now >= k.requestedAt+askGivenUp {
 		return nil
 	}
 	k.pending = false
-	k.got = loan{share: float64(m.Share) / peermsg.ShareSteps, places: int(m.Places), until: k.since + Lease}
-	a.quota += float64(m.Units) / peermsg.Part
-	a.ceiling += float64(m.Over) / peermsg.Part
-	a.reconcile(k, m.Level, m.Drawn, m.Demand, m.Whole, now)
-	l.Count.Got += float64(m.Units) / peermsg.Part
-	if float64(m.Units)/peermsg.Part < min(k.want, a.largest) {
-		k.rest = now + poorRest
+	k.borrowed = loan{share: float64(m.Share) / gossip.ShareSteps, slots: int(m.Slots), expiresAt: k.requestedAt + LoanDuration}
+	a.quotaLevel += float64(m.QuotaUnits) / gossip.UnitParts
+	a.ceilingLevel += float64(m.CeilingUnits) / gossip.UnitParts
+	a.reconcile(k, m.Level, m.Consumed, m.Demand, m.TotalLevel, now)
+	l.Counts.UnitsReceived += float64(m.QuotaUnits) / gossip.UnitParts
+	if float64(m.QuotaUnits)/gossip.UnitParts < min(k.quotaWanted, a.largestRequest) {
+		k.nextRequestAt = now + poorRest
 	}
 	return a
 }
 
-// Look takes a view of the peers, every fraction of a second. One that has fallen
+// Tick takes a view of the peers, every fraction of a second. One that has fallen
 // silent is dead or cut off. If it is dead its clients go to the others, and what
 // is asked for here rises by one part in as many as are left; if it is cut off it
 // does not. Where half of the tier or more is silent it is this one that is cut
 // off, and where that rise would stand out from the ups and downs of before, it
 // decides; where it would not, the peer counts as cut off, and its parts of quotas
 // stay with it. Ceilings are never shared out.
-func (l *Ledger) Look(now time.Duration) {
+func (l *Ledger) Tick(now time.Duration) {
 	silent := 0
 	for who := range l.Limiters {
-		if l.quiet(l.peers[who], now) {
+		if l.isSilent(l.peers[who], now) {
 			silent++
 		}
 	}
-	v := l.total.value(now)
-	if silent == 0 || l.looks == 0 {
-		if l.looks++; l.looks == 1 {
-			l.mean = v
+	v := l.totalDemand.value(now)
+	if silent == 0 || l.ticks == 0 {
+		if l.ticks++; l.ticks == 1 {
+			l.meanDemand = v
 		}
-		w := max(lookWeight, 1/float64(l.looks))
-		off := v - l.mean
-		l.mean += w * off
-		l.spread += w * (off*off - l.spread)
+		w := max(lookWeight, 1/float64(l.ticks))
+		off := v - l.meanDemand
+		l.meanDemand += w * off
+		l.demandVariance += w * (off*off - l.demandVariance)
 		return
 	}
 	active := 1 // what is asked for by few goes up and down with each of them
-	for _, a := range l.order {
-		if now-a.seen < demandMemory {
+	for _, a := range l.accountOrder {
+		if now-a.lastSeen < demandMemory {
 			active++
 		}
 	}
-	usual := math.Sqrt(max(l.spread, l.mean*l.mean/float64(active)))
-	rise := l.mean * float64(silent) / float64(max(l.Limiters-silent, 1))
-	if 2*silent >= l.Limiters || l.looks < looksLeast || rise < riseClear*usual || v-l.mean < rise/2 {
+	usual := math.Sqrt(max(l.demandVariance, l.meanDemand*l.meanDemand/float64(active)))
+	rise := l.meanDemand * float64(silent) / float64(max(l.Limiters-silent, 1))
+	if 2*silent >= l.Limiters || l.ticks < looksLeast || rise < riseClear*usual || v-l.meanDemand < rise/2 {
 		return
 	}
 	for who := range l.Limiters {
-		if p := l.peers[who]; l.quiet(p, now) && !p.dead {
+		if p := l.peers[who]; l.isSilent(p, now) && !p.dead {
 			p.dead = true
-			l.Count.Dead++
+			l.Counts.PeersDeclaredDead++
 		}
 	}
 }
 
-// quiet tells whether a peer is silent that should not be. In a tier of many most
+// isSilent tells whether a peer is silent that should not be. In a tier of many most
 // pairs have nothing to tell each other for seconds, and only an unanswered ask counts.
-func (l *Ledger) quiet(p *peer, now time.Duration) bool {
-	return p != nil && p.known && now-p.heard > silentFor && (p.missed || l.Limiters <= fewLimiters)
+func (l *Ledger) isSilent(p *peer, now time.Duration) bool {
+	return p != nil && p.known && now-p.heardAt > silentFor && (p.unresponsive || l.Limiters <= fewLimiters)
 }
 
-// Alone tells whether, with some other limiters out, this one is the last that holds the stores of a
+// IsLastOwner tells whether, with some other limiters out, this one is the last that holds the stores of a
 // customer that was met: of a large set its home and those that stand in, else all of the set. A
 // customer of this limiter alone does not count, as nobody else could ever hold it.
-func (l *Ledger) Alone(out []int) bool {
-	for _, a := range l.order {
+func (l *Ledger) IsLastOwner(out []int) bool {
+	for _, a := range l.accountOrder {
 		others := a.lenders
-		if !a.small() {
-			if a.mine < 0 {
+		if !a.isAllocated() {
+			if a.ownerRank < 0 {
 				continue
 			}
-			others = slices.DeleteFunc(slices.Clone(a.homes), func(n int) bool { return n == l.Self })
+			others = slices.DeleteFunc(slices.Clone(a.owners), func(n int) bool { return n == l.Self })
 		}
 		if len(others) > 0 && !slices.ContainsFunc(others, func(n int) bool { return !slices.Contains(out, n) }) {
 			return true
@@ -864,76 +864,76 @@
 // Level is what may be sent on here of an account's quota, in units.
 func (l *Ledger) Level(a *Account, now time.Duration) float64 {
 	a.advance(now)
-	return a.quota
+	return a.quotaLevel
 }
 
 // Ceiling is likewise what the ceiling's part here allows.
 func (l *Ledger) Ceiling(a *Account, now time.Duration) float64 {
 	a.advance(now)
-	return a.ceiling
+	return a.ceilingLevel
 }
 
 // Sweep forgets some of the accounts that are as good as new: idle, with full
 // stores and nothing lent or borrowed. What is met again starts as full.
 func (l *Ledger) Sweep(idle, now time.Duration) {
-	for range min(dropMost, len(l.order)) {
-		if l.swept >= len(l.order) {
-			l.swept = 0
+	for range min(dropMost, len(l.accountOrder)) {
+		if l.sweepIndex >= len(l.accountOrder) {
+			l.sweepIndex = 0
 		}
-		a := l.order[l.swept]
-		if now-a.seen <= idle || !a.full(now) {
-			l.swept++
+		a := l.accountOrder[l.sweepIndex]
+		if now-a.lastSeen <= idle || !a.isAsNew(now) {
+			l.sweepIndex++
 			continue
 		}
-		same := slices.DeleteFunc(l.accounts[a.Hash], func(o *Account) bool { return o == a })
-		if l.accounts[a.Hash] = same; len(same) == 0 {
-			delete(l.accounts, a.Hash)
+		same := slices.DeleteFunc(l.accounts[a.CustomerHash], func(o *Account) bool { return o == a })
+		if l.accounts[a.CustomerHash] = same; len(same) == 0 {
+			delete(l.accounts, a.CustomerHash)
 		}
-		a.Gone = true
-		if a.mine == 0 {
-			l.homed = slices.DeleteFunc(l.homed, func(o *Account) bool { return o == a })
+		a.Forgotten = true
+		if a.ownerRank == 0 {
+			l.ownedAccounts = slices.DeleteFunc(l.ownedAccounts, func(o *Account) bool { return o == a })
 		}
-		last := len(l.order) - 1
-		l.order[l.swept] = l.order[last]
-		l.order[last] = nil
-		l.order = l.order[:last]
+		last := len(l.accountOrder) - 1
+		l.accountOrder[l.sweepIndex] = l.accountOrder[last]
+		l.accountOrder[last] = nil
+		l.accountOrder = l.accountOrder[:last]
 	}
 }
 
-// full tells whether nothing would be lost by forgetting an account.
-func (a *Account) full(now time.Duration) bool {
+// isAsNew tells whether nothing would be lost by forgetting an account.
+func (a *Account) isAsNew(now time.Duration) bool {
 	a.advance(now)
 	p := a.plan()
 	for i := range a.links {
-		if k := &a.links[i]; k.got.until > now || len(k.out) > 0 || k.queued || k.pending && now-k.since < askGivenUp {
+		if k := &a.links[i]; k.borrowed.expiresAt > now || len(k.lent) > 0 || k.queued || k.pending && now-k.requestedAt < askGivenUp {
 			return false
 		}
 	}
-	return a.Open == 0 && a.held == 0 && now >= a.readyAt() &&
-		(p.Quota.Rate <= 0 || a.quota >= a.part*p.Quota.Burst*0.999) &&
-		(p.Ceiling.Rate <= 0 || a.ceiling >= a.roof*p.Ceiling.Burst*0.999)
+	return a.SlotsInUse == 0 && a.reservedUnits == 0 && now >= a.loansSettledAt() &&
+		(p.Quota.Rate <= 0 || a.quotaLevel >= a.baseFraction*p.Quota.Burst*0.999) &&
+		(p.Ceiling.Rate <= 0 || a.ceilingLevel >= a.ceilingFraction*p.Ceiling.Burst*0.999)
 }
 
 // Counters tells the counters as they stand.
 func (l *Ledger) Counters(now time.Duration) Counters {
-	c := l.Count
-	c.Accounts, c.Standing = len(l.order), l.standing.String()
+	c := l.Counts
+	c.Accounts, c.RecoveryState = len(l.accountOrder), l.recovery.String()
 	for _, p := range l.peers {
-		if p.known && now-p.heard > silentFor {
-			c.Silent++
+		if p.known && now-p.heardAt > silentFor {
+			c.SilentPeers++
 		}
 	}
 	return c
 }
 
-// HoldersOf gives the limiters that hold a customer's stores: the home and those that stand in for it, or
+// OwnersOf gives the limiters that hold a customer's stores: the home and those that stand in for it, or
 // all of a small set.
-func HoldersOf(hash uint32, first, size, limiters int) []int {
+func OwnersOf(hash uint32, first, size, limiters int) []int {
 	size = min(max(size, 1), limiters)
-	if size <= Holders {
+	if size <= SmallSetSize {
 		return rank(hash, first%limiters, size, limiters, size)
 	}
-	return rank(hash, first%limiters, size, limiters, homes)
+	return rank(hash, first%limiters, size, limiters, ownerCount)
 }
 
 // rank gives the n limiters of a set that come first by rendezvous hashing: the
@@ -946,7 +946,7 @@
 	all := make([]scored, 0, size)
 	for i := range size {
 		who := (first + i) % limiters
-		all = append(all, scored{who, Mix(uint64(hash)<<32 | uint64(who))})
+		all = append(all, scored{who, Mix64(uint64(hash)<<32 | uint64(who))})
 	}
 	slices.SortFunc(all, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	list := make([]int, 0, n)
@@ -956,8 +956,8 @@
 	return list
 }
 
-// Mix spreads the bits of a number evenly (the finalizer of SplitMix64).
-func Mix(v uint64) uint64 {
+// Mix64 spreads the bits of a number evenly (the finalizer of SplitMix64).
+func Mix64(v uint64) uint64 {
 	v ^= v >> 30
 	v *= 0xbf58476d1ce4e5b9
 	v ^= v >> 27
