--- a/internal/quota/state.go
+++ b/internal/quota/snapshot.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"lemongate/internal/gossip"
 	"lemongate/internal/memento"
-	"lemongate/internal/peermsg"
 )
 
 // This file is the stored form of a Ledger, and the one place where it is mapped to the live types.
@@ -27,7 +27,7 @@
 // next. Its field tags are a format that other releases read; a live field may be renamed freely.
 type LedgerState struct {
 	Counters       countersState             `json:"Count"`
-	Recovery       Standing                  `json:"standing"`
+	Recovery       RecoveryState             `json:"standing"`
 	StartedAt      time.Duration             `json:"born"`
 	LastMessageAt  time.Duration             `json:"now"`
 	TotalDemand    rateState                 `json:"total"`
@@ -206,228 +206,228 @@
 // State returns what another process of this limiter needs to go on.
 func (l *Ledger) State() LedgerState {
 	return LedgerState{
-		Counters:       newCountersState(l.Count),
-		Recovery:       l.standing,
-		StartedAt:      l.born,
-		LastMessageAt:  l.now,
-		TotalDemand:    newRateState(l.total),
-		MeanDemand:     l.mean,
-		DemandVariance: l.spread,
-		Ticks:          l.looks,
+		Counters:       newCountersState(l.Counts),
+		Recovery:       l.recovery,
+		StartedAt:      l.startedAt,
+		LastMessageAt:  l.lastMessageAt,
+		TotalDemand:    newRateState(l.totalDemand),
+		MeanDemand:     l.meanDemand,
+		DemandVariance: l.demandVariance,
+		Ticks:          l.ticks,
 		Accounts:       memento.Values(l.accounts, func(list []*Account) []accountState { return memento.List(list, newAccountState) }),
-		SweepIndex:     l.swept,
+		SweepIndex:     l.sweepIndex,
 		Peers:          memento.Values(l.peers, newPeerState),
-		LastNonce:      l.nonce,
-		HotCursor:      l.hotAt,
-		ReadyPeers:     l.ready,
+		LastNonce:      l.lastNonce,
+		HotCursor:      l.hotCursor,
+		ReadyPeers:     l.readyPeers,
 	}
 }
 
 // restore returns a Ledger without its configuration and what Relink derives.
 func (s LedgerState) restore() *Ledger {
 	return &Ledger{
-		Count:    s.Counters.restore(),
-		standing: s.Recovery,
-		born:     s.StartedAt,
-		now:      s.LastMessageAt,
-		total:    s.TotalDemand.restore(),
-		mean:     s.MeanDemand,
-		spread:   s.DemandVariance,
-		looks:    s.Ticks,
-		accounts: memento.Values(s.Accounts, func(list []accountState) []*Account { return memento.List(list, accountState.restore) }),
-		swept:    s.SweepIndex,
-		peers:    memento.Values(s.Peers, peerState.restore),
-		nonce:    s.LastNonce,
-		hotAt:    s.HotCursor,
-		ready:    s.ReadyPeers,
+		Counts:         s.Counters.restore(),
+		recovery:       s.Recovery,
+		startedAt:      s.StartedAt,
+		lastMessageAt:  s.LastMessageAt,
+		totalDemand:    s.TotalDemand.restore(),
+		meanDemand:     s.MeanDemand,
+		demandVariance: s.DemandVariance,
+		ticks:          s.Ticks,
+		accounts:       memento.Values(s.Accounts, func(list []accountState) []*Account { return memento.List(list, accountState.restore) }),
+		sweepIndex:     s.SweepIndex,
+		peers:          memento.Values(s.Peers, peerState.restore),
+		lastNonce:      s.LastNonce,
+		hotCursor:      s.HotCursor,
+		readyPeers:     s.ReadyPeers,
 	}
 }
 
 func newCountersState(x Counters) countersState {
 	return countersState{
-		RequestsSent:         x.Asks,
-		GrantsSent:           x.Answers,
-		UnitsReceived:        x.Got,
-		UnitsSent:            x.Moved,
-		UnitsUnacknowledged:  x.Unheard,
-		RateReclaimed:        x.Reclaimed,
-		UnitsRecovered:       x.Strayed,
-		AdmittedWithoutGrant: x.OnChance,
+		RequestsSent:         x.RequestsSent,
+		GrantsSent:           x.GrantsSent,
+		UnitsReceived:        x.UnitsReceived,
+		UnitsSent:            x.UnitsSent,
+		UnitsUnacknowledged:  x.UnitsUnacknowledged,
+		RateReclaimed:        x.RateReclaimed,
+		UnitsRecovered:       x.UnitsRecovered,
+		AdmittedWithoutGrant: x.AdmittedWithoutGrant,
 		Waited:               x.Waited,
 		Accounts:             x.Accounts,
-		RecoveryState:        x.Standing,
-		SilentPeers:          x.Silent,
-		PeersDeclaredDead:    x.Dead,
+		RecoveryState:        x.RecoveryState,
+		SilentPeers:          x.SilentPeers,
+		PeersDeclaredDead:    x.PeersDeclaredDead,
 	}
 }
 
 func (s countersState) restore() Counters {
 	return Counters{
-		Asks:      s.RequestsSent,
-		Answers:   s.GrantsSent,
-		Got:       s.UnitsReceived,
-		Moved:     s.UnitsSent,
-		Unheard:   s.UnitsUnacknowledged,
-		Reclaimed: s.RateReclaimed,
-		Strayed:   s.UnitsRecovered,
-		OnChance:  s.AdmittedWithoutGrant,
-		Waited:    s.Waited,
-		Accounts:  s.Accounts,
-		Standing:  s.RecoveryState,
-		Silent:    s.SilentPeers,
-		Dead:      s.PeersDeclaredDead,
+		RequestsSent:         s.RequestsSent,
+		GrantsSent:           s.GrantsSent,
+		UnitsReceived:        s.UnitsReceived,
+		UnitsSent:            s.UnitsSent,
+		UnitsUnacknowledged:  s.UnitsUnacknowledged,
+		RateReclaimed:        s.RateReclaimed,
+		UnitsRecovered:       s.UnitsRecovered,
+		AdmittedWithoutGrant: s.AdmittedWithoutGrant,
+		Waited:               s.Waited,
+		Accounts:             s.Accounts,
+		RecoveryState:        s.RecoveryState,
+		SilentPeers:          s.SilentPeers,
+		PeersDeclaredDead:    s.PeersDeclaredDead,
 	}
 }
 
-func newRateState(x decayed) rateState {
+func newRateState(x decayingRate) rateState {
 	return rateState{
 		Rate:      x.rate,
-		UpdatedAt: x.at,
+		UpdatedAt: x.updatedAt,
 	}
 }
 
-func (s rateState) restore() decayed {
-	return decayed{
-		rate: s.Rate,
-		at:   s.UpdatedAt,
+func (s rateState) restore() decayingRate {
+	return decayingRate{
+		rate:      s.Rate,
+		updatedAt: s.UpdatedAt,
 	}
 }
 
 func newAccountState(x *Account) accountState {
 	return accountState{
-		CustomerHash:            x.Hash,
-		PlanIndex:               x.Plan,
-		SlotsInUse:              x.Open,
-		Forgotten:               x.Gone,
-		FirstLimiter:            x.first,
-		SetSize:                 x.size,
-		BaseFraction:            x.part,
-		EvenFraction:            x.even,
-		CeilingFraction:         x.roof,
-		Owners:                  x.homes,
-		OwnerRank:               x.mine,
-		OwnerView:               newOwnerViewState(x.view),
+		CustomerHash:            x.CustomerHash,
+		PlanIndex:               x.PlanIndex,
+		SlotsInUse:              x.SlotsInUse,
+		Forgotten:               x.Forgotten,
+		FirstLimiter:            x.firstLimiter,
+		SetSize:                 x.setSize,
+		BaseFraction:            x.baseFraction,
+		EvenFraction:            x.evenFraction,
+		CeilingFraction:         x.ceilingFraction,
+		Owners:                  x.owners,
+		OwnerRank:               x.ownerRank,
+		OwnerView:               newOwnerViewState(x.ownerView),
 		Credit:                  newAllowanceState(x.credit),
-		UnreportedUnits:         x.debt,
-		UnreportedDemand:        x.unasked,
-		RequestAllowance:        x.thin,
-		RequestOutstanding:      x.asked,
-		OwnerDecision:           x.word,
-		LevelAnnounced:          x.hinted,
-		LastGrantAt:             x.granted,
-		CeilingInTransit:        memento.List(x.flying, newTransitState),
-		CeilingUnitsInTransit:   x.aloft,
-		BaseSlots:               x.places,
+		UnreportedUnits:         x.unreportedUnits,
+		UnreportedDemand:        x.unreportedDemand,
+		RequestAllowance:        x.requestAllowance,
+		RequestOutstanding:      x.requestOutstanding,
+		OwnerDecision:           x.ownerDecision,
+		LevelAnnounced:          x.levelAnnounced,
+		LastGrantAt:             x.lastGrantAt,
+		CeilingInTransit:        memento.List(x.ceilingInTransit, newTransitState),
+		CeilingUnitsInTransit:   x.ceilingUnitsInTransit,
+		BaseSlots:               x.baseSlots,
 		Lenders:                 x.lenders,
-		AdvancedTo:              x.at,
-		LastSeen:                x.seen,
-		QuotaLevel:              x.quota,
-		CeilingLevel:            x.ceiling,
-		UnresolvedUnits:         x.doubt,
-		ReservedUnits:           x.held,
-		LargestRequest:          x.largest,
-		AdmittedWhileUnresolved: x.taken,
+		AdvancedTo:              x.advancedTo,
+		LastSeen:                x.lastSeen,
+		QuotaLevel:              x.quotaLevel,
+		CeilingLevel:            x.ceilingLevel,
+		UnresolvedUnits:         x.unresolvedUnits,
+		ReservedUnits:           x.reservedUnits,
+		LargestRequest:          x.largestRequest,
+		AdmittedWhileUnresolved: x.admittedWhileUnresolved,
 		Demand:                  newRateState(x.demand),
 		Links:                   memento.List(x.links, newLinkState),
-		Consumed:                x.drawn,
-		TotalLevel:              x.whole,
-		TotalKnown:              x.wholly,
-		StartedFull:             x.fresh,
-		UnallocatedUnits:        x.strays,
-		UnallocatedTicks:        x.views,
-		UnallocatedSince:        x.since,
+		Consumed:                x.consumed,
+		TotalLevel:              x.totalLevel,
+		TotalKnown:              x.totalKnown,
+		StartedFull:             x.startedFull,
+		UnallocatedUnits:        x.unallocatedUnits,
+		UnallocatedTicks:        x.unallocatedTicks,
+		UnallocatedSince:        x.unallocatedSince,
 	}
 }
 
 func (s accountState) restore() *Account {
 	return &Account{
-		Hash:    s.CustomerHash,
-		Plan:    s.PlanIndex,
-		Open:    s.SlotsInUse,
-		Gone:    s.Forgotten,
-		first:   s.FirstLimiter,
-		size:    s.SetSize,
-		part:    s.BaseFraction,
-		even:    s.EvenFraction,
-		roof:    s.CeilingFraction,
-		homes:   s.Owners,
-		mine:    s.OwnerRank,
-		view:    s.OwnerView.restore(),
-		credit:  s.Credit.restore(),
-		debt:    s.UnreportedUnits,
-		unasked: s.UnreportedDemand,
-		thin:    s.RequestAllowance,
-		asked:   s.RequestOutstanding,
-		word:    s.OwnerDecision,
-		hinted:  s.LevelAnnounced,
-		granted: s.LastGrantAt,
-		flying:  memento.List(s.CeilingInTransit, transitState.restore),
-		aloft:   s.CeilingUnitsInTransit,
-		places:  s.BaseSlots,
-		lenders: s.Lenders,
-		at:      s.AdvancedTo,
-		seen:    s.LastSeen,
-		quota:   s.QuotaLevel,
-		ceiling: s.CeilingLevel,
-		doubt:   s.UnresolvedUnits,
-		held:    s.ReservedUnits,
-		largest: s.LargestRequest,
-		taken:   s.AdmittedWhileUnresolved,
-		demand:  s.Demand.restore(),
-		links:   memento.List(s.Links, linkState.restore),
-		drawn:   s.Consumed,
-		whole:   s.TotalLevel,
-		wholly:  s.TotalKnown,
-		fresh:   s.StartedFull,
-		strays:  s.UnallocatedUnits,
-		views:   s.UnallocatedTicks,
-		since:   s.UnallocatedSince,
+		CustomerHash:            s.CustomerHash,
+		PlanIndex:               s.PlanIndex,
+		SlotsInUse:              s.SlotsInUse,
+		Forgotten:               s.Forgotten,
+		firstLimiter:            s.FirstLimiter,
+		setSize:                 s.SetSize,
+		baseFraction:            s.BaseFraction,
+		evenFraction:            s.EvenFraction,
+		ceilingFraction:         s.CeilingFraction,
+		owners:                  s.Owners,
+		ownerRank:               s.OwnerRank,
+		ownerView:               s.OwnerView.restore(),
+		credit:                  s.Credit.restore(),
+		unreportedUnits:         s.UnreportedUnits,
+		unreportedDemand:        s.UnreportedDemand,
+		requestAllowance:        s.RequestAllowance,
+		requestOutstanding:      s.RequestOutstanding,
+		ownerDecision:           s.OwnerDecision,
+		levelAnnounced:          s.LevelAnnounced,
+		lastGrantAt:             s.LastGrantAt,
+		ceilingInTransit:        memento.List(s.CeilingInTransit, transitState.restore),
+		ceilingUnitsInTransit:   s.CeilingUnitsInTransit,
+		baseSlots:               s.BaseSlots,
+		lenders:                 s.Lenders,
+		advancedTo:              s.AdvancedTo,
+		lastSeen:                s.LastSeen,
+		quotaLevel:              s.QuotaLevel,
+		ceilingLevel:            s.CeilingLevel,
+		unresolvedUnits:         s.UnresolvedUnits,
+		reservedUnits:           s.ReservedUnits,
+		largestRequest:          s.LargestRequest,
+		admittedWhileUnresolved: s.AdmittedWhileUnresolved,
+		demand:                  s.Demand.restore(),
+		links:                   memento.List(s.Links, linkState.restore),
+		consumed:                s.Consumed,
+		totalLevel:              s.TotalLevel,
+		totalKnown:              s.TotalKnown,
+		startedFull:             s.StartedFull,
+		unallocatedUnits:        s.UnallocatedUnits,
+		unallocatedTicks:        s.UnallocatedTicks,
+		unallocatedSince:        s.UnallocatedSince,
 	}
 }
 
-func newOwnerViewState(x view) ownerViewState {
+func newOwnerViewState(x ownerView) ownerViewState {
 	return ownerViewState{
 		Known:      x.known,
 		Level:      x.level,
 		Demand:     x.demand,
-		ReceivedAt: x.at,
+		ReceivedAt: x.receivedAt,
 	}
 }
 
-func (s ownerViewState) restore() view {
-	return view{
-		known:  s.Known,
-		level:  s.Level,
-		demand: s.Demand,
-		at:     s.ReceivedAt,
+func (s ownerViewState) restore() ownerView {
+	return ownerView{
+		known:      s.Known,
+		level:      s.Level,
+		demand:     s.Demand,
+		receivedAt: s.ReceivedAt,
 	}
 }
 
-func newAllowanceState(x saved) allowanceState {
+func newAllowanceState(x allowance) allowanceState {
 	return allowanceState{
 		Amount:    x.amount,
-		UpdatedAt: x.at,
+		UpdatedAt: x.updatedAt,
 	}
 }
 
-func (s allowanceState) restore() saved {
-	return saved{
-		amount: s.Amount,
-		at:     s.UpdatedAt,
+func (s allowanceState) restore() allowance {
+	return allowance{
+		amount:    s.Amount,
+		updatedAt: s.UpdatedAt,
 	}
 }
 
-func newTransitState(x flight) transitState {
+func newTransitState(x inTransit) transitState {
 	return transitState{
 		Units:     x.units,
-		ArrivesBy: x.until,
+		ArrivesBy: x.arrivesBy,
 	}
 }
 
-func (s transitState) restore() flight {
-	return flight{
-		units: s.Units,
-		until: s.ArrivesBy,
+func (s transitState) restore() inTransit {
+	return inTransit{
+		units:     s.Units,
+		arrivesBy: s.ArrivesBy,
 	}
 }
 
@@ -437,71 +437,71 @@
 		Epoch:                x.epoch,
 		Pending:              x.pending,
 		Nonce:                x.nonce,
-		RequestedAt:          x.since,
-		LastSentAt:           x.told,
+		RequestedAt:          x.requestedAt,
+		LastSentAt:           x.lastSentAt,
 		Queued:               x.queued,
-		QuotaWanted:          x.want,
-		CeilingWanted:        x.over,
-		SlotsWanted:          x.wantTo,
-		NextRequestAt:        x.rest,
-		Borrowed:             newLoanState(x.got),
-		Lent:                 memento.List(x.out, newLentState),
-		LastGrant:            newGrantState(x.answer),
-		CeilingBorrowedUntil: x.leant,
-		ExtraDemand:          x.extra,
+		QuotaWanted:          x.quotaWanted,
+		CeilingWanted:        x.ceilingWanted,
+		SlotsWanted:          x.slotsWanted,
+		NextRequestAt:        x.nextRequestAt,
+		Borrowed:             newLoanState(x.borrowed),
+		Lent:                 memento.List(x.lent, newLentState),
+		LastGrant:            newGrantState(x.lastGrant),
+		CeilingBorrowedUntil: x.ceilingBorrowedUntil,
+		ExtraDemand:          x.extraDemand,
 		Known:                x.known,
-		Reclaimed:            x.heir,
-		Restarted:            x.reborn,
+		Reclaimed:            x.reclaimed,
+		Restarted:            x.restarted,
 		Level:                x.level,
-		Consumed:             x.drawn,
-		Demand:               x.asks,
-		HeardAt:              x.heard,
-		SlotsRequested:       x.needed,
+		Consumed:             x.consumed,
+		Demand:               x.demand,
+		HeardAt:              x.heardAt,
+		SlotsRequested:       x.slotsRequested,
 	}
 }
 
 func (s linkState) restore() link {
 	return link{
-		peer:    s.Peer,
-		epoch:   s.Epoch,
-		pending: s.Pending,
-		nonce:   s.Nonce,
-		since:   s.RequestedAt,
-		told:    s.LastSentAt,
-		queued:  s.Queued,
-		want:    s.QuotaWanted,
-		over:    s.CeilingWanted,
-		wantTo:  s.SlotsWanted,
-		rest:    s.NextRequestAt,
-		got:     s.Borrowed.restore(),
-		out:     memento.List(s.Lent, lentState.restore),
-		answer:  s.LastGrant.restore(),
-		leant:   s.CeilingBorrowedUntil,
-		extra:   s.ExtraDemand,
-		known:   s.Known,
-		heir:    s.Reclaimed,
-		reborn:  s.Restarted,
-		level:   s.Level,
-		drawn:   s.Consumed,
-		asks:    s.Demand,
-		heard:   s.HeardAt,
-		needed:  s.SlotsRequested,
+		peer:                 s.Peer,
+		epoch:                s.Epoch,
+		pending:              s.Pending,
+		nonce:                s.Nonce,
+		requestedAt:          s.RequestedAt,
+		lastSentAt:           s.LastSentAt,
+		queued:               s.Queued,
+		quotaWanted:          s.QuotaWanted,
+		ceilingWanted:        s.CeilingWanted,
+		slotsWanted:          s.SlotsWanted,
+		nextRequestAt:        s.NextRequestAt,
+		borrowed:             s.Borrowed.restore(),
+		lent:                 memento.List(s.Lent, lentState.restore),
+		lastGrant:            s.LastGrant.restore(),
+		ceilingBorrowedUntil: s.CeilingBorrowedUntil,
+		extraDemand:          s.ExtraDemand,
+		known:                s.Known,
+		reclaimed:            s.Reclaimed,
+		restarted:            s.Restarted,
+		level:                s.Level,
+		consumed:             s.Consumed,
+		demand:               s.Demand,
+		heardAt:              s.HeardAt,
+		slotsRequested:       s.SlotsRequested,
 	}
 }
 
 func newLoanState(x loan) loanState {
 	return loanState{
 		Share:     x.share,
-		Slots:     x.places,
-		ExpiresAt: x.until,
+		Slots:     x.slots,
+		ExpiresAt: x.expiresAt,
 	}
 }
 
 func (s loanState) restore() loan {
 	return loan{
-		share:  s.Share,
-		places: s.Slots,
-		until:  s.ExpiresAt,
+		share:     s.Share,
+		slots:     s.Slots,
+		expiresAt: s.ExpiresAt,
 	}
 }
 
@@ -509,51 +509,51 @@
 	return lentState{
 		loanState:    newLoanState(x.loan),
 		Nonce:        x.nonce,
-		QuotaUnits:   x.units,
-		CeilingUnits: x.over,
-		DeliveredBy:  x.settled,
-		Message:      newGrantState(x.answer),
+		QuotaUnits:   x.quotaUnits,
+		CeilingUnits: x.ceilingUnits,
+		DeliveredBy:  x.deliveredBy,
+		Message:      newGrantState(x.message),
 	}
 }
 
 func (s lentState) restore() grant {
 	return grant{
-		loan:    s.loanState.restore(),
-		nonce:   s.Nonce,
-		units:   s.QuotaUnits,
-		over:    s.CeilingUnits,
-		settled: s.DeliveredBy,
-		answer:  s.Message.restore(),
+		loan:         s.loanState.restore(),
+		nonce:        s.Nonce,
+		quotaUnits:   s.QuotaUnits,
+		ceilingUnits: s.CeilingUnits,
+		deliveredBy:  s.DeliveredBy,
+		message:      s.Message.restore(),
 	}
 }
 
-func newGrantState(x peermsg.Answer) grantState {
+func newGrantState(x gossip.Grant) grantState {
 	return grantState{
 		Customer:     x.Customer,
 		Nonce:        x.Nonce,
-		QuotaUnits:   x.Units,
-		CeilingUnits: x.Over,
-		Consumed:     x.Drawn,
+		QuotaUnits:   x.QuotaUnits,
+		CeilingUnits: x.CeilingUnits,
+		Consumed:     x.Consumed,
 		Share:        x.Share,
 		Level:        x.Level,
 		Demand:       x.Demand,
-		Slots:        x.Places,
-		TotalLevel:   x.Whole,
+		Slots:        x.Slots,
+		TotalLevel:   x.TotalLevel,
 	}
 }
 
-func (s grantState) restore() peermsg.Answer {
-	return peermsg.Answer{
-		Customer: s.Customer,
-		Nonce:    s.Nonce,
-		Units:    s.QuotaUnits,
-		Over:     s.CeilingUnits,
-		Drawn:    s.Consumed,
-		Share:    s.Share,
-		Level:    s.Level,
-		Demand:   s.Demand,
-		Places:   s.Slots,
-		Whole:    s.TotalLevel,
+func (s grantState) restore() gossip.Grant {
+	return gossip.Grant{
+		Customer:     s.Customer,
+		Nonce:        s.Nonce,
+		QuotaUnits:   s.QuotaUnits,
+		CeilingUnits: s.CeilingUnits,
+		Consumed:     s.Consumed,
+		Share:        s.Share,
+		Level:        s.Level,
+		Demand:       s.Demand,
+		Slots:        s.Slots,
+		TotalLevel:   s.TotalLevel,
 	}
 }
 
@@ -563,26 +563,26 @@
 		Known:         x.known,
 		Acked:         x.acked,
 		AckedAt:       x.ackedAt,
-		HeardAt:       x.heard,
+		HeardAt:       x.heardAt,
 		SilentUntil:   x.silentUntil,
-		Unresponsive:  x.missed,
+		Unresponsive:  x.unresponsive,
 		Dead:          x.dead,
-		QueuedGrants:  memento.List(x.answers, newGrantState),
-		QueuedForSend: x.waiting,
+		QueuedGrants:  memento.List(x.queuedGrants, newGrantState),
+		QueuedForSend: x.queuedForSend,
 	}
 }
 
 func (s peerState) restore() *peer {
 	return &peer{
-		epoch:       s.Epoch,
-		known:       s.Known,
-		acked:       s.Acked,
-		ackedAt:     s.AckedAt,
-		heard:       s.HeardAt,
-		silentUntil: s.SilentUntil,
-		missed:      s.Unresponsive,
-		dead:        s.Dead,
-		answers:     memento.List(s.QueuedGrants, grantState.restore),
-		waiting:     s.QueuedForSend,
+		epoch:         s.Epoch,
+		known:         s.Known,
+		acked:         s.Acked,
+		ackedAt:       s.AckedAt,
+		heardAt:       s.HeardAt,
+		silentUntil:   s.SilentUntil,
+		unresponsive:  s.Unresponsive,
+		dead:          s.Dead,
+		queuedGrants:  memento.List(s.QueuedGrants, grantState.restore),
+		queuedForSend: s.QueuedForSend,
 	}
 }
--- a/internal/fetch/fetch.go
+++ b/internal/upstream/client.go
@@ -1,7 +1,7 @@
-// Package fetch carries reqs to backends over http.Transport and tells what
+// Package upstream carries reqs to backends over http.Transport and tells what
 // came back. It makes exactly the attempts it is asked for: nothing is sent
 // again by itself, compressed, redirected or taken through a proxy.
-package fetch
+package upstream
 
 import (
 	"bytes"
@@ -21,8 +21,8 @@
 	"sync/atomic"
 	"time"
 
-	"lemongate"
-	"lemongate/internal/reducer"
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
 )
 
 const (
@@ -35,8 +35,8 @@
 	idlePart       = 2.0 / 3                // of the time after which a backend's machine closes it, a connection may idle
 )
 
-// A Req is what a fetch passes on of a client's req.
-type Req struct {
+// A Request is what a fetch passes on of a client's req.
+type Request struct {
 	Method string
 	URI    string // path and query as they came
 	Host   string
@@ -46,26 +46,26 @@
 	Body   []byte
 }
 
-// A Reply is a backend's answer.
-type Reply struct {
+// A Response is a backend's answer.
+type Response struct {
 	Type string
 	Body []byte
 }
 
 // Options set up a Pool.
 type Options struct {
-	ConnectTimeout time.Duration
-	IdleClose      time.Duration // the backends' own bound on idle connections
-	Fields         []string      // of a load report, in the order of the settings
-	IdlePerBackend int           // spare connections kept
-	MostConns      int           // to all backends together; 0 for no bound
-	AnswerWithin   time.Duration // overrides how long an answer may take from its first byte on
-	Post           func(reducer.Event)
-	Now            func() time.Duration // the clock that StartFetch's Before is of
-}
-
-// A Pool carries out all fetches and probes.
-type Pool struct {
+	ConnectTimeout    time.Duration
+	IdleClose         time.Duration // the backends' own bound on idle connections
+	LoadReportFields  []string      // of a load report, in the order of the settings
+	MaxIdlePerBackend int           // spare connections kept
+	MaxConns          int           // to all backends together; 0 for no bound
+	ResponseTimeout   time.Duration // overrides how long an answer may take from its first byte on
+	Post              func(core.Event)
+	Now               func() time.Duration // the clock that StartFetch's Before is of
+}
+
+// A Client carries out all fetches and probes.
+type Client struct {
 	opt   Options
 	conns atomic.Int64
 	wrote atomic.Uint64 // fetches written whole
@@ -73,15 +73,15 @@
 
 	mu       sync.Mutex
 	backends map[string]*backend
-	fetches  map[reducer.FetchID]*fetch
+	fetches  map[core.AttemptID]*fetch
 
 	hooks hooks
 }
 
 // hooks let tests hold the edges of a fetch against each other.
 type hooks struct {
-	got   func(reducer.FetchID) // a connection is there, and no byte of the fetch is written
-	wrote func(n int)           // so many bytes went to the socket
+	got   func(core.AttemptID) // a connection is there, and no byte of the fetch is written
+	wrote func(n int)          // so many bytes went to the socket
 }
 
 // A backend is one life of a backend at one address, with its connections.
@@ -188,42 +188,44 @@
 func (b *body) Close() error { return nil }
 
 // New returns a Pool without connections.
-func New(opt Options) *Pool {
+func New(opt Options) *Client {
 	if opt.ConnectTimeout <= 0 {
 		opt.ConnectTimeout = connectDefault
 	}
-	if opt.AnswerWithin <= 0 {
-		opt.AnswerWithin = answerWithin
+	if opt.ResponseTimeout <= 0 {
+		opt.ResponseTimeout = answerWithin
 	}
-	p := &Pool{opt: opt, backends: map[string]*backend{}, fetches: map[reducer.FetchID]*fetch{}}
-	p.hooks = hooks{got: func(reducer.FetchID) {}, wrote: func(int) {}}
-	p.Share(1)
+	p := &Client{opt: opt, backends: map[string]*backend{}, fetches: map[core.AttemptID]*fetch{}}
+	p.hooks = hooks{got: func(core.AttemptID) {}, wrote: func(int) {}}
+	p.SetResourceShare(1)
 	return p
 }
 
-// Share sets which part of the connections allowed may be open, while another process has the
+// SetResourceShare sets which part of the connections allowed may be open, while another process has the
 // rest. Those that are open stay.
-func (p *Pool) Share(part float64) { p.most.Store(int64(math.Ceil(float64(p.opt.MostConns) * part))) }
+func (p *Client) SetResourceShare(part float64) {
+	p.most.Store(int64(math.Ceil(float64(p.opt.MaxConns) * part)))
+}
 
 // Conns tells how many connections to backends are open.
-func (p *Pool) Conns() int { return int(p.conns.Load()) }
+func (p *Client) Conns() int { return int(p.conns.Load()) }
 
-// Wrote tells how many fetches were written to backends whole.
-func (p *Pool) Wrote() uint64 { return p.wrote.Load() }
+// AttemptsWritten tells how many fetches were written to backends whole.
+func (p *Client) AttemptsWritten() uint64 { return p.wrote.Load() }
 
-// Start begins a fetch. Its outcome is posted, unless Stop comes first.
-func (p *Pool) Start(e reducer.StartFetch) {
+// StartAttempt begins a fetch. Its outcome is posted, unless Stop comes first.
+func (p *Client) StartAttempt(e core.StartAttempt) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.mu.Lock()
-	f := &fetch{backend: p.backend(e.Backend, e.Addr), cancel: cancel, before: e.Before, now: p.opt.Now}
-	p.fetches[e.Fetch] = f
+	f := &fetch{backend: p.backend(e.Backend, e.Addr), cancel: cancel, before: e.StartBefore, now: p.opt.Now}
+	p.fetches[e.Attempt] = f
 	p.mu.Unlock()
 	go p.run(ctx, f, e)
 }
 
-// Stop gives a fetch up: its connection is closed before Stop returns, so that
+// CancelAttempt gives a fetch up: its connection is closed before Stop returns, so that
 // no later attempt of the req is a second copy beside it.
-func (p *Pool) Stop(id reducer.FetchID) {
+func (p *Client) CancelAttempt(id core.AttemptID) {
 	p.mu.Lock()
 	f := p.fetches[id]
 	delete(p.fetches, id)
@@ -234,9 +236,9 @@
 	f.giveUp()
 }
 
-// Withdraw ends a fetch of which no byte was written, and has it told as not sent. One that has
+// WithdrawAttempt ends a fetch of which no byte was written, and has it told as not sent. One that has
 // begun goes on.
-func (p *Pool) Withdraw(id reducer.FetchID) {
+func (p *Client) WithdrawAttempt(id core.AttemptID) {
 	p.mu.Lock()
 	f := p.fetches[id]
 	p.mu.Unlock()
@@ -245,10 +247,10 @@
 	}
 }
 
-// Drop ends new sending to a backend: idle connections are closed, and what
+// CloseBackendConns ends new sending to a backend: idle connections are closed, and what
 // has no byte written yet is cancelled, to be sent elsewhere. What is being
 // answered goes on.
-func (p *Pool) Drop(id string) {
+func (p *Client) CloseBackendConns(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
@@ -266,7 +268,7 @@
 }
 
 // Close drops all backends.
-func (p *Pool) Close() {
+func (p *Client) Close() {
 	p.mu.Lock()
 	ids := make([]string, 0, len(p.backends))
 	for id := range p.backends {
@@ -274,12 +276,12 @@
 	}
 	p.mu.Unlock()
 	for _, id := range ids {
-		p.Drop(id)
+		p.CloseBackendConns(id)
 	}
 }
 
 // backend finds a backend's present life or starts it. p.mu is held.
-func (p *Pool) backend(id, addr string) *backend {
+func (p *Client) backend(id, addr string) *backend {
 	b := p.backends[id]
 	if b == nil {
 		b = &backend{}
@@ -289,7 +291,7 @@
 				return p.dial(ctx, dialer, b, network, addr)
 			},
 			DisableCompression:  true,
-			MaxIdleConnsPerHost: max(p.opt.IdlePerBackend, 1),
+			MaxIdleConnsPerHost: max(p.opt.MaxIdlePerBackend, 1),
 			// Before the backend's machine closes it, or a req that crosses
 			// the close is lost.
 			IdleConnTimeout:        time.Duration(float64(p.opt.IdleClose) * idlePart),
@@ -313,7 +315,7 @@
 
 // reserve counts a connection in. At the bound, spare ones make room: they
 // were left by other fetches, and this one cannot wait.
-func (p *Pool) reserve() bool {
+func (p *Client) reserve() bool {
 	most := p.most.Load()
 	if n := p.conns.Add(1); most <= 0 || n <= most {
 		return true
@@ -334,7 +336,7 @@
 	return false
 }
 
-func (p *Pool) dial(ctx context.Context, d *net.Dialer, b *backend, network, addr string) (net.Conn, error) {
+func (p *Client) dial(ctx context.Context, d *net.Dialer, b *backend, network, addr string) (net.Conn, error) {
 	if b.dropped.Load() {
 		return nil, errDropped
 	}
@@ -356,28 +358,28 @@
 	return c, nil
 }
 
-func (p *Pool) run(ctx context.Context, f *fetch, e reducer.StartFetch) {
+func (p *Client) run(ctx context.Context, f *fetch, e core.StartAttempt) {
 	defer f.backend.done()
 	defer f.cancel()
 	result, report, reply := p.fetch(ctx, f, e)
 	p.mu.Lock()
-	wanted := p.fetches[e.Fetch] == f
-	delete(p.fetches, e.Fetch)
+	wanted := p.fetches[e.Attempt] == f
+	delete(p.fetches, e.Attempt)
 	p.mu.Unlock()
 	if wanted {
-		p.opt.Post(&reducer.FetchEnded{
-			Fetch: e.Fetch, Result: result, Report: report, Reply: reply,
-			Spoilt: result == lemongate.Broken && f.heard.Load(), Stale: f.stale, Late: f.late.Load(),
+		p.opt.Post(&core.AttemptFinished{
+			Attempt: e.Attempt, Result: result, Report: report, Response: reply,
+			ResponseInvalid: result == admission.ConnectionLost && f.heard.Load(), StaleConns: f.stale, StartExpired: f.late.Load(),
 		})
 	}
 }
 
 // fetch makes one attempt and tells its outcome. A connection that is found
 // unfit before a byte of the req was written costs nothing but another one.
-func (p *Pool) fetch(ctx context.Context, f *fetch, e reducer.StartFetch) (lemongate.Result, []float64, reducer.Content) {
+func (p *Client) fetch(ctx context.Context, f *fetch, e core.StartAttempt) (admission.Result, []float64, core.Content) {
 	for {
 		result, report, reply := p.try(ctx, f, e)
-		if result != lemongate.Unreachable && result != lemongate.Disconnected {
+		if result != admission.Unreachable && result != admission.ConnectFailed {
 			return result, report, reply
 		}
 		c := f.on()
@@ -387,20 +389,20 @@
 			}
 		}
 		if f.backend.dropped.Load() || f.unwant.Load() { // not a failure of its, least of all of its next life
-			return lemongate.NotSent, nil, nil
+			return admission.NotSent, nil, nil
 		}
 		if c == nil || ctx.Err() != nil {
 			return result, report, reply
 		}
 		if f.stale++; f.stale >= freshTries {
-			return lemongate.NotSent, nil, nil
+			return admission.NotSent, nil, nil
 		}
 		f.leave()
 	}
 }
 
 // try does so on the connection that the transport has at hand.
-func (p *Pool) try(ctx context.Context, f *fetch, e reducer.StartFetch) (lemongate.Result, []float64, reducer.Content) {
+func (p *Client) try(ctx context.Context, f *fetch, e core.StartAttempt) (admission.Result, []float64, core.Content) {
 	// An answer that has begun comes whole soon. Where it does not, its head
 	// does not end or its length is wrong, and the connection would stay open.
 	late := time.AfterFunc(time.Hour, func() {
@@ -412,7 +414,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*conn); ok {
-				p.hooks.got(e.Fetch)
+				p.hooks.got(e.Attempt)
 				f.take(c)
 			}
 		},
@@ -421,7 +423,7 @@
 				c.answerBegins()
 			}
 			f.heard.Store(true)
-			late.Reset(p.opt.AnswerWithin)
+			late.Reset(p.opt.ResponseTimeout)
 		},
 		// What comes ahead of the answer is skipped, and the answer may be long in coming.
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
@@ -434,11 +436,11 @@
 			}
 		},
 	})
-	in := e.Content.(*Req)
+	in := e.Content.(*Request)
 	content := newBody(in.Body)
 	resp, err := f.backend.transport.RoundTrip(request(ctx, content, in, e))
 	if errors.Is(err, errTooMany) || errors.Is(err, errDropped) || f.late.Load() {
-		return lemongate.NotSent, nil, nil
+		return admission.NotSent, nil, nil
 	}
 	if err != nil {
 		return broken(f, content, err), nil, nil
@@ -449,7 +451,7 @@
 		if any, _ := c.carried(f); !any {
 			c.Close()
 			resp.Body.Close()
-			return lemongate.Disconnected, nil, nil
+			return admission.ConnectFailed, nil, nil
 		}
 	}
 	if !ends(resp) { // before its Body is closed, which would read on
@@ -458,18 +460,18 @@
 		return result, nil, nil
 	}
 	defer resp.Body.Close()
-	report := parseReport(resp.Header["X-Load-Report"], p.opt.Fields)
+	report := parseReport(resp.Header["X-Load-Report"], p.opt.LoadReportFields)
 	body, err := readBody(resp)
 	switch {
 	case err != nil:
 		return broken(f, content, err), report, nil
 	case resp.StatusCode == http.StatusOK:
-		return lemongate.Done, report, &Reply{Type: resp.Header.Get("Content-Type"), Body: body}
+		return admission.Succeeded, report, &Response{Type: resp.Header.Get("Content-Type"), Body: body}
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Rejected") == "1":
-		return lemongate.TurnedAway, report, nil
+		return admission.Rejected, report, nil
 	}
-	return lemongate.Errored, report, nil
+	return admission.Errored, report, nil
 }
 
 // ends tells whether an answer says where it ends. One that ends with its
@@ -482,10 +484,10 @@
 // request words a fetch. Its Body is never nil and has no GetBody: otherwise
 // http.Transport would send a GET, or anything with Idempotency-Key, again by
 // itself when a kept connection turns out dead.
-func request(ctx context.Context, content *body, in *Req, e reducer.StartFetch) *http.Request {
+func request(ctx context.Context, content *body, in *Request, e core.StartAttempt) *http.Request {
 	h := http.Header{
 		"X-Call-Id":  {in.CallID},
-		"X-Budget":   {strconv.FormatInt(max(e.Wait.Milliseconds(), 1), 10) + "m"},
+		"X-Budget":   {strconv.FormatInt(max(e.Timeout.Milliseconds(), 1), 10) + "m"},
 		"User-Agent": nil, // none, rather than Go's own
 	}
 	if e.Token > 0 {
@@ -515,20 +517,20 @@
 // broken tells what a fetch without a whole answer proves: it never ran if its
 // last byte was not written, and may have run otherwise. A connection that is late or
 // breaks says less of a backend than one that is refused.
-func broken(f *fetch, content *body, err error) lemongate.Result {
+func broken(f *fetch, content *body, err error) admission.Result {
 	c := f.on()
 	if c == nil {
 		var late net.Error
 		if errors.As(err, &late) && late.Timeout() {
-			return lemongate.Disconnected
+			return admission.ConnectFailed
 		}
-		return lemongate.Unreachable
+		return admission.Unreachable
 	}
 	c.giveUp(f) // nothing more of it may go out from here on
 	if _, all := c.carried(f); all && content.spent.Load() {
-		return lemongate.Broken
+		return admission.ConnectionLost
 	}
-	return lemongate.Disconnected
+	return admission.ConnectFailed
 }
 
 var (
@@ -556,7 +558,7 @@
 }
 
 // Probe asks a backend for its load and posts what came of it.
-func (p *Pool) Probe(e reducer.Probe) {
+func (p *Client) Probe(e core.ProbeBackend) {
 	p.mu.Lock()
 	b := p.backend(e.Backend, e.Addr)
 	p.mu.Unlock()
@@ -564,13 +566,13 @@
 		defer b.done()
 		began := time.Now()
 		result, report := p.probe(b, e.Addr)
-		p.opt.Post(&reducer.ProbeEnded{
+		p.opt.Post(&core.ProbeFinished{
 			Backend: e.Backend, Result: result, Latency: time.Since(began), Report: report,
 		})
 	}()
 }
 
-func (p *Pool) probe(b *backend, addr string) (lemongate.Result, []float64) {
+func (p *Client) probe(b *backend, addr string) (admission.Result, []float64) {
 	// A probe that takes longer than a connection may tells nothing of use.
 	ctx, cancel := context.WithTimeout(context.Background(), 2*p.opt.ConnectTimeout)
 	defer cancel()
@@ -591,14 +593,14 @@
 	resp, err := b.transport.RoundTrip(req.WithContext(ctx))
 	if err != nil {
 		if ctx.Err() != nil {
-			return lemongate.TimedOut, nil
+			return admission.TimedOut, nil
 		}
-		return lemongate.Unreachable, nil
+		return admission.Unreachable, nil
 	}
 	defer resp.Body.Close()
 	if any, _ := on.carried(nil); !any { // as in try
 		on.Close()
-		return lemongate.Unreachable, nil
+		return admission.Unreachable, nil
 	}
 	var body []byte
 	if err = errSpoilt; ends(resp) {
@@ -606,16 +608,16 @@
 	}
 	if err != nil {
 		on.Close() // nothing behind it can be told apart
-		return lemongate.Broken, nil
+		return admission.ConnectionLost, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return lemongate.Errored, nil
+		return admission.Errored, nil
 	}
 	texts := resp.Header["X-Load-Report"]
 	if len(texts) == 0 {
 		texts = []string{string(body)}
 	}
-	return lemongate.Done, parseReport(texts, p.opt.Fields)
+	return admission.Succeeded, parseReport(texts, p.opt.LoadReportFields)
 }
 
 // parseReport reads "TEXT name=value, ..." into the order of the fields. It
--- a/internal/fetch/conn.go
+++ b/internal/upstream/conn.go
@@ -1,4 +1,4 @@
-package fetch
+package upstream
 
 import (
 	"errors"
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,13 +8,13 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lemongate"
+	"lemongate/internal/admission"
 )
 
 // Settings are what a limiter is told at its start: what the Gateway decides
 // by, and what only a program on sockets needs.
 type Settings struct {
-	lemongate.Settings
+	admission.Settings
 	ConnectTimeout time.Duration // a connection that takes longer has failed
 	IdleClose      time.Duration // a backend closes a connection at the latest when idle for this long
 	MostUnits      float64       // the most that one request takes from a quota; 0 if not told
@@ -84,13 +84,13 @@
 	Over         float64 `json:"over_cost"`
 }
 
-var effects = map[string]lemongate.Effect{
-	"idempotent": lemongate.Safe, "deduplicated": lemongate.Keyed, "at_most_once": lemongate.Unsafe,
+var effects = map[string]admission.Idempotency{
+	"idempotent": admission.Idempotent, "deduplicated": admission.IdempotentByKey, "at_most_once": admission.NonIdempotent,
 }
 
-var groups = map[string]lemongate.Group{
-	"all": lemongate.GroupAll, "zone": lemongate.GroupZone, "cell": lemongate.GroupCell,
-	"": lemongate.GroupCell,
+var groups = map[string]admission.IdempotencyScope{
+	"all": admission.ScopeAll, "zone": admission.ScopeZone, "cell": admission.ScopeCell,
+	"": admission.ScopeCell,
 }
 
 // DecodeSettings reads the settings object, as the simulator sends it and as
@@ -107,16 +107,16 @@
 	s := Settings{
 		ConnectTimeout: seconds(f.Allowed.ConnectS), IdleClose: seconds(f.Allowed.IdleS), MostUnits: f.Family.MostUnits,
 	}
-	s.Settings = lemongate.Settings{
-		Self: f.Me, Gateways: f.Siblings, Zone: f.Zone, Tick: seconds(f.Granularity),
-		MarksRetry: f.Clients.MarksRetry, MaxAttempts: f.Allowed.MaxAttempts, MayCancel: f.Allowed.MayCancel, MayProbe: f.Allowed.Probes,
-		MayTell: f.Allowed.Peers, PeerInPerSec: f.Family.PeerInPerS,
-		ReportFields: f.Feedback.Fields,
-		SizesKnown:   f.SizesBy == "nominal" || f.SizesBy == "rough",
-		PullList:     f.Membership == "ask",
-		DrainGrace:   seconds(f.Rules.DrainGrace),
-		ColdFrom:     f.Rules.ColdFrom, WarmWithin: seconds(f.Rules.WarmWithin),
-		FallMultiple: f.Rules.FallMultiple, FallWithin: seconds(f.Rules.FallS),
+	s.Settings = admission.Settings{
+		Self: f.Me, Limiters: f.Siblings, Zone: f.Zone, ClockResolution: seconds(f.Granularity),
+		ClientsMarkRetries: f.Clients.MarksRetry, MaxAttempts: f.Allowed.MaxAttempts, MayCancel: f.Allowed.MayCancel, MayProbe: f.Allowed.Probes,
+		GossipEnabled: f.Allowed.Peers, PeerMessagesPerSecond: f.Family.PeerInPerS,
+		LoadReportFields:  f.Feedback.Fields,
+		CapacitiesKnown:   f.SizesBy == "nominal" || f.SizesBy == "rough",
+		PollEndpoints:     f.Membership == "ask",
+		DrainGrace:        seconds(f.Rules.DrainGrace),
+		SlowStartFraction: f.Rules.ColdFrom, SlowStartDuration: seconds(f.Rules.WarmWithin),
+		OverloadMultiple: f.Rules.FallMultiple, OverloadDuration: seconds(f.Rules.FallS),
 	}
 	if f.Allowed.RetryAfter {
 		s.MaxRetryAfter = seconds(f.Allowed.MaxRetryAfter)
@@ -130,15 +130,15 @@
 		if !known {
 			return none, fmt.Errorf("class %q: unknown group %q", clip(c.Name), clip(c.Group))
 		}
-		s.Classes = append(s.Classes, lemongate.Class{
-			Name: c.Name, Effect: effect, Group: group, Window: seconds(c.Window),
-			Aim: seconds(c.OnTime), Deadline: seconds(c.Deadline), Worth: c.Worth,
+		s.Classes = append(s.Classes, admission.Class{
+			Name: c.Name, Idempotency: effect, IdempotencyScope: group, IdempotencyWindow: seconds(c.Window),
+			LatencyObjective: seconds(c.OnTime), Deadline: seconds(c.Deadline), Weight: c.Worth,
 		})
 	}
 	for _, p := range f.Plans {
-		s.Plans = append(s.Plans, lemongate.Plan{
-			Name: p.Name, Rate: p.Refill, Burst: p.Depth, Open: p.Concurrency, Price: p.Pays,
-			CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingDepth, Excess: p.Excess, Over: p.Over,
+		s.Plans = append(s.Plans, admission.Plan{
+			Name: p.Name, Rate: p.Refill, Burst: p.Depth, MaxConcurrent: p.Concurrency, WeightFactor: p.Pays,
+			CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingDepth, ExcessFraction: p.Excess, OverQuotaCost: p.Over,
 		})
 	}
 	return s, nil
