--- a/internal/admission/api.go
+++ b/internal/admission/api.go
@@ -173,8 +173,8 @@
 	Report  []float64 // load report, if any
 }
 
-// A TimerFired that was asked for is due.
-type TimerFired struct{ Token string }
+// TimerFired tells that the time has come which a SetTimer named.
+type TimerFired struct{}
 
 // RequestEnded tells that a client gave up or its time ran out: the request is over.
 type RequestEnded struct{ Request RequestID }
@@ -212,7 +212,7 @@
 func (*EndpointList) event()    {}
 func (*Request) event()         {}
 func (*AttemptFinished) event() {}
-func (*TimerFired) event()      {}
+func (TimerFired) event()       {}
 func (*RequestEnded) event()    {}
 func (*PeerMessage) event()     {}
 func (*ProbeResult) event()     {}
@@ -246,12 +246,9 @@
 	Attempt int
 }
 
-// SetTimer asks for a Timer at a clock time. It takes the place of an earlier one
-// with the same token: a front door that fires that one too does no harm.
-type SetTimer struct {
-	At    time.Duration
-	Token string
-}
+// SetTimer asks for a TimerFired at a clock time, in place of the one asked for before. If that one
+// comes as well it does no harm.
+type SetTimer struct{ At time.Duration }
 
 // SendToPeer sends at most 256 bytes to a peer.
 type SendToPeer struct {
@@ -295,10 +292,8 @@
 		g.admit(ev)
 	case *AttemptFinished:
 		g.onAttemptFinished(ev)
-	case *TimerFired:
-		if ev.Token == "beat" {
-			g.onTick()
-		}
+	case TimerFired:
+		g.onTick()
 	case *ProbeResult:
 		if b := g.backendsByID[ev.Backend]; b != nil && ev.Result == Succeeded {
 			g.onLoadReport(b, ev.Report)
@@ -328,7 +323,7 @@
 	if g.nextDueAt < g.timerAt {
 		g.timerAt = (max(g.nextDueAt, g.now+g.settings.ClockResolution) + time.Microsecond - 1).Truncate(time.Microsecond)
 		g.nextDueAt = g.timerAt
-		g.emit(SetTimer{At: g.timerAt, Token: "beat"})
+		g.emit(SetTimer{At: g.timerAt})
 	}
 	out, g.actions = g.actions, nil
 	return out
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -127,7 +127,7 @@
 		bad := random.Float64()
 		for step := range 4000 {
 			w.now += 4 * ms
-			w.do(&TimerFired{Token: "beat"})
+			w.do(TimerFired{})
 			if id := RequestID(step); step < 3300 && random.IntN(4) > 0 {
 				class := set.Classes[random.IntN(3)]
 				budget := class.Deadline / time.Duration(1+random.IntN(3))
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -13,6 +13,7 @@
 	"lemongate/internal/gossip"
 	"lemongate/internal/queueing"
 	"lemongate/internal/quota"
+	"lemongate/internal/rate"
 )
 
 // Tuned values. Each is a pure number; times come from settings.
@@ -93,7 +94,7 @@
 func New(set Settings, seed uint64) *Controller {
 	g := newController(set, seed)
 	g.maxRetryTokens = 1 + retryBurst/float64(g.settings.Limiters)
-	g.retryTokens, g.fractionalWindow.amount = g.maxRetryTokens, 1
+	g.retryTokens, g.fractionalWindow.Amount = g.maxRetryTokens, 1
 	g.windowScale, g.medianLatencyPerAttempt, g.upstreamPressure = 1, 1, 1
 	g.memorySeconds, g.controlPeriod, g.forgetAfter = g.longestObjective.Seconds(), periodAims*g.longestObjective.Seconds(), forgetAims*g.longestObjective
 	g.timerAt, g.nextDueAt = math.MaxInt64, math.MaxInt64
@@ -206,7 +207,7 @@
 }
 
 func (g *Controller) queueDelay(c *requestClass) float64 {
-	return float64(len(c.queue)) / max(g.attemptRate.value(g.now, g.memorySeconds)*c.share, 1)
+	return float64(len(c.queue)) / max(g.attemptRate.Value(g.now, g.memorySeconds)*c.share, 1)
 }
 
 // requiredTime is the time that a held request must have left. Trouble: latencies seen in a jam would refuse
@@ -227,14 +228,14 @@
 	_, out := g.countUsable()
 	w := g.window()
 	if w >= 1 {
-		g.fractionalWindow = allowance{1, g.now}
+		g.fractionalWindow = rate.Allowance{Amount: 1, UpdatedAt: g.now}
 		return float64(out) >= w
 	}
 	rate := w / (serveShare * g.meanObjective)
-	if g.fractionalWindow.refill(g.now, rate) < 1 {
-		g.wakeBy(g.now + seconds((1-g.fractionalWindow.amount)/rate) + g.settings.ClockResolution)
+	if g.fractionalWindow.Refill(g.now, rate, 1) < 1 {
+		g.wakeBy(g.now + seconds((1-g.fractionalWindow.Amount)/rate) + g.settings.ClockResolution)
 	}
-	return g.fractionalWindow.amount < 1 || out > 0
+	return g.fractionalWindow.Amount < 1 || out > 0
 }
 
 // dispatch sends on what may go: repeats first, then classes by their shares while the window has room.
@@ -263,7 +264,7 @@
 		}
 		c.queue = c.queue[1:]
 		g.chargeCredit(c)
-		g.fractionalWindow.amount--
+		g.fractionalWindow.Amount--
 		g.startAttempt(r, b)
 	}
 }
@@ -313,7 +314,7 @@
 		g.retryTokens = min(g.retryTokens+retryShare, g.maxRetryTokens)
 	}
 	g.wakeBy(g.now + seconds(stuckTimes*r.class.expectedLatency()) + g.settings.ClockResolution)
-	g.attemptRate.add(g.now, 1, g.memorySeconds)
+	g.attemptRate.Add(g.now, 1, g.memorySeconds)
 	r.startAt(b, g.now)
 	g.syncSlots(r.customer)
 	send := StartAttempt{Request: r.ID, Backend: b.ID, Deadline: r.deadline, Recovery: g.recoveryLeased() && g.recoveryDue(b)}
@@ -597,8 +598,8 @@
 	b := g.backends[g.random.IntN(n)]
 	each := float64(len(g.backends)) / float64(g.settings.Limiters)
 	if (g.now-max(b.observedAt, b.lastResponseAt)).Seconds() > probeAims*g.shortestObjective.Seconds() &&
-		g.probeAllowance.refill(g.now, each/(probeRound*g.longestObjective.Seconds())) >= 1 {
-		g.probeAllowance.amount--
+		g.probeAllowance.Refill(g.now, each/(probeRound*g.longestObjective.Seconds()), 1) >= 1 {
+		g.probeAllowance.Amount--
 		g.emit(ProbeBackend{Backend: b.ID})
 	}
 }
@@ -752,10 +753,10 @@
 			best, least = b, cost
 		}
 	}
-	rate := coldMargin * g.attemptRate.value(g.now, g.memorySeconds) * bear / (coldFleet * float64(max(n, 1)))
+	rate := coldMargin * g.attemptRate.Value(g.now, g.memorySeconds) * bear / (coldFleet * float64(max(n, 1)))
 	if !warm && cold != nil {
-		if best = nil; g.slowStartAllowance.refill(g.now, rate) >= 1 {
-			g.slowStartAllowance.amount, best = g.slowStartAllowance.amount-1, cold
+		if best = nil; g.slowStartAllowance.Refill(g.now, rate, 1) >= 1 {
+			g.slowStartAllowance.Amount, best = g.slowStartAllowance.Amount-1, cold
 		}
 	}
 	return best
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -77,7 +77,7 @@
 func (b *bench) pass(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 4 * ms
-		b.do(&TimerFired{Token: "beat"})
+		b.do(TimerFired{})
 	}
 }
 
@@ -300,7 +300,7 @@
 	for i := range int(math.Ceil(b.g.window())) + 1 {
 		b.ask("read", "free", fmt.Sprint("c", i))
 	}
-	b.g.attemptRate.add(b.now, 1000, 1) // a queue that moves fast, so that the next one is held
+	b.g.attemptRate.Add(b.now, 1000, 1) // a queue that moves fast, so that the next one is held
 	id := b.next
 	b.next++
 	b.do(&Request{ID: id, Class: "read", Plan: "free", Customer: "hasty", Units: 1, Budget: 60 * ms, SetSize: 2})
@@ -464,7 +464,7 @@
 				i++
 			}
 		}
-		b.do(&TimerFired{Token: "beat"})
+		b.do(TimerFired{})
 		b.ask("read", "free", fmt.Sprint("c", b.next%50))
 		for _, a := range b.take() {
 			switch a := a.(type) {
@@ -604,7 +604,7 @@
 	b := newBench(t, set)
 	b.end(99, 0, "a", Succeeded, ms)
 	b.do(&RequestEnded{Request: 99})
-	b.do(&TimerFired{Token: "unheard of"})
+	b.do(TimerFired{})
 	b.do(&ResponseStarted{Request: 99})
 	b.do(&ProbeResult{Backend: "z"})
 	b.do(&EndpointList{Kind: ListFailed})
@@ -620,7 +620,7 @@
 	if got := len(only[Reject](b.take())); got != 2 {
 		t.Errorf("%d refusals with no backend, want 2", got)
 	}
-	New(Settings{}, 1).Handle(0, &TimerFired{Token: "beat"}, nil)
+	New(Settings{}, 1).Handle(0, TimerFired{}, nil)
 }
 
 // Idle customers are forgotten, so that a long life does not fill the memory.
@@ -690,7 +690,7 @@
 					all = g.Handle(now, &Request{ID: RequestID(i*1000 + k), Class: "read", Plan: "small",
 						Customer: fmt.Sprint("c", random.IntN(9)), Units: 1, Budget: time.Second, SetSize: 2}, all)
 				}
-				all = g.Handle(now, &TimerFired{Token: "beat"}, all)
+				all = g.Handle(now, TimerFired{}, all)
 			}
 		}
 		return all
@@ -765,7 +765,7 @@
 	}
 	for i, g := range w.gates {
 		if g.timerAt <= w.now {
-			w.do(i, &TimerFired{Token: "beat"})
+			w.do(i, TimerFired{})
 		}
 	}
 }
@@ -903,7 +903,7 @@
 			}
 			for _, w := range only[SetTimer](b.take()) {
 				if wakes++; w.At <= b.now+50*ms {
-					b.do(&TimerFired{Token: w.Token})
+					b.do(TimerFired{})
 				}
 			}
 		}
@@ -1057,12 +1057,12 @@
 		w.step()
 	}
 	g := w.gates[0]
-	w.do(0, &TimerFired{Token: "beat"})
+	w.do(0, TimerFired{})
 	b := g.backends[0]
 	b.failureRate = 1
 	g.announce(b, g.now)
 	g.eject(b)
-	w.do(0, &TimerFired{Token: "beat"})
+	w.do(0, TimerFired{})
 	for end := w.now + 300*ms; w.now < end; {
 		w.step()
 	}
@@ -1088,7 +1088,7 @@
 	asks, prompt, news := 0, 0, 0
 	for i := range 3000 { // 12 s: 30 asks come in a second, and 15 requests of customers whose home is elsewhere
 		b.now += 4 * ms
-		b.do(&TimerFired{Token: "beat"})
+		b.do(TimerFired{})
 		if i%8 == 0 {
 			m := gossip.Message{Epoch: 5, Seq: uint32(i + 1), Requests: []gossip.TransferRequest{{
 				Customer: uint32(i), SetSize: 300, Nonce: uint16(i + 1), QuotaWanted: gossip.UnitParts, TotalLevel: gossip.UnknownTotal,
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -84,7 +84,7 @@
 	for i := range 600 {
 		now += 10 * time.Millisecond
 		for _, ev := range []Event{
-			&TimerFired{Token: "beat"},
+			TimerFired{},
 			&Request{ID: RequestID(1e9 + i), Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: time.Second, SetSize: 3},
 		} {
 			a, b := g.Handle(now, ev, nil), h.Handle(now, ev, nil)
@@ -175,7 +175,7 @@
 		if err != nil {
 			return
 		}
-		h.Handle(h.now, &TimerFired{Token: "beat"}, nil)
+		h.Handle(h.now, TimerFired{}, nil)
 		h.Handle(h.now, &Request{ID: 1 << 40, Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: time.Second, SetSize: 2}, nil)
 	})
 }
--- a/internal/admission/state.go
+++ b/internal/admission/state.go
@@ -10,6 +10,7 @@
 
 	"lemongate/internal/gossip"
 	"lemongate/internal/quota"
+	"lemongate/internal/rate"
 )
 
 // This file holds what a Gateway remembers, and nothing that decides.
@@ -69,34 +70,34 @@
 	leaving                    bool                      // this gateway leaves
 	initialUtilizations        []float64                 // how busy backends were when they were first heard of
 	peers                      map[int]*peer
-	peerMessageInterval        time.Duration `json:"-"` // between messages to one peer
-	queuedPeers                []*peer       `json:"-"` // something is to be told there
-	messageInterval            time.Duration `json:"-"` // between any two messages, in a tier where no limiter has but a few peers
-	transferRequestsPacedUntil time.Duration // when that allows the next ask
-	messagesPacedUntil         time.Duration // and when all messages, answers too, allow the next news
-	nextObservationsAt         time.Duration // when what only carries news may go, in a large tier
-	urgentUntil                time.Duration // until when all of the pace is for news: a backend fails or recovers
-	probeAllowance             allowance     // probes that may go
+	peerMessageInterval        time.Duration  `json:"-"` // between messages to one peer
+	queuedPeers                []*peer        `json:"-"` // something is to be told there
+	messageInterval            time.Duration  `json:"-"` // between any two messages, in a tier where no limiter has but a few peers
+	transferRequestsPacedUntil time.Duration  // when that allows the next ask
+	messagesPacedUntil         time.Duration  // and when all messages, answers too, allow the next news
+	nextObservationsAt         time.Duration  // when what only carries news may go, in a large tier
+	urgentUntil                time.Duration  // until when all of the pace is for news: a backend fails or recovers
+	probeAllowance             rate.Allowance // probes that may go
 	rejections                 RejectionCounts
 
 	shortestObjective, longestObjective time.Duration `json:"-"`
 	nextControlAt                       time.Duration
-	timerAt, nextDueAt                  time.Duration `json:"-"` // the timer set, and when something is due
-	fractionalWindow                    allowance     // attempts, while the window is under one
-	slowStartAllowance                  allowance     // attempts at a wholly cold choice
-	windowScale                         float64       // of the window
-	upstreamPressure                    float64       // what attempts take, in their part of the aim
-	quotaRate                           float64       // requests a second that the customers served here may send
-	meanObjective                       float64       `json:"-"`
-	controlPeriod                       float64       `json:"-"` // seconds of a control period
-	memorySeconds                       float64       `json:"-"` // seconds over which rates are seen
-	forgetAfter                         time.Duration `json:"-"` // gone backends go after this
-	medianLatencyPerAttempt             float64       // median slope of the backends
-	windowWasFull                       bool          // the window was full at some time in this period
+	timerAt, nextDueAt                  time.Duration  `json:"-"` // the timer set, and when something is due
+	fractionalWindow                    rate.Allowance // attempts, while the window is under one
+	slowStartAllowance                  rate.Allowance // attempts at a wholly cold choice
+	windowScale                         float64        // of the window
+	upstreamPressure                    float64        // what attempts take, in their part of the aim
+	quotaRate                           float64        // requests a second that the customers served here may send
+	meanObjective                       float64        `json:"-"`
+	controlPeriod                       float64        `json:"-"` // seconds of a control period
+	memorySeconds                       float64        `json:"-"` // seconds over which rates are seen
+	forgetAfter                         time.Duration  `json:"-"` // gone backends go after this
+	medianLatencyPerAttempt             float64        // median slope of the backends
+	windowWasFull                       bool           // the window was full at some time in this period
 	retryTokens                         float64
-	maxRetryTokens                      float64      `json:"-"` // saved up at most
-	attemptRate                         decayingRate // first and further attempts
-	pollDue                             bool         // the list must be asked for
+	maxRetryTokens                      float64       `json:"-"` // saved up at most
+	attemptRate                         rate.Decaying // first and further attempts
+	pollDue                             bool          // the list must be asked for
 
 	recoveryUntil time.Duration `json:"-"` // ejected backends may be tried until then; see Trials
 }
@@ -194,21 +195,6 @@
 	queued          bool          // something is to be told
 }
 
-// decayingRate is a rate a second with exponential forgetting.
-type decayingRate struct {
-	rate      float64
-	updatedAt time.Duration
-}
-
-func (d *decayingRate) add(now time.Duration, amount, memory float64) {
-	d.rate = d.value(now, memory) + amount/memory
-	d.updatedAt = now
-}
-
-func (d *decayingRate) value(now time.Duration, memory float64) float64 {
-	return d.rate * math.Exp(-(now-d.updatedAt).Seconds()/memory)
-}
-
 func hashOf(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -495,18 +481,6 @@
 	return held, each, busy, held >= 0 || each >= 0 || busy >= 0
 }
 
-// allowance is an amount that grows at a rate, to one at most.
-type allowance struct {
-	amount    float64
-	updatedAt time.Duration
-}
-
-func (s *allowance) refill(now time.Duration, rate float64) float64 {
-	s.amount = min(s.amount+(now-s.updatedAt).Seconds()*rate, 1)
-	s.updatedAt = now
-	return s.amount
-}
-
 // recordBudget remembers a try's budget, and once there are enough new ones which is the usual one: the
 // commonest, if a part of them is the same.
 func (c *requestClass) recordBudget(v, same time.Duration, part float64) {
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -414,7 +414,7 @@
 		for _, e := range x.Endpoints {
 			r.backends[e.ID] = &e
 		}
-		r.decide(&admission.TimerFired{Token: "beat"})
+		r.decide(admission.TimerFired{})
 	} else {
 		r.emit(Log{Text: "took over without the state: " + err.Error()})
 		r.onEndpoints(&EndpointsUpdated{Kind: admission.ListCached, Endpoints: x.Endpoints, Generation: x.Generation})
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -67,27 +67,27 @@
 
 // A Machine is the state of the program. It is not safe for concurrent use.
 type Machine struct {
-	settings         admission.Settings
-	controller       *admission.Controller
-	phase            Phase
-	now              time.Duration
-	requests         map[RequestID]*request
-	requestsByCallID map[string]RequestID // the clients' own names of these
-	attempts         map[AttemptID]*attempt
-	backends         map[string]*Endpoint // listed and not gone
-	discoveryAddr    string               // where discovery is watched
-	reloading        bool                 // the configuration is being read again
-	reloadAgain      bool                 // and is to be once more: it may have changed meanwhile
-	timers           timers
-	controllerTimers map[string]time.Duration // the Gateway's, by token
-	timerAt          time.Duration            // the SetTimer that stands
-	counters         Counters
-	classCounts      []ClassCounts // by the classes of the settings
-	pending          int           // reqs without an answer
-	exitBy           time.Duration // the program, whatever is open then; once Closing
-	effects          []Effect
-	actions          []admission.Action
-	pendingEvents    []admission.Event // for the Gateway, after the one it handles
+	settings          admission.Settings
+	controller        *admission.Controller
+	phase             Phase
+	now               time.Duration
+	requests          map[RequestID]*request
+	requestsByCallID  map[string]RequestID // the clients' own names of these
+	attempts          map[AttemptID]*attempt
+	backends          map[string]*Endpoint // listed and not gone
+	discoveryAddr     string               // where discovery is watched
+	reloading         bool                 // the configuration is being read again
+	reloadAgain       bool                 // and is to be once more: it may have changed meanwhile
+	timers            timers
+	controllerTimerAt time.Duration // what the Controller asked for last; 0 for none
+	timerAt           time.Duration // the SetTimer that stands
+	counters          Counters
+	classCounts       []ClassCounts // by the classes of the settings
+	pending           int           // reqs without an answer
+	exitBy            time.Duration // the program, whatever is open then; once Closing
+	effects           []Effect
+	actions           []admission.Action
+	pendingEvents     []admission.Event // for the Gateway, after the one it handles
 
 	publishesMetrics bool
 	hotRestart       hotRestart
@@ -131,7 +131,7 @@
 	r := &Machine{
 		settings: c.Settings, controller: admission.New(c.Settings, c.Seed), now: now, timerAt: math.MaxInt64,
 		requests: map[RequestID]*request{}, requestsByCallID: map[string]RequestID{}, attempts: map[AttemptID]*attempt{}, backends: map[string]*Endpoint{},
-		controllerTimers: map[string]time.Duration{}, discoveryAddr: c.Discovery, publishesMetrics: c.PublishesMetrics, publishedAt: now - metricsInterval,
+		discoveryAddr: c.Discovery, publishesMetrics: c.PublishesMetrics, publishedAt: now - metricsInterval,
 	}
 	for _, class := range c.Settings.Classes {
 		r.classCounts = append(r.classCounts, ClassCounts{Class: class.Name})
@@ -295,8 +295,8 @@
 		r.timers.removeEarliest()
 		switch t.kind {
 		case controllerTimer:
-			delete(r.controllerTimers, t.text)
-			r.decide(&admission.TimerFired{Token: t.text})
+			r.controllerTimerAt = 0
+			r.decide(admission.TimerFired{})
 		case deadlineTimer:
 			r.onDeadline(t.id.Request)
 		case attemptTimer:
@@ -335,8 +335,7 @@
 func (r *Machine) timerValid(t timer) bool {
 	switch t.kind {
 	case controllerTimer:
-		at, set := r.controllerTimers[t.text]
-		return set && at == t.at
+		return t.at == r.controllerTimerAt
 	case deadlineTimer:
 		q := r.requests[t.id.Request]
 		return q != nil && !q.answered
@@ -679,8 +678,8 @@
 			r.closeAttempt(id, admission.Canceled, nil, false)
 		}
 	case admission.SetTimer:
-		r.controllerTimers[a.Token] = a.At
-		r.timers.add(timer{at: a.At, kind: controllerTimer, text: a.Token})
+		r.controllerTimerAt = a.At
+		r.timers.add(timer{at: a.At, kind: controllerTimer})
 	case admission.SendToPeer:
 		if r.hotRestart.stateSent {
 			return // peers hear the heir
--- a/internal/core/machine_test.go
+++ b/internal/core/machine_test.go
@@ -240,13 +240,13 @@
 	r.Step(time.Hour, &EndpointsUpdated{Kind: admission.ListDelta})
 	r.Step(time.Hour, read(1, time.Hour, time.Second))
 	r.Step(time.Hour+time.Millisecond, &AttemptFinished{Attempt: AttemptID{1, 0}, Result: admission.Succeeded})
-	r.applyAction(admission.SetTimer{At: time.Hour + 40*time.Minute, Token: "beat"})
-	r.applyAction(admission.SetTimer{At: time.Hour + 30*time.Minute, Token: "beat"})
+	r.applyAction(admission.SetTimer{At: time.Hour + 40*time.Minute})
+	r.applyAction(admission.SetTimer{At: time.Hour + 30*time.Minute})
 	got := r.finishStep()
 	if set := got[len(got)-1]; set != (SetTimer{time.Hour + 30*time.Minute}) {
 		t.Errorf("%+v", set)
 	}
-	delete(r.controllerTimers, "beat")
+	r.controllerTimerAt = 0
 	if _, ok := r.nextTimer(); ok {
 		t.Errorf("timers left: %+v", r.timers)
 	}
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -10,7 +10,6 @@
 	at   time.Duration
 	kind timerKind
 	id   AttemptID // for a deadline its Req, for a fetch all of it
-	text string    // token of the Gateway
 }
 
 type timerKind uint8
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -57,6 +57,14 @@
 	case reflect.String:
 		f.numbers++
 		v.SetString(fmt.Sprintf("text%d", f.numbers))
+	default:
+		f.fillParts(v)
+	}
+}
+
+// fillParts fills what is made of other values.
+func (f *Filler) fillParts(v reflect.Value) {
+	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		f.fill(v.Elem())
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lemongate/internal/gossip"
+	"lemongate/internal/rate"
 )
 
 // An Account is what is held here of one customer's stores. Between two calls
@@ -22,16 +23,16 @@
 	ceilingFraction       float64 // base part of the ceiling's store
 
 	// Of a large set alone, see home.go.
-	owners                []int     // the home, and those that stand in for it
-	ownerRank             int       // this limiter's place among these, or -1
-	ownerView             ownerView // what the home told
-	credit                allowance // units that may be sent on here without a word
-	unreportedUnits       float64   // units so sent that the home was not told of
-	unreportedDemand      float64   // units asked for here that the home was not told of
-	requestAllowance      float64   // asks of a hot customer that may go
-	requestOutstanding    bool      // the req at the head waits for a word
-	ownerDecision         int       // what came since
-	levelAnnounced        bool      // an asker told what the level was
+	owners                []int          // the home, and those that stand in for it
+	ownerRank             int            // this limiter's place among these, or -1
+	ownerView             ownerView      // what the home told
+	credit                rate.Allowance // units that may be sent on here without a word
+	unreportedUnits       float64        // units so sent that the home was not told of
+	unreportedDemand      float64        // units asked for here that the home was not told of
+	requestAllowance      float64        // asks of a hot customer that may go
+	requestOutstanding    bool           // the req at the head waits for a word
+	ownerDecision         int            // what came since
+	levelAnnounced        bool           // an asker told what the level was
 	lastGrantAt           time.Duration
 	ceilingInTransit      []inTransit // of the ceiling, granted and maybe not there yet
 	ceilingUnitsInTransit float64     // their sum
@@ -46,7 +47,7 @@
 	reservedUnits           float64 // units taken and not sent yet
 	largestRequest          float64 // of a req, of late
 	admittedWhileUnresolved bool    // one was let go in doubt
-	demand                  decayingRate
+	demand                  rate.Decaying
 	links                   []link
 
 	consumed         uint16  // parts sent on in this life, modulo 2^16
@@ -108,20 +109,6 @@
 	message                  gossip.Grant
 }
 
-// decayingRate is a rate a second with exponential forgetting.
-type decayingRate struct {
-	rate      float64
-	updatedAt time.Duration
-}
-
-func (d *decayingRate) value(now time.Duration) float64 {
-	return d.rate * math.Exp(-(now-d.updatedAt).Seconds()/demandMemory.Seconds())
-}
-
-func (d *decayingRate) add(now time.Duration, amount float64) {
-	d.rate, d.updatedAt = d.value(now)+amount/demandMemory.Seconds(), now
-}
-
 // advance brings an account up to now: its stores fill by the parts that it has,
 // from one end of a loan to the next.
 func (a *Account) advance(now time.Duration) {
@@ -367,7 +354,7 @@
 		return 0, 0
 	}
 	if !k.known {
-		demand = min(a.demand.value(now)/2, unseenDemand*part*p.Quota.Rate)
+		demand = min(a.demand.Value(now, demandMemorySeconds)/2, unseenDemand*part*p.Quota.Rate)
 		level = most * unseenLevel
 		if s := a.ledger.recovery; s == RecoveryUnknown || s == TierRestarted { // it started from nothing as well
 			level = min(level, part*p.Quota.Rate*(now-a.ledger.startedAt).Seconds())
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -25,6 +25,7 @@
 	"time"
 
 	"lemongate/internal/gossip"
+	"lemongate/internal/rate"
 )
 
 const (
@@ -44,41 +45,42 @@
 
 	fewLimiters = 8 // in a tier of no more each pair has something to tell each other all the time
 
-	lenderWait   = askGivenUp + time.Duration(float64(askGivenUp)*2*ClockDrift)
-	lenderLease  = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
-	demandMemory = 2 * time.Second        // over which demand is seen
-	ahead        = 250 * time.Millisecond // of the demand: what a busy limiter keeps in hand
-	askRest      = 150 * time.Millisecond // between asks of one customer to one peer
-	poorRest     = 500 * time.Millisecond // after an answer that brought next to nothing
-	askRepeat    = 70 * time.Millisecond  // without an answer: the ask or the answer is lost
-	askGivenUp   = 500 * time.Millisecond // and then the peer is silent
-	silentFor    = time.Second            // asked again after this
-	newsAfter    = time.Second            // a peer thought to hold nothing is asked again after this
-	settleWithin = 500 * time.Millisecond // in which a debt is settled
-	strayHeard   = 400 * time.Millisecond // all holders were heard within it
-	freshFor     = 3 * time.Second        // after a fresh start nothing was sent on yet that is not told
-	strayQuiet   = 3 * time.Second        // or within this, if they wanted next to nothing
-	renewWithin  = 800 * time.Millisecond // of its end a loan that is still wanted is asked for again
-	strayFor     = 500 * time.Millisecond // and units are astray all that time
-	strayViews   = 3                      // and at so many looks
-	lookWeight   = 0.05                   // of one look at what is asked for here
-	looksLeast   = 10                     // looks before the mean means anything
-	riseClear    = 2.0                    // times the usual ups and downs: a rise that stands out
-	debtPart     = 1.0                    // of the even part of the burst: debt on chance
-	sureChance   = 0.9                    // a req goes at once, without the others' word
-	lastChance   = 0.5                    // nor does one whose word nobody can bring, above this ...
-	lastLeast    = 0.6                    // ... and this times the least chance that its plan pays for
-	unseenLevel  = 0.8                    // of its part: what a peer that told nothing is thought to hold
-	unseenDemand = 0.5                    // of its part of the rate: likewise to want
-	unseenWay    = 100 * time.Millisecond // what was told is that old when it comes
-	unseenMost   = 5 * time.Second        // and counts as at most so old: stores are full again
-	unseenLeast  = 0.05                   // of a part of the rate: the least thought to be spent unseen
-	spareMargin  = 1.2                    // of its demand: what a lender keeps
-	wantMargin   = 1.15                   // of its demand: what a borrower asks for
-	shareLeast   = 0.03                   // of the whole: no smaller share is lent
-	olderBy      = 2                      // quarters of a second: a peer that served that much longer is older
-	olderEpoch   = 10 * time.Second       // an epoch before the known one is believed after this
-	dropMost     = 64                     // accounts looked at per Sweep
+	lenderWait          = askGivenUp + time.Duration(float64(askGivenUp)*2*ClockDrift)
+	lenderLease         = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
+	demandMemory        = 2 * time.Second // over which demand is seen
+	demandMemorySeconds = float64(demandMemory) / float64(time.Second)
+	ahead               = 250 * time.Millisecond // of the demand: what a busy limiter keeps in hand
+	askRest             = 150 * time.Millisecond // between asks of one customer to one peer
+	poorRest            = 500 * time.Millisecond // after an answer that brought next to nothing
+	askRepeat           = 70 * time.Millisecond  // without an answer: the ask or the answer is lost
+	askGivenUp          = 500 * time.Millisecond // and then the peer is silent
+	silentFor           = time.Second            // asked again after this
+	newsAfter           = time.Second            // a peer thought to hold nothing is asked again after this
+	settleWithin        = 500 * time.Millisecond // in which a debt is settled
+	strayHeard          = 400 * time.Millisecond // all holders were heard within it
+	freshFor            = 3 * time.Second        // after a fresh start nothing was sent on yet that is not told
+	strayQuiet          = 3 * time.Second        // or within this, if they wanted next to nothing
+	renewWithin         = 800 * time.Millisecond // of its end a loan that is still wanted is asked for again
+	strayFor            = 500 * time.Millisecond // and units are astray all that time
+	strayViews          = 3                      // and at so many looks
+	lookWeight          = 0.05                   // of one look at what is asked for here
+	looksLeast          = 10                     // looks before the mean means anything
+	riseClear           = 2.0                    // times the usual ups and downs: a rise that stands out
+	debtPart            = 1.0                    // of the even part of the burst: debt on chance
+	sureChance          = 0.9                    // a req goes at once, without the others' word
+	lastChance          = 0.5                    // nor does one whose word nobody can bring, above this ...
+	lastLeast           = 0.6                    // ... and this times the least chance that its plan pays for
+	unseenLevel         = 0.8                    // of its part: what a peer that told nothing is thought to hold
+	unseenDemand        = 0.5                    // of its part of the rate: likewise to want
+	unseenWay           = 100 * time.Millisecond // what was told is that old when it comes
+	unseenMost          = 5 * time.Second        // and counts as at most so old: stores are full again
+	unseenLeast         = 0.05                   // of a part of the rate: the least thought to be spent unseen
+	spareMargin         = 1.2                    // of its demand: what a lender keeps
+	wantMargin          = 1.15                   // of its demand: what a borrower asks for
+	shareLeast          = 0.03                   // of the whole: no smaller share is lent
+	olderBy             = 2                      // quarters of a second: a peer that served that much longer is older
+	olderEpoch          = 10 * time.Second       // an epoch before the known one is believed after this
+	dropMost            = 64                     // accounts looked at per Sweep
 )
 
 // A Bucket is a plan's: it fills at Rate (units a second) and holds Burst.
@@ -139,9 +141,9 @@
 	startedAt     time.Duration
 	lastMessageAt time.Duration // of the last message
 
-	totalDemand    decayingRate // units a second asked for here
-	meanDemand     float64      // of total, over meanOver, while all peers are heard
-	demandVariance float64      // mean square of how it strays from that
+	totalDemand    rate.Decaying // units a second asked for here
+	meanDemand     float64       // of total, over meanOver, while all peers are heard
+	demandVariance float64       // mean square of how it strays from that
 	ticks          int
 	accounts       map[uint32][]*Account // by the hash of the customer's name, which two may share
 	accountOrder   []*Account            `json:"-"` // as first met
@@ -326,8 +328,8 @@
 
 // RecordDemand books that a customer asks for units here, whether they are granted or not.
 func (l *Ledger) RecordDemand(a *Account, units float64, now time.Duration) {
-	a.demand.add(now, units)
-	l.totalDemand.add(now, units)
+	a.demand.Add(now, units, demandMemorySeconds)
+	l.totalDemand.Add(now, units, demandMemorySeconds)
 	a.largestRequest = max(units, a.largestRequest+(units-a.largestRequest)/16)
 	if a.lastSeen = now; !a.isAllocated() && a.ownerRank != 0 {
 		a.unreportedDemand += units
@@ -448,7 +450,7 @@
 // of need for a busy customer. It tells whether a word is to be waited for.
 func (l *Ledger) requestTransfers(a *Account, short, over float64, place int, now time.Duration) (waits bool) {
 	p := a.plan()
-	demand := a.demand.value(now)
+	demand := a.demand.Value(now, demandMemorySeconds)
 	want, overWant := short, over
 	if p.Quota.Rate > 0 {
 		if keep := demand*ahead.Seconds() + a.largestRequest; a.quotaLevel < keep && a.baseFraction > 0 {
@@ -617,7 +619,7 @@
 }
 
 func (a *Account) encodeDemand(now time.Duration) uint8 {
-	return uint8(min(math.Ceil(a.demand.value(now)/max(a.plan().Quota.Rate, 1e-3)*gossip.DemandSteps), math.MaxUint8))
+	return uint8(min(math.Ceil(a.demand.Value(now, demandMemorySeconds)/max(a.plan().Quota.Rate, 1e-3)*gossip.DemandSteps), math.MaxUint8))
 }
 
 func (a *Account) encodeLevel() int8 {
@@ -714,7 +716,7 @@
 func (l *Ledger) lend(a *Account, k *link, m gossip.TransferRequest, now time.Duration) gossip.Grant {
 	p := a.plan()
 	ready := now >= a.loansSettledAt()
-	mine, theirs := a.demand.value(now), k.demand
+	mine, theirs := a.demand.Value(now, demandMemorySeconds), k.demand
 	weight := 1.0
 	if mine+theirs > 0 {
 		weight = theirs / (mine + theirs)
@@ -806,7 +808,7 @@
 			silent++
 		}
 	}
-	v := l.totalDemand.value(now)
+	v := l.totalDemand.Value(now, demandMemorySeconds)
 	if silent == 0 || l.ticks == 0 {
 		if l.ticks++; l.ticks == 1 {
 			l.meanDemand = v
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lemongate/internal/gossip"
+	"lemongate/internal/rate"
 )
 
 // This file holds the stores of customers whose set is large: more limiters than
@@ -79,7 +80,7 @@
 	a.ceilingFraction = 0
 	a.owners = rank(a.CustomerHash, a.firstLimiter, a.setSize, l.Limiters, ownerCount)
 	p := a.plan()
-	a.credit = allowance{amount: p.Quota.Burst, updatedAt: l.startedAt}
+	a.credit = rate.Allowance{Amount: p.Quota.Burst, UpdatedAt: l.startedAt}
 	for i, who := range a.owners {
 		if who != l.Self {
 			continue
@@ -100,18 +101,6 @@
 	}
 }
 
-// A allowance amount grows at a rate up to a bound.
-type allowance struct {
-	amount    float64
-	updatedAt time.Duration
-}
-
-func (s *allowance) refill(now time.Duration, rate, most float64) float64 {
-	s.amount = min(s.amount+(now-s.updatedAt).Seconds()*rate, most)
-	s.updatedAt = now
-	return s.amount
-}
-
 // predictedOwnerLevel is what a limiter thinks that the store holds, by its home's last word.
 func (a *Account) predictedOwnerLevel(now time.Duration) (level, demand float64, known bool) {
 	v := a.ownerView
@@ -166,10 +155,10 @@
 	if known && level < units && demand > p.Quota.Rate && p.LeastProbability > 0 {
 		return Rejected, wait
 	}
-	if a.credit.refill(now, creditTimes*p.Quota.Rate*a.evenFraction, max(a.largestRequest, p.Quota.Burst*a.evenFraction)) < units {
+	if a.credit.Refill(now, creditTimes*p.Quota.Rate*a.evenFraction, max(a.largestRequest, p.Quota.Burst*a.evenFraction)) < units {
 		return Rejected, wait
 	}
-	a.credit.amount -= units
+	a.credit.Amount -= units
 	a.unreportedUnits += units
 	a.quotaLevel += units
 	l.Counts.AdmittedWithoutGrant++
@@ -324,7 +313,7 @@
 	want, over := float64(m.QuotaWanted)/gossip.UnitParts, float64(m.CeilingWanted)/gossip.UnitParts
 	lends := a.ownerRank > 0 && who == a.owners[0] // no client asks for it
 	if !lends {
-		a.demand.add(now, max(want, over)+float64(m.Share))
+		a.demand.Add(now, max(want, over)+float64(m.Share), demandMemorySeconds)
 	}
 	// Below nothing it is what comes back; the store holds no more than its burst.
 	a.quotaLevel = min(max(a.quotaLevel-float64(int16(m.Consumed))/gossip.UnitParts, -p.Quota.Burst), max(p.Quota.Burst, a.quotaLevel))
@@ -377,7 +366,7 @@
 	if a.ownerRank != 0 || p.Ceiling.Rate <= 0 {
 		return
 	}
-	want := min(a.demand.value(now)*ahead.Seconds()+a.largestRequest, a.ceilingFraction*p.Ceiling.Burst-a.ceilingUnitsInTransit-a.reservedUnits) - a.ceilingLevel
+	want := min(a.demand.Value(now, demandMemorySeconds)*ahead.Seconds()+a.largestRequest, a.ceilingFraction*p.Ceiling.Burst-a.ceilingUnitsInTransit-a.reservedUnits) - a.ceilingLevel
 	if p.Quota.Rate > 0 {
 		want = min(want, a.quotaLevel-a.ceilingLevel) // beyond that the quota binds
 	}
@@ -448,7 +437,7 @@
 		if now-a.lastSeen > hotFor {
 			continue
 		}
-		if r := a.plan().Quota.Rate; r > 0 && a.quotaLevel < a.plan().Quota.Burst/4 && a.demand.value(now) > hotDemand*r {
+		if r := a.plan().Quota.Rate; r > 0 && a.quotaLevel < a.plan().Quota.Burst/4 && a.demand.Value(now, demandMemorySeconds) > hotDemand*r {
 			m := gossip.Grant{Customer: a.CustomerHash}
 			a.encodeOwnerView(&m, now)
 			list = append(list, m)
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -5,6 +5,7 @@
 
 	"lemongate/internal/gossip"
 	"lemongate/internal/memento"
+	"lemongate/internal/rate"
 )
 
 // This file is the stored form of a Ledger, and the one place where it is mapped to the live types.
@@ -279,17 +280,17 @@
 	}
 }
 
-func newRateState(x decayingRate) rateState {
+func newRateState(x rate.Decaying) rateState {
 	return rateState{
-		Rate:      x.rate,
-		UpdatedAt: x.updatedAt,
+		Rate:      x.PerSecond,
+		UpdatedAt: x.UpdatedAt,
 	}
 }
 
-func (s rateState) restore() decayingRate {
-	return decayingRate{
-		rate:      s.Rate,
-		updatedAt: s.UpdatedAt,
+func (s rateState) restore() rate.Decaying {
+	return rate.Decaying{
+		PerSecond: s.Rate,
+		UpdatedAt: s.UpdatedAt,
 	}
 }
 
@@ -403,17 +404,17 @@
 	}
 }
 
-func newAllowanceState(x allowance) allowanceState {
+func newAllowanceState(x rate.Allowance) allowanceState {
 	return allowanceState{
-		Amount:    x.amount,
-		UpdatedAt: x.updatedAt,
+		Amount:    x.Amount,
+		UpdatedAt: x.UpdatedAt,
 	}
 }
 
-func (s allowanceState) restore() allowance {
-	return allowance{
-		amount:    s.Amount,
-		updatedAt: s.UpdatedAt,
+func (s allowanceState) restore() rate.Allowance {
+	return rate.Allowance{
+		Amount:    s.Amount,
+		UpdatedAt: s.UpdatedAt,
 	}
 }
 
--- /dev/null
+++ b/internal/rate/rate.go
@@ -0,0 +1,41 @@
+// Package rate has the two counters that decisions over time are made with: a rate that forgets and
+// an allowance that refills. Neither reads a clock.
+package rate
+
+import (
+	"math"
+	"time"
+)
+
+// Decaying is a rate of events per second in which each event counts less the longer ago it was. The
+// zero value is a rate of zero.
+type Decaying struct {
+	PerSecond float64       // as of UpdatedAt
+	UpdatedAt time.Duration // clock time
+}
+
+// Add counts an amount at a clock time. Memory is the time in seconds after which an event counts 1/e
+// of what it did.
+func (d *Decaying) Add(now time.Duration, amount, memorySeconds float64) {
+	d.PerSecond = d.Value(now, memorySeconds) + amount/memorySeconds
+	d.UpdatedAt = now
+}
+
+// Value is the rate at a clock time.
+func (d *Decaying) Value(now time.Duration, memorySeconds float64) float64 {
+	return d.PerSecond * math.Exp(-(now-d.UpdatedAt).Seconds()/memorySeconds)
+}
+
+// Allowance is an amount that refills at a constant rate up to a limit, as a token bucket does. The
+// caller takes what it uses from Amount.
+type Allowance struct {
+	Amount    float64       // as of UpdatedAt
+	UpdatedAt time.Duration // clock time
+}
+
+// Refill adds what the time since the last call brings, up to the limit, and returns the amount.
+func (a *Allowance) Refill(now time.Duration, perSecond, limit float64) float64 {
+	a.Amount = min(a.Amount+(now-a.UpdatedAt).Seconds()*perSecond, limit)
+	a.UpdatedAt = now
+	return a.Amount
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -95,6 +95,9 @@
 	return s.out.Flush()
 }
 
+// timerToken names the one timer that is ever asked for.
+const timerToken = "beat"
+
 // widths is how many parts a line of each verb has, its name included.
 var widths = map[string]int{
 	"power_on": 4, "membership": 5, "accept": 12, "fired": 3, "aborted": 3, "halt": 2,
@@ -152,7 +155,10 @@
 		}
 		f.flag(5)
 	case "fired":
-		ev = &admission.TimerFired{Token: f.parts[2]}
+		if f.parts[2] != timerToken {
+			return nil // never asked for
+		}
+		ev = admission.TimerFired{}
 	case "aborted":
 		ev = &admission.RequestEnded{Request: f.request(2)}
 	case "answer":
@@ -383,7 +389,7 @@
 	case admission.SetTimer:
 		start("defer")
 		clock(a.At)
-		text(a.Token)
+		text(timerToken)
 	case admission.SendToPeer:
 		start("say")
 		whole(int64(a.Peer))
