--- /dev/null
+++ b/internal/admission/actions.go
@@ -0,0 +1,60 @@
+package admission
+
+import "time"
+
+// Action is something the caller is to do, in the order given: one of StartAttempt, Reject, Fail,
+// CancelAttempt, SetTimer, SendToPeer, ProbeBackend, PollEndpoints and Log.
+type Action interface{ action() }
+
+// StartAttempt forwards a request; its attempts are numbered from 0.
+type StartAttempt struct {
+	Request     RequestID
+	Backend     string
+	Deadline    time.Duration // clock time at which the attempt ends; 0 for the client's deadline
+	StartBefore time.Duration // clock time from which on it may not begin any more; 0 for no bound
+	Recovery    bool          // a recovery attempt for all limiters, see RecoveryLease
+}
+
+// Reject answers a request: it was not served, and a new try does no harm.
+type Reject struct {
+	Request    RequestID
+	RetryAfter time.Duration // advice how long to stay away; 0 for none
+}
+
+// Fail answers a request: it was not served, and it may have run.
+type Fail struct{ Request RequestID }
+
+// CancelAttempt cancels an attempt. Its AttemptFinished still comes.
+type CancelAttempt struct {
+	Request RequestID
+	Attempt int
+}
+
+// SetTimer asks for a TimerFired at a clock time, in place of the one asked for before. If that one
+// comes as well it does no harm.
+type SetTimer struct{ At time.Duration }
+
+// SendToPeer sends a message of at most 256 bytes to another limiter.
+type SendToPeer struct {
+	Peer int
+	Data []byte
+}
+
+// ProbeBackend asks a backend for its load.
+type ProbeBackend struct{ Backend string }
+
+// PollEndpoints asks for changes of the endpoint list from now on.
+type PollEndpoints struct{}
+
+// Log leaves a line for people.
+type Log struct{ Text string }
+
+func (StartAttempt) action()  {}
+func (Reject) action()        {}
+func (Fail) action()          {}
+func (CancelAttempt) action() {}
+func (SetTimer) action()      {}
+func (SendToPeer) action()    {}
+func (ProbeBackend) action()  {}
+func (PollEndpoints) action() {}
+func (Log) action()           {}
--- /dev/null
+++ b/internal/admission/attempts.go
@@ -0,0 +1,119 @@
+package admission
+
+import "time"
+
+// This file starts attempts and takes their results in, also those of another process, and cancels
+// attempts that are stuck.
+
+// stuckLatencies is the time, in expected latencies, after which an attempt at a backend that answers
+// nobody is stuck.
+const stuckLatencies = 4.0
+
+// startAttempt forwards a request to a backend.
+func (ctl *Controller) startAttempt(r *request, b *backend) {
+	if r.queued {
+		r.queued = false
+		r.customer.queued--
+		r.customer.account.MarkSent(r.Units)
+		ctl.retries.earn()
+	}
+	ctl.wakeBy(ctl.now + ctl.stuckAfter(r.class))
+	ctl.window.attemptRate.Add(ctl.now, 1, ctl.control.memorySeconds)
+	r.startAt(b, ctl.now)
+	ctl.syncSlots(r.customer)
+	action := StartAttempt{
+		Request: r.ID, Backend: b.ID, Deadline: r.deadline, Recovery: ctl.recoveryLeased() && ctl.recoveryDue(b),
+	}
+	if r.mayHaveRunOn != nil && r.class.Idempotency == IdempotentByKey { // a connection may be long in coming
+		action.StartBefore = r.deduplicatedUntil()
+	}
+	ctl.emit(action)
+}
+
+// onAttemptFinished records how an attempt ended and sees to the next step of its request.
+func (ctl *Controller) onAttemptFinished(ev *AttemptFinished) {
+	r := ctl.requests[ev.Request]
+	if r == nil || r.backend == nil || ev.Attempt != r.attempts-1 {
+		return // not the attempt that is out
+	}
+	b := r.finishAttempt()
+	if r.retryPrepaid {
+		r.retryPrepaid = false
+		ctl.retries.tokens++
+	}
+	ctl.syncSlots(r.customer)
+	ctl.customers.ledger.ReleaseSlot(r.customer.account, ctl.now)
+	ctl.onLoadReport(b, ev.Report)
+	ctl.recordResult(b, r, ev)
+	if !ev.Result.NeverRan() && r.mayHaveRunOn == nil {
+		r.mayHaveRunOn, r.mayHaveRunFrom = b, r.sentAt
+	}
+	ctl.continueRequest(r, ev)
+	ctl.dispatch()
+}
+
+// continueRequest ends or retries a request whose attempt has ended.
+func (ctl *Controller) continueRequest(r *request, ev *AttemptFinished) {
+	switch {
+	case ev.Result == Succeeded && !r.ended:
+		ctl.recordCompletion(r)
+		ctl.release(r)
+	case ev.Final || r.ended:
+		ctl.release(r)
+	case ev.Result.NeverRan():
+		ctl.retry(r, retryCostNeverRan)
+	default:
+		ctl.retry(r, retryCost)
+	}
+}
+
+// adoptAttempt records an attempt of another process, in place of an earlier one of its request.
+func (ctl *Controller) adoptAttempt(ev *AttemptAdopted) {
+	class, b := ctl.classes.byName[ev.Class], ctl.endpoints.byID[ev.Backend]
+	if class == nil || b == nil {
+		return
+	}
+	r := ctl.requests[ev.ID]
+	if r == nil {
+		r = &request{
+			Request: &ev.Request, class: class, customer: ctl.lookupCustomer(&ev.Request), receivedAt: ctl.now, ended: true,
+		}
+		ctl.requests[ev.ID] = r
+	}
+	if r.backend != nil {
+		r.finishAttempt()
+	}
+	r.attempts = ev.Attempt
+	r.startAt(b, ctl.now)
+	ctl.syncSlots(r.customer)
+}
+
+// stuckAfter is how long an attempt may be out before it may be stuck.
+func (ctl *Controller) stuckAfter(c *requestClass) time.Duration {
+	return seconds(stuckLatencies*c.expectedLatency()) + ctl.settings.ClockResolution
+}
+
+// cancelStuckAttempts cancels attempts at backends that have fallen silent, where the request can be
+// retried elsewhere.
+func (ctl *Controller) cancelStuckAttempts() {
+	for _, b := range ctl.endpoints.listed {
+		for _, r := range b.open {
+			stuckAt := r.sentAt + ctl.stuckAfter(r.class)
+			if ctl.now < stuckAt {
+				ctl.wakeBy(stuckAt)
+				break // the others were sent later
+			}
+			if ctl.cancelable(r) && b.silentSince(r) && ctl.shouldRetry(r, retryCost) {
+				r.retryPrepaid = true // or several canceled at once would have one retry between them
+				ctl.retries.tokens -= retryCost
+				ctl.cancelAttempt(r)
+			}
+		}
+	}
+}
+
+// silentSince reports whether a backend has answered nobody since a request was sent to it. In a large
+// tier a limiter may have no other request there, so what others tell counts, unless it fails.
+func (b *backend) silentSince(r *request) bool {
+	return b.lastResponseAt <= r.sentAt && (b.observedAt <= r.sentAt || b.failureRate >= recoveredFailureRate)
+}
--- /dev/null
+++ b/internal/admission/classes.go
@@ -0,0 +1,172 @@
+package admission
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// This file holds what is known of request classes: settings, queue, share, and what was measured.
+
+const (
+	// backendTargetFraction is the fraction of a latency objective that is meant for the backend;
+	// the rest may be spent in the queue.
+	backendTargetFraction = 0.33
+	// idleLatencyFactor: the backend target is at least this many times what idle backends take,
+	// and at most maxTargetFactor times the fraction of the objective.
+	idleLatencyFactor = 2.0
+	maxTargetFactor   = 2
+	// spikeFactor bounds what one latency, or the arrivals of one period, may count: times the mean.
+	spikeFactor = 3.0
+	// meanWeight is the weight of a new value in a running mean: about 20 values count.
+	meanWeight = 0.05
+	// targetWeight is how many measured latencies the backend target weighs as much as.
+	targetWeight = 3.0
+	// recentBudgets is how many budgets of clients are remembered per class.
+	recentBudgets = 16
+)
+
+// classSet is all request classes, and the objectives that times are derived from.
+type classSet struct {
+	all      []*requestClass // in the order of the settings
+	byName   map[string]*requestClass
+	byWeight []*requestClass // the heaviest first
+
+	shortestObjective time.Duration
+	longestObjective  time.Duration
+	meanObjective     float64 // seconds
+}
+
+// requestClass is a request class, its queue and its measurements. Latencies are in seconds.
+type requestClass struct {
+	Class
+	queue  []*request
+	share  float64 // of the window, 0 to 1
+	credit float64 // dispatch turns that it may take before others
+
+	recentBudgets [recentBudgets]time.Duration // of clients, a ring
+	budgetsSeen   int
+	usualBudget   time.Duration // the most common of them; 0 if they differ
+
+	// Of the control period that runs.
+	arrivals          int     // admitted requests
+	completed         int     // answered requests
+	latencySum        float64 // of these, time in the queue included
+	attemptsMeasured  int
+	attemptLatencySum float64 // of these
+
+	arrivalRate        float64 // per second
+	meanLatency        float64 // of attempts
+	meanSquaredLatency float64
+	latencySamples     int     // that the means come from
+	idleLatency        float64 // the least mean of late
+}
+
+func newClassSet(classes []Class) classSet {
+	s := classSet{byName: map[string]*requestClass{}}
+	for _, settings := range classes {
+		settings.LatencyObjective = cmp.Or(max(settings.LatencyObjective, 0), max(settings.Deadline, 0), time.Second)
+		c := &requestClass{Class: settings, share: 1 / float64(len(classes))}
+		s.all = append(s.all, c)
+		s.longestObjective = max(s.longestObjective, c.LatencyObjective)
+		s.shortestObjective = min(cmp.Or(s.shortestObjective, c.LatencyObjective), c.LatencyObjective)
+		s.meanObjective += c.LatencyObjective.Seconds() / float64(len(classes))
+	}
+	s.shortestObjective = cmp.Or(s.shortestObjective, time.Second)
+	s.longestObjective = cmp.Or(s.longestObjective, time.Second)
+	s.index()
+	return s
+}
+
+// index derives byName and byWeight from all.
+func (s *classSet) index() {
+	clear(s.byName)
+	for _, c := range s.all {
+		s.byName[c.Name] = c
+	}
+	s.byWeight = slices.Clone(s.all)
+	slices.SortStableFunc(s.byWeight, func(a, b *requestClass) int {
+		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.LatencyObjective, b.LatencyObjective))
+	})
+}
+
+// pollInterval is how often something that waits for a backend or a grant is looked at again.
+func (s *classSet) pollInterval() time.Duration { return s.shortestObjective / pollsPerObjective }
+
+// pollsPerObjective is how many poll intervals there are in the shortest objective.
+const pollsPerObjective = 100
+
+// backendTarget is the latency in seconds that an attempt should take. No window brings latency under
+// what idle backends take, and one that tried would end up shut; so it is a multiple of that at least.
+func (c *requestClass) backendTarget() float64 {
+	fraction := backendTargetFraction * c.LatencyObjective.Seconds()
+	return max(fraction, min(idleLatencyFactor*c.idleLatency, maxTargetFactor*fraction))
+}
+
+// exceedsTarget reports whether attempts take longer than they should.
+func (c *requestClass) exceedsTarget() bool { return c.meanLatency > c.backendTarget() }
+
+// expectedLatency is what an attempt takes in seconds: by what was measured, and with few
+// measurements rather by the target, as one early answer may take a small part of the mean.
+func (c *requestClass) expectedLatency() float64 {
+	samples := float64(c.latencySamples)
+	prior := max(c.backendTarget(), c.meanLatency)
+	return (samples*c.meanLatency + targetWeight*prior) / (samples + targetWeight)
+}
+
+// recordLatency adds the latency of a successful attempt, in seconds, to the running means.
+func (c *requestClass) recordLatency(latency float64) {
+	if c.meanLatency == 0 {
+		c.meanLatency, c.meanSquaredLatency = latency, latency*latency
+	}
+	c.latencySamples++
+	latency = min(latency, spikeFactor*c.meanLatency)
+	c.meanLatency += meanWeight * (latency - c.meanLatency)
+	c.meanSquaredLatency += meanWeight * (latency*latency - c.meanSquaredLatency)
+}
+
+// recordAttemptLatency measures an attempt, in seconds, against the backend target. A stuck attempt
+// counts for little more than a slow one, or a few would shut the window for all.
+func (c *requestClass) recordAttemptLatency(latency float64) {
+	c.attemptsMeasured++
+	c.attemptLatencySum += min(latency, c.backendTarget()/windowMinFactor)
+}
+
+// recordCompletion measures the whole time of a request against the latency objective.
+func (ctl *Controller) recordCompletion(r *request) {
+	r.class.completed++
+	bound := spikeFactor * r.class.LatencyObjective.Seconds()
+	r.class.latencySum += min((ctl.now - r.receivedAt).Seconds(), bound)
+}
+
+// recordBudget remembers the budget of a client and, each time the ring is full, which one is usual:
+// the most common one, if enough of them are equal within the width.
+func (c *requestClass) recordBudget(budget, width time.Duration) {
+	c.recentBudgets[c.budgetsSeen%recentBudgets] = budget
+	c.budgetsSeen++
+	if c.budgetsSeen%recentBudgets > 0 {
+		return
+	}
+	usual, count := mostCommon(c.recentBudgets[:], width)
+	if float64(count) < clientRetryBudgetFraction*recentBudgets {
+		usual = 0
+	}
+	c.usualBudget = usual
+}
+
+// mostCommon returns the least of the largest group of values that lie within the same width, and how
+// many these are.
+func mostCommon(values []time.Duration, width time.Duration) (time.Duration, int) {
+	sorted := slices.Sorted(slices.Values(values))
+	var least time.Duration
+	largest, from := 0, 0
+	for i, v := range sorted {
+		for v-sorted[from] > width {
+			from++
+		}
+		if size := i - from + 1; size > largest {
+			least, largest = sorted[from], size
+		}
+	}
+	return least, largest
+}
--- /dev/null
+++ b/internal/admission/controller.go
@@ -0,0 +1,188 @@
+// Package admission decides which requests of a service sold by plan are forwarded, when and to which
+// backend, and which are rejected.
+//
+// A caller creates one Controller, hands it every event in the order of its clock, and carries out
+// the actions that come back. A Controller starts no goroutine, does no I/O and reads no clock: the
+// same settings, seed and events always give the same actions. It is not safe for concurrent use.
+// Clock times are durations since an origin of the caller's choice.
+//
+// Each decision has a file of its own, with its state, its constants and its rule. In the order in
+// which a request meets them: admission.go, customers.go, dispatch.go, window.go, selection.go,
+// attempts.go, retry.go. What is learnt on the way: classes.go, health.go, recovery.go, slowstart.go,
+// loadreports.go, endpoints.go. What limiters tell each other: gossip.go, pacing.go.
+package admission
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"lemongate/internal/quota"
+	"lemongate/internal/rate"
+)
+
+// Controller makes the decisions of one limiter.
+type Controller struct {
+	settings Settings
+	random   *rand.Rand
+	now      time.Duration // clock time of the event in hand
+	actions  []Action      // asked for by the event in hand
+	started  bool          // an event has come
+	timer    timer
+
+	requests   map[RequestID]*request
+	classes    classSet
+	customers  customerSet
+	window     concurrencyWindow
+	control    controlLoop
+	retries    retryQueue
+	endpoints  endpointSet
+	reports    loadReports
+	slowStart  rate.Allowance // attempts, while all eligible backends are warming up
+	gossip     gossipState
+	rejections RejectionCounts
+
+	// recoveryUntil is the clock time up to which this limiter makes recovery attempts; see
+	// RecoveryLease.
+	recoveryUntil time.Duration
+}
+
+// New returns a Controller that knows only its settings. The seed fixes all choices made by chance.
+func New(set Settings, seed uint64) *Controller {
+	set.Limiters = max(set.Limiters, 1)
+	classes := newClassSet(set.Classes)
+	return &Controller{
+		settings:      set,
+		random:        rand.New(rand.NewPCG(seed, 0)),
+		timer:         timer{at: math.MaxInt64, dueAt: math.MaxInt64},
+		requests:      map[RequestID]*request{},
+		classes:       classes,
+		customers:     newCustomerSet(set.Plans),
+		window:        newConcurrencyWindow(),
+		control:       newControlLoop(classes.longestObjective),
+		retries:       newRetryQueue(set.Limiters),
+		endpoints:     newEndpointSet(classes.longestObjective),
+		gossip:        newGossipState(set),
+		recoveryUntil: math.MaxInt64,
+	}
+}
+
+// Handle takes one event and appends what is to be done to out. Events must come in the order of
+// their clock times; a clock time before the last one counts as that one.
+func (ctl *Controller) Handle(now time.Duration, ev Event, out []Action) []Action {
+	ctl.now, ctl.actions = max(now, ctl.now), out
+	if !ctl.started {
+		ctl.start()
+	}
+	ctl.handle(ev)
+	ctl.sendQueuedMessages()
+	ctl.armTimer()
+	out, ctl.actions = ctl.actions, nil
+	return out
+}
+
+// handle hands an event to the decision that it calls for.
+func (ctl *Controller) handle(ev Event) {
+	switch ev := ev.(type) {
+	case *Request:
+		ctl.admit(ev)
+	case *AttemptFinished:
+		ctl.onAttemptFinished(ev)
+	case *ResponseStarted:
+		if r := ctl.requests[ev.Request]; r != nil {
+			r.responding = true
+		}
+	case *RequestEnded:
+		if r := ctl.requests[ev.Request]; r != nil {
+			ctl.release(r)
+		}
+	case TimerFired:
+		ctl.onTick()
+	case *EndpointList:
+		ctl.onEndpointList(ev)
+	case *ProbeResult:
+		if b := ctl.endpoints.byID[ev.Backend]; b != nil && ev.Result == Succeeded {
+			ctl.onLoadReport(b, ev.Report)
+		}
+	case *PeerMessage:
+		ctl.handlePeerMessage(ev)
+	case RecoveryLease:
+		ctl.recoveryUntil = ev.Until
+	case ShutdownStarted:
+		ctl.startShutdown()
+	case *AttemptAdopted:
+		ctl.adoptAttempt(ev)
+	case EpochRenewed:
+		ctl.renewEpoch(ev.Epoch)
+	}
+}
+
+// start takes the time of the first event as that of the start.
+func (ctl *Controller) start() {
+	ctl.started = true
+	if ctl.settings.Epoch == 0 {
+		ctl.settings.Epoch = uint32(ctl.now/time.Millisecond) + 1
+	}
+	ctl.control.nextAt = ctl.now + seconds(ctl.control.periodSeconds)
+	ctl.wakeBy(ctl.control.nextAt)
+	ctl.startLedger()
+	ctl.announceToPeers()
+	if ctl.settings.PollEndpoints {
+		ctl.emit(PollEndpoints{})
+	}
+}
+
+// onTick does what time alone brings about.
+func (ctl *Controller) onTick() {
+	if ctl.now < ctl.timer.at {
+		return // a timer that was replaced
+	}
+	ctl.timer.at, ctl.timer.dueAt = math.MaxInt64, math.MaxInt64
+	if ctl.now >= ctl.control.nextAt {
+		ctl.control.nextAt = ctl.now + seconds(ctl.control.periodSeconds)
+		ctl.runControlLoop()
+		ctl.pollIfDue()
+	}
+	ctl.wakeBy(ctl.control.nextAt)
+	ctl.settleWaiting()
+	ctl.expireQueued()
+	ctl.cancelStuckAttempts()
+	ctl.dispatch()
+	ctl.wakeForQueuedPeers()
+}
+
+// timer is the one timer that a Controller asks for.
+type timer struct {
+	at    time.Duration // clock time that was asked for; the greatest there is if none was
+	dueAt time.Duration // clock time at which something is due
+}
+
+// wakeBy makes sure that onTick runs by a clock time. There is no other clock: an idle Controller
+// asks for nothing but its control loop.
+func (ctl *Controller) wakeBy(at time.Duration) { ctl.timer.dueAt = min(ctl.timer.dueAt, at) }
+
+// armTimer asks for a timer if something is due before the one that stands. Timers are whole
+// microseconds and at least one step of the clock away.
+func (ctl *Controller) armTimer() {
+	if ctl.timer.dueAt >= ctl.timer.at {
+		return
+	}
+	earliest := max(ctl.timer.dueAt, ctl.now+ctl.settings.ClockResolution)
+	ctl.timer.at = (earliest + time.Microsecond - 1).Truncate(time.Microsecond)
+	ctl.timer.dueAt = ctl.timer.at
+	ctl.emit(SetTimer{At: ctl.timer.at})
+}
+
+func (ctl *Controller) emit(a Action) { ctl.actions = append(ctl.actions, a) }
+
+// startLedger starts to hold the customers' quotas with nothing known of earlier use.
+func (ctl *Controller) startLedger() {
+	ctl.customers.ledger = quota.New(ctl.quotaConfig(), ctl.now)
+	if !slices.Contains(ctl.settings.LoadReportFields, utilizationField) {
+		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report will ever tell
+	}
+}
+
+// seconds converts a number of seconds.
+func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- /dev/null
+++ b/internal/admission/customers.go
@@ -0,0 +1,250 @@
+package admission
+
+import (
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"lemongate/internal/quota"
+)
+
+// This file decides by a customer's quota whether a request is admitted. The quotas themselves are
+// held by a quota.Ledger, together with the other limiters.
+
+const (
+	// grantTimeoutFraction is the longest that a request waits for a grant of other limiters, as a
+	// fraction of the shortest objective.
+	grantTimeoutFraction = 0.3
+	// forgetObjectives is the time, in longest objectives, after which idle customers and removed
+	// backends are forgotten.
+	forgetObjectives = 20.0
+	// shutdownNotices is how often the other limiters are told of a shutdown, as messages are lost.
+	shutdownNotices = 2
+)
+
+// customerKey names a customer on a plan. A customer may come with another plan, as after a change of
+// it; a request is judged by the plan that it names.
+type customerKey struct{ name, plan string }
+
+// customer is a customer on a plan, as met here.
+type customer struct {
+	name         string
+	plan         *Plan
+	planIndex    int // in the settings; one beyond them for a plan that they do not have
+	firstLimiter int // the limiters that serve it: setSize in a row from firstLimiter
+	setSize      int
+	account      *quota.Account
+	lastSeen     time.Duration // clock time
+	meanUnits    float64       // running mean of the units of a request
+
+	inFlight int // requests with an attempt out
+	queued   int // requests that are queued
+
+	waiting       []*request // for a grant, in the order of their arrival
+	waitsForGrant bool       // stands in customerSet.waiting
+}
+
+// customerSet is all customers of late, and the ledger of their quotas.
+type customerSet struct {
+	ledger    *quota.Ledger
+	planIndex map[string]int // in the settings, by name
+	byKey     map[customerKey]*customer
+	order     []*customer // as first met
+	waiting   []*customer // with requests that wait for a grant
+
+	firstRequestAt time.Duration // clock time of the first request; 0 for none
+	leaving        bool          // this limiter shuts down
+}
+
+func newCustomerSet(plans []Plan) customerSet {
+	s := customerSet{planIndex: map[string]int{}, byKey: map[customerKey]*customer{}}
+	for i := range plans {
+		s.planIndex[plans[i].Name] = i
+	}
+	return s
+}
+
+// touchCustomer returns the customer of a request and updates what is measured of it.
+func (ctl *Controller) touchCustomer(ev *Request) *customer {
+	c := ctl.lookupCustomer(ev)
+	if c.meanUnits == 0 {
+		c.meanUnits = max(ev.Units, 1)
+	}
+	c.lastSeen = ctl.now
+	c.meanUnits += meanWeight * (ev.Units - c.meanUnits)
+	return c
+}
+
+// lookupCustomer finds the customer of a request, or starts one.
+func (ctl *Controller) lookupCustomer(ev *Request) *customer {
+	key := customerKey{ev.Customer, ev.Plan}
+	if c := ctl.customers.byKey[key]; c != nil {
+		return c
+	}
+	c := &customer{name: ev.Customer, plan: &Plan{Name: ev.Plan}, planIndex: len(ctl.settings.Plans)}
+	if index, listed := ctl.customers.planIndex[ev.Plan]; listed {
+		c.plan, c.planIndex = &ctl.settings.Plans[index], index
+	}
+	limiters := ctl.settings.Limiters
+	c.setSize = min(max(ev.SetSize, 1), limiters)
+	c.firstLimiter = (ev.FirstLimiter%limiters + limiters) % limiters
+	c.account = ctl.customers.ledger.Account(hashOf(ev.Customer), c.planIndex, c.firstLimiter, c.setSize, ctl.now)
+	ctl.customers.byKey[key] = c
+	ctl.customers.order = append(ctl.customers.order, c)
+	return c
+}
+
+// reserveQuota acts on what the ledger decides about a request, and reports whether it did. With last,
+// the request does not wait for other limiters any longer.
+func (ctl *Controller) reserveQuota(r *request, last bool) (settled bool) {
+	decision, wait := ctl.customers.ledger.Reserve(r.customer.account, r.Units, last, ctl.now)
+	if decision == quota.Pending {
+		return false
+	}
+	ctl.onQuotaDecision(r, decision == quota.Granted, wait)
+	return true
+}
+
+// waitForGrant keeps a request until other limiters answer the ledger's transfer request.
+func (ctl *Controller) waitForGrant(r *request) {
+	c := r.customer
+	c.waiting = append(c.waiting, r)
+	ctl.customers.ledger.Counts.Waited++
+	if !c.waitsForGrant {
+		c.waitsForGrant = true
+		ctl.customers.waiting = append(ctl.customers.waiting, c)
+	}
+	ctl.wakeBy(ctl.now + ctl.classes.pollInterval())
+}
+
+// grantDeadline is the clock time at which a request that waits for a grant is decided by what is
+// known here.
+func (ctl *Controller) grantDeadline(r *request) time.Duration {
+	margin := ctl.classes.pollInterval() * 2
+	byObjective := r.receivedAt + seconds(grantTimeoutFraction*ctl.classes.shortestObjective.Seconds())
+	byRequest := r.receivedAt + (ctl.latestStart(r)-r.receivedAt)/2
+	return min(byObjective, byRequest) - margin
+}
+
+// settleWaiting decides the requests that wait for a grant, as far as grants have come, and those
+// whose time is up by what is known here.
+func (ctl *Controller) settleWaiting() {
+	for _, c := range ctl.waitingCustomers() {
+		ctl.settleCustomer(c)
+	}
+}
+
+// settleCustomer decides the waiting requests of a customer in order, up to the first that still has
+// to wait: the ones behind it would only take what it waits for.
+func (ctl *Controller) settleCustomer(c *customer) {
+	waiting := c.waiting
+	c.waiting = nil
+	for i, r := range waiting {
+		if r.ended {
+			continue
+		}
+		deadline := ctl.grantDeadline(r)
+		if ctl.reserveQuota(r, ctl.now >= deadline) {
+			continue
+		}
+		c.waiting = append(c.waiting, waiting[i:]...)
+		ctl.wakeBy(min(deadline, ctl.now+ctl.classes.pollInterval()*2) + ctl.settings.ClockResolution)
+		return
+	}
+}
+
+// waitingCustomers lists the customers with requests that still wait, and forgets the rest.
+func (ctl *Controller) waitingCustomers() []*customer {
+	ctl.customers.waiting = slices.DeleteFunc(ctl.customers.waiting, func(c *customer) bool {
+		c.waiting = slices.DeleteFunc(c.waiting, func(r *request) bool { return r.ended })
+		c.waitsForGrant = len(c.waiting) > 0
+		return !c.waitsForGrant
+	})
+	return slices.Clone(ctl.customers.waiting)
+}
+
+// syncSlots tells the ledger how many slots of a customer are in use here.
+func (ctl *Controller) syncSlots(c *customer) {
+	c.account.SlotsInUse = c.inFlight + c.queued
+}
+
+// startShutdown gives the quotas up for the other limiters and tells them so at once, as the program
+// may end any moment. In a large tier a single notice goes out: the few who ask find out as well.
+func (ctl *Controller) startShutdown() {
+	ctl.customers.leaving = true
+	notices := shutdownNotices
+	if ctl.gossip.totalInterval > 0 {
+		notices = 1
+	}
+	for range notices {
+		for number := range ctl.settings.Limiters {
+			if number != ctl.settings.Self && ctl.gossips() {
+				ctl.sendPeerMessage(ctl.peer(number))
+			}
+		}
+	}
+}
+
+// forgetIdleCustomers forgets customers that have not been met for long, where nothing is lost by it.
+func (ctl *Controller) forgetIdleCustomers() {
+	ctl.customers.ledger.Sweep(seconds(forgetObjectives*ctl.classes.longestObjective.Seconds()), ctl.now)
+	ctl.customers.order = slices.DeleteFunc(ctl.customers.order, func(c *customer) bool {
+		if c.account.Forgotten {
+			delete(ctl.customers.byKey, customerKey{c.name, c.plan.Name})
+		}
+		return c.account.Forgotten
+	})
+}
+
+// quotaConfig is the part of the settings that the ledger needs. The last plan stands for those that
+// the settings do not have.
+func (ctl *Controller) quotaConfig() quota.Config {
+	config := quota.Config{
+		Self: ctl.settings.Self, Limiters: ctl.settings.Limiters, Gossips: ctl.gossips(), Epoch: ctl.settings.Epoch,
+	}
+	for _, p := range ctl.settings.Plans {
+		config.Plans = append(config.Plans, quota.Plan{
+			Quota:            quota.Bucket{Rate: p.Rate, Burst: p.Burst},
+			Ceiling:          quota.Bucket{Rate: p.CeilingRate, Burst: p.CeilingBurst},
+			Slots:            p.MaxConcurrent,
+			LeastProbability: leastAdmissionProbability(p),
+		})
+	}
+	config.Plans = append(config.Plans, quota.Plan{})
+	return config
+}
+
+// leastAdmissionProbability is the least probability of being inside the quota at which forwarding a
+// request earns anything: inside it earns its weight, beyond it costs OverQuotaCost less
+// ExcessFraction.
+func leastAdmissionProbability(p Plan) float64 {
+	loss := max(p.OverQuotaCost-p.ExcessFraction, 0)
+	return loss / (1 + loss)
+}
+
+// QuotaCounters returns the ledger's counters since the start.
+func (ctl *Controller) QuotaCounters() quota.Counters {
+	if ctl.customers.ledger == nil {
+		return quota.Counters{}
+	}
+	return ctl.customers.ledger.Counters(ctl.now)
+}
+
+// IsLastOwner reports whether, with some other limiters restarting, this one is the last that holds
+// the quota of some customer.
+func (ctl *Controller) IsLastOwner(restarting []int) bool {
+	return ctl.customers.ledger.IsLastOwner(restarting)
+}
+
+// OwnersOf returns the limiters that hold a customer's quota, of a set of setSize limiters in a row
+// from firstLimiter: the same at every limiter.
+func OwnersOf(customer string, firstLimiter, setSize, limiters int) []int {
+	return quota.OwnersOf(hashOf(customer), firstLimiter, setSize, limiters)
+}
+
+// hashOf is the FNV-1a hash by which limiters name customers and backends to each other.
+func hashOf(name string) uint32 {
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(name)) // a hash takes all
+	return h.Sum32()
+}
--- /dev/null
+++ b/internal/admission/dispatch.go
@@ -0,0 +1,97 @@
+package admission
+
+// This file decides which queued request is forwarded next: weighted dispatch among the classes, by
+// credit, while the window has room.
+
+// maxCredit bounds the dispatch turns that a class can save up or owe.
+const maxCredit = 2.0
+
+// dispatch forwards what may go: retries that wait for a backend first, then the classes by their
+// credit while the window has room.
+func (ctl *Controller) dispatch() {
+	ctl.dispatchRetries()
+	for {
+		c := ctl.nextClass()
+		if c == nil {
+			return
+		}
+		if ctl.windowFull() {
+			ctl.window.wasFull = true
+			return
+		}
+		r := c.queue[0]
+		b := ctl.selectBackend(r)
+		if b == nil {
+			ctl.wakeBy(ctl.now + ctl.classes.pollInterval())
+			return
+		}
+		c.queue = c.queue[1:]
+		ctl.chargeCredit(c)
+		ctl.window.fraction.Amount--
+		ctl.startAttempt(r, b)
+	}
+}
+
+// nextClass drops what can no longer be in time from the heads of the queues, and returns the class
+// with the most credit that has something queued, the heavier of two; nil if nothing is queued.
+func (ctl *Controller) nextClass() *requestClass {
+	var next *requestClass
+	for _, c := range ctl.classes.byWeight {
+		ctl.dropLateHeads(c)
+		if len(c.queue) > 0 && (next == nil || c.credit > next.credit) {
+			next = c
+		}
+	}
+	return next
+}
+
+func (ctl *Controller) dropLateHeads(c *requestClass) {
+	for len(c.queue) > 0 {
+		r := c.queue[0]
+		if !r.ended && ctl.now <= ctl.latestStart(r) {
+			return
+		}
+		c.queue = c.queue[1:]
+		if !r.ended {
+			ctl.rejections.QueueTimeout++
+			ctl.endUnserved(r)
+		}
+	}
+}
+
+// expireQueued ends queued requests that cannot be in time, also behind the heads of the queues:
+// their budgets differ. It does so two poll intervals early, as the timer may be late.
+func (ctl *Controller) expireQueued() {
+	margin := ctl.classes.pollInterval() * 2
+	for _, c := range ctl.classes.byWeight {
+		for _, r := range c.queue {
+			if r.ended {
+				continue
+			}
+			if expiry := ctl.latestStart(r) - margin; ctl.now <= expiry {
+				ctl.wakeBy(expiry + ctl.settings.ClockResolution)
+				continue
+			}
+			ctl.rejections.QueueTimeout++
+			ctl.endUnserved(r)
+		}
+	}
+}
+
+// chargeCredit charges a class one dispatch, and credits every class that has something queued with
+// its share of one.
+func (ctl *Controller) chargeCredit(dispatched *requestClass) {
+	waiting := func(c *requestClass) bool { return len(c.queue) > 0 || c == dispatched }
+	sum := 0.0
+	for _, c := range ctl.classes.all {
+		if waiting(c) {
+			sum += c.share
+		}
+	}
+	for _, c := range ctl.classes.all {
+		if waiting(c) {
+			c.credit = min(c.credit+c.share/sum, maxCredit)
+		}
+	}
+	dispatched.credit = max(dispatched.credit-1, -maxCredit)
+}
--- /dev/null
+++ b/internal/admission/endpoints.go
@@ -0,0 +1,188 @@
+package admission
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"lemongate/internal/gossip"
+	"lemongate/internal/quota"
+)
+
+// This file keeps the endpoint list: which backends there are, and which of them this limiter uses. In
+// a large tier each limiter keeps to a subset of the backends, by rendezvous hashing.
+
+const (
+	// minSubset is how many backends a limiter keeps to at least: enough to go round one that fails.
+	minSubset = 8
+	// minLimitersPerBackend is how many limiters keep to a backend at least; in a small tier all do.
+	minLimitersPerBackend = 12.0
+)
+
+// endpointSet is all backends known.
+type endpointSet struct {
+	listed        []*backend // live; the subset of this limiter first
+	byID          map[string]*backend
+	byGossipKey   map[uint32]*backend // listed; nil where two share a key
+	medianLatency float64             // latency per attempt of the listed ones
+	forgetAfter   time.Duration       // removed backends are kept so long
+	pollDue       bool                // the last poll failed or ended
+}
+
+func newEndpointSet(longestObjective time.Duration) endpointSet {
+	return endpointSet{
+		byID: map[string]*backend{}, byGossipKey: map[uint32]*backend{}, medianLatency: 1,
+		forgetAfter: forgetObjectives * longestObjective,
+	}
+}
+
+// onEndpointList brings the endpoint list up to date. What is draining or removed gets nothing more.
+func (ctl *Controller) onEndpointList(ev *EndpointList) {
+	if ev.Kind == ListFailed {
+		ctl.endpoints.pollDue = ctl.settings.PollEndpoints
+		return
+	}
+	started, capacity := ctl.mergeEndpoints(ev), ctl.meanCapacity()
+	for _, b := range started {
+		b.latencyPerAttempt, b.lastResponseAt = 1, ctl.now
+		if ctl.settings.CapacitiesKnown && b.RelativeCapacity > 0 && capacity > 0 {
+			b.latencyPerAttempt = capacity / b.RelativeCapacity
+		}
+	}
+	ctl.dispatch()
+}
+
+// pollIfDue polls the endpoint list again after a poll has failed or ended.
+func (ctl *Controller) pollIfDue() {
+	if ctl.endpoints.pollDue {
+		ctl.endpoints.pollDue = false
+		ctl.emit(PollEndpoints{})
+	}
+}
+
+// mergeEndpoints takes a list in and returns the backends that have started.
+func (ctl *Controller) mergeEndpoints(ev *EndpointList) (started []*backend) {
+	if ev.Kind != ListDelta {
+		for _, b := range ctl.endpoints.byID { // until it is named
+			b.State, b.unavailable = Removed, true
+			b.markRemoved(ctl.now)
+		}
+	}
+	for _, entry := range ev.Backends {
+		b := ctl.endpoints.byID[entry.ID]
+		restarted := b != nil && b.StartedAt != entry.StartedAt && entry.State == Live
+		if b == nil || restarted {
+			b = newBackend(entry.ID, b)
+			ctl.endpoints.byID[entry.ID] = b
+			started = append(started, b)
+		}
+		b.Backend = entry
+		b.unavailable = entry.State != Live
+		if entry.State == Removed {
+			b.markRemoved(ctl.now)
+		} else {
+			b.removedAt = 0
+		}
+	}
+	ctl.relist()
+	return started
+}
+
+// newBackend returns a backend that has started, with the attempts that are still out at an earlier
+// start of it, if any, but nothing else of that one's past.
+func newBackend(id string, earlier *backend) *backend {
+	b := &backend{relativeLoad: 1, gossipKey: gossip.BackendKey(hashOf(id))}
+	if earlier != nil {
+		b.open = earlier.open
+		for _, r := range b.open {
+			r.backend = b
+		}
+	}
+	return b
+}
+
+// markRemoved notes when a backend was removed.
+func (b *backend) markRemoved(now time.Duration) {
+	if b.removedAt == 0 {
+		b.removedAt = now
+	}
+}
+
+// relist derives what is listed from all that is known, and forgets what was removed long ago: a lost
+// backend may come back as it was, but most are replaced under new IDs.
+func (ctl *Controller) relist() {
+	set := &ctl.endpoints
+	clear(set.listed) // or what stood beyond the new end would be kept
+	set.listed = set.listed[:0]
+	for id, b := range set.byID {
+		forgotten := len(b.open) == 0 && b.removedAt > 0 && ctl.now-b.removedAt > set.forgetAfter
+		switch {
+		case !b.unavailable:
+			set.listed = append(set.listed, b)
+		case forgotten:
+			delete(set.byID, id)
+		}
+	}
+	slices.SortFunc(set.listed, func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
+	if ctl.subsetSize() < len(set.listed) {
+		slices.SortStableFunc(set.listed, func(a, b *backend) int {
+			return cmp.Compare(ctl.rendezvousRank(a), ctl.rendezvousRank(b))
+		})
+	}
+	set.indexByGossipKey()
+}
+
+// indexByGossipKey derives byGossipKey. Of backends that share a key none is found by it: what is told
+// of one would be taken for the other.
+func (s *endpointSet) indexByGossipKey() {
+	clear(s.byGossipKey)
+	for _, b := range s.listed {
+		if _, shared := s.byGossipKey[b.gossipKey]; shared {
+			s.byGossipKey[b.gossipKey] = nil
+			continue
+		}
+		s.byGossipKey[b.gossipKey] = b
+	}
+}
+
+// rendezvousRank orders the backends for this limiter: when the list changes, its order hardly does,
+// and each backend is kept to by about as many limiters.
+func (ctl *Controller) rendezvousRank(b *backend) uint64 {
+	return quota.Mix64(uint64(hashOf(b.ID))<<32 | uint64(uint32(ctl.settings.Self)))
+}
+
+// subsetSize is how many backends this limiter keeps to, if that is less than all.
+func (ctl *Controller) subsetSize() int {
+	perLimiter := minLimitersPerBackend * float64(len(ctl.endpoints.listed)) / float64(ctl.settings.Limiters)
+	return max(int(math.Ceil(perLimiter)), minSubset)
+}
+
+// limitersPerBackend is how many limiters keep to a backend.
+func (ctl *Controller) limitersPerBackend() float64 {
+	fraction := float64(ctl.subsetSize()) / float64(max(len(ctl.endpoints.listed), 1))
+	return float64(ctl.settings.Limiters) * min(fraction, 1)
+}
+
+// usableSubset is how many of the listed backends, from the first on, hold as many usable ones as this
+// limiter keeps to, and their capacity in warm backends. Where many are warming up it takes more.
+func (ctl *Controller) usableSubset() (size int, capacity float64) {
+	usable, wanted := 0, ctl.subsetSize()
+	for size < len(ctl.endpoints.listed) && (usable < wanted || capacity < minWarmFraction*float64(wanted)) {
+		if b := ctl.endpoints.listed[size]; !b.ejected() {
+			usable++
+			capacity += ctl.warmUpFraction(b)
+		}
+		size++
+	}
+	return size, capacity
+}
+
+// meanCapacity is the mean of the relative capacities of the listed backends.
+func (ctl *Controller) meanCapacity() float64 {
+	sum := 0.0
+	for _, b := range ctl.endpoints.listed {
+		sum += b.RelativeCapacity
+	}
+	return sum / float64(max(len(ctl.endpoints.listed), 1))
+}
--- /dev/null
+++ b/internal/admission/events.go
@@ -0,0 +1,168 @@
+package admission
+
+import "time"
+
+// RequestID names a request. The caller chooses it and never reuses it within the life of a
+// Controller.
+type RequestID uint64
+
+// Event is something that happened outside: one of *EndpointList, *Request, *AttemptFinished,
+// TimerFired, *RequestEnded, *PeerMessage, *ProbeResult, *ResponseStarted, ShutdownStarted,
+// RecoveryLease, *AttemptAdopted and EpochRenewed.
+type Event interface{ event() }
+
+// BackendState is what the endpoint list says of a backend.
+type BackendState uint8
+
+const (
+	// Live backends take requests.
+	Live BackendState = iota
+	// Draining backends finish what they have and take nothing new.
+	Draining
+	// Removed backends are gone.
+	Removed
+)
+
+// Backend is an entry of the endpoint list.
+type Backend struct {
+	ID               string
+	Zone             string
+	Cell             int
+	State            BackendState
+	RelativeCapacity float64       // where Settings.CapacitiesKnown
+	StartedAt        time.Duration // clock time of its last start; 0 for long ago
+}
+
+// ListKind says how to read an EndpointList.
+type ListKind uint8
+
+const (
+	// ListComplete names every backend there is.
+	ListComplete ListKind = iota
+	// ListDelta names only what changed.
+	ListDelta
+	// ListCached names every backend as last known, which may be old.
+	ListCached
+	// ListFailed names nothing: a poll failed or ended.
+	ListFailed
+)
+
+// EndpointList brings the list of backends or a change of it.
+type EndpointList struct {
+	Kind     ListKind
+	Backends []Backend
+}
+
+// Request tells that a request has come from a client.
+type Request struct {
+	ID           RequestID
+	Class        string
+	Plan         string
+	Customer     string
+	Units        float64       // taken from the customer's quota
+	Budget       time.Duration // how long the client waits from now on
+	FirstLimiter int           // the customer's limiter set: SetSize limiters in a row from FirstLimiter
+	SetSize      int
+	IsRetry      bool // the client says that it repeats itself
+}
+
+// Result says how an attempt or a probe ended.
+type Result uint8
+
+const (
+	// Succeeded attempts were served.
+	Succeeded Result = iota
+	// Errored attempts were failed by the backend; they may have run.
+	Errored
+	// Rejected attempts met a full or draining backend; they never ran.
+	Rejected
+	// TimedOut attempts may have run.
+	TimedOut
+	// Unreachable means that connections are refused there; the attempt never ran.
+	Unreachable
+	// ConnectionLost attempts may have run.
+	ConnectionLost
+	// Canceled attempts may have run.
+	Canceled
+	// NotSent attempts never ran.
+	NotSent
+	// ConnectFailed means that no connection came up in time, or that it broke before the request
+	// was written; the attempt never ran.
+	ConnectFailed
+)
+
+// NeverRan reports whether a result proves that the attempt never ran.
+func (r Result) NeverRan() bool {
+	return r == Rejected || r == Unreachable || r == NotSent || r == ConnectFailed
+}
+
+// AttemptFinished ends an attempt.
+type AttemptFinished struct {
+	Request RequestID
+	Attempt int // number of the attempt, from 0
+	Backend string
+	Result  Result
+	Latency time.Duration
+	Final   bool      // the request is over
+	Report  []float64 // load report by Settings.LoadReportFields, if any
+}
+
+// TimerFired tells that the time has come which a SetTimer named.
+type TimerFired struct{}
+
+// RequestEnded tells that a client gave up or its time ran out: the request is over.
+type RequestEnded struct{ Request RequestID }
+
+// PeerMessage brings a message of another limiter.
+type PeerMessage struct {
+	From int // number of the sender
+	Data []byte
+}
+
+// ProbeResult ends a probe.
+type ProbeResult struct {
+	Backend string
+	Result  Result
+	Latency time.Duration
+	Report  []float64
+}
+
+// ResponseStarted tells that the client is being sent the response of an attempt: it can no longer
+// be canceled.
+type ResponseStarted struct {
+	Request RequestID
+	Attempt int
+}
+
+// ShutdownStarted tells that this limiter forwards nothing new: what it holds of the customers'
+// quotas is for the others until it starts again.
+type ShutdownStarted struct{}
+
+// RecoveryLease tells that one limiter makes the recovery attempts at ejected backends for all, and
+// until which clock time that is this one. Without it each limiter makes its own.
+type RecoveryLease struct{ Until time.Duration }
+
+// AttemptAdopted tells of an attempt that another process has out for this limiter's customers: it
+// counts at its backend and among its customer's slots until its AttemptFinished.
+type AttemptAdopted struct {
+	Request
+	Attempt int
+	Backend string
+}
+
+// EpochRenewed tells that another process stood in for this one, and that what it granted is not
+// known: the quotas are held as by a limiter that starts anew.
+type EpochRenewed struct{ Epoch uint32 }
+
+func (*EndpointList) event()    {}
+func (*Request) event()         {}
+func (*AttemptFinished) event() {}
+func (TimerFired) event()       {}
+func (*RequestEnded) event()    {}
+func (*PeerMessage) event()     {}
+func (*ProbeResult) event()     {}
+func (*ResponseStarted) event() {}
+func (ShutdownStarted) event()  {}
+func (RecoveryLease) event()    {}
+func (*AttemptAdopted) event()  {}
+func (EpochRenewed) event()     {}
--- /dev/null
+++ b/internal/admission/health.go
@@ -0,0 +1,151 @@
+package admission
+
+import (
+	"slices"
+	"time"
+)
+
+// This file keeps what is known of each backend, detects outliers by their failure rate, and ejects
+// them: an ejected backend gets recovery attempts only (recovery.go).
+
+const (
+	// failureWeight is the weight of one result in a failure rate.
+	failureWeight = 0.2
+	// ejectFailureRate is the failure rate that ejects: two to three failures in a row.
+	ejectFailureRate = 0.4
+	// minUsableFraction is the fraction of the listed backends that stays in use, however badly it
+	// answers.
+	minUsableFraction = 0.5
+	// rejectionBackoff is how many times as long as a rejection took its kind of request stays away,
+	// beyond a mean latency.
+	rejectionBackoff = 4
+)
+
+// backend is a backend of the endpoint list, or one that is gone and may come back.
+type backend struct {
+	Backend
+	unavailable bool          // draining or removed
+	removedAt   time.Duration // clock time; 0 while it is listed
+	open        []*request    // with an attempt out, oldest first
+
+	// Own responses, see selection.go.
+	latencyPerAttempt float64       // per attempt out there, in mean latencies of the class
+	samples           float64       // responses that this comes from, fading
+	lastResponseAt    time.Duration // clock time
+
+	// Health.
+	failureRate          float64 // 0 to 1, also by what other limiters tell
+	ejectedUntil         time.Duration
+	consecutiveEjections int
+	rejectedUntil        map[int]time.Duration // by kind of request, see rejectionKind
+
+	// What limiters tell of it, see gossip.go.
+	gossipKey            uint32        // its name in messages
+	relativeLoad         float64       // over that of the other backends
+	observedAt           time.Duration // clock time of the newest observation, own or told
+	gossipRepeats        int           // messages that still carry it
+	announcedFailureRate float64       // when it was last announced at once
+
+	initialReportSeen bool // its utilization at the first report is known
+}
+
+// recordResult takes the result of an attempt into what is known of its backend and class.
+func (ctl *Controller) recordResult(b *backend, r *request, ev *AttemptFinished) {
+	ctl.recordMeasuredAttempt(r, ev)
+	switch ev.Result {
+	case Succeeded:
+		ctl.recordSuccess(b, r, ev)
+	case Rejected: // it has room for the rest: only this kind of request stays away
+		until := ctl.now + seconds(r.class.meanLatency) + rejectionBackoff*ev.Latency
+		b.avoidKind(ctl.rejectionKind(r), until)
+	case Unreachable: // nothing listens there: one sign tells more than a failure rate
+		b.failureRate = 1
+		ctl.announce(b, ctl.now)
+		ctl.eject(b)
+	case NotSent:
+	case Canceled:
+		if !r.ended { // not by the client
+			ctl.recordFailure(b)
+		}
+	case TimedOut:
+		if b.silentSince(r) { // and did not just take long
+			ctl.recordFailure(b)
+		}
+	default:
+		ctl.recordFailure(b)
+	}
+}
+
+// recordMeasuredAttempt measures an attempt against its backend target, unless its age was measured
+// already.
+func (ctl *Controller) recordMeasuredAttempt(r *request, ev *AttemptFinished) {
+	if r.ageRecorded && !r.class.exceedsTarget() {
+		return
+	}
+	switch ev.Result {
+	case Succeeded, TimedOut, Canceled:
+		r.class.recordAttemptLatency(ev.Latency.Seconds())
+	}
+}
+
+// recordSuccess takes a response in. Where backends report no load, the latency stands for it.
+func (ctl *Controller) recordSuccess(b *backend, r *request, ev *AttemptFinished) {
+	latency := ev.Latency.Seconds()
+	r.class.recordLatency(latency)
+	ctl.recordLatencyPerAttempt(b, r, latency)
+	b.failureRate -= failureWeight * b.failureRate
+	reportMissing := ev.Report == nil && ctl.now-b.observedAt > ctl.classes.longestObjective
+	if len(ctl.settings.LoadReportFields) == 0 || reportMissing {
+		relative := latency / max(r.class.meanLatency, minMeanLatency)
+		b.relativeLoad = clampLoad(b.relativeLoad + latencyLoadWeight*(relative-b.relativeLoad))
+	}
+	ctl.announce(b, ctl.now)
+	b.recoverIfHealthy()
+}
+
+// recordFailure takes a failure in, and ejects a backend that fails too often while enough others are
+// usable. A failed recovery attempt ejects it again.
+func (ctl *Controller) recordFailure(b *backend) {
+	b.failureRate += failureWeight * (1 - b.failureRate)
+	ctl.announce(b, ctl.now)
+	usable, _ := ctl.countUsable()
+	spare := float64(usable-1) >= minUsableFraction*float64(len(ctl.endpoints.listed))
+	outlier := !b.ejected() && b.failureRate > ejectFailureRate && spare
+	recoveryFailed := b.ejected() && b.ejectedUntil <= ctl.now
+	if outlier || recoveryFailed {
+		ctl.eject(b)
+	}
+}
+
+// ejected reports whether a backend gets recovery attempts only.
+func (b *backend) ejected() bool { return b.ejectedUntil > 0 }
+
+// countUsable counts the listed backends that are not ejected, and the attempts out at them.
+func (ctl *Controller) countUsable() (backends, open int) {
+	for _, b := range ctl.endpoints.listed {
+		if !b.ejected() {
+			backends++
+			open += len(b.open)
+		}
+	}
+	return backends, open
+}
+
+// AvoidsBackend reports whether a backend gets no requests now but recovery attempts.
+func (ctl *Controller) AvoidsBackend(id string) bool {
+	b := ctl.endpoints.byID[id]
+	return b == nil || b.unavailable || b.ejected()
+}
+
+// rejectionKind is what a backend may reject apart from the rest: a class of a plan.
+func (ctl *Controller) rejectionKind(r *request) int {
+	return r.customer.planIndex*len(ctl.classes.all) + slices.Index(ctl.classes.all, r.class)
+}
+
+// avoidKind keeps one kind of request away from a backend for a while.
+func (b *backend) avoidKind(kind int, until time.Duration) {
+	if b.rejectedUntil == nil {
+		b.rejectedUntil = map[int]time.Duration{}
+	}
+	b.rejectedUntil[kind] = until
+}
--- /dev/null
+++ b/internal/admission/loadreports.go
@@ -0,0 +1,151 @@
+package admission
+
+import (
+	"math"
+
+	"lemongate/internal/quota"
+	"lemongate/internal/rate"
+)
+
+// This file reads the load reports of backends, probes backends that nothing is known of, and infers
+// from the first reports whether the whole tier is new.
+
+const (
+	// Names of values in a load report.
+	inFlightField    = "inflight"
+	queueField       = "queue"
+	latencyField     = "latency_ms"
+	utilizationField = "util"
+
+	// utilizationMargin: a backend that is wholly utilized counts as this much short of it.
+	utilizationMargin = 0.15
+	// maxRelativeLoad bounds a relative load and one over it: with less, all busy backends look alike.
+	maxRelativeLoad = 16.0
+	// latencyLoadWeight is the weight of one latency in the relative load, where no load is reported.
+	latencyLoadWeight = 0.3
+
+	// probeObjectives is the time in shortest objectives after which a backend that nothing was heard
+	// of may be probed.
+	probeObjectives = 1.0
+	// probeRoundObjectives is the time in longest objectives in which all limiters together probe each
+	// backend once at most.
+	probeRoundObjectives = 4.0
+
+	// initialReports is how many first reports tell whether the tier is new.
+	initialReports = 3
+	// newTierUtilization is the mean utilization up to which backends were never used before.
+	newTierUtilization = 0.2
+)
+
+// loadReports is what is known of the loads that backends report.
+type loadReports struct {
+	meanLoad            float64
+	initialUtilizations []float64      // of the first report of each backend
+	probes              rate.Allowance // that may be made
+}
+
+// loadReport is the part of a load report that is used; values below 0 were not reported.
+type loadReport struct {
+	inFlight    float64 // requests, queued ones included
+	latency     float64 // milliseconds
+	utilization float64 // 0 to 1
+}
+
+// onLoadReport takes a load report in. Only how a backend compares with the others counts, whatever
+// the unit.
+func (ctl *Controller) onLoadReport(b *backend, values []float64) {
+	report, ok := parseLoadReport(ctl.settings.LoadReportFields, values)
+	if !ok {
+		return
+	}
+	ctl.inferRecovery(b, report.utilization)
+	load := report.load()
+	reports := &ctl.reports
+	if reports.meanLoad == 0 {
+		reports.meanLoad = load
+	}
+	reports.meanLoad += meanWeight * (min(load, maxRelativeLoad*reports.meanLoad) - reports.meanLoad)
+	b.relativeLoad = clampLoad(load / reports.meanLoad)
+	ctl.announce(b, ctl.now)
+}
+
+// parseLoadReport reads a load report. It is not ok if a value makes no sense or nothing of use is
+// reported.
+func parseLoadReport(fields []string, values []float64) (report loadReport, ok bool) {
+	none := loadReport{inFlight: -1, latency: -1, utilization: -1}
+	report = none
+	for i, v := range values[:min(len(values), len(fields))] {
+		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+			return none, false
+		}
+		switch fields[i] {
+		case inFlightField, queueField:
+			report.inFlight = max(report.inFlight, v)
+		case latencyField:
+			report.latency = v
+		case utilizationField:
+			report.utilization = v
+		}
+	}
+	return report, report != none
+}
+
+// load is the work that waits at a backend: its latency times the requests there, or where these are
+// not reported, its latency over what is left of its capacity.
+func (r loadReport) load() float64 {
+	load := max(r.latency, 1) * (max(r.inFlight, 0) + 1)
+	if r.inFlight < 0 && r.utilization >= 0 {
+		load /= max(1+utilizationMargin-r.utilization, utilizationMargin)
+	}
+	return load
+}
+
+// clampLoad keeps a relative load within its bounds.
+func clampLoad(load float64) float64 { return min(max(load, 1/maxRelativeLoad), maxRelativeLoad) }
+
+// probeStaleBackend probes a backend, chosen at random, if nothing new is known of it and the rate of
+// probes allows it. Where responses come often enough there are no probes.
+func (ctl *Controller) probeStaleBackend() {
+	listed := ctl.endpoints.listed
+	if !ctl.settings.MayProbe || len(ctl.settings.LoadReportFields) == 0 || len(listed) == 0 {
+		return
+	}
+	usable, _ := ctl.usableSubset()
+	b := listed[ctl.random.IntN(usable)]
+	silence := (ctl.now - max(b.observedAt, b.lastResponseAt)).Seconds()
+	if silence <= probeObjectives*ctl.classes.shortestObjective.Seconds() {
+		return
+	}
+	backendsEach := float64(len(listed)) / float64(ctl.settings.Limiters)
+	perSecond := backendsEach / (probeRoundObjectives * ctl.classes.longestObjective.Seconds())
+	if ctl.reports.probes.Refill(ctl.now, perSecond, 1) < 1 {
+		return
+	}
+	ctl.reports.probes.Amount--
+	ctl.emit(ProbeBackend{Backend: b.ID})
+}
+
+// inferRecovery infers from the first reports whether the tier is new: if backends are at work
+// already, there were limiters before, and all of them lost what they knew. Otherwise every customer
+// would get a fresh burst.
+func (ctl *Controller) inferRecovery(b *backend, utilization float64) {
+	if ctl.customers.ledger.Recovery() != quota.RecoveryUnknown || utilization < 0 || b.initialReportSeen {
+		return
+	}
+	b.initialReportSeen = true
+	seen := append(ctl.reports.initialUtilizations, utilization)
+	ctl.reports.initialUtilizations = seen
+	if len(seen) < min(initialReports, len(ctl.endpoints.listed)) {
+		return
+	}
+	sum := 0.0
+	for _, v := range seen {
+		sum += v
+	}
+	recovery := quota.TierStarted
+	if sum > newTierUtilization*float64(len(seen)) {
+		recovery = quota.TierRestarted
+	}
+	ctl.customers.ledger.Resolve(recovery, ctl.now)
+	ctl.settleWaiting()
+}
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -133,41 +133,42 @@
 		{"idle and unknown", 0, 0, 0, 1, 0.01},        // the clamp
 		{"more than there is", 500, 0.005, 0.00005, 1, 1},
 	} {
-		near(t, c.name, clampShare(queueing.Share(c.l, c.x, c.x2, c.d)), c.b)
+		near(t, c.name, clampShare(queueing.Share(c.l, queueing.ServiceTime{Mean: c.x, Square: c.x2}, c.d)), c.b)
 	}
 	// The paper's own form, singular only at y = 0, gives the same.
 	l, x, x2, d := 50.0, 0.005, 0.00015, 1.0
 	y, z := x2-2*x*x, (1+d*l)*x
-	near(t, "as in the paper", queueing.Share(l, x, x2, d), l*y/(-z+math.Sqrt(z*z+2*d*l*y)))
+	near(t, "as in the paper", queueing.Share(l, queueing.ServiceTime{Mean: x, Square: x2}, d), l*y/(-z+math.Sqrt(z*z+2*d*l*y)))
 }
 
 // A late class gains share, an early one gives some up, and no period moves a
 // share by more than a step.
 func TestCorrectionSign(t *testing.T) {
-	if got := shareCorrection(-0.1, 10, 0.005, 0.00005, 0.1); got <= 0 || got > stepMost {
+	service := queueing.ServiceTime{Mean: 0.005, Square: 0.00005}
+	if got := shareCorrection(-0.1, 10, service, 0.1); got <= 0 || got > maxShareStep {
 		t.Errorf("late class: correction %v, want above 0", got)
 	}
-	if got := shareCorrection(0.1, 10, 0.005, 0.00005, 0.1); got >= 0 || got < -stepMost {
+	if got := shareCorrection(0.1, 10, service, 0.1); got >= 0 || got < -maxShareStep {
 		t.Errorf("early class: correction %v, want below 0", got)
 	}
-	near(t, "a stall", shareCorrection(-1e6, 10, 0.005, 0.00005, 0.1), stepMost)
-	near(t, "no service seen", shareCorrection(-1, 10, 0, 0, 0.1), 0)
+	near(t, "a stall", shareCorrection(-1e6, 10, service, 0.1), maxShareStep)
+	near(t, "no service seen", shareCorrection(-1, 10, queueing.ServiceTime{}, 0.1), 0)
 }
 
 // With aims that cannot all be met, the preferred class keeps what it needs.
 func TestInfeasibleAims(t *testing.T) {
 	b := newBench(t, settings(), fleet("a", "b")...)
-	for _, c := range b.g.classes {
+	for _, c := range b.g.classes.all {
 		c.arrivalRate, c.meanLatency, c.meanSquaredLatency = 60, 0.3, 0.2
 		c.arrivals = 60
 	}
 	b.g.runControlLoop()
-	read, pay := b.g.classes[0], b.g.classes[2]
+	read, pay := b.g.classes.all[0], b.g.classes.all[2]
 	if pay.share < 0.8 || read.share > 0.1 {
 		t.Errorf("shares: pay %.3f, read %.3f; want the preferred class served first", pay.share, read.share)
 	}
 	sum := 0.0
-	for _, c := range b.g.classes {
+	for _, c := range b.g.classes.all {
 		sum += c.share
 	}
 	near(t, "sum of shares", sum, 1)
@@ -176,7 +177,7 @@
 // Below the window a request goes out at once; at the window the shares bind.
 func TestWindowBinds(t *testing.T) {
 	b := newBench(t, settings(), fleet("a", "b")...)
-	n := int(math.Ceil(b.g.window()))
+	n := int(math.Ceil(b.g.windowSize()))
 	for i := range n {
 		b.ask("read", "free", fmt.Sprint("c", i))
 	}
@@ -199,10 +200,10 @@
 	for i := range 40 {
 		b.ask("pay", "free", fmt.Sprint("c", i))
 	}
-	before := b.g.windowScale
+	before := b.g.window.scale
 	b.pass(1200 * ms)
-	if b.g.windowScale >= before {
-		t.Errorf("scale %.2f after a jam, was %.2f; want it narrower", b.g.windowScale, before)
+	if b.g.window.scale >= before {
+		t.Errorf("scale %.2f after a jam, was %.2f; want it narrower", b.g.window.scale, before)
 	}
 }
 
@@ -248,7 +249,7 @@
 	}
 	b.do(&PeerMessage{From: 77, Data: gossip.Message{}.Append(nil)})
 	b.do(&PeerMessage{From: -1, Data: gossip.Message{}.Append(nil)})
-	for _, p := range b.g.peers {
+	for _, p := range b.g.gossip.peers {
 		if p.known {
 			t.Error("malformed bytes counted as a message")
 		}
@@ -289,7 +290,7 @@
 		t.Errorf("%d of 30 refused, want all beyond this gateway's 10", refused)
 	}
 	b.pass(time.Second)
-	if got := b.g.ledger.Ceiling(b.g.customers[customerKey{"x", "capped"}].account, b.now); got < 9 {
+	if got := b.g.customers.ledger.Ceiling(b.g.customers.byKey[customerKey{"x", "capped"}].account, b.now); got < 9 {
 		t.Errorf("ceiling store holds %.1f after all was refused unsent, want it given back", got)
 	}
 }
@@ -297,10 +298,10 @@
 // Trouble: a held request behind a longer-lived head ran out of time unseen.
 func TestHeldRequestsEndInTime(t *testing.T) {
 	b := newBench(t, settings(), fleet("a")...)
-	for i := range int(math.Ceil(b.g.window())) + 1 {
+	for i := range int(math.Ceil(b.g.windowSize())) + 1 {
 		b.ask("read", "free", fmt.Sprint("c", i))
 	}
-	b.g.attemptRate.Add(b.now, 1000, 1) // a queue that moves fast, so that the next one is held
+	b.g.window.attemptRate.Add(b.now, 1000, 1) // a queue that moves fast, so that the next one is held
 	id := b.next
 	b.next++
 	b.do(&Request{ID: id, Class: "read", Plan: "free", Customer: "hasty", Units: 1, Budget: 60 * ms, SetSize: 2})
@@ -384,7 +385,7 @@
 		if (len(sends) == 1) != c.again || (len(fails) == 1) != c.fail || len(only[Reject](b.acts)) > 0 {
 			t.Errorf("%s after result %d: %v", c.class, c.result, b.acts)
 		}
-		if c.class == "post" && len(sends) == 1 && b.g.backendsByID[sends[0].Backend].Zone != b.g.backendsByID[s.Backend].Zone {
+		if c.class == "post" && len(sends) == 1 && b.g.endpoints.byID[sends[0].Backend].Zone != b.g.endpoints.byID[s.Backend].Zone {
 			t.Errorf("keyed repeat left its zone")
 		}
 	}
@@ -446,7 +447,7 @@
 			b.end(id, n, s[0].Backend, Errored, 2*ms)
 		}
 	}
-	if most := float64(firsts)*(1+retryShare) + b.g.maxRetryTokens; float64(sends) > most {
+	if most := float64(firsts)*(1+retriesPerRequest) + b.g.retries.maxTokens; float64(sends) > most {
 		t.Errorf("%d attempts for %d requests, want at most %.0f", sends, firsts, most)
 	}
 }
@@ -516,7 +517,7 @@
 	b := newBench(t, settings(), fleet("a", "b", "c", "d")...)
 	b.steady(200, func(StartAttempt) (Result, time.Duration) { return Succeeded, good })
 	b.steady(200, func(StartAttempt) (Result, time.Duration) { return Succeeded, 4 * good })
-	for _, x := range b.g.backends {
+	for _, x := range b.g.endpoints.listed {
 		if x.ejected() {
 			t.Errorf("%s ejected while all were slow alike", x.ID)
 		}
@@ -633,7 +634,7 @@
 		}
 	}
 	b.pass(40 * time.Second)
-	if n := len(b.g.customers) + len(b.g.customerOrder) + len(b.g.requests) + b.g.ledger.Counters(b.now).Accounts; n != 0 {
+	if n := len(b.g.customers.byKey) + len(b.g.customers.order) + len(b.g.requests) + b.g.customers.ledger.Counters(b.now).Accounts; n != 0 {
 		t.Errorf("%d entries left of idle customers", n)
 	}
 }
@@ -649,10 +650,10 @@
 		gone := list[0]
 		gone.State = Removed
 		b.do(&EndpointList{Kind: ListDelta, Backends: []Backend{gone}})
-		b.now += b.g.forgetAfter
+		b.now += b.g.endpoints.forgetAfter
 	}
-	if len(b.g.backendsByID) > 8 || len(b.g.backends) != 1 {
-		t.Errorf("%d known, %d in use", len(b.g.backendsByID), len(b.g.backends))
+	if len(b.g.endpoints.byID) > 8 || len(b.g.endpoints.listed) != 1 {
+		t.Errorf("%d known, %d in use", len(b.g.endpoints.byID), len(b.g.endpoints.listed))
 	}
 }
 
@@ -764,7 +765,7 @@
 		}
 	}
 	for i, g := range w.gates {
-		if g.timerAt <= w.now {
+		if g.timer.at <= w.now {
 			w.do(i, TimerFired{})
 		}
 	}
@@ -845,12 +846,12 @@
 func TestOddReports(t *testing.T) {
 	fields := []string{"inflight", "new", "util"}
 	for _, v := range [][]float64{nil, {-1}, {math.NaN()}, {1, 2, math.Inf(1)}} {
-		if _, _, _, ok := parseLoadReport(fields, v); ok {
+		if _, ok := parseLoadReport(fields, v); ok {
 			t.Errorf("%v was read", v)
 		}
 	}
-	if held, each, busy, ok := parseLoadReport(fields, []float64{3, 9, 0.5, 7}); held != 3 || each != -1 || busy != 0.5 || !ok {
-		t.Errorf("read %v %v %v %v", held, each, busy, ok)
+	if got, ok := parseLoadReport(fields, []float64{3, 9, 0.5, 7}); got != (loadReport{inFlight: 3, latency: -1, utilization: 0.5}) || !ok {
+		t.Errorf("read %+v %v", got, ok)
 	}
 }
 
@@ -873,11 +874,11 @@
 	set := settings()
 	set.Limiters, set.GossipEnabled = 100, false
 	b := newBench(t, set, fleet("a", "b", "c", "d")...)
-	b.g.windowScale = windowLeast
+	b.g.window.scale = windowMinScale
 	sent := 0
 	for range 200 {
 		b.pass(100 * ms)
-		b.g.windowScale = windowLeast
+		b.g.window.scale = windowMinScale
 		b.ask("read", "free", "x")
 		for _, s := range only[StartAttempt](b.take()) {
 			sent++
@@ -885,7 +886,7 @@
 		}
 	}
 	if sent < 5 || sent > 150 {
-		t.Errorf("%d of 200 sent through a window of %.2f, want a part", sent, b.g.window())
+		t.Errorf("%d of 200 sent through a window of %.2f, want a part", sent, b.g.windowSize())
 	}
 }
 
@@ -965,7 +966,7 @@
 	for range 10 {
 		b.ask("read", "small", "x")
 	}
-	b.pass(seconds(askMost*0.4) + 20*ms)
+	b.pass(seconds(grantTimeoutFraction*0.4) + 20*ms)
 	acts := b.take()
 	sent, refused := len(only[StartAttempt](acts)), len(only[Reject](acts))
 	if sent+refused != 10 || sent < 4 || sent > 8 {
@@ -1050,7 +1051,7 @@
 		}
 	}
 	// The pace is 35 messages a second; a sixth of it, and a little for what differs.
-	if most := int(gateways * length.Seconds() * 35 / newsPauses * 1.1); alone > most || alone == 0 {
+	if most := int(gateways * length.Seconds() * 35 / observationPauses * 1.1); alone > most || alone == 0 {
 		t.Errorf("%d messages with news alone, %d at most", alone, most)
 	}
 	for range 100 { // what is on its way is older
@@ -1058,7 +1059,7 @@
 	}
 	g := w.gates[0]
 	w.do(0, TimerFired{})
-	b := g.backends[0]
+	b := g.endpoints.listed[0]
 	b.failureRate = 1
 	g.announce(b, g.now)
 	g.eject(b)
@@ -1068,7 +1069,7 @@
 	}
 	know := 0
 	for _, o := range w.gates {
-		if o.backendsByID[b.ID].failureRate > gonePeer {
+		if o.endpoints.byID[b.ID].failureRate > peerEjectFailureRate {
 			know++
 		}
 	}
@@ -1147,7 +1148,7 @@
 			b.take()
 			continue
 		}
-		ejected := b.g.backendsByID["b"].ejected()
+		ejected := b.g.endpoints.byID["b"].ejected()
 		b.end(id, 0, "b", ConnectFailed, 10*ms)
 		again := only[StartAttempt](b.take())
 		if len(again) != 1 || again[0].Backend == "b" {
@@ -1155,8 +1156,8 @@
 		}
 		b.end(id, 1, again[0].Backend, Succeeded, 10*ms)
 		b.take()
-		if late["b"]++; !ejected && b.g.backendsByID["b"].ejected() != (late["b"] == 3) {
-			t.Fatalf("after %d late connections ejected: %v", late["b"], b.g.backendsByID["b"].ejected())
+		if late["b"]++; !ejected && b.g.endpoints.byID["b"].ejected() != (late["b"] == 3) {
+			t.Fatalf("after %d late connections ejected: %v", late["b"], b.g.endpoints.byID["b"].ejected())
 		}
 		if late["b"] == 3 {
 			return
@@ -1176,7 +1177,7 @@
 	for at == "" {
 		b.ask("read", "free", "x")
 		for _, s := range only[StartAttempt](b.take()) {
-			if b.end(s.Request, 0, s.Backend, Unreachable, ms); !b.g.backendsByID[s.Backend].ejected() {
+			if b.end(s.Request, 0, s.Backend, Unreachable, ms); !b.g.endpoints.byID[s.Backend].ejected() {
 				t.Fatal("not ejected after a refused connect")
 			}
 			at = s.Backend
@@ -1185,20 +1186,20 @@
 			}
 		}
 	}
-	wait := b.g.backendsByID[at].ejectedUntil - b.now
-	if least := 2 * b.g.longestObjective; wait < least {
+	wait := b.g.endpoints.byID[at].ejectedUntil - b.now
+	if least := 2 * b.g.classes.longestObjective; wait < least {
 		t.Errorf("tried again after %v; by 80 gateways that is more often than %v/80", wait, least)
 	}
 	other := newBench(t, set, fleet("a", "b", "c", "d")...)
 	other.now = b.now + time.Second
-	key := other.g.backendsByID[at].gossipKey
+	key := other.g.endpoints.byID[at].gossipKey
 	other.do(&PeerMessage{From: 1, Data: gossip.Message{Epoch: 5, Seq: 1, Observations: []gossip.Observation{{Backend: key, Load: 128, FailureRate: 255}}}.Append(nil)})
-	if !other.g.backendsByID[at].ejected() {
+	if !other.g.endpoints.byID[at].ejected() {
 		t.Error("not ejected when told that nothing listens there")
 	}
 	other.now += time.Second
 	other.do(&PeerMessage{From: 2, Data: gossip.Message{Epoch: 5, Seq: 1, Observations: []gossip.Observation{{Backend: key, Load: 128}}}.Append(nil)})
-	if other.g.backendsByID[at].ejected() {
+	if other.g.endpoints.byID[at].ejected() {
 		t.Error("still ejected when told that it is well")
 	}
 }
@@ -1222,7 +1223,7 @@
 	}
 	b.do(&PeerMessage{From: 1, Data: gossip.Message{Epoch: 5, Seq: 1, Observations: []gossip.Observation{gone("a"), gone(names[1])}}.Append(nil)})
 	for i, name := range names {
-		if got := b.g.backendsByID[name].ejected(); got != (i == 0) {
+		if got := b.g.endpoints.byID[name].ejected(); got != (i == 0) {
 			t.Errorf("%s ejected: %v", name, got)
 		}
 	}
@@ -1231,7 +1232,7 @@
 // A single answer of a backend says little of it beside what peers tell, many say all.
 func TestFewAnswersWeighLittle(t *testing.T) {
 	b := newBench(t, settings(), fleet("a", "b")...)
-	x := b.g.backendsByID["a"]
+	x := b.g.endpoints.byID["a"]
 	x.lastResponseAt, x.observedAt, x.relativeLoad, x.latencyPerAttempt, x.samples = b.now, b.now, 1, 4, 1
 	few := b.g.backendCost(x)
 	x.samples = 50
@@ -1252,7 +1253,7 @@
 		cold := slices.Clone(list)
 		cold[0].StartedAt = b.now
 		b.do(&EndpointList{Kind: ListComplete, Backends: cold})
-		x, n := b.g.backendsByID["a"], 0
+		x, n := b.g.endpoints.byID["a"], 0
 		_, warm := b.g.usableSubset()
 		for range 20000 {
 			x.observedAt, x.relativeLoad = b.now, load
@@ -1278,14 +1279,14 @@
 		set := settings()
 		set.Limiters = c.gateways
 		b := newBench(t, set, fleet("a", "b", "c", "d", "e", "f", "g", "h", "i", "j")...)
-		r := &request{Request: &Request{}, class: b.g.classes[0], customer: b.g.lookupCustomer(&Request{Customer: "x", Plan: "free"})}
+		r := &request{Request: &Request{}, class: b.g.classes.all[0], customer: b.g.lookupCustomer(&Request{Customer: "x", Plan: "free"})}
 		idlest := 0
 		for range 5000 {
-			for _, x := range b.g.backends {
+			for _, x := range b.g.endpoints.listed {
 				x.observedAt, x.relativeLoad, x.samples = b.now, 2, 0
 			}
-			b.g.backends[3].relativeLoad = 1
-			if b.g.selectBackend(r) == b.g.backends[3] {
+			b.g.endpoints.listed[3].relativeLoad = 1
+			if b.g.selectBackend(r) == b.g.endpoints.listed[3] {
 				idlest++
 			}
 		}
@@ -1310,7 +1311,7 @@
 		for self := range c.gateways {
 			set.Self = self
 			b := newBench(t, set, fleet(ids...)...)
-			r := &request{Request: &Request{}, class: b.g.classes[0], customer: b.g.lookupCustomer(&Request{Customer: "x", Plan: "free"})}
+			r := &request{Request: &Request{}, class: b.g.classes.all[0], customer: b.g.lookupCustomer(&Request{Customer: "x", Plan: "free"})}
 			used := map[string]bool{}
 			for range 400 {
 				used[b.g.selectBackend(r).ID] = true
@@ -1320,7 +1321,7 @@
 			}
 			for id := range used {
 				shared[id]++
-				b.g.eject(b.g.backendsByID[id])
+				b.g.eject(b.g.endpoints.byID[id])
 			}
 			if self == 0 && c.backends > c.most && used[b.g.selectBackend(r).ID] {
 				t.Error("went on with an ejected backend")
@@ -1353,7 +1354,7 @@
 			probes += len(only[ProbeBackend](b.take()))
 		}
 		each := 10.0 / float64(gateways)
-		if most := 1 + each*10/(probeRound*b.g.longestObjective.Seconds()); float64(probes) > most+1 || probes == 0 {
+		if most := 1 + each*10/(probeRoundObjectives*b.g.classes.longestObjective.Seconds()); float64(probes) > most+1 || probes == 0 {
 			t.Errorf("%d gateways: one probed %d times in 10 s, want %.1f at most", gateways, probes, most)
 		}
 	}
@@ -1361,7 +1362,7 @@
 
 // A gateway that leaves tells each other once in a large tier: in a release many leave at once.
 func TestLeavingALargeTier(t *testing.T) {
-	for _, c := range []struct{ gateways, most int }{{3, 2 * leaveTold}, {80, 79}} {
+	for _, c := range []struct{ gateways, most int }{{3, 2 * shutdownNotices}, {80, 79}} {
 		set := settings()
 		set.Limiters = c.gateways
 		b := newBench(t, set)
@@ -1441,7 +1442,7 @@
 		at := only[StartAttempt](b.take())[0].Backend
 		b.now += 50 * ms
 		b.do(&PeerMessage{From: 7, Data: gossip.Message{Epoch: 5, Seq: 1, Observations: []gossip.Observation{
-			{Backend: b.g.backendsByID[at].gossipKey, Load: 128, FailureRate: fails},
+			{Backend: b.g.endpoints.byID[at].gossipKey, Load: 128, FailureRate: fails},
 		}}.Append(nil)})
 		b.pass(120 * ms)
 		if off := len(only[CancelAttempt](b.take())); (off > 0) != (fails > 0) {
--- /dev/null
+++ b/internal/admission/recovery.go
@@ -0,0 +1,47 @@
+package admission
+
+import "math"
+
+// This file decides when an ejected backend gets a recovery attempt, and when it is in use again.
+
+const (
+	// recoveredFailureRate is the failure rate below which an ejected backend is in use again.
+	recoveredFailureRate = 0.15
+	// recoveryObjectives is the time in longest objectives until the first recovery attempt. It
+	// doubles with each ejection in a row, maxRecoveryDoublings times at most.
+	recoveryObjectives   = 0.5
+	maxRecoveryDoublings = 4
+	// recoveryLimiters is how many limiters make recovery attempts at that pace: all limiters together
+	// try a backend as often as so many would alone, as the one that finds it well tells the others.
+	recoveryLimiters = 8.0
+)
+
+// eject leaves a backend to recovery attempts, the first after a backoff that chance spreads.
+func (ctl *Controller) eject(b *backend) {
+	if b.ejectedUntil > ctl.now {
+		return
+	}
+	doublings := min(b.consecutiveEjections, maxRecoveryDoublings)
+	backoff := recoveryObjectives * ctl.classes.longestObjective.Seconds() * float64(int(1)<<doublings)
+	if !ctl.recoveryLeased() {
+		backoff *= max(ctl.limitersPerBackend()/recoveryLimiters, 1)
+	}
+	backoff *= (1 + ctl.random.Float64()) / 1.5 // two thirds to four thirds of it
+	b.ejectedUntil = ctl.now + seconds(backoff)
+	b.consecutiveEjections++
+}
+
+// recoverIfHealthy puts an ejected backend to use again once its failure rate has fallen.
+func (b *backend) recoverIfHealthy() {
+	if b.ejected() && b.failureRate < recoveredFailureRate {
+		b.ejectedUntil, b.consecutiveEjections = 0, 0
+	}
+}
+
+// recoveryDue reports whether an ejected backend should get a recovery attempt now, by this limiter.
+func (ctl *Controller) recoveryDue(b *backend) bool {
+	return b.ejected() && ctl.now >= b.ejectedUntil && ctl.now < ctl.recoveryUntil
+}
+
+// recoveryLeased reports whether one limiter makes the recovery attempts for all.
+func (ctl *Controller) recoveryLeased() bool { return ctl.recoveryUntil != math.MaxInt64 }
--- /dev/null
+++ b/internal/admission/request.go
@@ -0,0 +1,126 @@
+package admission
+
+import (
+	"slices"
+	"time"
+)
+
+// request is a request that is not over or has an attempt out. It is queued (admitted, waits for the
+// window), or waits for a grant of its customer's quota, or has an attempt at a backend, or waits for
+// a backend that its retry may use.
+type request struct {
+	*Request
+	class       *requestClass
+	customer    *customer
+	receivedAt  time.Duration // clock time
+	usefulUntil time.Duration // clock time after which an answer is worth little
+	deadline    time.Duration // clock time at which the client stops waiting
+
+	queued     bool // admitted, with units reserved, and no attempt yet
+	ended      bool // answered, or the client has gone
+	responding bool // the client is being sent a response
+
+	attempts    int        // made so far
+	attemptedAt []*backend // by attempt
+	backend     *backend   // where an attempt is out; nil for none
+	sentAt      time.Duration
+	openAtSend  int  // attempts out at the backend when it was sent, itself included
+	canceled    bool // the attempt that is out has been canceled
+	ageRecorded bool // the attempt that is out was measured by its age
+
+	retryPrepaid bool // the retry after a canceled attempt has been paid for
+
+	// mayHaveRunOn is the backend of the first attempt that may have run, nil for none, and
+	// mayHaveRunFrom the clock time at which it was sent.
+	mayHaveRunOn   *backend
+	mayHaveRunFrom time.Duration
+}
+
+// startAt records that an attempt starts at a backend.
+func (r *request) startAt(b *backend, now time.Duration) {
+	r.customer.inFlight++
+	b.open = append(b.open, r)
+	r.backend = b
+	r.sentAt = now
+	r.openAtSend = len(b.open)
+	r.canceled = false
+	r.ageRecorded = false
+	r.attemptedAt = append(r.attemptedAt, b)
+	r.attempts++
+}
+
+// finishAttempt records that the attempt that is out has ended, and returns its backend.
+func (r *request) finishAttempt() *backend {
+	b := r.backend
+	r.backend = nil
+	b.open = slices.DeleteFunc(b.open, func(o *request) bool { return o == r })
+	r.customer.inFlight--
+	return b
+}
+
+// cancelable reports whether the attempt that is out may be canceled.
+func (ctl *Controller) cancelable(r *request) bool {
+	return ctl.settings.MayCancel && !r.ended && !r.canceled && !r.responding
+}
+
+// cancelAttempt asks for the end of the attempt that is out.
+func (ctl *Controller) cancelAttempt(r *request) {
+	r.canceled = true
+	ctl.emit(CancelAttempt{Request: r.ID, Attempt: r.attempts - 1})
+}
+
+// endUnserved answers a request that no backend served: it rejects the request where a new try of the
+// client does no harm, and fails it where it may have run.
+func (ctl *Controller) endUnserved(r *request) {
+	if r.retryByClientIsHarmless() {
+		ctl.emit(Reject{Request: r.ID, RetryAfter: ctl.settings.MaxRetryAfter})
+	} else {
+		ctl.emit(Fail{Request: r.ID})
+	}
+	ctl.recordCompletion(r)
+	ctl.release(r)
+}
+
+// retryByClientIsHarmless reports whether the client may send the request again without its running
+// twice with effect. A new try of the client can go to any backend.
+func (r *request) retryByClientIsHarmless() bool {
+	switch r.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentByKey:
+		if r.class.IdempotencyScope == ScopeAll && r.backend == nil {
+			return true
+		}
+	}
+	return r.mayHaveRunOn == nil && r.backend == nil
+}
+
+// release ends a request and returns what it reserved of its quota. It is forgotten once no attempt
+// of it is out.
+func (ctl *Controller) release(r *request) {
+	if r.queued {
+		r.queued = false
+		r.customer.queued--
+		ctl.syncSlots(r.customer)
+		ctl.customers.ledger.Refund(r.customer.account, r.Units, ctl.now)
+	}
+	if r.backend != nil && ctl.cancelable(r) {
+		ctl.cancelAttempt(r)
+	}
+	r.ended = true
+	if r.backend == nil {
+		delete(ctl.requests, r.ID)
+	}
+}
+
+// RejectionCounts counts the requests that were ended without an answer of a backend, by cause. The
+// tags are read by scripts.
+type RejectionCounts struct {
+	OverQuota        uint64 `json:"beyond"` // beyond the quota or ceiling, as far as was known
+	WindowFull       uint64 `json:"full"`   // the window was full and the queue too long
+	QueueTimeout     uint64 `json:"held"`   // queued until no answer could be in time
+	RetriesExhausted uint64 `json:"tried"`  // attempted, and not to be retried
+}
+
+// Rejections returns the counts since the start.
+func (ctl *Controller) Rejections() RejectionCounts { return ctl.rejections }
--- /dev/null
+++ b/internal/admission/selection.go
@@ -0,0 +1,178 @@
+package admission
+
+import (
+	"math"
+	"slices"
+)
+
+// This file decides at which backend an attempt is made: the one expected to answer soonest, of a few
+// that are looked at. Each limiter looks at a small random choice out of its subset of the backends
+// (endpoints.go): hundreds of limiters that know the same would all rush to the best one, and one that
+// spread few requests over all backends would open a connection for nearly each.
+
+const (
+	// minChoices is how many backends are looked at, at least.
+	minChoices = 3
+	// choicesOfTier is how many are looked at by all limiters together, per backend, in a small tier.
+	choicesOfTier = 4.0
+	// priorResponses is how many own responses of a backend weigh as much as what limiters tell of it.
+	priorResponses = 3.0
+	// unseenLatencyFactor is the latency of a backend not used for long, over the median: it looks a
+	// little better and is tried.
+	unseenLatencyFactor = 0.8
+	// failureCost is how many times more a wholly failing backend costs, beyond its latency.
+	failureCost = 4.0
+	// ejectedCost and triedCost are added to a cost: an ejected backend is used only when there is
+	// nothing else, one that was tried for the request already only before that.
+	ejectedCost = 1e6
+	triedCost   = 1e3
+	// goodEnoughCost is the cost from which on the search goes on beyond the first choices: it is
+	// reached only by what triedCost or ejectedCost was added to.
+	goodEnoughCost = 1e2
+	// responsesUnseen stands for attempts at a backend that this limiter does not see, in the latency
+	// per attempt: without them a backend with one attempt would look worse than any busy one.
+	responsesUnseen = 2.0
+	// latencyPerAttemptWeight is the least weight of one response in the latency per attempt.
+	latencyPerAttemptWeight = 0.1
+)
+
+// choice is the state of one search for a backend.
+type choice struct {
+	best    *backend
+	cost    float64  // of best
+	warm    bool     // an eligible backend that is not warming up was met
+	warmest *backend // of the eligible ones that are warming up; nil for none
+}
+
+// selectBackend returns the backend for the next attempt of a request, nil if none may be used now.
+func (ctl *Controller) selectBackend(r *request) *backend {
+	usable, capacity := ctl.usableSubset()
+	choices := ctl.choices(usable)
+	from := ctl.random.IntN(max(usable, 1))
+	c := choice{cost: math.Inf(1)}
+	for i := range ctl.endpoints.listed {
+		if i >= choices && c.warm && c.cost <= goodEnoughCost {
+			break
+		}
+		b := ctl.endpoints.listed[i]
+		if i < usable {
+			b = ctl.endpoints.listed[(from+i)%usable]
+		}
+		if ctl.eligible(r, b) && ctl.considerWarmUp(&c, b, i, choices, usable, capacity) {
+			ctl.consider(&c, r, b)
+		}
+	}
+	if !c.warm && c.warmest != nil {
+		return ctl.selectWarmingUp(c.warmest, usable, capacity)
+	}
+	return c.best
+}
+
+// choices is how many of the usable backends are looked at before the best of them is taken.
+func (ctl *Controller) choices(usable int) int {
+	ofTier := int(choicesOfTier * float64(usable) / float64(ctl.settings.Limiters))
+	return min(max(ofTier, minChoices), usable)
+}
+
+// eligible reports whether an attempt of a request may go to a backend at all.
+func (ctl *Controller) eligible(r *request, b *backend) bool {
+	return ctl.deduplicates(r, b) && b.rejectedUntil[ctl.rejectionKind(r)] <= ctl.now
+}
+
+// considerWarmUp notes whether an eligible backend is warming up, and reports whether it may be
+// considered: one that is only among the first choices, and as often as slow start allows.
+func (ctl *Controller) considerWarmUp(c *choice, b *backend, index, choices, usable int, capacity float64) bool {
+	fraction := ctl.warmUpFraction(b)
+	if fraction == 1 {
+		c.warm = true
+		return true
+	}
+	if c.warmest == nil || ctl.warmUpFraction(c.warmest) < fraction {
+		c.warmest = b
+	}
+	return index < choices && ctl.admitsWarmingUp(b, choices, usable, capacity)
+}
+
+// consider takes a backend if it costs less than the best so far.
+func (ctl *Controller) consider(c *choice, r *request, b *backend) {
+	cost := ctl.backendCost(b) * ctl.costNoise()
+	switch {
+	case ctl.recoveryDue(b) && len(b.open) == 0 && r.class.Idempotency == Idempotent && r.attempts == 0:
+		cost = 0 // one idempotent request at a time: at low load it would never be tried
+	case b.ejected():
+		cost += ejectedCost
+	case slices.Contains(r.attemptedAt, b):
+		cost += triedCost
+	}
+	if cost < c.cost {
+		c.best, c.cost = b, cost
+	}
+}
+
+// backendCost is the latency to expect of a backend, in mean latencies of the class: by own responses
+// as far as they are fresh, else by the median and by what limiters tell of its load, for each attempt
+// that would then be out there.
+func (ctl *Controller) backendCost(b *backend) float64 {
+	own := ctl.freshness(b)
+	own *= b.samples * own / (b.samples*own + priorResponses) // one response tells little: work differs
+	told := ctl.gossipFreshness(b)
+	unseen := unseenLatencyFactor * ctl.endpoints.medianLatency * (1 + told*(b.relativeLoad-1))
+	cost := (unseen*(1-own) + b.latencyPerAttempt*own) * float64(len(b.open)+1)
+	cost /= told + (1-told)*ctl.warmUpFraction(b) // what is told includes that it warms up
+	cost *= ctl.oldestAttemptFactor(b)
+	return cost * (1 + failureCost*b.failureRate*max(own, told))
+}
+
+// oldestAttemptFactor raises the cost of a backend whose oldest attempt is late: its age bounds the
+// latency from below, as the backend may take requests and never answer.
+func (ctl *Controller) oldestAttemptFactor(b *backend) float64 {
+	if len(b.open) == 0 {
+		return 1
+	}
+	oldest := b.open[0]
+	late := stuckLatencies / 2 * max(oldest.class.meanLatency, minSeconds)
+	return max((ctl.now-oldest.sentAt).Seconds()/late, 1)
+}
+
+// costNoise is a random factor on costs in a large tier. With all of it, backends are taken in
+// proportion to one over their cost: limiters that know the same, a little late, would otherwise all
+// take the same one and then all another.
+func (ctl *Controller) costNoise() float64 {
+	exponent := min(max(float64(ctl.settings.Limiters)/activePeers-1, 0), 1)
+	return math.Pow(ctl.random.ExpFloat64(), exponent)
+}
+
+// freshness is how much of what was seen of a backend still counts, 0 to 1.
+func (ctl *Controller) freshness(b *backend) float64 {
+	age := (ctl.now - b.lastResponseAt).Seconds()
+	return math.Exp(-age / (memoryObjectives * ctl.control.memorySeconds))
+}
+
+// recordLatencyPerAttempt takes a response into what a backend takes per attempt, in mean latencies of
+// the class. What is known of a backend that was not used for long gives way to the new response.
+func (ctl *Controller) recordLatencyPerAttempt(b *backend, r *request, latency float64) {
+	relative := (1 + responsesUnseen) * latency / max(r.class.meanLatency, minMeanLatency)
+	perAttempt := relative / (float64(r.openAtSend) + responsesUnseen)
+	b.samples = b.samples*ctl.freshness(b) + 1
+	weight := max(latencyPerAttemptWeight, 1/b.samples)
+	bound := spikeFactor * spikeFactor * b.latencyPerAttempt
+	b.latencyPerAttempt += weight * (min(perAttempt, bound) - b.latencyPerAttempt)
+	b.lastResponseAt = ctl.now
+}
+
+// minMeanLatency keeps a mean latency in seconds that is divided by from being zero.
+const minMeanLatency = 1e-6
+
+// measureMedianLatency is the latency per attempt of an ordinary backend.
+func (ctl *Controller) measureMedianLatency() float64 {
+	listed := ctl.endpoints.listed
+	if len(listed) == 0 {
+		return 1
+	}
+	latencies := make([]float64, 0, len(listed))
+	for _, b := range listed {
+		latencies = append(latencies, b.latencyPerAttempt)
+	}
+	slices.Sort(latencies)
+	return latencies[len(latencies)/2]
+}
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -13,60 +13,72 @@
 	"lemongate/internal/quota"
 )
 
-// This file moves what a Gateway remembers to the one of another process, which takes over
-// from it. The stored form is in snapshot_state.go.
+// This file hands what a Controller knows over to that of another process of the same limiter. The
+// stored form is in snapshot_state.go.
 
-// stateCodec reads and writes snapshots. Field names count in their case: names of one type
-// differ by that alone.
+// Errors of Snapshot and Resume.
+var (
+	// ErrNotStarted means that no event has come yet, so there is nothing to store.
+	ErrNotStarted = errors.New("snapshot: not started")
+	// ErrOtherSettings means that a snapshot was taken under settings that decide otherwise.
+	ErrOtherSettings = errors.New("snapshot: of other settings")
+	// ErrIncomplete means that a part of a snapshot is missing.
+	ErrIncomplete = errors.New("snapshot: incomplete")
+)
+
+// stateCodec reads and writes snapshots. Field names count in their case.
 var stateCodec = jsoniter.Config{SortMapKeys: true, CaseSensitive: true}.Froze()
 
-// A snapshot is what goes over.
+// snapshot is what one process hands over to the next.
 type snapshot struct {
-	Fingerprint uint64        `json:"Print"` // of the settings: under others the state means nothing
+	Fingerprint uint64        `json:"Print"` // of the settings
 	Epoch       uint32        `json:"Epoch"`
 	Limiter     *limiterState `json:"Gateway"`
 }
 
-// Snapshot packs what this Gateway remembers. Requests do not go with it: those that wait
-// have to be withdrawn first (Gone), what is out is for Adopted. It says nothing new to its
-// peers from here on, and must not be asked to admit again but after Renewed.
-func (g *Controller) Snapshot() ([]byte, error) {
-	if !g.started {
-		return nil, errors.New("snapshot: nothing has come yet")
+// Snapshot returns what this Controller knows, for Resume in another process. Requests are not part of
+// it: those that wait have to be withdrawn before (RequestEnded), and attempts that are out are for
+// AttemptAdopted. The Controller must not be handed requests any more after it, except after an
+// EpochRenewed. The error is ErrNotStarted, or that a value has no stored form.
+func (ctl *Controller) Snapshot() ([]byte, error) {
+	if !ctl.started {
+		return nil, ErrNotStarted
 	}
-	state := newLimiterState(g)
-	data, err := stateCodec.Marshal(snapshot{Fingerprint: fingerprint(g.settings), Epoch: g.settings.Epoch, Limiter: &state})
+	state := newLimiterState(ctl)
+	data, err := stateCodec.Marshal(snapshot{
+		Fingerprint: fingerprint(ctl.settings), Epoch: ctl.settings.Epoch, Limiter: &state,
+	})
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	return data, nil
 }
 
-// Resume returns a Gateway that goes on where the one of a snapshot stood, in its epoch, so
-// that its peers see no restart. Settings that decide otherwise than those of the snapshot
-// are an error: rights that were cut by others would be counted wrong.
+// Resume returns a Controller that goes on where that of a snapshot stood, in its epoch, so that other
+// limiters see no restart. The error is ErrOtherSettings where allocations were cut by other settings
+// and would be counted wrong, ErrIncomplete, or that the data cannot be read.
 func Resume(set Settings, seed uint64, data []byte) (*Controller, error) {
-	g := New(set, seed)
-	state := newLimiterState(g) // a field that is not stored keeps the value of a start
+	ctl := New(set, seed)
+	state := newLimiterState(ctl) // a field that is not stored keeps the value of a start
 	s := snapshot{Limiter: &state}
 	if err := stateCodec.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	switch {
 	case s.Fingerprint != fingerprint(set):
-		return nil, errors.New("snapshot: of other settings")
+		return nil, ErrOtherSettings
 	case s.Limiter == nil || s.Limiter.Ledger == nil || len(s.Limiter.Classes) != len(set.Classes):
-		return nil, errors.New("snapshot: not whole")
+		return nil, ErrIncomplete
 	}
-	s.Limiter.restore(g)
-	g.settings.Epoch = s.Epoch
-	g.ledger = quota.Restore(*s.Limiter.Ledger, g.quotaConfig())
-	g.relink()
-	return g, nil
+	s.Limiter.restore(ctl)
+	ctl.settings.Epoch = s.Epoch
+	ctl.customers.ledger = quota.Restore(*s.Limiter.Ledger, ctl.quotaConfig())
+	ctl.deriveState()
+	return ctl, nil
 }
 
-// fingerprint tells settings apart by all that decides. Other releases compare it with their own:
-// it is taken of a stored form, whose names do not change.
+// fingerprint tells settings apart by all that decides. Other releases compare it with their own, so it
+// is taken of a stored form, whose names do not change.
 func fingerprint(set Settings) uint64 {
 	set.Epoch = 0
 	h := fnv.New64a()
@@ -74,105 +86,81 @@
 	return h.Sum64()
 }
 
-// relink builds what follows from the rest.
-func (g *Controller) relink() {
-	clear(g.classesByName)
-	g.classesByWeight = slices.Clone(g.classes)
-	for _, c := range g.classes {
-		g.classesByName[c.Name] = c
-	}
-	slices.SortStableFunc(g.classesByWeight, func(a, b *requestClass) int {
-		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.LatencyObjective, b.LatencyObjective))
+// deriveState builds what follows from the state that was stored.
+func (ctl *Controller) deriveState() {
+	ctl.classes.index()
+	ctl.customers.order = slices.DeleteFunc(ctl.customers.order, func(c *customer) bool {
+		return !ctl.relinkCustomer(c)
 	})
-	g.customerOrder = slices.DeleteFunc(g.customerOrder, func(c *customer) bool {
-		if c.planIndex >= len(g.settings.Plans) { // of none of the settings: its requests are all that there is of it
-			return true
-		}
-		c.plan, c.queued, c.inFlight = &g.settings.Plans[c.planIndex], 0, 0
-		if c.account = g.ledger.Find(hashOf(c.name), c.planIndex, c.firstLimiter, c.setSize); c.account == nil {
-			return true
-		}
-		g.syncSlots(c)
-		g.customers[customerKey{c.name, c.plan.Name}] = c
+	ctl.derivePending()
+	ctl.mergeEndpoints(&EndpointList{Kind: ListDelta})
+	ctl.timer.at, ctl.timer.dueAt = math.MaxInt64, ctl.now // the first event asks for the timer
+}
+
+// relinkCustomer finds the plan and the account of a customer that was stored, and reports whether it
+// is kept. Of one whose plan the settings do not have, its requests were all there is.
+func (ctl *Controller) relinkCustomer(c *customer) bool {
+	if c.planIndex >= len(ctl.settings.Plans) {
 		return false
-	})
-	for _, b := range g.backendsByID {
+	}
+	c.plan, c.queued, c.inFlight = &ctl.settings.Plans[c.planIndex], 0, 0
+	c.account = ctl.customers.ledger.Find(hashOf(c.name), c.planIndex, c.firstLimiter, c.setSize)
+	if c.account == nil {
+		return false
+	}
+	ctl.syncSlots(c)
+	ctl.customers.byKey[customerKey{c.name, c.plan.Name}] = c
+	return true
+}
+
+// derivePending finds what is still to be told to other limiters.
+func (ctl *Controller) derivePending() {
+	g := &ctl.gossip
+	for _, b := range ctl.endpoints.byID {
 		if b.gossipRepeats > 0 {
-			g.pendingObservations = append(g.pendingObservations, b)
+			g.pending = append(g.pending, b)
 		}
 	}
-	slices.SortFunc(g.pendingObservations, func(a, b *backend) int {
+	slices.SortFunc(g.pending, func(a, b *backend) int {
 		return cmp.Or(cmp.Compare(a.observedAt, b.observedAt), cmp.Compare(a.ID, b.ID))
 	})
 	for _, p := range g.peers {
 		if p.queued {
-			g.queuedPeers = append(g.queuedPeers, p)
+			g.queued = append(g.queued, p)
 		}
 	}
-	slices.SortFunc(g.queuedPeers, func(a, b *peer) int { return cmp.Compare(a.number, b.number) })
-	g.mergeEndpoints(&EndpointList{Kind: ListDelta})
-	g.timerAt, g.nextDueAt = math.MaxInt64, g.now // the first event asks for the timer
-}
-
-// AttemptAdopted tells of an attempt that another process has out for this gateway's customers: it
-// counts at its backend and among its customer's places until its Outcome.
-type AttemptAdopted struct {
-	Request
-	Attempt int
-	Backend string
+	slices.SortFunc(g.queued, func(a, b *peer) int { return cmp.Compare(a.number, b.number) })
 }
 
-// EpochRenewed tells that another process stood in for this one, and what it granted is not
-// known: what is held of the stores is what a limiter holds that starts anew.
-type EpochRenewed struct{ Epoch uint32 }
-
-func (*AttemptAdopted) event() {}
-func (EpochRenewed) event()    {}
-
-// adopt books an attempt of another process.
-func (g *Controller) adopt(ev *AttemptAdopted) {
-	c, b := g.classesByName[ev.Class], g.backendsByID[ev.Backend]
-	if c == nil || b == nil {
-		return
-	}
-	r := g.requests[ev.ID]
-	if r == nil {
-		r = &request{Request: &ev.Request, class: c, customer: g.lookupCustomer(&ev.Request), receivedAt: g.now, ended: true}
-		g.requests[ev.ID] = r
-	}
-	if r.backend != nil {
-		r.finishAttempt()
-	}
-	r.attempts = ev.Attempt
-	r.startAt(b, g.now)
-	g.syncSlots(r.customer)
-}
-
-// renew starts the ledger anew.
-func (g *Controller) renew(epoch uint32) {
-	g.settings.Epoch = epoch
-	g.ledger = quota.New(g.quotaConfig(), g.now)
-	if !slices.Contains(g.settings.LoadReportFields, "util") {
-		g.ledger.Resolve(quota.TierStarted, g.now)
-	}
-	g.initialUtilizations = nil
-	for _, b := range g.backendsByID {
+// renewEpoch starts to hold quotas anew, in a new epoch. The requests that are out still count.
+func (ctl *Controller) renewEpoch(epoch uint32) {
+	ctl.settings.Epoch = epoch
+	ctl.startLedger()
+	ctl.reports.initialUtilizations = nil
+	for _, b := range ctl.endpoints.byID {
 		b.initialReportSeen = false
 	}
-	for _, p := range g.peers {
+	for _, p := range ctl.gossip.peers {
 		p.lastSentSeq = 0
 	}
-	g.customers, g.customerOrder = map[customerKey]*customer{}, nil
-	for _, r := range g.requests { // those that are out still count
-		c := r.customer
-		if key := (customerKey{c.name, c.plan.Name}); g.customers[key] == nil {
-			c.account = g.ledger.Account(c.account.CustomerHash, c.planIndex, c.firstLimiter, c.setSize, g.now)
-			g.customers[key], g.customerOrder = c, append(g.customerOrder, c)
-			g.syncSlots(c)
-		}
+	ctl.customers.byKey, ctl.customers.order = map[customerKey]*customer{}, nil
+	for _, r := range ctl.requests {
+		ctl.readoptCustomer(r.customer)
 	}
-	slices.SortFunc(g.customerOrder, func(a, b *customer) int {
+	slices.SortFunc(ctl.customers.order, func(a, b *customer) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.plan.Name, b.plan.Name))
 	})
-	g.announceToPeers()
+	ctl.announceToPeers()
+}
+
+// readoptCustomer gives a customer whose requests are out an account in a new ledger.
+func (ctl *Controller) readoptCustomer(c *customer) {
+	key := customerKey{c.name, c.plan.Name}
+	if ctl.customers.byKey[key] != nil {
+		return
+	}
+	c.account = ctl.customers.ledger.Account(c.account.CustomerHash, c.planIndex, c.firstLimiter, c.setSize, ctl.now)
+	ctl.customers.byKey[key] = c
+	ctl.customers.order = append(ctl.customers.order, c)
+	ctl.syncSlots(c)
 }
--- a/internal/admission/snapshot_state.go
+++ b/internal/admission/snapshot_state.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/rate"
 )
 
-// This file is the stored form of a Gateway, and the one place where it is mapped to the live
+// This file is the stored form of a Controller, and the one place where it is mapped to the live
 // types. The field tags are a format that other releases read; a live field may be renamed freely.
 
 func ledgerState(l *quota.Ledger) *quota.LedgerState {
@@ -19,7 +19,7 @@
 	return &state
 }
 
-// limiterState is the stored form of a Gateway, without what follows from its settings or from
+// limiterState is the stored form of a Controller, without what follows from its settings or from
 // other state, and without requests, which stay where they are.
 type limiterState struct {
 	Now                        time.Duration           `json:"now"`
@@ -52,7 +52,7 @@
 	PollDue                    bool                    `json:"watch"`
 }
 
-// classState is the stored form of a class.
+// classState is the stored form of a requestClass.
 type classState struct {
 	classSettingsState
 	Share              float64           `json:"share"`
@@ -135,7 +135,7 @@
 	Queued          bool          `json:"waits"`
 }
 
-// allowanceState is the stored form of a saved amount.
+// allowanceState is the stored form of a rate.Allowance.
 type allowanceState struct {
 	Amount    float64       `json:"amount"`
 	UpdatedAt time.Duration `json:"at"`
@@ -149,7 +149,7 @@
 	RetriesExhausted uint64 `json:"tried"`
 }
 
-// rateState is the stored form of a decayed rate.
+// rateState is the stored form of a rate.Decaying.
 type rateState struct {
 	Rate      float64       `json:"rate"`
 	UpdatedAt time.Duration `json:"at"`
@@ -198,65 +198,65 @@
 	return limiterState{
 		Now:                        x.now,
 		Started:                    x.started,
-		Classes:                    memento.List(x.classes, newClassState),
-		Backends:                   memento.Values(x.backendsByID, newBackendState),
-		MeanLoad:                   x.meanLoad,
-		Ledger:                     ledgerState(x.ledger),
-		Customers:                  memento.List(x.customerOrder, newCustomerState),
-		FirstRequestAt:             x.firstRequestAt,
-		Leaving:                    x.leaving,
-		InitialUtilizations:        x.initialUtilizations,
-		Peers:                      memento.Values(x.peers, newPeerState),
-		TransferRequestsPacedUntil: x.transferRequestsPacedUntil,
-		MessagesPacedUntil:         x.messagesPacedUntil,
-		NextObservationsAt:         x.nextObservationsAt,
-		UrgentUntil:                x.urgentUntil,
-		ProbeAllowance:             newAllowanceState(x.probeAllowance),
+		Classes:                    memento.List(x.classes.all, newClassState),
+		Backends:                   memento.Values(x.endpoints.byID, newBackendState),
+		MeanLoad:                   x.reports.meanLoad,
+		Ledger:                     ledgerState(x.customers.ledger),
+		Customers:                  memento.List(x.customers.order, newCustomerState),
+		FirstRequestAt:             x.customers.firstRequestAt,
+		Leaving:                    x.customers.leaving,
+		InitialUtilizations:        x.reports.initialUtilizations,
+		Peers:                      memento.Values(x.gossip.peers, newPeerState),
+		TransferRequestsPacedUntil: x.gossip.requestsPacedUntil,
+		MessagesPacedUntil:         x.gossip.messagesPacedUntil,
+		NextObservationsAt:         x.gossip.nextObservationsAt,
+		UrgentUntil:                x.gossip.urgentUntil,
+		ProbeAllowance:             newAllowanceState(x.reports.probes),
 		Rejections:                 newRejectionsState(x.rejections),
-		NextControlAt:              x.nextControlAt,
-		FractionalWindow:           newAllowanceState(x.fractionalWindow),
-		SlowStartAllowance:         newAllowanceState(x.slowStartAllowance),
-		WindowScale:                x.windowScale,
-		UpstreamPressure:           x.upstreamPressure,
-		QuotaRate:                  x.quotaRate,
-		MedianLatencyPerAttempt:    x.medianLatencyPerAttempt,
-		WindowWasFull:              x.windowWasFull,
-		RetryTokens:                x.retryTokens,
-		AttemptRate:                newRateState(x.attemptRate),
-		PollDue:                    x.pollDue,
+		NextControlAt:              x.control.nextAt,
+		FractionalWindow:           newAllowanceState(x.window.fraction),
+		SlowStartAllowance:         newAllowanceState(x.slowStart),
+		WindowScale:                x.window.scale,
+		UpstreamPressure:           x.window.pressure,
+		QuotaRate:                  x.window.quotaRate,
+		MedianLatencyPerAttempt:    x.endpoints.medianLatency,
+		WindowWasFull:              x.window.wasFull,
+		RetryTokens:                x.retries.tokens,
+		AttemptRate:                newRateState(x.window.attemptRate),
+		PollDue:                    x.endpoints.pollDue,
 	}
 }
 
-// restore puts the state into a Gateway that knows its settings alone. The ledger needs the
+// restore puts the state into a Controller that knows its settings alone. The ledger needs the
 // configuration and is restored apart.
-func (s limiterState) restore(g *Controller) {
-	g.now = s.Now
-	g.started = s.Started
-	g.classes = memento.List(s.Classes, classState.restore)
-	g.backendsByID = memento.Values(s.Backends, backendState.restore)
-	g.meanLoad = s.MeanLoad
-	g.customerOrder = memento.List(s.Customers, customerState.restore)
-	g.firstRequestAt = s.FirstRequestAt
-	g.leaving = s.Leaving
-	g.initialUtilizations = s.InitialUtilizations
-	g.peers = memento.Values(s.Peers, peerState.restore)
-	g.transferRequestsPacedUntil = s.TransferRequestsPacedUntil
-	g.messagesPacedUntil = s.MessagesPacedUntil
-	g.nextObservationsAt = s.NextObservationsAt
-	g.urgentUntil = s.UrgentUntil
-	g.probeAllowance = s.ProbeAllowance.restore()
-	g.rejections = s.Rejections.restore()
-	g.nextControlAt = s.NextControlAt
-	g.fractionalWindow = s.FractionalWindow.restore()
-	g.slowStartAllowance = s.SlowStartAllowance.restore()
-	g.windowScale = s.WindowScale
-	g.upstreamPressure = s.UpstreamPressure
-	g.quotaRate = s.QuotaRate
-	g.medianLatencyPerAttempt = s.MedianLatencyPerAttempt
-	g.windowWasFull = s.WindowWasFull
-	g.retryTokens = s.RetryTokens
-	g.attemptRate = s.AttemptRate.restore()
-	g.pollDue = s.PollDue
+func (s limiterState) restore(ctl *Controller) {
+	ctl.now = s.Now
+	ctl.started = s.Started
+	ctl.classes.all = memento.List(s.Classes, classState.restore)
+	ctl.endpoints.byID = memento.Values(s.Backends, backendState.restore)
+	ctl.reports.meanLoad = s.MeanLoad
+	ctl.customers.order = memento.List(s.Customers, customerState.restore)
+	ctl.customers.firstRequestAt = s.FirstRequestAt
+	ctl.customers.leaving = s.Leaving
+	ctl.reports.initialUtilizations = s.InitialUtilizations
+	ctl.gossip.peers = memento.Values(s.Peers, peerState.restore)
+	ctl.gossip.requestsPacedUntil = s.TransferRequestsPacedUntil
+	ctl.gossip.messagesPacedUntil = s.MessagesPacedUntil
+	ctl.gossip.nextObservationsAt = s.NextObservationsAt
+	ctl.gossip.urgentUntil = s.UrgentUntil
+	ctl.reports.probes = s.ProbeAllowance.restore()
+	ctl.rejections = s.Rejections.restore()
+	ctl.control.nextAt = s.NextControlAt
+	ctl.window.fraction = s.FractionalWindow.restore()
+	ctl.slowStart = s.SlowStartAllowance.restore()
+	ctl.window.scale = s.WindowScale
+	ctl.window.pressure = s.UpstreamPressure
+	ctl.window.quotaRate = s.QuotaRate
+	ctl.endpoints.medianLatency = s.MedianLatencyPerAttempt
+	ctl.window.wasFull = s.WindowWasFull
+	ctl.retries.tokens = s.RetryTokens
+	ctl.window.attemptRate = s.AttemptRate.restore()
+	ctl.endpoints.pollDue = s.PollDue
 }
 
 func newClassState(x *requestClass) classState {
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -40,8 +40,8 @@
 			if err != nil || string(first) != string(second) {
 				t.Errorf("%d gateways, number %d: %d bytes, then %d, %v", gateways, i, len(first), len(second), err)
 			}
-			if h.settings.Epoch != g.settings.Epoch || len(h.customers) != len(g.customers) || len(h.customerOrder) != len(h.customers) ||
-				len(h.backends) != len(g.backends) || len(h.backendsByGossipKey) != len(g.backendsByGossipKey) || len(h.queuedPeers) != len(g.queuedPeers) {
+			if h.settings.Epoch != g.settings.Epoch || len(h.customers.byKey) != len(g.customers.byKey) || len(h.customers.order) != len(h.customers.byKey) ||
+				len(h.endpoints.listed) != len(g.endpoints.listed) || len(h.endpoints.byGossipKey) != len(g.endpoints.byGossipKey) || len(h.gossip.queued) != len(g.gossip.queued) {
 				t.Errorf("%d gateways, number %d: built otherwise", gateways, i)
 			}
 			other := g.settings
@@ -115,7 +115,7 @@
 			Request: Request{ID: RequestID(1000 + i), Class: "read", Plan: "open", Customer: "x", Units: 1, SetSize: 1}, Backend: "b1",
 		})
 	}
-	if n := len(b.g.backendsByID["b1"].open); n != 2 {
+	if n := len(b.g.endpoints.byID["b1"].open); n != 2 {
 		t.Errorf("%d attempts out", n)
 	}
 	b.take()
@@ -127,12 +127,12 @@
 	// A further attempt of one takes the place of its first.
 	b.do(&AttemptAdopted{Request: Request{ID: 1000, Class: "read", Plan: "open", Customer: "x", Units: 1, SetSize: 1}, Attempt: 1, Backend: "b2"})
 	b.do(&AttemptFinished{Request: 1000, Attempt: 0, Backend: "b1", Result: Unreachable})
-	if len(b.g.backendsByID["b1"].open) != 1 || len(b.g.backendsByID["b2"].open) != 1 {
+	if len(b.g.endpoints.byID["b1"].open) != 1 || len(b.g.endpoints.byID["b2"].open) != 1 {
 		t.Error("a further attempt did not take the place of the first")
 	}
 	b.do(&AttemptFinished{Request: 1000, Attempt: 1, Backend: "b2", Result: Succeeded, Latency: ms})
 	b.do(&AttemptFinished{Request: 1001, Attempt: 0, Backend: "b1", Result: Canceled, Final: true})
-	if b.g.requests[1000] != nil || b.g.requests[1001] != nil || b.g.backendsByID["b1"].failureRate > 0 {
+	if b.g.requests[1000] != nil || b.g.requests[1001] != nil || b.g.endpoints.byID["b1"].failureRate > 0 {
 		t.Error("not over")
 	}
 	b.pass(500 * ms)
@@ -149,14 +149,14 @@
 	g := w.gates[0]
 	before := g.settings.Epoch
 	g.Handle(g.now, EpochRenewed{Epoch: before + 9}, nil)
-	if g.settings.Epoch != before+9 || g.ledger.Config.Epoch != before+9 || len(g.customers) > len(g.requests) {
-		t.Errorf("epoch %d, customers %d", g.settings.Epoch, len(g.customers))
+	if g.settings.Epoch != before+9 || g.customers.ledger.Config.Epoch != before+9 || len(g.customers.byKey) > len(g.requests) {
+		t.Errorf("epoch %d, customers %d", g.settings.Epoch, len(g.customers.byKey))
 	}
 	for range 500 {
 		w.step()
 		w.ask(0, "small")
 	}
-	if p := w.gates[1].peers[0]; p.epoch != before+9 {
+	if p := w.gates[1].gossip.peers[0]; p.epoch != before+9 {
 		t.Errorf("the peers still see epoch %d", p.epoch)
 	}
 }
--- /dev/null
+++ b/internal/admission/window.go
@@ -0,0 +1,137 @@
+package admission
+
+import "lemongate/internal/rate"
+
+// This file decides how many attempts may be out at once: the concurrency window. Its usual size
+// follows from the quotas served here, by Little's law; the control loop scales it by how attempts
+// meet their backend targets.
+
+const (
+	// windowStartPerBackend is the usual window, in attempts of all limiters together per usable
+	// backend, while few customers have been met.
+	windowStartPerBackend = 5.0
+	// windowSlack is added to the usual window: with few requests some coincide by chance.
+	windowSlack = 2.0
+	// windowFloorPerBackend is the least window, in attempts of all limiters together per backend.
+	windowFloorPerBackend = 2.0
+	// windowMinScale and windowMaxScale bound the scale of the usual window.
+	windowMinScale = 0.1
+	windowMaxScale = 4.0
+	// windowMinFactor and windowMaxFactor bound the change of the scale in one control period.
+	windowMinFactor = 0.4
+	windowMaxFactor = 1.4
+	// windowMinSamples is how many measured attempts tell how a class does: fewer are chance.
+	windowMinSamples = 10
+	// pressureWeight is how many measured attempts the pressure so far weighs as much as.
+	pressureWeight = 3.0
+	// memoryObjectives is the time, in longest objectives, after which what was measured of a
+	// backend that is not used, or of a customer that is not met, has faded to 1/e or is left out.
+	memoryObjectives = 5.0
+)
+
+// concurrencyWindow bounds the attempts that are out.
+type concurrencyWindow struct {
+	scale     float64 // of the usual size
+	quotaRate float64 // requests per second that the quotas served here allow
+	wasFull   bool    // at some time in this control period
+
+	// fraction is what a window under one has saved up for its next attempt.
+	fraction rate.Allowance
+	// attemptRate is the rate at which attempts are started.
+	attemptRate rate.Decaying
+	// pressure is the latency of attempts over their targets, here and at other limiters.
+	pressure float64
+}
+
+func newConcurrencyWindow() concurrencyWindow {
+	return concurrencyWindow{scale: 1, pressure: 1, fraction: rate.Allowance{Amount: 1}}
+}
+
+// windowSize is how many attempts may be out.
+func (ctl *Controller) windowSize() float64 {
+	backendsEach := float64(len(ctl.endpoints.listed)) / float64(ctl.settings.Limiters)
+	byQuotas := ctl.window.quotaRate * backendTargetFraction * ctl.classes.meanObjective
+	usual := max(byQuotas, windowStartPerBackend*backendsEach) + windowSlack
+	return max(usual*ctl.window.scale, windowFloorPerBackend*backendsEach)
+}
+
+// windowFull reports whether no attempt may be started now. Attempts at ejected backends do not
+// count, as they may never end. A window under one saves up for an attempt, which may start when none
+// is out: it would never open otherwise.
+func (ctl *Controller) windowFull() bool {
+	_, out := ctl.countUsable()
+	size := ctl.windowSize()
+	if size >= 1 {
+		ctl.window.fraction = rate.Allowance{Amount: 1, UpdatedAt: ctl.now}
+		return float64(out) >= size
+	}
+	perSecond := size / (backendTargetFraction * ctl.classes.meanObjective)
+	if ctl.window.fraction.Refill(ctl.now, perSecond, 1) < 1 {
+		missing := seconds((1 - ctl.window.fraction.Amount) / perSecond)
+		ctl.wakeBy(ctl.now + missing + ctl.settings.ClockResolution)
+	}
+	return ctl.window.fraction.Amount < 1 || out > 0
+}
+
+// scaleWindow changes the size of the window by the room that is left: below 1 attempts take longer
+// than their targets. It opens only if it was full.
+func (ctl *Controller) scaleWindow(room float64, measured bool) {
+	narrows := room < 1 && measured
+	widens := room >= 1 && ctl.window.wasFull
+	if narrows || widens {
+		factor := min(max(room, windowMinFactor), windowMaxFactor)
+		ctl.window.scale = min(max(ctl.window.scale*factor, windowMinScale), windowMaxScale)
+	}
+	ctl.window.wasFull = false
+}
+
+// measureQuotaRate adds up the requests per second that this limiter's part of the customers' quotas
+// allows.
+func (ctl *Controller) measureQuotaRate() {
+	ctl.window.quotaRate = 0
+	ctl.forgetIdleCustomers()
+	memory := seconds(memoryObjectives * ctl.classes.longestObjective.Seconds())
+	for _, c := range ctl.customers.order {
+		if c.setSize == 0 || ctl.now-c.lastSeen > memory {
+			continue
+		}
+		ctl.window.quotaRate += ctl.requestRate(c) / float64(c.setSize)
+	}
+}
+
+// requestRate is how many requests per second a customer's quota allows at all limiters: by its rate,
+// or by its slots at the time that an attempt should take.
+func (ctl *Controller) requestRate(c *customer) float64 {
+	if c.plan.Rate > 0 {
+		return c.plan.Rate / max(c.meanUnits, 1)
+	}
+	return float64(c.plan.MaxConcurrent) / max(ctl.classes.meanObjective*backendTargetFraction, minSeconds)
+}
+
+// minSeconds keeps times that are divided by from being zero.
+const minSeconds = 1e-3
+
+// measurePressure takes the attempts of a control period into the pressure: their latency against
+// what they should have taken. It is a mean over some attempts, as two in a period are chance.
+func (w *concurrencyWindow) measurePressure(attempts, latencySum, targetSum float64) {
+	weight := attempts / (attempts + pressureWeight)
+	w.pressure += weight * (latencySum/max(targetSum, 1e-9) - w.pressure)
+}
+
+// recordOpenAttempts measures attempts that have been out for longer than they should: in a jam
+// nothing is answered, and they would not be seen. Each counts once while answers of its class come
+// soon, as then it is the answer that was lost, and the window must not shut.
+func (ctl *Controller) recordOpenAttempts() {
+	for _, b := range ctl.endpoints.listed {
+		if b.ejected() {
+			continue
+		}
+		for _, r := range b.open {
+			age := (ctl.now - r.sentAt).Seconds()
+			if age > r.class.backendTarget() && (!r.ageRecorded || r.class.exceedsTarget()) {
+				r.ageRecorded = true
+				r.class.recordAttemptLatency(age)
+			}
+		}
+	}
+}
