--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -57,8 +57,8 @@
 // limitsRate reports whether units of a plan are counted.
 func (p *Plan) limitsRate() bool { return p.Rate+p.CeilingRate > 0 }
 
-// onQuotaDecision goes on with a request whose quota is settled. A request over quota is told to come
-// back after wait.
+// onQuotaDecision goes on with a request whose quota is settled. A request over quota gets the
+// advice to come back after wait.
 func (ctl *Controller) onQuotaDecision(r *request, granted bool, wait time.Duration) {
 	if !granted {
 		ctl.rejections.OverQuota++
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -83,7 +83,7 @@
 	ctl.scaleWindow(room, totals.attempts > 0)
 }
 
-// resolveRecoveryByTime takes the tier for new if no backend has told how busy it is for one longest
+// resolveRecoveryByTime takes the tier for new if no backend has reported how busy it is for one longest
 // objective since the first request.
 func (ctl *Controller) resolveRecoveryByTime() {
 	first := ctl.customers.firstRequestAt
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -18,7 +18,7 @@
 	// forgetObjectives is the time, in longest objectives, after which idle customers and removed
 	// backends are forgotten.
 	forgetObjectives = 20.0
-	// shutdownNotices is how often the other limiters are told of a shutdown, as messages are lost.
+	// shutdownNotices is how often the other limiters are notified of a shutdown, as messages are lost.
 	shutdownNotices = 2
 )
 
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -133,8 +133,8 @@
 	set.indexByGossipKey()
 }
 
-// indexByGossipKey derives byGossipKey. Of backends that share a key none is found by it: what is told
-// of one would be taken for the other.
+// indexByGossipKey derives byGossipKey. Of backends that share a key none is found by it: an
+// observation of one would be taken for the other.
 func (s *endpointSet) indexByGossipKey() {
 	clear(s.byGossipKey)
 	for _, b := range s.listed {
--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -14,10 +14,10 @@
 const (
 	// observationRepeats is how many messages carry an observation.
 	observationRepeats = 3
-	// announceWithinFraction is the time within which an observation is told, as a fraction of the
+	// announceWithinFraction is the time within which an observation is sent, as a fraction of the
 	// shortest objective.
 	announceWithinFraction = 0.3
-	// observationObjectives is the time in longest objectives after which what was told of a backend
+	// observationObjectives is the time in longest objectives after which an observation of a backend
 	// has faded to 1/e.
 	observationObjectives = 1.5
 	// ageStepsPerObjective is the unit of an observation's age: steps in the shortest objective.
@@ -31,7 +31,7 @@
 	pressureSteps = 64
 	// peerPressureWeight is the weight of another limiter's pressure.
 	peerPressureWeight = 0.2
-	// peerEjectFailureRate is the failure rate told by a limiter that ejects at once: it got no
+	// peerEjectFailureRate is the failure rate in an observation that ejects at once: it got no
 	// connection.
 	peerEjectFailureRate = 0.95
 	// urgentFailureChange is the change of a failure rate that others must know at once; for
@@ -50,11 +50,11 @@
 	lastReceivedSeq uint32
 	lastSentSeq     uint32
 	queued          bool          // stands in gossipState.queued
-	dueAt           time.Duration // clock time at which it is to be told
+	dueAt           time.Duration // clock time at which it is to be sent a message
 	pacedUntil      time.Duration // clock time before which it may not be sent a message
 }
 
-// gossips reports whether there are other limiters that can be told anything.
+// gossips reports whether there are other limiters that messages can be sent to.
 func (ctl *Controller) gossips() bool {
 	return ctl.settings.GossipEnabled && ctl.settings.PeerMessagesPerSecond > 0 && ctl.settings.Limiters > 1
 }
@@ -132,13 +132,13 @@
 	b.recoverIfHealthy()
 }
 
-// gossipFreshness is how much of what was told of a backend still counts, 0 to 1.
+// gossipFreshness is how much of the newest observation of a backend still counts, 0 to 1.
 func (ctl *Controller) gossipFreshness(b *backend) float64 {
 	age := (ctl.now - b.observedAt).Seconds()
 	return math.Exp(-age / (observationObjectives * ctl.control.memorySeconds))
 }
 
-// announce has an observation of a backend, made at a clock time, told to other limiters.
+// announce has an observation of a backend, made at a clock time, sent to other limiters.
 func (ctl *Controller) announce(b *backend, at time.Duration) {
 	b.observedAt = at
 	if math.Abs(b.failureRate-b.announcedFailureRate) > urgentFailureChange {
@@ -152,7 +152,7 @@
 	b.gossipRepeats = observationRepeats
 }
 
-// takeObservations returns the latest observations for a message, and counts them as told once more.
+// takeObservations returns the latest observations for a message, and counts them as sent once more.
 func (ctl *Controller) takeObservations(most int) []gossip.Observation {
 	var taken []gossip.Observation
 	for i := len(ctl.gossip.pending) - 1; i >= 0 && len(taken) < most; i-- {
@@ -180,7 +180,7 @@
 	return uint8(min(max(steps, 0), math.MaxUint8))
 }
 
-// sendPeerMessage sends another limiter what it is to be told, as much as fits, and reports whether
+// sendPeerMessage sends another limiter what is queued for it, as much as fits, and reports whether
 // there is more.
 func (ctl *Controller) sendPeerMessage(p *peer) (more bool) {
 	p.lastSentSeq++
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -42,7 +42,7 @@
 	// What limiters tell of it, see gossip.go.
 	gossipKey            uint32        // its name in messages
 	relativeLoad         float64       // over that of the other backends
-	observedAt           time.Duration // clock time of the newest observation, own or told
+	observedAt           time.Duration // clock time of the newest observation, own or received
 	gossipRepeats        int           // messages that still carry it
 	announcedFailureRate float64       // when it was last announced at once
 
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -24,8 +24,8 @@
 	// latencyLoadWeight is the weight of one latency in the relative load, where no load is reported.
 	latencyLoadWeight = 0.3
 
-	// probeObjectives is the time in shortest objectives after which a backend that nothing was heard
-	// of may be probed.
+	// probeObjectives is the time in shortest objectives after which a backend without a response
+	// or an observation may be probed.
 	probeObjectives = 1.0
 	// probeRoundObjectives is the time in longest objectives in which all limiters together probe each
 	// backend once at most.
--- a/internal/admission/pacing.go
+++ b/internal/admission/pacing.go
@@ -21,11 +21,11 @@
 	observationPauses = 6
 )
 
-// gossipState is the other limiters, and what they are to be told.
+// gossipState is the other limiters, and what is to be sent to them.
 type gossipState struct {
 	peers   map[int]*peer
-	queued  []*peer    // to be told something
-	pending []*backend // observed of late and not told often enough yet, the latest last
+	queued  []*peer    // with a message to be sent
+	pending []*backend // observed of late and not sent often enough yet, the latest last
 
 	peerInterval  time.Duration // between messages to one limiter
 	totalInterval time.Duration // between any two messages, in a large tier; 0 in a small one
@@ -49,7 +49,7 @@
 	return state
 }
 
-// announceToPeers has other limiters told what is new here: all of them, or in a large tier as many as
+// announceToPeers has other limiters sent what is new here: all of them, or in a large tier as many as
 // fill the pace, chosen by chance.
 func (ctl *Controller) announceToPeers() {
 	if !ctl.gossips() {
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -1034,8 +1034,7 @@
 func TestNewsAlone(t *testing.T) {
 	const gateways, length = 36, 10 * time.Second
 	random, alone := rand.New(rand.NewPCG(8, 8)), 0
-	var w *web
-	w = newWeb(gateways, func(_, to int) bool { return random.Float64() < 0.05 })
+	w := newWeb(gateways, func(_, _ int) bool { return random.Float64() < 0.05 })
 	begin := w.now
 	for w.now < begin+length {
 		w.step()
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -115,12 +115,12 @@
 func (ctl *Controller) backendCost(b *backend) float64 {
 	own := ctl.freshness(b)
 	own *= b.samples * own / (b.samples*own + priorResponses) // one response tells little: work differs
-	told := ctl.gossipFreshness(b)
-	unseen := unseenLatencyFactor * ctl.endpoints.medianLatency * (1 + told*(b.relativeLoad-1))
+	observed := ctl.gossipFreshness(b)
+	unseen := unseenLatencyFactor * ctl.endpoints.medianLatency * (1 + observed*(b.relativeLoad-1))
 	cost := (unseen*(1-own) + b.latencyPerAttempt*own) * float64(len(b.open)+1)
-	cost /= told + (1-told)*ctl.warmUpFraction(b) // what is told includes that it warms up
+	cost /= observed + (1-observed)*ctl.warmUpFraction(b) // observations include that it warms up
 	cost *= ctl.oldestAttemptFactor(b)
-	return cost * (1 + failureCost*b.failureRate*max(own, told))
+	return cost * (1 + failureCost*b.failureRate*max(own, observed))
 }
 
 // oldestAttemptFactor raises the cost of a backend whose oldest attempt is late: its age bounds the
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -113,7 +113,7 @@
 	return true
 }
 
-// derivePending finds what is still to be told to other limiters.
+// derivePending finds what is still to be sent to other limiters.
 func (ctl *Controller) derivePending() {
 	g := &ctl.gossip
 	for _, b := range ctl.endpoints.byID {
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -149,7 +149,7 @@
 	g := w.gates[0]
 	before := g.settings.Epoch
 	g.Handle(g.now, EpochRenewed{Epoch: before + 9}, nil)
-	if g.settings.Epoch != before+9 || g.customers.ledger.Config.Epoch != before+9 || len(g.customers.byKey) > len(g.requests) {
+	if g.settings.Epoch != before+9 || g.customers.ledger.Epoch != before+9 || len(g.customers.byKey) > len(g.requests) {
 		t.Errorf("epoch %d, customers %d", g.settings.Epoch, len(g.customers.byKey))
 	}
 	for range 500 {
