--- /dev/null
+++ b/internal/admission/admission_test.go
@@ -0,0 +1,65 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+// A client that retries after the latency objective has passed is rejected: its retry earns nothing, yet would take
+// units and a slot from first tries.
+func TestClientRetryAfterObjectiveIsRejected(t *testing.T) {
+	f := newFixture(t, testSettings(), backendList("a", "b")...)
+	isForwarded := func(budget time.Duration) bool {
+		id := f.requestWithBudget("read", "free", "x", budget)
+		attempts := actionsOf[StartAttempt](f.takeActions())
+		for _, attempt := range attempts {
+			f.finish(id, 0, attempt.Backend, Succeeded, 10*ms)
+		}
+		return len(attempts) > 0
+	}
+	for range 40 {
+		if !isForwarded(1500 * ms) {
+			t.Fatal("a first try was rejected")
+		}
+	}
+	if isForwarded(1000 * ms) {
+		t.Error("a client's retry with 1 s left of 2 s and an objective of 500 ms was forwarded")
+	}
+	if !isForwarded(1900 * ms) {
+		t.Error("a client's retry 100 ms after the first try was rejected")
+	}
+}
+
+// Where the budgets of clients simply differ, a short one does not mark a client's retry, and nobody is rejected for
+// it.
+func TestDifferingBudgetsImplyNoClientRetries(t *testing.T) {
+	f := newFixture(t, testSettings(), backendList("a", "b")...)
+	for i := range 200 {
+		budget := 600*ms + time.Duration(i*377%1400)*ms
+		id := f.requestWithBudget("read", "free", "x", budget)
+		attempts := actionsOf[StartAttempt](f.takeActions())
+		if len(attempts) == 0 {
+			t.Fatalf("request %d with a budget of %v was rejected", i, budget)
+		}
+		f.finish(id, 0, attempts[0].Backend, Succeeded, 10*ms)
+	}
+}
+
+// A request that cannot be forwarded is rejected before half of its client's budget is over: a later rejection costs
+// the client more than the request is worth. The latency objective alone would keep it queued for longer.
+func TestQueuedForLessThanHalfOfTheBudget(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].LatencyObjective = 1900 * ms
+	f := newFixture(t, settings) // without a backend all are queued
+	for _, plan := range []string{"free", "small"} {
+		f.requestWithBudget("read", plan, plan, time.Second)
+	}
+	f.advance(400 * ms)
+	if got := actionsOf[Reject](f.takeActions()); len(got) != 0 {
+		t.Errorf("%d rejected while there is time", len(got))
+	}
+	f.advance(100 * ms)
+	if got := actionsOf[Reject](f.takeActions()); len(got) != 2 {
+		t.Errorf("%d of 2 rejected by half of their budgets", len(got))
+	}
+}
--- /dev/null
+++ b/internal/admission/attempts_test.go
@@ -0,0 +1,147 @@
+package admission
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// Several stuck attempts that are canceled at once are all retried elsewhere, though a limiter of a large tier saves up
+// few retries: the budget is charged when an attempt is canceled, and not used up before its result arrives.
+func TestStuckAttemptsCanceledTogetherAreRetried(t *testing.T) {
+	settings := testSettings()
+	settings.Limiters = 300
+	f := newFixture(t, settings, backendList("a", "b", "c", "d", "e", "f", "g", "h")...)
+	f.serveSequentially(40, 20*ms) // the retry budget is full, and latencies are known
+	for range 2 {
+		f.request("read", "free", "x")
+	}
+	stuck := len(actionsOf[StartAttempt](f.takeActions()))
+	for range 60 {
+		f.advance(4 * ms)
+		for _, cancel := range actionsOf[CancelAttempt](f.takeActions()) {
+			f.finish(cancel.Request, cancel.Attempt, "", Canceled, 100*ms)
+			if retries := actionsOf[StartAttempt](f.actions); len(retries) != 1 || retries[0].Request != cancel.Request {
+				t.Errorf("%v after request %d was canceled, want one retry", f.actions, cancel.Request)
+			}
+			stuck--
+		}
+	}
+	if stuck > 1 { // one may have to wait until a retry is saved up
+		t.Errorf("%d attempts neither answered nor canceled", stuck)
+	}
+}
+
+// One quick response does not get attempts of ordinary latency canceled.
+func TestFirstLatencyDoesNotCancelAttempts(t *testing.T) {
+	f := newFixture(t, testSettings(), backendList("a", "b")...)
+	attemptAfter := func(latency time.Duration) (canceled int) {
+		f.request("read", "free", "x")
+		attempt := actionsOf[StartAttempt](f.takeActions())[0]
+		f.advance(latency)
+		canceled = len(actionsOf[CancelAttempt](f.takeActions()))
+		f.finish(attempt.Request, 0, attempt.Backend, Succeeded, latency)
+		return canceled
+	}
+	attemptAfter(8 * ms)
+	for range 5 {
+		if attemptAfter(100*ms) > 0 {
+			t.Error("canceled an attempt of 100 ms after one response in 8 ms")
+		}
+	}
+}
+
+// A backend that has responded to other limiters since is not silent, and a slow attempt there is not canceled, unless
+// their observation has it failing.
+func TestObservedBackendIsNotSilent(t *testing.T) {
+	for _, failureRate := range []uint8{0, 255} {
+		settings := testSettings()
+		settings.Limiters = 300
+		f := newFixture(t, settings, backendList("a", "b")...)
+		f.serveSequentially(40, 20*ms)
+		f.request("read", "free", "x")
+		id := actionsOf[StartAttempt](f.takeActions())[0].Backend
+		f.now += 50 * ms
+		key := f.ctl.endpoints.byID[id].gossipKey
+		f.observe(7, gossip.Observation{Backend: key, Load: loadStepOne, FailureRate: failureRate})
+		f.advance(120 * ms)
+		canceled := len(actionsOf[CancelAttempt](f.takeActions()))
+		if (canceled > 0) != (failureRate > 0) {
+			t.Errorf("%d attempts canceled where others observe a failure rate of %d/255", canceled, failureRate)
+		}
+	}
+}
+
+// A stuck attempt is canceled only while its request may be retried: not beyond the idempotency window of a keyed
+// request, and never if the request is non-idempotent.
+func TestStuckAttemptIsCanceledOnlyIfItMayBeRetried(t *testing.T) {
+	for _, test := range []struct {
+		class             string
+		idempotencyWindow time.Duration
+		canceled          bool
+	}{{"read", 0, true}, {"post", 10 * time.Second, true}, {"post", 100 * ms, false}, {"pay", 0, false}} {
+		settings := testSettings()
+		settings.Classes[1].IdempotencyWindow = test.idempotencyWindow
+		settings.Classes[1].IdempotencyScope = ScopeAll
+		f := newFixture(t, settings, backendList("a", "b", "c", "d")...)
+		for range 60 { // the usual latency becomes known
+			id := f.request(test.class, "free", "x")
+			attempt := f.attemptOf(id)
+			f.takeActions()
+			f.now += 20 * ms
+			f.finish(id, 0, attempt.Backend, Succeeded, 20*ms)
+			f.takeActions()
+		}
+		id := f.request(test.class, "free", "x")
+		attempt := f.attemptOf(id)
+		f.takeActions()
+		f.advance(700 * ms)
+		canceled := slices.ContainsFunc(actionsOf[CancelAttempt](f.actions), func(cancel CancelAttempt) bool {
+			return cancel.Request == id
+		})
+		if canceled != test.canceled {
+			t.Errorf("%s, idempotency window %v: canceled %v (%+v)", test.class, test.idempotencyWindow, canceled, attempt)
+		}
+	}
+}
+
+// An attempt of another process counts at its backend and among its customer's slots until it ends.
+func TestAdoptedAttempt(t *testing.T) {
+	settings := testSettings()
+	settings.Limiters, settings.GossipEnabled = 1, false
+	f := newFixture(t, settings, backendList("b1", "b2")...)
+	adopt := func(id RequestID, attempt int, backend string) {
+		adopted := Request{ID: id, Class: "read", Plan: "concurrent", Customer: "x", Units: 1, SetSize: 1}
+		f.handle(&AttemptAdopted{Request: adopted, Attempt: attempt, Backend: backend})
+	}
+	b1, b2 := f.ctl.endpoints.byID["b1"], f.ctl.endpoints.byID["b2"]
+	adopt(1000, 0, "b1")
+	adopt(1001, 0, "b1")
+	if len(b1.open) != 2 {
+		t.Errorf("%d attempts out, want 2", len(b1.open))
+	}
+	f.takeActions()
+	f.request("read", "concurrent", "x")
+	if len(actionsOf[StartAttempt](f.actions)) > 0 {
+		t.Error("a third attempt was started with two slots")
+	}
+	f.takeActions()
+	adopt(1000, 1, "b2") // a retry takes the place of the first attempt
+	f.handle(&AttemptFinished{Request: 1000, Attempt: 0, Backend: "b1", Result: Unreachable})
+	if len(b1.open) != 1 || len(b2.open) != 1 {
+		t.Error("a retry did not take the place of the first attempt")
+	}
+	f.handle(&AttemptFinished{Request: 1000, Attempt: 1, Backend: "b2", Result: Succeeded, Latency: ms})
+	f.handle(&AttemptFinished{Request: 1001, Attempt: 0, Backend: "b1", Result: Canceled, Final: true})
+	if f.ctl.requests[1000] != nil || f.ctl.requests[1001] != nil || b1.failureRate > 0 {
+		t.Error("adopted attempts are not over after their results")
+	}
+	f.advance(500 * ms)
+	f.takeActions()
+	f.request("read", "concurrent", "x")
+	if len(actionsOf[StartAttempt](f.actions)) != 1 {
+		t.Error("a freed slot was not used again")
+	}
+}
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -7,9 +7,52 @@
 	"lemongate/internal/admission"
 )
 
-// A front door hands its events over and carries out what comes back.
+// limiter is a caller of a Controller. A real one sends attempts to backends, answers clients and arms a timer; this
+// one prints what it would do, and its backends succeed at once.
+type limiter struct {
+	controller *admission.Controller
+	now        time.Duration               // clock time
+	events     []admission.Event           // that wait to be handled
+	attempts   map[admission.RequestID]int // started so far, by request
+}
+
+// run handles events until none is left. All of them go through one loop, in the order of the clock: a Controller is
+// not safe for concurrent use.
+func (l *limiter) run(events ...admission.Event) {
+	l.events = append(l.events, events...)
+	for len(l.events) > 0 {
+		ev := l.events[0]
+		l.events = l.events[1:]
+		for _, action := range l.controller.Handle(l.now, ev, nil) {
+			l.perform(action)
+		}
+	}
+}
+
+// perform carries an action out. What comes of it is the caller's next event.
+func (l *limiter) perform(action admission.Action) {
+	switch action := action.(type) {
+	case admission.StartAttempt:
+		fmt.Println("forward request", action.Request, "to", action.Backend)
+		l.events = append(l.events, &admission.AttemptFinished{
+			Request: action.Request, Attempt: l.attempts[action.Request], Backend: action.Backend,
+			Result: admission.Succeeded, Latency: 20 * time.Millisecond, Final: true,
+		})
+		l.attempts[action.Request]++
+	case admission.Reject:
+		fmt.Println("reject request", action.Request, "with Retry-After", action.RetryAfter)
+	case admission.Fail:
+		fmt.Println("fail request", action.Request)
+	case admission.SetTimer:
+		// A real caller hands over a TimerFired at action.At.
+	}
+}
+
+// A customer whose quota is one unit per second sends two requests at once: the first is forwarded, the second is
+// rejected with the time after which the quota allows it.
 func Example() {
-	g := admission.New(admission.Settings{
+	l := &limiter{attempts: map[admission.RequestID]int{}}
+	l.controller = admission.New(admission.Settings{
 		Limiters:        1,
 		ClockResolution: time.Millisecond,
 		Classes: []admission.Class{{
@@ -20,24 +63,13 @@
 		MaxRetryAfter: time.Second,
 	}, 1)
 
-	now := time.Duration(0)
-	handle := func(ev admission.Event) {
-		for _, a := range g.Handle(now, ev, nil) {
-			switch a := a.(type) {
-			case admission.StartAttempt:
-				fmt.Println("send request", a.Request, "to", a.Backend)
-			case admission.Reject:
-				fmt.Println("refuse request", a.Request, "for", a.RetryAfter)
-			}
-		}
-	}
-	handle(&admission.EndpointList{Backends: []admission.Backend{{ID: "b1"}}})
+	l.run(&admission.EndpointList{Backends: []admission.Backend{{ID: "b1"}}})
 	for id := admission.RequestID(1); id <= 2; id++ {
-		handle(&admission.Request{
+		l.run(&admission.Request{
 			ID: id, Class: "page", Plan: "basic", Customer: "acme", Units: 1, Budget: 2 * time.Second, SetSize: 1,
 		})
 	}
 	// Output:
-	// send request 1 to b1
-	// refuse request 2 for 1s
+	// forward request 1 to b1
+	// reject request 2 with Retry-After 1s
 }
--- /dev/null
+++ b/internal/admission/gossip_test.go
@@ -0,0 +1,22 @@
+package admission
+
+import (
+	"testing"
+
+	"lemongate/internal/gossip"
+)
+
+// Malformed messages, and those from limiters that do not exist, are ignored.
+func TestInvalidPeerMessages(t *testing.T) {
+	f := newFixture(t, testSettings(), backendList("a", "b")...)
+	for _, data := range [][]byte{nil, {3}, {2, 0, 0, 0, 0, 0, 0, 0, 0, 0}, {3, 17: 9}, make([]byte, 400)} {
+		f.handle(&PeerMessage{From: 1, Data: data})
+	}
+	f.handle(&PeerMessage{From: 77, Data: gossip.Message{}.Append(nil)})
+	f.handle(&PeerMessage{From: -1, Data: gossip.Message{}.Append(nil)})
+	for _, p := range f.ctl.gossip.peers {
+		if p.known {
+			t.Errorf("limiter %d is known by an invalid message", p.number)
+		}
+	}
+}
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -4,189 +4,247 @@
 	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
 
-// watcher checks rules 1 to 3 on every action of one gateway.
-type watcher struct {
-	t        *testing.T
-	g        *Controller
-	set      Settings
-	now      time.Duration
-	requests map[RequestID]*watched
-	stopped  map[string]time.Duration // when the gateway was told that a backend drains or is gone
-	zones    map[string]string
-	out      []RequestID
-	answers  int
+// ruleChecker is the caller of one Controller, and checks on each of its actions the rules of the service: what must
+// not run twice never does, a request is answered once and within its budget, and a backend that is draining or removed
+// gets nothing after the drain grace.
+type ruleChecker struct {
+	t             *testing.T
+	ctl           *Controller
+	settings      Settings
+	now           time.Duration
+	requests      map[RequestID]*requestRecord
+	zones         map[string]string        // by backend
+	unavailableAt map[string]time.Duration // clock time at which the Controller learned of it, by backend
+	attemptsOut   []RequestID
+	answers       int
 }
 
-type watched struct {
+// requestRecord is what the actions so far have done for a request.
+type requestRecord struct {
 	class    Class
-	deadline time.Duration
+	deadline time.Duration // clock time
 	attempts int
-	backend  string // of the attempt that is out
-	sent     time.Duration
-	canceled bool
-	maybe    string // where it may have run first
-	maybeAt  time.Duration
-	over     bool
+	backend  string // where an attempt is out; empty for none
+	sentAt   time.Duration
+	canceled bool // the attempt that is out
+	ended    bool
+
+	mayHaveRunOn   string // where the first attempt that may have run was; empty for none
+	mayHaveRunFrom time.Duration
+}
+
+func newRuleChecker(t *testing.T, settings Settings, seed uint64, backends []Backend) *ruleChecker {
+	checker := &ruleChecker{
+		t: t, ctl: New(settings, seed), settings: settings, requests: map[RequestID]*requestRecord{},
+		zones: map[string]string{}, unavailableAt: map[string]time.Duration{},
+	}
+	for _, b := range backends {
+		checker.zones[b.ID] = b.Zone
+	}
+	checker.handle(&EndpointList{Kind: ListCached, Backends: backends})
+	return checker
 }
 
-func (w *watcher) do(ev Event) {
-	for _, a := range w.g.Handle(w.now, ev, nil) {
-		switch a := a.(type) {
+// handle hands an event over and checks the actions that come back.
+func (checker *ruleChecker) handle(ev Event) {
+	for _, action := range checker.ctl.Handle(checker.now, ev, nil) {
+		switch action := action.(type) {
 		case StartAttempt:
-			w.send(a)
+			checker.checkAttempt(action)
 		case Reject:
-			r := w.final(a.Request)
-			lawful := r.class.Idempotency == Idempotent || r.backend == "" && r.maybe == ""
-			if !lawful {
-				w.t.Fatalf("%v: %s refused though it may have run", w.now, r.class.Name)
+			r := checker.checkAnswer(action.Request)
+			neverRan := r.backend == "" && r.mayHaveRunOn == ""
+			if r.class.Idempotency != Idempotent && !neverRan {
+				checker.t.Fatalf("%v: %s rejected though it may have run", checker.now, r.class.Name)
 			}
 		case Fail:
-			w.final(a.Request)
+			checker.checkAnswer(action.Request)
 		case CancelAttempt:
-			r := w.requests[a.Request]
-			if r == nil || r.backend == "" || a.Attempt != r.attempts-1 {
-				w.t.Fatalf("%v: canceled attempt %d of %d, which is not out", w.now, a.Attempt, a.Request)
+			r := checker.requests[action.Request]
+			if r == nil || r.backend == "" || action.Attempt != r.attempts-1 {
+				checker.t.Fatalf("%v: canceled attempt %d of %d, which is not out", checker.now, action.Attempt, action.Request)
 			}
 			r.canceled = true
 		}
 	}
 }
 
-func (w *watcher) send(a StartAttempt) {
-	r := w.requests[a.Request]
+// checkAttempt checks that an attempt may start, and records it.
+func (checker *ruleChecker) checkAttempt(attempt StartAttempt) {
+	r, now := checker.requests[attempt.Request], checker.now
 	switch {
-	case r == nil || r.over:
-		w.t.Fatalf("%v: attempt for %d after its end", w.now, a.Request)
+	case r == nil || r.ended:
+		checker.t.Fatalf("%v: attempt for request %d after its end", now, attempt.Request)
 	case r.backend != "":
-		w.t.Fatalf("%v: two attempts out for %d", w.now, a.Request)
-	case r.attempts >= w.set.MaxAttempts:
-		w.t.Fatalf("%v: attempt %d for %d", w.now, r.attempts, a.Request)
-	case w.zones[a.Backend] == "":
-		w.t.Fatalf("%v: sent to %q, which no list has named", w.now, a.Backend)
-	case r.maybe != "" && r.class.Idempotency == NonIdempotent:
-		w.t.Fatalf("%v: unsafe request %d sent again", w.now, a.Request)
-	case r.maybe != "" && r.class.Idempotency == IdempotentByKey &&
-		(w.zones[r.maybe] != w.zones[a.Backend] || w.now-r.maybeAt >= r.class.IdempotencyWindow):
-		w.t.Fatalf("%v: keyed request %d sent out of its group or window", w.now, a.Request)
-	}
-	if told, is := w.stopped[a.Backend]; is && w.now-told > w.set.DrainGrace {
-		w.t.Fatalf("%v: sent to %s, told to drain at %v", w.now, a.Backend, told)
+		checker.t.Fatalf("%v: two attempts out for request %d", now, attempt.Request)
+	case r.attempts >= checker.settings.MaxAttempts:
+		checker.t.Fatalf("%v: attempt %d for request %d", now, r.attempts, attempt.Request)
+	case checker.zones[attempt.Backend] == "":
+		checker.t.Fatalf("%v: attempt at %q, which is in no endpoint list", now, attempt.Backend)
+	case r.mayHaveRunOn != "" && r.class.Idempotency == NonIdempotent:
+		checker.t.Fatalf("%v: non-idempotent request %d retried though it may have run", now, attempt.Request)
+	case r.mayHaveRunOn != "" && r.class.Idempotency == IdempotentByKey && !checker.dropsRepeat(r, attempt.Backend):
+		checker.t.Fatalf("%v: keyed request %d retried outside of its scope or window", now, attempt.Request)
+	}
+	if at, unavailable := checker.unavailableAt[attempt.Backend]; unavailable && now-at > checker.settings.DrainGrace {
+		checker.t.Fatalf("%v: attempt at %s, unavailable since %v", now, attempt.Backend, at)
 	}
 	r.attempts++
-	r.backend, r.sent, r.canceled = a.Backend, w.now, false
-	w.out = append(w.out, a.Request)
+	r.backend, r.sentAt, r.canceled = attempt.Backend, now, false
+	checker.attemptsOut = append(checker.attemptsOut, attempt.Request)
+}
+
+// dropsRepeat reports whether a backend drops a repeat of a keyed request that may have run. Keys are remembered by
+// zone.
+func (checker *ruleChecker) dropsRepeat(r *requestRecord, backend string) bool {
+	return checker.zones[r.mayHaveRunOn] == checker.zones[backend] && checker.now-r.mayHaveRunFrom < r.class.IdempotencyWindow
 }
 
-func (w *watcher) final(id RequestID) *watched {
-	r := w.requests[id]
-	if r == nil || r.over {
-		w.t.Fatalf("%v: second answer for %d", w.now, id)
+// checkAnswer checks that a request may be answered without a response of a backend, and records that it was.
+func (checker *ruleChecker) checkAnswer(id RequestID) *requestRecord {
+	r := checker.requests[id]
+	if r == nil || r.ended {
+		checker.t.Fatalf("%v: second answer to request %d", checker.now, id)
 	}
-	if w.now > r.deadline+8*ms {
-		w.t.Fatalf("%v: answer for %d, due at %v", w.now, id, r.deadline)
+	if checker.now > r.deadline+8*ms {
+		checker.t.Fatalf("%v: answer to request %d, due at %v", checker.now, id, r.deadline)
 	}
-	r.over = true
-	w.answers++
+	r.ended = true
+	checker.answers++
 	return r
 }
 
-// answer ends one attempt that is out.
-func (w *watcher) answer(i int, result Result) {
-	id := w.out[i]
-	w.out = append(w.out[:i], w.out[i+1:]...)
-	r := w.requests[id]
-	ev := &AttemptFinished{Request: id, Attempt: r.attempts - 1, Backend: r.backend, Result: result, Latency: w.now - r.sent, Final: r.over}
-	if !result.NeverRan() && r.maybe == "" {
-		r.maybe, r.maybeAt = r.backend, r.sent
+// request hands over a request, and records it first.
+func (checker *ruleChecker) request(request *Request, class Class) *requestRecord {
+	r := &requestRecord{class: class, deadline: checker.now + request.Budget}
+	checker.requests[request.ID] = r
+	checker.handle(request)
+	return r
+}
+
+// finishAttempt ends the attempt that is out at an index of attemptsOut.
+func (checker *ruleChecker) finishAttempt(index int, result Result) {
+	id := checker.attemptsOut[index]
+	checker.attemptsOut = slices.Delete(checker.attemptsOut, index, index+1)
+	r := checker.requests[id]
+	ev := &AttemptFinished{
+		Request: id, Attempt: r.attempts - 1, Backend: r.backend, Result: result, Latency: checker.now - r.sentAt, Final: r.ended,
+	}
+	if !result.NeverRan() && r.mayHaveRunOn == "" {
+		r.mayHaveRunOn, r.mayHaveRunFrom = r.backend, r.sentAt
 	}
 	r.backend = ""
-	if result == Succeeded && !r.over {
-		r.over, ev.Final = true, true
-		w.answers++
+	if result == Succeeded && !r.ended {
+		r.ended, ev.Final = true, true
+		checker.answers++
 	}
-	w.do(ev)
+	checker.handle(ev)
 }
 
-// Whatever lawful events come, in whatever order, the rules are kept and
-// every request ends once.
+// setState hands over that the state of a backend has changed.
+func (checker *ruleChecker) setState(b *Backend, state BackendState) {
+	b.State = state
+	if state == Live {
+		delete(checker.unavailableAt, b.ID)
+		b.StartedAt = checker.now
+	} else {
+		checker.unavailableAt[b.ID] = checker.now
+	}
+	checker.handle(&EndpointList{Kind: ListDelta, Backends: []Backend{*b}})
+}
+
+// Whatever events come, in whatever order, the rules of the service are kept and each request is answered once.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		set := settings()
-		w := &watcher{t: t, g: New(set, seed), set: set, requests: map[RequestID]*watched{},
-			stopped: map[string]time.Duration{}, zones: map[string]string{}}
-		list := fleet("a", "b", "c", "d", "e", "f")
-		for _, b := range list {
-			w.zones[b.ID] = b.Zone
-		}
-		w.do(&EndpointList{Kind: ListCached, Backends: list})
-		bad := random.Float64()
+		backends := backendList("a", "b", "c", "d", "e", "f")
+		checker := newRuleChecker(t, testSettings(), seed, backends)
+		failureRate := random.Float64() / 2
 		for step := range 4000 {
-			w.now += 4 * ms
-			w.do(TimerFired{})
-			if id := RequestID(step); step < 3300 && random.IntN(4) > 0 {
-				class := set.Classes[random.IntN(3)]
-				budget := class.Deadline / time.Duration(1+random.IntN(3))
-				w.requests[id] = &watched{class: class, deadline: w.now + budget}
-				w.do(&Request{ID: id, Class: class.Name, Plan: set.Plans[random.IntN(4)].Name,
-					Customer: fmt.Sprint("c", random.IntN(12)), Units: 1, Budget: budget, SetSize: 2})
-				if random.IntN(50) == 0 && !w.requests[id].over {
-					w.requests[id].over = true
-					w.do(&RequestEnded{Request: id})
-					w.answers++
-				}
-			}
-			for i := 0; i < len(w.out); i++ {
-				r := w.requests[w.out[i]]
-				switch {
-				case w.now >= r.deadline:
-					w.answer(i, TimedOut)
-				case r.canceled:
-					w.answer(i, Canceled)
-				case random.IntN(12) > 0:
-				case random.Float64() < bad/2:
-					w.answer(i, Result(random.IntN(int(NotSent)+1)))
-				default:
-					w.answer(i, Succeeded)
-				}
+			checker.now += timerStep
+			checker.handle(TimerFired{})
+			if step < 3300 && random.IntN(4) > 0 {
+				checker.randomRequest(random, RequestID(step))
 			}
+			checker.randomResults(random, failureRate)
 			if random.IntN(150) == 0 {
-				b := &list[random.IntN(len(list))]
-				b.State = BackendState(random.IntN(3))
-				if delete(w.stopped, b.ID); b.State != Live {
-					w.stopped[b.ID] = w.now
-				} else {
-					b.StartedAt = w.now
-				}
-				w.do(&EndpointList{Kind: ListDelta, Backends: []Backend{*b}})
+				b := &backends[random.IntN(len(backends))]
+				checker.setState(b, BackendState(random.IntN(3)))
 			}
 			if random.IntN(20) == 0 {
-				asks, answers, sights := random.IntN(4), random.IntN(4), random.IntN(4)
-				data := make([]byte, 18+22*asks+17*answers+5*sights)
-				for i := range data {
-					data[i] = byte(random.IntN(256))
-				}
-				binary.BigEndian.PutUint32(data[9:], uint32(step))
-				copy(data[15:], []byte{byte(asks), byte(answers), byte(sights)})
-				if data[0] = 3; random.IntN(2) == 0 { // to this life, of a customer that it has
-					binary.BigEndian.PutUint32(data[5:], w.g.settings.Epoch)
-					for i := range asks + answers {
-						at := 18 + 22*min(i, asks) + 17*max(i-asks, 0)
-						binary.BigEndian.PutUint32(data[at:], hashOf(fmt.Sprint("c", random.IntN(12))))
-						if i < asks { // of the set that it has
-							copy(data[at+4:], []byte{byte(random.IntN(4)), 0, 0, 2})
-						}
-					}
-				}
-				w.do(&PeerMessage{From: random.IntN(3) - 1, Data: data})
+				data := randomMessage(random, checker.ctl.settings.Epoch, uint32(step))
+				checker.handle(&PeerMessage{From: random.IntN(3) - 1, Data: data})
 			}
 		}
-		if w.answers != len(w.requests) || len(w.g.requests) != 0 {
-			t.Fatalf("seed %d: %d answers for %d requests, %d remembered", seed, w.answers, len(w.requests), len(w.g.requests))
+		if checker.answers != len(checker.requests) || len(checker.ctl.requests) != 0 {
+			t.Fatalf("seed %d: %d answers to %d requests, %d not forgotten",
+				seed, checker.answers, len(checker.requests), len(checker.ctl.requests))
+		}
+	}
+}
+
+// randomRequest hands over a request, whose client gives up at once in one of fifty cases.
+func (checker *ruleChecker) randomRequest(random *rand.Rand, id RequestID) {
+	class := checker.settings.Classes[random.IntN(3)]
+	budget := class.Deadline / time.Duration(1+random.IntN(3))
+	r := checker.request(&Request{
+		ID: id, Class: class.Name, Plan: checker.settings.Plans[random.IntN(4)].Name, Customer: randomCustomer(random),
+		Units: 1, Budget: budget, SetSize: 2,
+	}, class)
+	if random.IntN(50) == 0 && !r.ended {
+		r.ended = true
+		checker.handle(&RequestEnded{Request: id})
+		checker.answers++
+	}
+}
+
+func randomCustomer(random *rand.Rand) string { return fmt.Sprint("c", random.IntN(12)) }
+
+// randomResults ends attempts: those past their deadline, those that were canceled, and of the others one in twelve.
+func (checker *ruleChecker) randomResults(random *rand.Rand, failureRate float64) {
+	for i := 0; i < len(checker.attemptsOut); i++ {
+		r := checker.requests[checker.attemptsOut[i]]
+		switch {
+		case checker.now >= r.deadline:
+			checker.finishAttempt(i, TimedOut)
+		case r.canceled:
+			checker.finishAttempt(i, Canceled)
+		case random.IntN(12) > 0:
+		case random.Float64() < failureRate:
+			checker.finishAttempt(i, Result(random.IntN(int(NotSent)+1)))
+		default:
+			checker.finishAttempt(i, Succeeded)
+		}
+	}
+}
+
+// randomMessage is a message of another limiter with bytes chosen by chance. Half of the messages are for the epoch of
+// the receiver, and about customers that it has met, with the limiter set that they have there.
+func randomMessage(random *rand.Rand, epoch, seq uint32) []byte {
+	const headSize, requestSize, grantSize, observationSize = 18, 22, 17, 5
+	requests, grants, observations := random.IntN(4), random.IntN(4), random.IntN(4)
+	data := make([]byte, headSize+requestSize*requests+grantSize*grants+observationSize*observations)
+	for i := range data {
+		data[i] = byte(random.IntN(256))
+	}
+	data[0] = 3
+	binary.BigEndian.PutUint32(data[9:], seq)
+	copy(data[15:], []byte{byte(requests), byte(grants), byte(observations)})
+	if random.IntN(2) != 0 {
+		return data
+	}
+	binary.BigEndian.PutUint32(data[5:], epoch)
+	for i := range requests + grants {
+		at := headSize + requestSize*min(i, requests) + grantSize*max(i-requests, 0)
+		binary.BigEndian.PutUint32(data[at:], hashOf(randomCustomer(random)))
+		if i < requests {
+			copy(data[at+4:], []byte{byte(random.IntN(4)), 0, 0, 2})
 		}
 	}
+	return data
 }
--- /dev/null
+++ b/internal/admission/pacing_test.go
@@ -0,0 +1,185 @@
+package admission
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"testing"
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// intake is what one limiter takes in of the messages of all others: a bucket per second with a burst.
+type intake struct {
+	tokens     float64
+	refilledAt time.Duration
+	received   int // messages so far, whether taken in or not
+}
+
+// accepts counts a message in and reports whether there is room for it.
+func (in *intake) accepts(now time.Duration, perSecond, burst float64) bool {
+	in.received++
+	in.tokens = min(in.tokens+(now-in.refilledAt).Seconds()*perSecond, burst)
+	in.refilledAt = now
+	return in.tokens >= 1
+}
+
+// No limiter of a large tier is sent more messages than it takes in, by all others together, and requests within the
+// quotas are admitted all the same. A pace per pair of limiters would not be enough, as there are many pairs.
+func TestMessageRateOfLargeTier(t *testing.T) {
+	const (
+		limiters  = 80
+		duration  = 20 * time.Second
+		perSecond = 40
+		burst     = 20
+		loss      = 0.078
+	)
+	random := rand.New(rand.NewPCG(7, 7))
+	intakes := make([]intake, limiters)
+	var tr *tier
+	tr = newTier(limiters, func(_, to int) bool {
+		if !intakes[to].accepts(tr.now, perSecond, burst) || random.Float64() < loss {
+			return true
+		}
+		intakes[to].tokens--
+		return false
+	})
+	requests := 0
+	for tr.now < duration {
+		tr.delay = time.Duration(2+random.IntN(15)) * ms
+		tr.step()
+		if random.IntN(1000) < 800 { // 200 per second of 160 customers: 1.25 each, with a quota of 2
+			requests++
+			tr.requestOf(random.IntN(limiters), "small", fmt.Sprint("c", random.IntN(160)))
+		}
+	}
+	for number := range intakes {
+		if received := intakes[number].received; float64(received) > perSecond*duration.Seconds() {
+			t.Errorf("limiter %d was sent %d messages in %v", number, received, duration)
+		}
+	}
+	if tr.forwarded < requests*9/10 {
+		t.Errorf("%d of %d forwarded", tr.forwarded, requests)
+	}
+}
+
+// carriesObservationsOnly reports whether a message has nothing to do with quotas.
+func carriesObservationsOnly(data []byte) bool {
+	m, ok := gossip.Parse(data)
+	return ok && len(m.Requests)+len(m.Grants) == 0
+}
+
+// In a large tier few messages carry nothing but observations while all is well, and yet a backend that goes down is
+// known to nearly all limiters soon.
+func TestFewMessagesCarryObservationsOnly(t *testing.T) {
+	const limiters, duration = 36, 10 * time.Second
+	random := rand.New(rand.NewPCG(8, 8))
+	tr := newTier(limiters, func(_, _ int) bool { return random.Float64() < 0.05 })
+	begin := tr.now
+	observationsOnly := 0
+	for tr.now < begin+duration {
+		tr.step()
+		for _, m := range tr.inTransit {
+			sentInThisStep := m.at == tr.now+tr.delay
+			if sentInThisStep && carriesObservationsOnly(m.data) {
+				observationsOnly++
+			}
+		}
+		if random.IntN(3) == 0 {
+			tr.requestOf(random.IntN(limiters), "small", fmt.Sprint("c", random.IntN(60)))
+		}
+	}
+	// The pace is 35 messages per second, one in observationPauses of them, and a tenth for chance.
+	most := int(limiters * duration.Seconds() * 35 / observationPauses * 1.1)
+	if observationsOnly > most || observationsOnly == 0 {
+		t.Errorf("%d messages with observations only, want some and %d at most", observationsOnly, most)
+	}
+
+	for range 100 { // messages that are in transit are older
+		tr.step()
+	}
+	ctl := tr.controllers[0]
+	tr.handle(0, TimerFired{})
+	b := ctl.endpoints.listed[0]
+	b.failureRate = 1
+	ctl.announce(b, ctl.now)
+	ctl.eject(b)
+	tr.handle(0, TimerFired{})
+	for end := tr.now + 300*ms; tr.now < end; {
+		tr.step()
+	}
+	informed := 0
+	for _, other := range tr.controllers {
+		if other.endpoints.byID[b.ID].failureRate > peerEjectFailureRate {
+			informed++
+		}
+	}
+	if informed < limiters*9/10 {
+		t.Errorf("%d of %d limiters know of a backend that went down", informed, limiters)
+	}
+}
+
+// A limiter that owns many customers and grants much still sends its own transfer requests at once, so that requests
+// within a quota need not wait behind grants; and its messages with observations only stay within the pace of all
+// messages.
+func TestGrantsLeaveRoomForTransferRequests(t *testing.T) {
+	settings := testSettings()
+	settings.Limiters, settings.PeerMessagesPerSecond = 300, 40
+	f := newFixture(t, settings, backendList("a", "b", "c", "d")...)
+	f.now = time.Hour
+	requests, sentAtOnce, observationsOnly := 0, 0, 0
+	for i := range 3000 { // 12 s with 30 transfer requests received and 15 requests of customers with other owners a second
+		f.now += timerStep
+		f.handle(TimerFired{})
+		if i%8 == 0 {
+			m := gossip.Message{Epoch: 5, Seq: uint32(i + 1), Requests: []gossip.TransferRequest{{
+				Customer: uint32(i), SetSize: 300, Nonce: uint16(i + 1), QuotaWanted: gossip.UnitParts, TotalLevel: gossip.UnknownTotal,
+			}}}
+			f.handle(&PeerMessage{From: 1 + i%299, Data: m.Append(nil)})
+		}
+		f.takeActions()
+		if i%17 == 0 {
+			f.handle(&Request{
+				ID: RequestID(i + 1), Class: "read", Plan: "small", Customer: strconv.Itoa(i),
+				Units: 1, Budget: time.Second, SetSize: 300,
+			})
+			requests++
+		}
+		sentAtOnce += f.grantTransferRequests(uint32(i + 2))
+		for _, attempt := range actionsOf[StartAttempt](f.takeActions()) { // an observation to be announced as well
+			f.finish(attempt.Request, 0, attempt.Backend, Succeeded, 50*ms)
+		}
+		for _, send := range actionsOf[SendToPeer](f.takeActions()) {
+			if carriesObservationsOnly(send.Data) {
+				observationsOnly++
+			}
+		}
+	}
+	if sentAtOnce < requests*9/10 {
+		t.Errorf("%d of %d transfer requests were sent with their request", sentAtOnce, requests)
+	}
+	if observationsOnly > 12*5 {
+		t.Errorf("%d messages with observations only beside 45 others a second", observationsOnly)
+	}
+}
+
+// grantTransferRequests plays the owners: it grants all that the messages among the actions request, and returns how
+// many messages did.
+func (f *fixture) grantTransferRequests(seq uint32) (messages int) {
+	for _, send := range actionsOf[SendToPeer](f.actions) {
+		m, _ := gossip.Parse(send.Data)
+		if len(m.Requests) == 0 {
+			continue
+		}
+		messages++
+		reply := gossip.Message{Epoch: 5, ReceiverEpoch: f.ctl.settings.Epoch, Seq: seq}
+		for _, request := range m.Requests {
+			reply.Grants = append(reply.Grants, gossip.Grant{
+				Customer: request.Customer, Nonce: request.Nonce, QuotaUnits: request.QuotaWanted, TotalLevel: 200,
+			})
+		}
+		f.handle(&PeerMessage{From: send.Peer, Data: reply.Append(nil)})
+	}
+	return messages
+}
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -1,181 +1,153 @@
 package admission
 
 import (
+	"errors"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
 
-// played is a web of gateways in the middle of a day.
-func played(gateways int) *web {
-	w := newWeb(gateways, func(from, to int) bool { return false })
-	for i := range 4000 {
-		w.step()
-		if i%7 == 0 {
-			w.ask(i%gateways, []string{"small", "capped", "free"}[i%3])
-		}
+// endRequests withdraws all requests, as has to be done before a snapshot.
+func endRequests(ctl *Controller) {
+	for id := range ctl.requests {
+		ctl.Handle(ctl.now, &RequestEnded{Request: id}, nil)
 	}
-	return w
 }
 
-// What a Gateway remembers goes over whole: a second snapshot is the first one again, in tiers
-// with rights in parts and with homes.
-func TestSnapshotWhole(t *testing.T) {
-	for _, gateways := range []int{2, 3, 80} {
-		w := played(gateways)
-		for i := range min(gateways, 3) {
-			g := w.gates[i]
-			for id := range g.requests {
-				g.Handle(g.now, &RequestEnded{Request: id}, nil)
-			}
-			first, err := g.Snapshot()
+// A snapshot is complete: a Controller that resumes from it gives the same snapshot again, in a tier with allocated
+// accounts and in one with owners.
+func TestSnapshotIsComplete(t *testing.T) {
+	for _, limiters := range []int{2, 3, 80} {
+		tr := busyTier(limiters)
+		for number, ctl := range tr.controllers[:min(limiters, 3)] {
+			endRequests(ctl)
+			first, err := ctl.Snapshot()
 			if err != nil {
 				t.Fatal(err)
 			}
-			h, err := Resume(g.settings, 9, first)
+			resumed, err := Resume(ctl.settings, 9, first)
 			if err != nil {
 				t.Fatal(err)
 			}
-			second, err := h.Snapshot()
+			second, err := resumed.Snapshot()
 			if err != nil || string(first) != string(second) {
-				t.Errorf("%d gateways, number %d: %d bytes, then %d, %v", gateways, i, len(first), len(second), err)
+				t.Errorf("limiter %d of %d: snapshot of %d bytes, then of %d, %v", number, limiters, len(first), len(second), err)
 			}
-			if h.settings.Epoch != g.settings.Epoch || len(h.customers.byKey) != len(g.customers.byKey) || len(h.customers.order) != len(h.customers.byKey) ||
-				len(h.endpoints.listed) != len(g.endpoints.listed) || len(h.endpoints.byGossipKey) != len(g.endpoints.byGossipKey) || len(h.gossip.queued) != len(g.gossip.queued) {
-				t.Errorf("%d gateways, number %d: built otherwise", gateways, i)
+			if !sameDerivedState(ctl, resumed) {
+				t.Errorf("limiter %d of %d: derived state differs", number, limiters)
 			}
-			other := g.settings
-			other.Plans = append([]Plan{}, other.Plans...)
+			other := ctl.settings
+			other.Plans = slices.Clone(other.Plans)
 			other.Plans[0].Rate *= 2
-			if _, err := Resume(other, 9, first); err == nil {
-				t.Error("rights cut by other settings are taken over")
+			if _, err := Resume(other, 9, first); !errors.Is(err, ErrOtherSettings) {
+				t.Errorf("resumed allocations of other settings: %v", err)
 			}
 		}
 	}
-	g := New(settings(), 1)
-	for _, bad := range []string{"", "{}", "null", `{"Print":1,"Gateway":null}`, `{"Gateway":{"ledger":7}}`} {
-		if _, err := Resume(settings(), 1, []byte(bad)); err == nil {
-			t.Errorf("%q is taken for a snapshot", bad)
+}
+
+// sameDerivedState reports whether what a resumed Controller derives from its snapshot is as large as in the original.
+func sameDerivedState(original, resumed *Controller) bool {
+	return resumed.settings.Epoch == original.settings.Epoch &&
+		len(resumed.customers.byKey) == len(original.customers.byKey) &&
+		len(resumed.customers.order) == len(resumed.customers.byKey) &&
+		len(resumed.endpoints.listed) == len(original.endpoints.listed) &&
+		len(resumed.endpoints.byGossipKey) == len(original.endpoints.byGossipKey) &&
+		len(resumed.gossip.queued) == len(original.gossip.queued)
+}
+
+// What is no snapshot is rejected, and before its first event a Controller has nothing to store.
+func TestInvalidSnapshots(t *testing.T) {
+	for _, data := range []string{"", "{}", "null", `{"Print":1,"Gateway":null}`, `{"Gateway":{"ledger":7}}`} {
+		if _, err := Resume(testSettings(), 1, []byte(data)); err == nil {
+			t.Errorf("resumed from %q", data)
 		}
 	}
-	if _, err := g.Snapshot(); err == nil {
-		t.Error("a snapshot of nothing")
+	if _, err := New(testSettings(), 1).Snapshot(); !errors.Is(err, ErrNotStarted) {
+		t.Errorf("snapshot before the first event: %v", err)
 	}
 }
 
-// A gateway that took over and one that nothing happened to say the same to the same peer,
-// and hold the same of each store, ever after.
-func TestResumeGoesOn(t *testing.T) {
-	w := played(3)
-	g := w.gates[0]
-	for id := range g.requests {
-		g.Handle(g.now, &RequestEnded{Request: id}, nil)
-	}
-	data, err := g.Snapshot()
+// withoutTimers returns the actions that are not SetTimer.
+func withoutTimers(actions []Action) []Action {
+	return slices.DeleteFunc(actions, func(action Action) bool {
+		_, isTimer := action.(SetTimer)
+		return isTimer
+	})
+}
+
+// A Controller that resumed and the original give the same actions for the same events ever after.
+func TestResumedControllerDecidesAlike(t *testing.T) {
+	tr := busyTier(3)
+	original := tr.controllers[0]
+	endRequests(original)
+	data, err := original.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := Resume(g.settings, 5, data)
+	resumed, err := Resume(original.settings, 5, data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.random, h.random = New(g.settings, 3).random, New(g.settings, 3).random
-	now := g.now
+	original.random, resumed.random = New(original.settings, 3).random, New(original.settings, 3).random
+	now := original.now
 	for i := range 600 {
 		now += 10 * time.Millisecond
 		for _, ev := range []Event{
 			TimerFired{},
-			&Request{ID: RequestID(1e9 + i), Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: time.Second, SetSize: 3},
+			&Request{
+				ID: RequestID(1e9 + i), Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: time.Second, SetSize: 3,
+			},
 		} {
-			a, b := g.Handle(now, ev, nil), h.Handle(now, ev, nil)
-			var wake SetTimer
-			strip := func(list []Action) (kept []Action) {
-				for _, x := range list {
-					if reflect.TypeOf(x) != reflect.TypeOf(wake) {
-						kept = append(kept, x)
-					}
-				}
-				return kept
-			}
-			if !reflect.DeepEqual(strip(a), strip(b)) {
-				t.Fatalf("after %d: %v, %v", i, a, b)
+			want := withoutTimers(original.Handle(now, ev, nil))
+			got := withoutTimers(resumed.Handle(now, ev, nil))
+			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
+				t.Fatalf("in step %d: %v, want %v", i, got, want)
 			}
 		}
 	}
 }
 
-// What another process has out counts at its backend and among its customer's places, until
-// it ends; its client's next req waits for the place.
-func TestAdopted(t *testing.T) {
-	set := settings()
-	set.Limiters, set.GossipEnabled = 1, false
-	b := newBench(t, set, fleet("b1", "b2")...)
-	for i := range 2 {
-		b.do(&AttemptAdopted{
-			Request: Request{ID: RequestID(1000 + i), Class: "read", Plan: "open", Customer: "x", Units: 1, SetSize: 1}, Backend: "b1",
-		})
-	}
-	if n := len(b.g.endpoints.byID["b1"].open); n != 2 {
-		t.Errorf("%d attempts out", n)
-	}
-	b.take()
-	id := b.ask("read", "open", "x")
-	if s := only[StartAttempt](b.acts); len(s) > 0 {
-		t.Error("a third place of two")
-	}
-	b.take()
-	// A further attempt of one takes the place of its first.
-	b.do(&AttemptAdopted{Request: Request{ID: 1000, Class: "read", Plan: "open", Customer: "x", Units: 1, SetSize: 1}, Attempt: 1, Backend: "b2"})
-	b.do(&AttemptFinished{Request: 1000, Attempt: 0, Backend: "b1", Result: Unreachable})
-	if len(b.g.endpoints.byID["b1"].open) != 1 || len(b.g.endpoints.byID["b2"].open) != 1 {
-		t.Error("a further attempt did not take the place of the first")
-	}
-	b.do(&AttemptFinished{Request: 1000, Attempt: 1, Backend: "b2", Result: Succeeded, Latency: ms})
-	b.do(&AttemptFinished{Request: 1001, Attempt: 0, Backend: "b1", Result: Canceled, Final: true})
-	if b.g.requests[1000] != nil || b.g.requests[1001] != nil || b.g.endpoints.byID["b1"].failureRate > 0 {
-		t.Error("not over")
-	}
-	b.pass(500 * ms)
-	b.take()
-	if b.ask("read", "open", "x"); len(only[StartAttempt](b.acts)) != 1 {
-		t.Errorf("the place is not free again, nor for %d", id)
-	}
-}
-
-// A process that takes back what another one held counts as started anew: it does not grant
-// what that one may have granted, and its peers see a new epoch.
-func TestRenewed(t *testing.T) {
-	w := played(3)
-	g := w.gates[0]
-	before := g.settings.Epoch
-	g.Handle(g.now, EpochRenewed{Epoch: before + 9}, nil)
-	if g.settings.Epoch != before+9 || g.customers.ledger.Epoch != before+9 || len(g.customers.byKey) > len(g.requests) {
-		t.Errorf("epoch %d, customers %d", g.settings.Epoch, len(g.customers.byKey))
+// A process that takes its limiter back after another one has stood in for it holds quotas like one that starts anew: it
+// does not grant what the other may have granted, and other limiters see a new epoch.
+func TestRenewedEpoch(t *testing.T) {
+	tr := busyTier(3)
+	ctl := tr.controllers[0]
+	epoch := ctl.settings.Epoch + 9
+	ctl.Handle(ctl.now, EpochRenewed{Epoch: epoch}, nil)
+	if ctl.settings.Epoch != epoch || ctl.customers.ledger.Epoch != epoch {
+		t.Errorf("epoch %d, in the ledger %d, want %d", ctl.settings.Epoch, ctl.customers.ledger.Epoch, epoch)
+	}
+	if customers, requests := len(ctl.customers.byKey), len(ctl.requests); customers > requests {
+		t.Errorf("%d customers are known with %d requests", customers, requests)
 	}
 	for range 500 {
-		w.step()
-		w.ask(0, "small")
+		tr.step()
+		tr.request(0, "small")
 	}
-	if p := w.gates[1].gossip.peers[0]; p.epoch != before+9 {
-		t.Errorf("the peers still see epoch %d", p.epoch)
+	if p := tr.controllers[1].gossip.peers[0]; p.epoch != epoch {
+		t.Errorf("another limiter sees epoch %d, want %d", p.epoch, epoch)
 	}
 }
 
-// Whatever is given for a snapshot, it is refused or makes a Gateway that decides.
+// Whatever is given for a snapshot, it is rejected or makes a Controller that decides.
 func FuzzResume(f *testing.F) {
-	g := played(2).gates[0]
-	data, err := g.Snapshot()
+	ctl := busyTier(2).controllers[0]
+	data, err := ctl.Snapshot()
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
 	f.Add([]byte(`{"Print":1,"Gateway":{"classes":[null]}}`))
-	f.Fuzz(func(t *testing.T, data []byte) {
-		h, err := Resume(g.settings, 1, data)
+	f.Fuzz(func(_ *testing.T, data []byte) {
+		resumed, err := Resume(ctl.settings, 1, data)
 		if err != nil {
 			return
 		}
-		h.Handle(h.now, TimerFired{}, nil)
-		h.Handle(h.now, &Request{ID: 1 << 40, Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: time.Second, SetSize: 2}, nil)
+		resumed.Handle(resumed.now, TimerFired{}, nil)
+		resumed.Handle(resumed.now, &Request{
+			ID: 1 << 40, Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: time.Second, SetSize: 2,
+		}, nil)
 	})
 }
