--- a/internal/admission/gossip_test.go
+++ b/internal/admission/gossip_test.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"slices"
 	"testing"
 
 	"lemongate/internal/gossip"
@@ -12,6 +13,11 @@
 	for _, data := range [][]byte{nil, {3}, {2, 0, 0, 0, 0, 0, 0, 0, 0, 0}, {3, 17: 9}, make([]byte, 400)} {
 		f.handle(&PeerMessage{From: 1, Data: data})
 	}
+	valid := gossip.Message{Epoch: 5, Seq: 1, Observations: make([]gossip.Observation, 2)}.Append(nil)
+	for length := range valid {
+		f.handle(&PeerMessage{From: 1, Data: valid[:length]})
+	}
+	f.handle(&PeerMessage{From: 1, Data: append(slices.Clone(valid), 0)})
 	f.handle(&PeerMessage{From: 77, Data: gossip.Message{}.Append(nil)})
 	f.handle(&PeerMessage{From: -1, Data: gossip.Message{}.Append(nil)})
 	for _, p := range f.ctl.gossip.peers {
@@ -19,4 +25,8 @@
 			t.Errorf("limiter %d is known by an invalid message", p.number)
 		}
 	}
+	f.handle(&PeerMessage{From: 1, Data: valid})
+	if p := f.ctl.gossip.peers[1]; p == nil || !p.known {
+		t.Error("limiter 1 is not known by a valid message")
+	}
 }
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -1,12 +1,13 @@
 package admission
 
 import (
-	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
+
+	"lemongate/internal/gossip"
 )
 
 // ruleChecker is the caller of one Controller, and checks on each of its actions the rules of the service: what must
@@ -177,7 +178,10 @@
 				checker.setState(b, BackendState(random.IntN(3)))
 			}
 			if random.IntN(20) == 0 {
-				data := randomMessage(random, checker.ctl.settings.Epoch, uint32(step))
+				data := randomMessage(random, checker.ctl.settings.Epoch, uint32(step), backends)
+				if _, ok := gossip.Parse(data); !ok {
+					t.Fatal("a random message is not read")
+				}
 				checker.handle(&PeerMessage{From: random.IntN(3) - 1, Data: data})
 			}
 		}
@@ -223,28 +227,60 @@
 	}
 }
 
-// randomMessage is a message of another limiter with bytes chosen by chance. Half of the messages are for the epoch of
-// the receiver, and about customers that it has met, with the limiter set that they have there.
-func randomMessage(random *rand.Rand, epoch, seq uint32) []byte {
-	const headSize, requestSize, grantSize, observationSize = 18, 22, 17, 5
-	requests, grants, observations := random.IntN(4), random.IntN(4), random.IntN(4)
-	data := make([]byte, headSize+requestSize*requests+grantSize*grants+observationSize*observations)
-	for i := range data {
-		data[i] = byte(random.IntN(256))
-	}
-	data[0] = 3
-	binary.BigEndian.PutUint32(data[9:], seq)
-	copy(data[15:], []byte{byte(requests), byte(grants), byte(observations)})
-	if random.IntN(2) != 0 {
-		return data
-	}
-	binary.BigEndian.PutUint32(data[5:], epoch)
-	for i := range requests + grants {
-		at := headSize + requestSize*min(i, requests) + grantSize*max(i-requests, 0)
-		binary.BigEndian.PutUint32(data[at:], hashOf(randomCustomer(random)))
-		if i < requests {
-			copy(data[at+4:], []byte{byte(random.IntN(4)), 0, 0, 2})
+// randomMessage is a message of another limiter with values chosen by chance, in the form that gossip.Parse reads. Half
+// of the messages are for the epoch of the receiver, and about customers that it has met, with the limiter set that they
+// have there, and about its backends. The sender restarts after every 500 steps.
+func randomMessage(random *rand.Rand, epoch, seq uint32, backends []Backend) []byte {
+	m := gossip.Message{
+		Epoch: 1 + seq/500, ReceiverEpoch: random.Uint32(), Seq: seq,
+		Pressure: randomByte(random), ServingAge: randomByte(random),
+	}
+	for range random.IntN(4) {
+		m.Requests = append(m.Requests, randomTransferRequest(random))
+	}
+	for range random.IntN(4) {
+		m.Grants = append(m.Grants, randomGrant(random))
+	}
+	for range random.IntN(4) {
+		m.Observations = append(m.Observations, gossip.Observation{
+			Backend: random.Uint32(), Load: randomByte(random), FailureRate: randomByte(random), Age: randomByte(random),
+		})
+	}
+	if random.IntN(2) == 0 {
+		m.ReceiverEpoch = epoch
+		for i := range m.Requests {
+			m.Requests[i].Customer = hashOf(randomCustomer(random))
+			m.Requests[i].Plan, m.Requests[i].FirstLimiter, m.Requests[i].SetSize = uint8(random.IntN(4)), 0, 2
+		}
+		for i := range m.Grants {
+			m.Grants[i].Customer = hashOf(randomCustomer(random))
+		}
+		for i := range m.Observations {
+			m.Observations[i].Backend = gossip.BackendKey(hashOf(backends[random.IntN(len(backends))].ID))
 		}
 	}
-	return data
+	return m.Append(nil)
 }
+
+func randomTransferRequest(random *rand.Rand) gossip.TransferRequest {
+	return gossip.TransferRequest{
+		Customer: random.Uint32(), Plan: randomByte(random),
+		FirstLimiter: randomUint16(random), SetSize: randomUint16(random), Nonce: randomUint16(random),
+		QuotaWanted: randomUint16(random), CeilingWanted: randomUint16(random), Consumed: randomUint16(random),
+		Demand: randomByte(random), Level: int8(randomByte(random)), Share: randomByte(random),
+		SlotsHeld: randomByte(random), SlotsWanted: randomByte(random), TotalLevel: randomByte(random),
+	}
+}
+
+func randomGrant(random *rand.Rand) gossip.Grant {
+	return gossip.Grant{
+		Customer: random.Uint32(), Nonce: randomUint16(random),
+		QuotaUnits: randomUint16(random), CeilingUnits: randomUint16(random), Consumed: randomUint16(random),
+		Share: randomByte(random), Level: int8(randomByte(random)), Demand: randomByte(random),
+		Slots: randomByte(random), TotalLevel: randomByte(random),
+	}
+}
+
+func randomByte(random *rand.Rand) uint8 { return uint8(random.IntN(256)) }
+
+func randomUint16(random *rand.Rand) uint16 { return uint16(random.IntN(1 << 16)) }
