--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -6,12 +6,12 @@
 // CancelAttempt, SetTimer, SendToPeer, ProbeBackend, PollEndpoints and Log.
 type Action interface{ action() }
 
-// StartAttempt forwards a request; its attempts are numbered from 0.
+// StartAttempt forwards a request; its attempts are numbered from 0, in the order of their StartAttempt.
 type StartAttempt struct {
 	Request     RequestID
 	Backend     string
 	Deadline    time.Duration // clock time at which the attempt ends; 0 for the client's deadline
-	StartBefore time.Duration // clock time from which on it may not begin any more; 0 for no bound
+	StartBefore time.Duration // clock time from which on it may no longer start; 0 for no bound
 	Recovery    bool          // a recovery attempt for all limiters, see RecoveryLease
 }
 
@@ -30,8 +30,8 @@
 	Attempt int
 }
 
-// SetTimer asks for a TimerFired at a clock time, in place of the one asked for before. If that one
-// comes as well it does no harm.
+// SetTimer sets the one timer: a TimerFired is to come at a clock time, and replaces the one that was set
+// before. If that one comes as well it does no harm.
 type SetTimer struct{ At time.Duration }
 
 // SendToPeer sends a message of at most 256 bytes to another limiter.
@@ -40,13 +40,13 @@
 	Data []byte
 }
 
-// ProbeBackend asks a backend for its load.
+// ProbeBackend requests a load report from a backend; its ProbeResult follows.
 type ProbeBackend struct{ Backend string }
 
-// PollEndpoints asks for changes of the endpoint list from now on.
+// PollEndpoints starts a poll for changes of the endpoint list; an EndpointList of kind ListFailed ends it.
 type PollEndpoints struct{}
 
-// Log leaves a line for people.
+// Log writes a line to the operators' log.
 type Log struct{ Text string }
 
 func (StartAttempt) action()  {}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// This file decides at its arrival whether a request may still be of use, and takes it into the queue
-// of its class once its quota is settled.
+// This file decides when a request arrives whether an answer may still be of use, and queues it in its
+// class once its quota is decided.
 
 const (
-	// clientRetryBudgetFraction is the fraction of recent budgets that must agree to count as the
-	// usual budget of a class.
-	clientRetryBudgetFraction = 0.25
-	// equalBudgetsPerObjective divides the shortest objective into the width within which budgets
-	// count as equal: they differ by the time a request was on its way.
-	equalBudgetsPerObjective = 50
-	// maxQueueFraction is the fraction of a client's time that a request may be queued at most; the
-	// way here and back takes of it as well.
+	// usualBudgetFraction is the fraction of recent budgets that must be equal to count as the usual
+	// budget of a class.
+	usualBudgetFraction = 0.25
+	// budgetWidthsPerObjective: budgets count as equal if they differ by no more than the shortest
+	// objective over this. Equal ones differ by the time that a request was on its way.
+	budgetWidthsPerObjective = 50
+	// maxQueueFraction is the fraction of its budget that a request may be queued at most: the way here
+	// and back takes some of the client's time as well.
 	maxQueueFraction = 0.45
 	// latenciesToSpare is the time, in mean latencies, that a queued request must have left: most
 	// answers then come in time.
 	latenciesToSpare = 2.0
 )
 
-// admit takes a request in. It is rejected at once if it is of no use any more, if its customer is
-// over quota, or if the queue is too long; otherwise it is forwarded or queued.
+// admit decides what becomes of a request that has arrived. It is rejected at once if an answer is of no
+// use any more, if its customer is over quota, or if the queue is too long; otherwise it is forwarded or
+// queued, or waits for a grant of other limiters.
 func (ctl *Controller) admit(ev *Request) {
 	class := ctl.classes.byName[ev.Class]
 	if class == nil {
@@ -37,7 +38,7 @@
 		return
 	}
 	if ctl.customers.leaving && r.customer.plan.limitsRate() {
-		ctl.emit(Reject{Request: ev.ID}) // its units may have been taken by another limiter
+		ctl.emit(Reject{Request: ev.ID}) // its units may be in use at another limiter already
 		return
 	}
 	ctl.requests[ev.ID] = r
@@ -46,7 +47,7 @@
 		ctl.customers.firstRequestAt = ctl.now
 	}
 	ctl.customers.ledger.RecordDemand(r.customer.account, ev.Units, ctl.now)
-	if ctl.rejectIfQueueTooLong(r) { // before it takes units in vain
+	if ctl.rejectIfQueueTooLong(r) { // before units are reserved in vain
 		return
 	}
 	if len(r.customer.waiting) > 0 || !ctl.reserveQuota(r, false) {
@@ -57,8 +58,8 @@
 // limitsRate reports whether units of a plan are counted.
 func (p *Plan) limitsRate() bool { return p.Rate+p.CeilingRate > 0 }
 
-// onQuotaDecision goes on with a request whose quota is settled. A request over quota gets the
-// advice to come back after wait.
+// onQuotaDecision forwards, queues or rejects a request once its quota is decided. With a rejection the
+// client is advised to stay away for wait.
 func (ctl *Controller) onQuotaDecision(r *request, granted bool, wait time.Duration) {
 	if !granted {
 		ctl.rejections.OverQuota++
@@ -90,7 +91,7 @@
 }
 
 // queueDelay estimates in seconds how long a request that joins the queue of a class waits: the
-// length of the queue over the rate at which the class is served.
+// length of the queue over the rate of attempts of the class, which counts as one per second at least.
 func (ctl *Controller) queueDelay(c *requestClass) float64 {
 	served := ctl.window.attemptRate.Value(ctl.now, ctl.control.memorySeconds) * c.share
 	return float64(len(c.queue)) / max(served, 1)
@@ -113,10 +114,10 @@
 
 // clientWaited infers how long a client has been waiting since its first try: a retry of the client
 // after the objective earns nothing, yet takes units and a slot. The budget of a first try is the
-// usual one of its class; the budget of a retry is what is left before the deadline. Where budgets
-// simply differ, nothing can be inferred.
+// usual one of its class; the budget of a retry is what is left before the deadline. Where the budgets
+// of first tries simply differ, or a client marks its retries and this is none, it is 0.
 func (ctl *Controller) clientWaited(c *requestClass, ev *Request) time.Duration {
-	width := ctl.classes.shortestObjective / equalBudgetsPerObjective
+	width := ctl.classes.shortestObjective / budgetWidthsPerObjective
 	c.recordBudget(ev.Budget, width)
 	switch {
 	case c.usualBudget == 0:
--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// This file starts attempts and takes their results in, also those of another process, and cancels
+// This file starts attempts, records their results, adopts the attempts of another process, and cancels
 // attempts that are stuck.
 
-// stuckLatencies is the time, in expected latencies, after which an attempt at a backend that answers
+// stuckLatencies is the time, in expected latencies, after which an attempt at a backend that responds to
 // nobody is stuck.
 const stuckLatencies = 4.0
 
@@ -24,13 +24,13 @@
 	action := StartAttempt{
 		Request: r.ID, Backend: b.ID, Deadline: r.deadline, Recovery: ctl.recoveryLeased() && ctl.recoveryDue(b),
 	}
-	if r.mayHaveRunOn != nil && r.class.Idempotency == IdempotentByKey { // a connection may be long in coming
+	if r.mayHaveRunOn != nil && r.class.Idempotency == IdempotentByKey { // connecting may take long
 		action.StartBefore = r.deduplicatedUntil()
 	}
 	ctl.emit(action)
 }
 
-// onAttemptFinished records how an attempt ended and sees to the next step of its request.
+// onAttemptFinished records how an attempt ended, and ends or retries its request.
 func (ctl *Controller) onAttemptFinished(ev *AttemptFinished) {
 	r := ctl.requests[ev.Request]
 	if r == nil || r.backend == nil || ev.Attempt != r.attempts-1 {
@@ -94,7 +94,7 @@
 }
 
 // cancelStuckAttempts cancels attempts at backends that have fallen silent, where the request can be
-// retried elsewhere.
+// retried. It is retried when the result of the canceled attempt arrives.
 func (ctl *Controller) cancelStuckAttempts() {
 	for _, b := range ctl.endpoints.listed {
 		for _, r := range b.open {
@@ -104,7 +104,7 @@
 				break // the others were sent later
 			}
 			if ctl.cancelable(r) && b.silentSince(r) && ctl.shouldRetry(r, retryCost) {
-				r.retryPrepaid = true // or several canceled at once would have one retry between them
+				r.retryPrepaid = true // otherwise several canceled at once would count on the same token
 				ctl.retries.tokens -= retryCost
 				ctl.cancelAttempt(r)
 			}
@@ -112,8 +112,9 @@
 	}
 }
 
-// silentSince reports whether a backend has answered nobody since a request was sent to it. In a large
-// tier a limiter may have no other request there, so what others tell counts, unless it fails.
+// silentSince reports whether a backend has responded to nobody since a request was sent to it. In a large
+// tier a limiter may have no other request there, so observations of other limiters count as well, unless
+// they have it failing.
 func (b *backend) silentSince(r *request) bool {
 	return b.lastResponseAt <= r.sentAt && (b.observedAt <= r.sentAt || b.failureRate >= recoveredFailureRate)
 }
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -16,17 +16,18 @@
 	// and at most maxTargetFactor times the fraction of the objective.
 	idleLatencyFactor = 2.0
 	maxTargetFactor   = 2
-	// spikeFactor bounds what one latency, or the arrivals of one period, may count: times the mean.
+	// spikeFactor bounds what one latency, or the arrivals of one period, may count: so many times the
+	// mean.
 	spikeFactor = 3.0
 	// meanWeight is the weight of a new value in a running mean: about 20 values count.
 	meanWeight = 0.05
-	// targetWeight is how many measured latencies the backend target weighs as much as.
+	// targetWeight is the weight of the backend target in an expected latency, in measured latencies.
 	targetWeight = 3.0
 	// recentBudgets is how many budgets of clients are remembered per class.
 	recentBudgets = 16
 )
 
-// classSet is all request classes, and the objectives that times are derived from.
+// classSet is all request classes, and the objectives that other times are multiples of.
 type classSet struct {
 	all      []*requestClass // in the order of the settings
 	byName   map[string]*requestClass
@@ -42,14 +43,14 @@
 	Class
 	queue  []*request
 	share  float64 // of the window, 0 to 1
-	credit float64 // dispatch turns that it may take before others
+	credit float64 // dispatches that it has a claim to, see chargeCredit; negative if it had too many
 
 	recentBudgets [recentBudgets]time.Duration // of clients, a ring
 	budgetsSeen   int
 	usualBudget   time.Duration // the most common of them; 0 if they differ
 
-	// Of the control period that runs.
-	arrivals          int     // admitted requests
+	// Measured in the current control period.
+	arrivals          int     // requests whose quota was granted
 	completed         int     // answered requests
 	latencySum        float64 // of these, time in the queue included
 	attemptsMeasured  int
@@ -58,10 +59,12 @@
 	arrivalRate        float64 // per second
 	meanLatency        float64 // of attempts
 	meanSquaredLatency float64
-	latencySamples     int     // that the means come from
-	idleLatency        float64 // the least mean of late
+	latencySamples     int     // latencies that the means come from
+	idleLatency        float64 // least meanLatency of late: what attempts take at idle backends
 }
 
+// newClassSet returns the classes of the settings, with equal shares. A class without a latency objective
+// has its deadline as the objective, or else one second.
 func newClassSet(classes []Class) classSet {
 	s := classSet{byName: map[string]*requestClass{}}
 	for _, settings := range classes {
@@ -90,7 +93,7 @@
 	})
 }
 
-// pollInterval is how often something that waits for a backend or a grant is looked at again.
+// pollInterval is the time after which what waits for a backend or a grant is decided again.
 func (s *classSet) pollInterval() time.Duration { return s.shortestObjective / pollsPerObjective }
 
 // pollsPerObjective is how many poll intervals there are in the shortest objective.
@@ -106,8 +109,8 @@
 // exceedsTarget reports whether attempts take longer than they should.
 func (c *requestClass) exceedsTarget() bool { return c.meanLatency > c.backendTarget() }
 
-// expectedLatency is what an attempt takes in seconds: by what was measured, and with few
-// measurements rather by the target, as one early answer may take a small part of the mean.
+// expectedLatency is what an attempt is expected to take, in seconds: the mean, or while few latencies
+// were measured rather the backend target, as one early response may come far sooner than most.
 func (c *requestClass) expectedLatency() float64 {
 	samples := float64(c.latencySamples)
 	prior := max(c.backendTarget(), c.meanLatency)
@@ -132,7 +135,7 @@
 	c.attemptLatencySum += min(latency, c.backendTarget()/windowMinFactor)
 }
 
-// recordCompletion measures the whole time of a request against the latency objective.
+// recordCompletion measures the time from the arrival to the end of a request, for the control loop.
 func (ctl *Controller) recordCompletion(r *request) {
 	r.class.completed++
 	bound := spikeFactor * r.class.LatencyObjective.Seconds()
@@ -148,7 +151,7 @@
 		return
 	}
 	usual, count := mostCommon(c.recentBudgets[:], width)
-	if float64(count) < clientRetryBudgetFraction*recentBudgets {
+	if float64(count) < usualBudgetFraction*recentBudgets {
 		usual = 0
 	}
 	c.usualBudget = usual
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -30,11 +30,11 @@
 	idleLatencyGrowth = 0.01
 )
 
-// controlLoop is when the control loop runs.
+// controlLoop is the timing of the control loop, and of rates that fade.
 type controlLoop struct {
-	nextAt        time.Duration // clock time
+	nextAt        time.Duration // clock time of its next run
 	periodSeconds float64
-	memorySeconds float64 // after which rates have faded to 1/e
+	memorySeconds float64 // time after which an event counts 1/e in a rate
 }
 
 func newControlLoop(longestObjective time.Duration) controlLoop {
@@ -46,9 +46,9 @@
 
 // periodTotals adds up what was measured of all classes in a control period.
 type periodTotals struct {
-	shares     float64 // wanted
-	room       float64 // least backend target over latency, of classes that were measured enough
-	attempts   float64 // measured
+	shares     float64 // sum of the wanted shares
+	room       float64 // least ratio of backend target to latency, of classes that were measured enough
+	attempts   float64 // how many were measured
 	latencySum float64 // of these, seconds
 	targetSum  float64 // what these should have taken, seconds
 }
@@ -83,8 +83,8 @@
 	ctl.scaleWindow(room, totals.attempts > 0)
 }
 
-// resolveRecoveryByTime takes the tier for new if no backend has reported how busy it is for one longest
-// objective since the first request.
+// resolveRecoveryByTime takes the tier of limiters for new, so that customers have a full burst, if no
+// backend has reported its utilization within one longest objective of the first request.
 func (ctl *Controller) resolveRecoveryByTime() {
 	first := ctl.customers.firstRequestAt
 	if first > 0 && ctl.now-first > ctl.classes.longestObjective {
@@ -92,8 +92,8 @@
 	}
 }
 
-// addPeriod adds what was measured of a class. The lightest classes do not narrow the window: they
-// get what is left.
+// addPeriod adds what was measured of a class. The lightest classes do not narrow the window, as they
+// get what is left; the heaviest class does in any case, as all may weigh the same.
 func (ctl *Controller) addPeriod(totals *periodTotals, c *requestClass, heaviest bool) {
 	lightest := ctl.classes.byWeight[len(ctl.classes.byWeight)-1].Weight
 	target := c.backendTarget()
@@ -105,7 +105,7 @@
 	totals.attempts += float64(c.attemptsMeasured)
 }
 
-// updateArrivalRate takes the arrivals of a period into the arrival rate.
+// updateArrivalRate updates the arrival rate by the arrivals of a control period.
 func (c *requestClass) updateArrivalRate(periodSeconds float64) {
 	perSecond := float64(c.arrivals) / periodSeconds
 	if c.arrivalRate > 0 {
@@ -114,8 +114,9 @@
 	c.arrivalRate += arrivalWeight * (perSecond - c.arrivalRate)
 }
 
-// wantedShare is the share of the window that meets the latency objective of a class: as modelled,
-// and corrected by the error of the last period.
+// wantedShare is the share of a window (in attempts) that meets the latency objective of a class: as the
+// queueing model has it, and that corrected by the error of the last period. In the model all of the
+// window is one server, so a request takes it for its latency over the size of the window.
 func (c *requestClass) wantedShare(window float64) (wanted, modelled float64) {
 	service := queueing.ServiceTime{
 		Mean:   c.meanLatency / window,
@@ -136,9 +137,9 @@
 	c.attemptsMeasured, c.attemptLatencySum = 0, 0
 }
 
-// shareCorrection is the change of a share that answers an error in latency: part of the Newton step
-// over the slope of latency by share. The slope is below zero, so a late class, whose slack (seconds)
-// is below zero, gains.
+// shareCorrection is the change of a share by the slack of its class, which is its latency objective less
+// its latency, in seconds: a fraction of the Newton step, slack over the slope of latency by share. The
+// slope is below zero, so a class that is late, with a slack below zero, gains.
 func shareCorrection(slack, arrivalRate float64, service queueing.ServiceTime, share float64) float64 {
 	if service.Mean <= 0 {
 		return 0
@@ -147,8 +148,8 @@
 	return min(max(step, -maxShareStep), maxShareStep)
 }
 
-// fitShares fits shares that want more than all together: by falling weight, those that do not fit go
-// uncorrected and take what is left.
+// fitShares fits shares, in the order of falling weight, that sum to more than one: one that does not fit
+// goes without its correction, and takes no more than the heavier ones have left.
 func fitShares(wanted, modelled []float64) {
 	left := 1.0
 	for i := range wanted {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,6 +1,11 @@
 // Package admission decides which requests of a service sold by plan are forwarded, when and to which
 // backend, and which are rejected.
 //
+// A limiter is one of several processes between the clients and the backends of a service; together
+// they are a tier. Each customer is on a plan, which limits the units that it may use at all limiters
+// together. A request has a class, which says how soon an answer is worth most and whether it may run
+// twice.
+//
 // A caller creates one Controller, hands it every event in the order of its clock, and carries out
 // the actions that come back. A Controller starts no goroutine, does no I/O and reads no clock: the
 // same settings, seed and events always give the same actions. It is not safe for concurrent use.
@@ -8,8 +13,13 @@
 //
 // Each decision has a file of its own, with its state, its constants and its rule. In the order in
 // which a request meets them: admission.go, customers.go, dispatch.go, window.go, selection.go,
-// attempts.go, retry.go. What is learnt on the way: classes.go, health.go, recovery.go, slowstart.go,
-// loadreports.go, endpoints.go. What limiters tell each other: gossip.go, pacing.go.
+// attempts.go, retry.go; request.go has the state of a request. What is measured and adjusted on the
+// way: classes.go, control.go, health.go, recovery.go, slowstart.go, loadreports.go, endpoints.go. What
+// limiters send each other: gossip.go, pacing.go. How a process hands over to the next: snapshot.go.
+//
+// A deployment is fast or slow by its latency objectives, so most times are not constants but multiples
+// of the shortest or longest objective of all classes: a constant named ...Objectives is such a multiple,
+// one named ...PerObjective a divisor.
 package admission
 
 import (
@@ -27,7 +37,7 @@
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration // clock time of the event in hand
-	actions  []Action      // asked for by the event in hand
+	actions  []Action      // emitted for the event in hand
 	started  bool          // an event has come
 	timer    timer
 
@@ -55,7 +65,7 @@
 	return &Controller{
 		settings:      set,
 		random:        rand.New(rand.NewPCG(seed, 0)),
-		timer:         timer{at: math.MaxInt64, dueAt: math.MaxInt64},
+		timer:         timer{armedFor: math.MaxInt64, dueAt: math.MaxInt64},
 		requests:      map[RequestID]*request{},
 		classes:       classes,
 		customers:     newCustomerSet(set.Plans),
@@ -118,7 +128,7 @@
 	}
 }
 
-// start takes the time of the first event as that of the start.
+// start takes the clock time of the first event as that of the start.
 func (ctl *Controller) start() {
 	ctl.started = true
 	if ctl.settings.Epoch == 0 {
@@ -133,12 +143,13 @@
 	}
 }
 
-// onTick does what time alone brings about.
+// onTick does what is due by time alone: the control loop, the end of waiting, and another look for a
+// backend where none could be used.
 func (ctl *Controller) onTick() {
-	if ctl.now < ctl.timer.at {
+	if ctl.now < ctl.timer.armedFor {
 		return // a timer that was replaced
 	}
-	ctl.timer.at, ctl.timer.dueAt = math.MaxInt64, math.MaxInt64
+	ctl.timer.armedFor, ctl.timer.dueAt = math.MaxInt64, math.MaxInt64
 	if ctl.now >= ctl.control.nextAt {
 		ctl.control.nextAt = ctl.now + seconds(ctl.control.periodSeconds)
 		ctl.runControlLoop()
@@ -152,37 +163,37 @@
 	ctl.wakeForQueuedPeers()
 }
 
-// timer is the one timer that a Controller asks for.
+// timer is the one timer that a Controller sets. Both clock times are math.MaxInt64 for none.
 type timer struct {
-	at    time.Duration // clock time that was asked for; the greatest there is if none was
-	dueAt time.Duration // clock time at which something is due
+	armedFor time.Duration // clock time of the last SetTimer that has not fired
+	dueAt    time.Duration // clock time at which something is due
 }
 
-// wakeBy makes sure that onTick runs by a clock time. There is no other clock: an idle Controller
-// asks for nothing but its control loop.
+// wakeBy makes sure that onTick runs by a clock time. Nothing else makes it run: an idle Controller is
+// woken for its control loop only.
 func (ctl *Controller) wakeBy(at time.Duration) { ctl.timer.dueAt = min(ctl.timer.dueAt, at) }
 
-// armTimer asks for a timer if something is due before the one that stands. Timers are whole
+// armTimer sets the timer if something is due before the time that it is set for. Timers are full
 // microseconds and at least one step of the clock away.
 func (ctl *Controller) armTimer() {
-	if ctl.timer.dueAt >= ctl.timer.at {
+	if ctl.timer.dueAt >= ctl.timer.armedFor {
 		return
 	}
 	earliest := max(ctl.timer.dueAt, ctl.now+ctl.settings.ClockResolution)
-	ctl.timer.at = (earliest + time.Microsecond - 1).Truncate(time.Microsecond)
-	ctl.timer.dueAt = ctl.timer.at
-	ctl.emit(SetTimer{At: ctl.timer.at})
+	ctl.timer.armedFor = (earliest + time.Microsecond - 1).Truncate(time.Microsecond)
+	ctl.timer.dueAt = ctl.timer.armedFor
+	ctl.emit(SetTimer{At: ctl.timer.armedFor})
 }
 
 func (ctl *Controller) emit(a Action) { ctl.actions = append(ctl.actions, a) }
 
-// startLedger starts to hold the customers' quotas with nothing known of earlier use.
+// startLedger starts a ledger of the customers' quotas that knows nothing of earlier use.
 func (ctl *Controller) startLedger() {
 	ctl.customers.ledger = quota.New(ctl.quotaConfig(), ctl.now)
 	if !slices.Contains(ctl.settings.LoadReportFields, utilizationField) {
-		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report will ever tell
+		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report will ever show it
 	}
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a Duration.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -15,18 +15,18 @@
 	// grantTimeoutFraction is the longest that a request waits for a grant of other limiters, as a
 	// fraction of the shortest objective.
 	grantTimeoutFraction = 0.3
-	// forgetObjectives is the time, in longest objectives, after which idle customers and removed
-	// backends are forgotten.
+	// forgetObjectives is the time in longest objectives after which idle customers and removed backends
+	// are forgotten.
 	forgetObjectives = 20.0
-	// shutdownNotices is how often the other limiters are notified of a shutdown, as messages are lost.
+	// shutdownNotices is how many times each other limiter is notified of a shutdown: messages are lost.
 	shutdownNotices = 2
 )
 
-// customerKey names a customer on a plan. A customer may come with another plan, as after a change of
-// it; a request is judged by the plan that it names.
+// customerKey identifies a customer on a plan. Requests of a customer may name different plans, as after a
+// change of plan; each is judged by the plan that it names.
 type customerKey struct{ name, plan string }
 
-// customer is a customer on a plan, as met here.
+// customer is a customer on a plan that has sent requests here.
 type customer struct {
 	name         string
 	plan         *Plan
@@ -41,7 +41,7 @@
 	queued   int // requests that are queued
 
 	waiting       []*request // for a grant, in the order of their arrival
-	waitsForGrant bool       // stands in customerSet.waiting
+	waitsForGrant bool       // is in customerSet.waiting
 }
 
 // customerSet is all customers of late, and the ledger of their quotas.
@@ -49,7 +49,7 @@
 	ledger    *quota.Ledger
 	planIndex map[string]int // in the settings, by name
 	byKey     map[customerKey]*customer
-	order     []*customer // as first met
+	order     []*customer // in the order of their first requests
 	waiting   []*customer // with requests that wait for a grant
 
 	firstRequestAt time.Duration // clock time of the first request; 0 for none
@@ -75,7 +75,7 @@
 	return c
 }
 
-// lookupCustomer finds the customer of a request, or starts one.
+// lookupCustomer finds the customer of a request, or adds it with its account in the ledger.
 func (ctl *Controller) lookupCustomer(ev *Request) *customer {
 	key := customerKey{ev.Customer, ev.Plan}
 	if c := ctl.customers.byKey[key]; c != nil {
@@ -94,8 +94,9 @@
 	return c
 }
 
-// reserveQuota acts on what the ledger decides about a request, and reports whether it did. With last,
-// the request does not wait for other limiters any longer.
+// reserveQuota has the ledger decide a request by its customer's quota, and acts on the decision. It
+// reports false if the decision waits for a grant of other limiters. With last, it does not wait any
+// longer and is decided by what is known here.
 func (ctl *Controller) reserveQuota(r *request, last bool) (settled bool) {
 	decision, wait := ctl.customers.ledger.Reserve(r.customer.account, r.Units, last, ctl.now)
 	if decision == quota.Pending {
@@ -105,7 +106,7 @@
 	return true
 }
 
-// waitForGrant keeps a request until other limiters answer the ledger's transfer request.
+// waitForGrant lets a request wait until other limiters reply to the ledger's transfer request.
 func (ctl *Controller) waitForGrant(r *request) {
 	c := r.customer
 	c.waiting = append(c.waiting, r)
@@ -163,13 +164,15 @@
 	return slices.Clone(ctl.customers.waiting)
 }
 
-// syncSlots tells the ledger how many slots of a customer are in use here.
+// syncSlots sets in the ledger how many slots of a customer are in use here: attempts in flight, and
+// requests that are queued for one.
 func (ctl *Controller) syncSlots(c *customer) {
 	c.account.SlotsInUse = c.inFlight + c.queued
 }
 
-// startShutdown gives the quotas up for the other limiters and tells them so at once, as the program
-// may end any moment. In a large tier a single notice goes out: the few who ask find out as well.
+// startShutdown gives the quotas up for the other limiters and notifies them at once, as the program may
+// end any moment. In a large tier each is sent a single notice: where it is lost, the reply to the next
+// transfer request has the shutdown as well.
 func (ctl *Controller) startShutdown() {
 	ctl.customers.leaving = true
 	notices := shutdownNotices
@@ -185,7 +188,7 @@
 	}
 }
 
-// forgetIdleCustomers forgets customers that have not been met for long, where nothing is lost by it.
+// forgetIdleCustomers forgets customers without a request for long, where the ledger loses nothing by it.
 func (ctl *Controller) forgetIdleCustomers() {
 	ctl.customers.ledger.Sweep(seconds(forgetObjectives*ctl.classes.longestObjective.Seconds()), ctl.now)
 	ctl.customers.order = slices.DeleteFunc(ctl.customers.order, func(c *customer) bool {
@@ -196,8 +199,8 @@
 	})
 }
 
-// quotaConfig is the part of the settings that the ledger needs. The last plan stands for those that
-// the settings do not have.
+// quotaConfig is the part of the settings that the ledger needs. It has one plan more than the settings,
+// without limits, for requests that name a plan which the settings do not have.
 func (ctl *Controller) quotaConfig() quota.Config {
 	config := quota.Config{
 		Self: ctl.settings.Self, Limiters: ctl.settings.Limiters, Gossips: ctl.gossips(), Epoch: ctl.settings.Epoch,
@@ -242,9 +245,9 @@
 	return quota.OwnersOf(hashOf(customer), firstLimiter, setSize, limiters)
 }
 
-// hashOf is the FNV-1a hash by which limiters name customers and backends to each other.
+// hashOf is the FNV-1a hash that stands for a customer or a backend in messages between limiters.
 func hashOf(name string) uint32 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(name)) // a hash takes all
+	_, _ = h.Write([]byte(name)) // writing to a hash never fails
 	return h.Sum32()
 }
--- a/internal/admission/customers_test.go
+++ b/internal/admission/customers_test.go
@@ -128,7 +128,7 @@
 	actions := f.takeActions()
 	forwarded, rejected := len(actionsOf[StartAttempt](actions)), len(actionsOf[Reject](actions))
 	if forwarded+rejected != 10 || forwarded < 4 || forwarded > 8 {
-		t.Errorf("%d forwarded and %d rejected of 10, want at least the half of the burst that is allocated here, and no more than all of it",
+		t.Errorf("%d forwarded and %d rejected of 10, want the half of the burst that is allocated here to all of it",
 			forwarded, rejected)
 	}
 }
@@ -138,10 +138,13 @@
 func TestRequestIsJudgedByItsOwnPlan(t *testing.T) {
 	other, customer := customersWithEqualHash(t)
 	for name, before := range map[string]func(f *fixture){
-		"no earlier request":               func(*fixture) {},
-		"other customer with equal hash":   func(f *fixture) { f.request("read", "free", other) },
-		"same customer on another plan":    func(f *fixture) { f.request("read", "free", customer) },
-		"same customer on two other plans": func(f *fixture) { f.request("read", "free", customer); f.request("read", "small", customer) },
+		"no earlier request":             func(*fixture) {},
+		"other customer with equal hash": func(f *fixture) { f.request("read", "free", other) },
+		"same customer on another plan":  func(f *fixture) { f.request("read", "free", customer) },
+		"same customer on two other plans": func(f *fixture) {
+			f.request("read", "free", customer)
+			f.request("read", "small", customer)
+		},
 		"transfer request of another limiter": func(f *fixture) {
 			request := gossip.TransferRequest{
 				Customer: hashOf(customer), Plan: 0, SetSize: 2, Nonce: 1, QuotaWanted: 16, TotalLevel: gossip.UnknownTotal,
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -3,11 +3,11 @@
 // This file decides which queued request is forwarded next: weighted dispatch among the classes, by
 // credit, while the window has room.
 
-// maxCredit bounds the dispatch turns that a class can save up or owe.
+// maxCredit bounds the credit of a class, in dispatches, on both sides of zero.
 const maxCredit = 2.0
 
-// dispatch forwards what may go: retries that wait for a backend first, then the classes by their
-// credit while the window has room.
+// dispatch forwards what may be forwarded now: retries that wait for a backend first, then queued
+// requests of the classes by their credit, while the window has room.
 func (ctl *Controller) dispatch() {
 	ctl.dispatchRetries()
 	for {
@@ -45,6 +45,7 @@
 	return next
 }
 
+// dropLateHeads drops requests from the head of a queue that have ended or can no longer be in time.
 func (ctl *Controller) dropLateHeads(c *requestClass) {
 	for len(c.queue) > 0 {
 		r := c.queue[0]
@@ -78,8 +79,8 @@
 	}
 }
 
-// chargeCredit charges a class one dispatch, and credits every class that has something queued with
-// its share of one.
+// chargeCredit charges a class the dispatch that it had, and credits each class that has something queued
+// with its share of it: in the long run, classes are dispatched in proportion to their shares.
 func (ctl *Controller) chargeCredit(dispatched *requestClass) {
 	waiting := func(c *requestClass) bool { return len(c.queue) > 0 || c == dispatched }
 	sum := 0.0
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -11,12 +11,12 @@
 )
 
 // This file keeps the endpoint list: which backends there are, and which of them this limiter uses. In
-// a large tier each limiter keeps to a subset of the backends, by rendezvous hashing.
+// a large tier each limiter uses a subset of the backends, chosen by rendezvous hashing.
 
 const (
-	// minSubset is how many backends a limiter keeps to at least: enough to go round one that fails.
+	// minSubset is the least number of backends in the subset of a limiter: enough to avoid one that fails.
 	minSubset = 8
-	// minLimitersPerBackend is how many limiters keep to a backend at least; in a small tier all do.
+	// minLimitersPerBackend is the least mean number of limiters that use a backend; in a small tier all do.
 	minLimitersPerBackend = 12.0
 )
 
@@ -25,8 +25,8 @@
 	listed        []*backend // live; the subset of this limiter first
 	byID          map[string]*backend
 	byGossipKey   map[uint32]*backend // listed; nil where two share a key
-	medianLatency float64             // latency per attempt of the listed ones
-	forgetAfter   time.Duration       // removed backends are kept so long
+	medianLatency float64             // median latencyPerAttempt of the listed ones
+	forgetAfter   time.Duration       // time after which removed backends are forgotten
 	pollDue       bool                // the last poll failed or ended
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// onEndpointList brings the endpoint list up to date. What is draining or removed gets nothing more.
+// onEndpointList brings the endpoint list up to date. A draining or removed backend gets no more attempts.
 func (ctl *Controller) onEndpointList(ev *EndpointList) {
 	if ev.Kind == ListFailed {
 		ctl.endpoints.pollDue = ctl.settings.PollEndpoints
@@ -61,10 +61,10 @@
 	}
 }
 
-// mergeEndpoints takes a list in and returns the backends that have started.
+// mergeEndpoints merges a list or a change of it, and returns the backends that are new or have restarted.
 func (ctl *Controller) mergeEndpoints(ev *EndpointList) (started []*backend) {
 	if ev.Kind != ListDelta {
-		for _, b := range ctl.endpoints.byID { // until it is named
+		for _, b := range ctl.endpoints.byID { // unless the list names it
 			b.State, b.unavailable = Removed, true
 			b.markRemoved(ctl.now)
 		}
@@ -89,8 +89,8 @@
 	return started
 }
 
-// newBackend returns a backend that has started, with the attempts that are still out at an earlier
-// start of it, if any, but nothing else of that one's past.
+// newBackend returns a backend that is new or has restarted: it takes over the attempts that are still out
+// at its earlier self, nil for none, but nothing that was measured of that.
 func newBackend(id string, earlier *backend) *backend {
 	b := &backend{relativeLoad: 1, gossipKey: gossip.BackendKey(hashOf(id))}
 	if earlier != nil {
@@ -109,11 +109,11 @@
 	}
 }
 
-// relist derives what is listed from all that is known, and forgets what was removed long ago: a lost
-// backend may come back as it was, but most are replaced under new IDs.
+// relist derives the listed backends from all that are known, and forgets those that were removed long
+// ago: a removed backend may come back as it was, but most are replaced under new IDs.
 func (ctl *Controller) relist() {
 	set := &ctl.endpoints
-	clear(set.listed) // or what stood beyond the new end would be kept
+	clear(set.listed) // otherwise the array would keep backends alive beyond the new end
 	set.listed = set.listed[:0]
 	for id, b := range set.byID {
 		forgotten := len(b.open) == 0 && b.removedAt > 0 && ctl.now-b.removedAt > set.forgetAfter
@@ -146,26 +146,27 @@
 	}
 }
 
-// rendezvousRank orders the backends for this limiter: when the list changes, its order hardly does,
-// and each backend is kept to by about as many limiters.
+// rendezvousRank orders the backends for this limiter, whose subset are the first ones: when the list
+// changes the order of the others stays, and each backend is used by about as many limiters.
 func (ctl *Controller) rendezvousRank(b *backend) uint64 {
 	return quota.Mix64(uint64(hashOf(b.ID))<<32 | uint64(uint32(ctl.settings.Self)))
 }
 
-// subsetSize is how many backends this limiter keeps to, if that is less than all.
+// subsetSize is how many backends are in the subset of this limiter, if there are that many.
 func (ctl *Controller) subsetSize() int {
 	perLimiter := minLimitersPerBackend * float64(len(ctl.endpoints.listed)) / float64(ctl.settings.Limiters)
 	return max(int(math.Ceil(perLimiter)), minSubset)
 }
 
-// limitersPerBackend is how many limiters keep to a backend.
+// limitersPerBackend is how many limiters use a backend on average.
 func (ctl *Controller) limitersPerBackend() float64 {
 	fraction := float64(ctl.subsetSize()) / float64(max(len(ctl.endpoints.listed), 1))
 	return float64(ctl.settings.Limiters) * min(fraction, 1)
 }
 
-// usableSubset is how many of the listed backends, from the first on, hold as many usable ones as this
-// limiter keeps to, and their capacity in warm backends. Where many are warming up it takes more.
+// usableSubset returns how many of the listed backends, from the first on, this limiter chooses from, and
+// their capacity in warm backends: as many as contain subsetSize backends that are not ejected, and more
+// where many of these are warming up.
 func (ctl *Controller) usableSubset() (size int, capacity float64) {
 	usable, wanted := 0, ctl.subsetSize()
 	for size < len(ctl.endpoints.listed) && (usable < wanted || capacity < minWarmFraction*float64(wanted)) {
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -19,7 +19,7 @@
 	Live BackendState = iota
 	// Draining backends finish what they have and take nothing new.
 	Draining
-	// Removed backends are gone.
+	// Removed backends no longer exist.
 	Removed
 )
 
@@ -41,19 +41,19 @@
 	ListComplete ListKind = iota
 	// ListDelta names only what changed.
 	ListDelta
-	// ListCached names every backend as last known, which may be old.
+	// ListCached names every backend as last known, which may be outdated.
 	ListCached
 	// ListFailed names nothing: a poll failed or ended.
 	ListFailed
 )
 
-// EndpointList brings the list of backends or a change of it.
+// EndpointList is the list of backends, or a change of it.
 type EndpointList struct {
 	Kind     ListKind
 	Backends []Backend
 }
 
-// Request tells that a request has come from a client.
+// Request reports that a request has arrived from a client.
 type Request struct {
 	ID           RequestID
 	Class        string
@@ -63,7 +63,7 @@
 	Budget       time.Duration // how long the client waits from now on
 	FirstLimiter int           // the customer's limiter set: SetSize limiters in a row from FirstLimiter
 	SetSize      int
-	IsRetry      bool // the client says that it repeats itself
+	IsRetry      bool // the client marks it as a retry of its own
 }
 
 // Result says how an attempt or a probe ended.
@@ -78,7 +78,7 @@
 	Rejected
 	// TimedOut attempts may have run.
 	TimedOut
-	// Unreachable means that connections are refused there; the attempt never ran.
+	// Unreachable means that the backend refuses connections; the attempt never ran.
 	Unreachable
 	// ConnectionLost attempts may have run.
 	ConnectionLost
@@ -107,19 +107,19 @@
 	Report  []float64 // load report by Settings.LoadReportFields, if any
 }
 
-// TimerFired tells that the time has come which a SetTimer named.
+// TimerFired reports that the clock time of the last SetTimer has come.
 type TimerFired struct{}
 
-// RequestEnded tells that a client gave up or its time ran out: the request is over.
+// RequestEnded reports that a client disconnected or its deadline passed: the request is over.
 type RequestEnded struct{ Request RequestID }
 
-// PeerMessage brings a message of another limiter.
+// PeerMessage is a message received from another limiter.
 type PeerMessage struct {
 	From int // number of the sender
 	Data []byte
 }
 
-// ProbeResult ends a probe.
+// ProbeResult ends the probe of a ProbeBackend.
 type ProbeResult struct {
 	Backend string
 	Result  Result
@@ -127,31 +127,31 @@
 	Report  []float64
 }
 
-// ResponseStarted tells that the client is being sent the response of an attempt: it can no longer
-// be canceled.
+// ResponseStarted reports that the client is being sent the response of an attempt, which can no longer be
+// canceled.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 }
 
-// ShutdownStarted tells that this limiter forwards nothing new: what it holds of the customers'
-// quotas is for the others until it starts again.
+// ShutdownStarted reports that this limiter shuts down: it forwards nothing new, and its allocations of the
+// customers' quotas are for the others until it starts again.
 type ShutdownStarted struct{}
 
-// RecoveryLease tells that one limiter makes the recovery attempts at ejected backends for all, and
-// until which clock time that is this one. Without it each limiter makes its own.
+// RecoveryLease reports that one limiter makes the recovery attempts at ejected backends for all, and
+// until which clock time that is this one. Before the first of them each limiter makes its own.
 type RecoveryLease struct{ Until time.Duration }
 
-// AttemptAdopted tells of an attempt that another process has out for this limiter's customers: it
-// counts at its backend and among its customer's slots until its AttemptFinished.
+// AttemptAdopted reports an attempt that another process of this limiter has out: it counts at its backend
+// and among its customer's slots until its AttemptFinished.
 type AttemptAdopted struct {
 	Request
 	Attempt int
 	Backend string
 }
 
-// EpochRenewed tells that another process stood in for this one, and that what it granted is not
-// known: the quotas are held as by a limiter that starts anew.
+// EpochRenewed reports that another process has run this limiter in the meantime, and that what it granted
+// is not known: the ledger starts anew, in a new epoch.
 type EpochRenewed struct{ Epoch uint32 }
 
 func (*EndpointList) event()    {}
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -56,7 +56,8 @@
 		Limiters:        1,
 		ClockResolution: time.Millisecond,
 		Classes: []admission.Class{{
-			Name: "page", Idempotency: admission.Idempotent, LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second, Weight: 1,
+			Name: "page", Idempotency: admission.Idempotent, Weight: 1,
+			LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second,
 		}},
 		Plans:         []admission.Plan{{Name: "basic", Rate: 1, Burst: 1, WeightFactor: 1}},
 		MaxAttempts:   2,
--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -8,13 +8,13 @@
 	"lemongate/internal/gossip"
 )
 
-// This file decides what limiters tell each other: observations of backends, the pressure on them, and
-// what the ledger has to say about quotas. When it is sent is decided in pacing.go.
+// This file decides what limiters send each other: observations of backends, the pressure on them, and the
+// transfer requests and grants of the ledger. When it is sent is decided in pacing.go.
 
 const (
 	// observationRepeats is how many messages carry an observation.
 	observationRepeats = 3
-	// announceWithinFraction is the time within which an observation is sent, as a fraction of the
+	// announceWithinFraction is the time within which what is announced is sent, as a fraction of the
 	// shortest objective.
 	announceWithinFraction = 0.3
 	// observationObjectives is the time in longest objectives after which an observation of a backend
@@ -23,22 +23,23 @@
 	// ageStepsPerObjective is the unit of an observation's age: steps in the shortest objective.
 	ageStepsPerObjective = 32
 	// loadStepsPerOctave is the unit of an observation's load: steps per factor of two, around
-	// loadStepOne, which is a load like that of the others.
+	// loadStepOne, which is a load like that of the others. minEncodedLoad keeps the logarithm finite.
 	loadStepsPerOctave = 16
 	loadStepOne        = 128
 	minEncodedLoad     = 1e-3
-	// pressureSteps is the unit of a message's pressure: steps in one.
+	// pressureSteps is the unit of a message's pressure: steps in a pressure of one.
 	pressureSteps = 64
-	// peerPressureWeight is the weight of another limiter's pressure.
+	// peerPressureWeight is the weight of another limiter's pressure in the running mean.
 	peerPressureWeight = 0.2
-	// peerEjectFailureRate is the failure rate in an observation that ejects at once: it got no
-	// connection.
+	// peerEjectFailureRate is the failure rate in an observation above which the backend is ejected at once:
+	// another limiter got no connection.
 	peerEjectFailureRate = 0.95
 	// urgentFailureChange is the change of a failure rate that others must know at once; for
-	// urgentObjectives longest objectives all messages are then for observations.
+	// urgentObjectives longest objectives messages with observations only are then sent as soon as the
+	// pace allows.
 	urgentFailureChange = 0.25
 	urgentObjectives    = 0.3
-	// servingAgeStep is the unit in which limiters tell how long they have been serving.
+	// servingAgeStep is the unit in which limiters report how long they have been serving.
 	servingAgeStep = 250 * time.Millisecond
 )
 
@@ -49,7 +50,7 @@
 	epoch           uint32 // of its start
 	lastReceivedSeq uint32
 	lastSentSeq     uint32
-	queued          bool          // stands in gossipState.queued
+	queued          bool          // is in gossipState.queued
 	dueAt           time.Duration // clock time at which it is to be sent a message
 	pacedUntil      time.Duration // clock time before which it may not be sent a message
 }
@@ -59,7 +60,7 @@
 	return ctl.settings.GossipEnabled && ctl.settings.PeerMessagesPerSecond > 0 && ctl.settings.Limiters > 1
 }
 
-// peer finds or starts what is known of another limiter.
+// peer finds another limiter by its number, or adds it.
 func (ctl *Controller) peer(number int) *peer {
 	p := ctl.gossip.peers[number]
 	if p == nil {
@@ -69,7 +70,7 @@
 	return p
 }
 
-// handlePeerMessage takes a message of another limiter in.
+// handlePeerMessage acts on a message of another limiter.
 func (ctl *Controller) handlePeerMessage(ev *PeerMessage) {
 	m, p, ok := ctl.receiveMessage(ev)
 	if !ok {
@@ -90,8 +91,8 @@
 	}
 }
 
-// receiveMessage reads a message. It is not ok if it makes no sense, or is not newer than the last one
-// of that limiter.
+// receiveMessage reads a message and records its sender's epoch. It is not ok if it is malformed, or not
+// newer than the last one of that limiter.
 func (ctl *Controller) receiveMessage(ev *PeerMessage) (m gossip.Message, p *peer, ok bool) {
 	m, ok = gossip.Parse(ev.Data)
 	if !ok || ev.From < 0 || ev.From >= ctl.settings.Limiters || ev.From == ctl.settings.Self {
@@ -113,8 +114,8 @@
 	return m, p, true
 }
 
-// mergeObservation takes in what another limiter has observed of a backend, if it is newer than what
-// is known. Whoever is wrong, the next observation is newer still.
+// mergeObservation records what another limiter has observed of a backend, if it is newer than what is
+// known, and passes it on. A wrong observation is corrected by the next one, which is newer still.
 func (ctl *Controller) mergeObservation(o gossip.Observation) {
 	b := ctl.endpoints.byGossipKey[o.Backend]
 	age := float64(o.Age) / ageStepsPerObjective * ctl.classes.shortestObjective.Seconds()
@@ -138,7 +139,8 @@
 	return math.Exp(-age / (observationObjectives * ctl.control.memorySeconds))
 }
 
-// announce has an observation of a backend, made at a clock time, sent to other limiters.
+// announce has an observation of a backend, made at a clock time, sent to other limiters in the next
+// observationRepeats messages.
 func (ctl *Controller) announce(b *backend, at time.Duration) {
 	b.observedAt = at
 	if math.Abs(b.failureRate-b.announcedFailureRate) > urgentFailureChange {
@@ -152,7 +154,8 @@
 	b.gossipRepeats = observationRepeats
 }
 
-// takeObservations returns the latest observations for a message, and counts them as sent once more.
+// takeObservations returns the latest observations for a message, at most so many, and counts them as sent
+// once more.
 func (ctl *Controller) takeObservations(most int) []gossip.Observation {
 	var taken []gossip.Observation
 	for i := len(ctl.gossip.pending) - 1; i >= 0 && len(taken) < most; i-- {
@@ -194,7 +197,8 @@
 	return more
 }
 
-// servingAge is how long requests have been coming, in servingAgeStep.
+// servingAge is the time since the first request in units of servingAgeStep, or gossip.LeavingAge in a
+// shutdown.
 func (ctl *Controller) servingAge() uint8 {
 	switch {
 	case ctl.customers.leaving:
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -306,7 +306,7 @@
 		}
 	}
 	for number, ctl := range tr.controllers {
-		if ctl.timer.at <= tr.now {
+		if ctl.timer.armedFor <= tr.now {
 			tr.handle(number, TimerFired{})
 		}
 	}
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -13,15 +13,14 @@
 	failureWeight = 0.2
 	// ejectFailureRate is the failure rate that ejects: two to three failures in a row.
 	ejectFailureRate = 0.4
-	// minUsableFraction is the fraction of the listed backends that stays in use, however badly it
-	// answers.
+	// minUsableFraction is the fraction of the listed backends that failures leave in use.
 	minUsableFraction = 0.5
-	// rejectionBackoff is how many times as long as a rejection took its kind of request stays away,
-	// beyond a mean latency.
+	// rejectionBackoff is how long a kind of request stays away after its rejection, beyond a mean latency:
+	// so many times as long as the rejection took.
 	rejectionBackoff = 4
 )
 
-// backend is a backend of the endpoint list, or one that is gone and may come back.
+// backend is a backend of the endpoint list, or one that was removed and may come back.
 type backend struct {
 	Backend
 	unavailable bool          // draining or removed
@@ -29,27 +28,27 @@
 	open        []*request    // with an attempt out, oldest first
 
 	// Own responses, see selection.go.
-	latencyPerAttempt float64       // per attempt out there, in mean latencies of the class
-	samples           float64       // responses that this comes from, fading
+	latencyPerAttempt float64       // latency per attempt out there, in mean latencies of the class
+	samples           float64       // responses that latencyPerAttempt comes from, fading with time
 	lastResponseAt    time.Duration // clock time
 
 	// Health.
-	failureRate          float64 // 0 to 1, also by what other limiters tell
-	ejectedUntil         time.Duration
+	failureRate          float64       // 0 to 1, by own results and observations of other limiters
+	ejectedUntil         time.Duration // clock time of the next recovery attempt; 0 if not ejected
 	consecutiveEjections int
 	rejectedUntil        map[int]time.Duration // by kind of request, see rejectionKind
 
-	// What limiters tell of it, see gossip.go.
-	gossipKey            uint32        // its name in messages
+	// Observations of it, see gossip.go.
+	gossipKey            uint32        // identifies it in messages
 	relativeLoad         float64       // over that of the other backends
 	observedAt           time.Duration // clock time of the newest observation, own or received
-	gossipRepeats        int           // messages that still carry it
-	announcedFailureRate float64       // when it was last announced at once
+	gossipRepeats        int           // messages that are still to carry the observation
+	announcedFailureRate float64       // failure rate when it was last announced as urgent
 
-	initialReportSeen bool // its utilization at the first report is known
+	initialReportSeen bool // its first report has counted, see inferRecovery
 }
 
-// recordResult takes the result of an attempt into what is known of its backend and class.
+// recordResult records the result of an attempt for its backend and its class.
 func (ctl *Controller) recordResult(b *backend, r *request, ev *AttemptFinished) {
 	ctl.recordMeasuredAttempt(r, ev)
 	switch ev.Result {
@@ -58,7 +57,7 @@
 	case Rejected: // it has room for the rest: only this kind of request stays away
 		until := ctl.now + seconds(r.class.meanLatency) + rejectionBackoff*ev.Latency
 		b.avoidKind(ctl.rejectionKind(r), until)
-	case Unreachable: // nothing listens there: one sign tells more than a failure rate
+	case Unreachable: // nothing listens there: a failure rate would only delay this
 		b.failureRate = 1
 		ctl.announce(b, ctl.now)
 		ctl.eject(b)
@@ -88,7 +87,7 @@
 	}
 }
 
-// recordSuccess takes a response in. Where backends report no load, the latency stands for it.
+// recordSuccess records a response. Where backends report no load, the latency is taken for it.
 func (ctl *Controller) recordSuccess(b *backend, r *request, ev *AttemptFinished) {
 	latency := ev.Latency.Seconds()
 	r.class.recordLatency(latency)
@@ -103,8 +102,8 @@
 	b.recoverIfHealthy()
 }
 
-// recordFailure takes a failure in, and ejects a backend that fails too often while enough others are
-// usable. A failed recovery attempt ejects it again.
+// recordFailure records a failure, and ejects a backend that fails too often while enough others are
+// usable. A failed recovery attempt ejects it again, for longer.
 func (ctl *Controller) recordFailure(b *backend) {
 	b.failureRate += failureWeight * (1 - b.failureRate)
 	ctl.announce(b, ctl.now)
@@ -137,7 +136,7 @@
 	return b == nil || b.unavailable || b.ejected()
 }
 
-// rejectionKind is what a backend may reject apart from the rest: a class of a plan.
+// rejectionKind numbers what a backend may reject apart from the rest: a class of a plan.
 func (ctl *Controller) rejectionKind(r *request) int {
 	return r.customer.planIndex*len(ctl.classes.all) + slices.Index(ctl.classes.all, r.class)
 }
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -7,8 +7,8 @@
 	"lemongate/internal/rate"
 )
 
-// This file reads the load reports of backends, probes backends that nothing is known of, and infers
-// from the first reports whether the whole tier is new.
+// This file reads the load reports of backends, probes backends that have not reported for long, and infers from
+// the first reports whether the tier of limiters is new.
 
 const (
 	// Names of values in a load report.
@@ -17,9 +17,9 @@
 	latencyField     = "latency_ms"
 	utilizationField = "util"
 
-	// utilizationMargin: a backend that is wholly utilized counts as this much short of it.
+	// utilizationMargin is the fraction of its capacity that a fully utilized backend counts as having left.
 	utilizationMargin = 0.15
-	// maxRelativeLoad bounds a relative load and one over it: with less, all busy backends look alike.
+	// maxRelativeLoad bounds a relative load and its inverse: with a lower bound all busy backends look alike.
 	maxRelativeLoad = 16.0
 	// latencyLoadWeight is the weight of one latency in the relative load, where no load is reported.
 	latencyLoadWeight = 0.3
@@ -31,17 +31,17 @@
 	// backend once at most.
 	probeRoundObjectives = 4.0
 
-	// initialReports is how many first reports tell whether the tier is new.
+	// initialReports is from how many first reports it is inferred whether the tier of limiters is new.
 	initialReports = 3
-	// newTierUtilization is the mean utilization up to which backends were never used before.
+	// newTierUtilization is the mean utilization up to which backends seem not to have been used before.
 	newTierUtilization = 0.2
 )
 
 // loadReports is what is known of the loads that backends report.
 type loadReports struct {
-	meanLoad            float64
-	initialUtilizations []float64      // of the first report of each backend
-	probes              rate.Allowance // that may be made
+	meanLoad            float64        // running mean of loadReport.load
+	initialUtilizations []float64      // of the first reports, one per backend
+	probes              rate.Allowance // probes that may be made
 }
 
 // loadReport is the part of a load report that is used; values below 0 were not reported.
@@ -51,8 +51,8 @@
 	utilization float64 // 0 to 1
 }
 
-// onLoadReport takes a load report in. Only how a backend compares with the others counts, whatever
-// the unit.
+// onLoadReport records a load report. Only how a backend compares with the others counts, so the unit of
+// the load does not matter.
 func (ctl *Controller) onLoadReport(b *backend, values []float64) {
 	report, ok := parseLoadReport(ctl.settings.LoadReportFields, values)
 	if !ok {
@@ -69,8 +69,8 @@
 	ctl.announce(b, ctl.now)
 }
 
-// parseLoadReport reads a load report. It is not ok if a value makes no sense or nothing of use is
-// reported.
+// parseLoadReport reads the values of a load report by the names of their fields. It is not ok if a value
+// is negative or not finite, or no field is used.
 func parseLoadReport(fields []string, values []float64) (report loadReport, ok bool) {
 	none := loadReport{inFlight: -1, latency: -1, utilization: -1}
 	report = none
@@ -90,8 +90,8 @@
 	return report, report != none
 }
 
-// load is the work that waits at a backend: its latency times the requests there, or where these are
-// not reported, its latency over what is left of its capacity.
+// load is a measure of the work that waits at a backend: its latency times the requests there, or where
+// these are not reported, its latency over the fraction of its capacity that is left.
 func (r loadReport) load() float64 {
 	load := max(r.latency, 1) * (max(r.inFlight, 0) + 1)
 	if r.inFlight < 0 && r.utilization >= 0 {
@@ -125,9 +125,9 @@
 	ctl.emit(ProbeBackend{Backend: b.ID})
 }
 
-// inferRecovery infers from the first reports whether the tier is new: if backends are at work
-// already, there were limiters before, and all of them lost what they knew. Otherwise every customer
-// would get a fresh burst.
+// inferRecovery infers from the first reports whether the tier of limiters is new or has restarted: if
+// backends are at work already, there were limiters before, which have lost what they knew of the use of
+// quotas. A tier that took itself for new would give each customer a fresh burst.
 func (ctl *Controller) inferRecovery(b *backend, utilization float64) {
 	if ctl.customers.ledger.Recovery() != quota.RecoveryUnknown || utilization < 0 || b.initialReportSeen {
 		return
--- a/internal/admission/pacing.go
+++ b/internal/admission/pacing.go
@@ -10,14 +10,16 @@
 // limiter keeps a pace over all of its messages.
 
 const (
-	// paceFraction is the fraction of a limiter's intake that the busiest senders fill together.
+	// paceFraction is the fraction of PeerMessagesPerSecond that the busiest senders to a limiter may use
+	// together.
 	paceFraction = 0.7
-	// activePeers is how many limiters tell one at its pace at most; a tier with more peers is large.
+	// activePeers is how many limiters are taken to send one limiter messages at a time. A tier where each
+	// has more peers is large: there, a pace per pair of limiters is not enough.
 	activePeers = 6
-	// messageBurst is how many messages to one limiter may go without a pause.
+	// messageBurst is how many messages to one limiter may be sent without a pause.
 	messageBurst = 4
-	// observationPauses is how many intervals pass in a large tier, after any message, until one goes
-	// that carries observations only: most ride on messages that go anyway, and each is paid for.
+	// observationPauses is how many intervals pass in a large tier, after any message, until one is sent
+	// that carries observations only: most are carried by messages that are sent anyway.
 	observationPauses = 6
 )
 
@@ -25,17 +27,18 @@
 type gossipState struct {
 	peers   map[int]*peer
 	queued  []*peer    // with a message to be sent
-	pending []*backend // observed of late and not sent often enough yet, the latest last
+	pending []*backend // with an observation that is still to be sent, the latest last
 
 	peerInterval  time.Duration // between messages to one limiter
 	totalInterval time.Duration // between any two messages, in a large tier; 0 in a small one
 
-	requestsPacedUntil time.Duration // clock time before which no transfer request may go
-	messagesPacedUntil time.Duration // clock time before which nothing but grants may go
-	nextObservationsAt time.Duration // clock time before which no message goes for observations only
-	urgentUntil        time.Duration // clock time up to which observations need not wait for that
+	requestsPacedUntil time.Duration // clock time before which no transfer request may be sent
+	messagesPacedUntil time.Duration // clock time up to which the pace of all messages is used up
+	nextObservationsAt time.Duration // clock time before which no message is sent for observations only
+	urgentUntil        time.Duration // clock time up to which nextObservationsAt does not count
 }
 
+// newGossipState derives the pace of messages from the settings.
 func newGossipState(set Settings) gossipState {
 	perSecond := paceFraction * max(set.PeerMessagesPerSecond, 1)
 	senders := set.Limiters - 1
@@ -49,8 +52,8 @@
 	return state
 }
 
-// announceToPeers has other limiters sent what is new here: all of them, or in a large tier as many as
-// fill the pace, chosen by chance.
+// announceToPeers has a message with what is new here sent to other limiters: to all of them, or in a large
+// tier to activePeers of them, chosen by chance.
 func (ctl *Controller) announceToPeers() {
 	if !ctl.gossips() {
 		return
@@ -66,8 +69,8 @@
 	}
 }
 
-// queueMessage has another limiter sent a message within a time, as a fraction of the shortest
-// objective.
+// queueMessage has a message sent to another limiter within a time, given as a fraction of the shortest
+// objective. What it carries is decided when it is sent.
 func (ctl *Controller) queueMessage(p *peer, within float64) {
 	at := ctl.now + seconds(within*ctl.classes.shortestObjective.Seconds())
 	if !p.queued {
@@ -78,11 +81,11 @@
 	ctl.wakeBy(p.sendableAt())
 }
 
-// sendableAt is the clock time from which on a queued message may go by the pace of its pair.
+// sendableAt is the clock time from which on a queued message may be sent by the pace of its pair.
 func (p *peer) sendableAt() time.Duration { return max(p.dueAt, p.pacedUntil) }
 
-// wakeForQueuedPeers makes sure that queued messages go when they are due. One that is due already
-// waits for the pace of all messages, which wakes by itself.
+// wakeForQueuedPeers makes sure that queued messages are sent when they are due. One that is due already
+// waits for the pace of all messages, for which takePace has set the timer.
 func (ctl *Controller) wakeForQueuedPeers() {
 	for _, p := range ctl.gossip.queued {
 		if at := p.sendableAt(); at > ctl.now {
@@ -113,12 +116,12 @@
 	}
 }
 
-// takePace reports whether the pace of all messages allows one to a limiter, and takes it.
+// takePace reports whether the pace of all messages allows one to a limiter, and counts it.
 //
-// A message with grants goes in any case, as there are no more grants than requests come in, and takes
-// nothing of the pace of transfer requests: an owner of many customers would keep its own requests
-// waiting. A message with observations only waits for all that may be saved up of the pace: it would
-// crowd out quotas that move, here and at the receiver.
+// A message with grants is sent in any case, as there are no more grants than transfer requests received,
+// and takes nothing of the pace of transfer requests: otherwise an owner of many customers would keep its
+// own requests waiting. A message with observations only waits until the pace has saved up a full burst:
+// otherwise it would crowd out transfers of quota, here and at the receiver.
 func (ctl *Controller) takePace(p *peer) bool {
 	g := &ctl.gossip
 	if g.totalInterval == 0 {
@@ -138,7 +141,8 @@
 	return true
 }
 
-// paceAllowsAt is the clock time at which the pace of all messages allows one without grants.
+// paceAllowsAt is the clock time at which the pace of all messages allows one without grants. savedUp is
+// the time in which the pace saves up a full burst.
 func (ctl *Controller) paceAllowsAt(p *peer, savedUp time.Duration) time.Duration {
 	g := &ctl.gossip
 	if ctl.customers.ledger.HasRequestsFor(p.number) {
--- a/internal/admission/recovery.go
+++ b/internal/admission/recovery.go
@@ -11,12 +11,12 @@
 	// doubles with each ejection in a row, maxRecoveryDoublings times at most.
 	recoveryObjectives   = 0.5
 	maxRecoveryDoublings = 4
-	// recoveryLimiters is how many limiters make recovery attempts at that pace: all limiters together
-	// try a backend as often as so many would alone, as the one that finds it well tells the others.
+	// recoveryLimiters is how many limiters make recovery attempts at that pace. Where more of them use a
+	// backend, each makes fewer, as the one that finds it well notifies the others.
 	recoveryLimiters = 8.0
 )
 
-// eject leaves a backend to recovery attempts, the first after a backoff that chance spreads.
+// eject takes a backend out of use but for recovery attempts, the first of them after a backoff with jitter.
 func (ctl *Controller) eject(b *backend) {
 	if b.ejectedUntil > ctl.now {
 		return
@@ -26,7 +26,7 @@
 	if !ctl.recoveryLeased() {
 		backoff *= max(ctl.limitersPerBackend()/recoveryLimiters, 1)
 	}
-	backoff *= (1 + ctl.random.Float64()) / 1.5 // two thirds to four thirds of it
+	backoff *= (1 + ctl.random.Float64()) / 1.5 // times 2/3 to 4/3
 	b.ejectedUntil = ctl.now + seconds(backoff)
 	b.consecutiveEjections++
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// recoveryDue reports whether an ejected backend should get a recovery attempt now, by this limiter.
+// recoveryDue reports whether this limiter should make a recovery attempt at a backend now.
 func (ctl *Controller) recoveryDue(b *backend) bool {
 	return b.ejected() && ctl.now >= b.ejectedUntil && ctl.now < ctl.recoveryUntil
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// request is a request that is not over or has an attempt out. It is queued (admitted, waits for the
-// window), or waits for a grant of its customer's quota, or has an attempt at a backend, or waits for
-// a backend that its retry may use.
+// request is a request that has not ended or has an attempt out. It waits for a grant of its customer's
+// quota, is queued (its quota is granted, it waits for the window), has an attempt out, or waits for a
+// backend that its retry may use.
 type request struct {
 	*Request
 	class       *requestClass
@@ -16,17 +16,17 @@
 	usefulUntil time.Duration // clock time after which an answer is worth little
 	deadline    time.Duration // clock time at which the client stops waiting
 
-	queued     bool // admitted, with units reserved, and no attempt yet
-	ended      bool // answered, or the client has gone
+	queued     bool // units are reserved, and no attempt was made yet
+	ended      bool // answered, or the client disconnected
 	responding bool // the client is being sent a response
 
-	attempts    int        // made so far
-	attemptedAt []*backend // by attempt
-	backend     *backend   // where an attempt is out; nil for none
-	sentAt      time.Duration
-	openAtSend  int  // attempts out at the backend when it was sent, itself included
-	canceled    bool // the attempt that is out has been canceled
-	ageRecorded bool // the attempt that is out was measured by its age
+	attempts    int           // made so far
+	attemptedAt []*backend    // by attempt
+	backend     *backend      // where an attempt is out; nil for none
+	sentAt      time.Duration // clock time of the last attempt
+	openAtSend  int           // attempts out at the backend when it was sent, itself included
+	canceled    bool          // the attempt that is out has been canceled
+	ageRecorded bool          // the attempt that is out has counted by its age, see recordOpenAttempts
 
 	retryPrepaid bool // the retry after a canceled attempt has been paid for
 
@@ -63,7 +63,7 @@
 	return ctl.settings.MayCancel && !r.ended && !r.canceled && !r.responding
 }
 
-// cancelAttempt asks for the end of the attempt that is out.
+// cancelAttempt cancels the attempt that is out.
 func (ctl *Controller) cancelAttempt(r *request) {
 	r.canceled = true
 	ctl.emit(CancelAttempt{Request: r.ID, Attempt: r.attempts - 1})
@@ -95,8 +95,8 @@
 	return r.mayHaveRunOn == nil && r.backend == nil
 }
 
-// release ends a request and returns what it reserved of its quota. It is forgotten once no attempt
-// of it is out.
+// release ends a request, and returns the units that it reserved if no attempt was made. It is forgotten
+// once no attempt of it is out.
 func (ctl *Controller) release(r *request) {
 	if r.queued {
 		r.queued = false
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -10,23 +10,25 @@
 	// after an attempt that never ran, which was no work for the backend.
 	retryCost         = 1.0
 	retryCostNeverRan = 0.25
-	// retriesPerRequest is what the first attempt of a request adds to the retry budget: a slow tier
-	// of backends is not made slower by retries.
+	// retriesPerRequest is what the first attempt of a request adds to the retry budget: so few that
+	// retries do not make slow backends slower.
 	retriesPerRequest = 0.15
-	// retryBurst is how many retries all limiters together save up, for a backend that goes down with
-	// its work.
+	// retryBurst is how many retries all limiters together save up, for the attempts at a backend that goes
+	// down.
 	retryBurst = 16.0
-	// deduplicationMarginDivisor: a tenth of the idempotency window is left for clocks and the way.
+	// deduplicationMarginDivisor: a tenth of the idempotency window is left for the way to the backend and
+	// for clocks that differ.
 	deduplicationMarginDivisor = 10
 )
 
 // retryQueue is the retry budget, and the requests whose retry waits for a backend.
 type retryQueue struct {
 	waiting   []*request
-	tokens    float64
+	tokens    float64 // retries that may be made
 	maxTokens float64
 }
 
+// newRetryQueue returns a full budget: one retry, and a part of the burst of all limiters.
 func newRetryQueue(limiters int) retryQueue {
 	most := 1 + retryBurst/float64(limiters)
 	return retryQueue{tokens: most, maxTokens: most}
@@ -53,7 +55,7 @@
 	ctl.startAttempt(r, b)
 }
 
-// dispatchRetries looks again for backends for the retries that wait for one.
+// dispatchRetries selects again among backends for the retries that wait for one.
 func (ctl *Controller) dispatchRetries() {
 	waiting := ctl.retries.waiting
 	ctl.retries.waiting = waiting[len(waiting):]
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -15,55 +15,59 @@
 	minChoices = 3
 	// choicesOfTier is how many are looked at by all limiters together, per backend, in a small tier.
 	choicesOfTier = 4.0
-	// priorResponses is how many own responses of a backend weigh as much as what limiters tell of it.
+	// priorResponses is how many own responses of a backend weigh as much as the observations of it.
 	priorResponses = 3.0
 	// unseenLatencyFactor is the latency of a backend not used for long, over the median: it looks a
 	// little better and is tried.
 	unseenLatencyFactor = 0.8
 	// failureCost is how many times more a wholly failing backend costs, beyond its latency.
 	failureCost = 4.0
-	// ejectedCost and triedCost are added to a cost: an ejected backend is used only when there is
-	// nothing else, one that was tried for the request already only before that.
+	// ejectedCost and triedCost are added to a cost: a backend that was tried for the request already is
+	// used only when there is no other, and an ejected one only when there is not even such a one.
 	ejectedCost = 1e6
 	triedCost   = 1e3
 	// goodEnoughCost is the cost from which on the search goes on beyond the first choices: it is
 	// reached only by what triedCost or ejectedCost was added to.
 	goodEnoughCost = 1e2
-	// responsesUnseen stands for attempts at a backend that this limiter does not see, in the latency
+	// attemptsUnseen is how many attempts of other limiters are taken to be at a backend, in the latency
 	// per attempt: without them a backend with one attempt would look worse than any busy one.
-	responsesUnseen = 2.0
+	attemptsUnseen = 2.0
 	// latencyPerAttemptWeight is the least weight of one response in the latency per attempt.
 	latencyPerAttemptWeight = 0.1
 )
 
 // choice is the state of one search for a backend.
 type choice struct {
+	usable   int     // backends to choose from, see usableSubset
+	capacity float64 // of these, in warm backends
+	choices  int     // how many of these are looked at before the best is taken
+
 	best    *backend
 	cost    float64  // of best
 	warm    bool     // an eligible backend that is not warming up was met
-	warmest *backend // of the eligible ones that are warming up; nil for none
+	warmest *backend // of the eligible backends that are warming up; nil for none
 }
 
 // selectBackend returns the backend for the next attempt of a request, nil if none may be used now.
 func (ctl *Controller) selectBackend(r *request) *backend {
-	usable, capacity := ctl.usableSubset()
-	choices := ctl.choices(usable)
-	from := ctl.random.IntN(max(usable, 1))
 	c := choice{cost: math.Inf(1)}
+	c.usable, c.capacity = ctl.usableSubset()
+	c.choices = ctl.choices(c.usable)
+	from := ctl.random.IntN(max(c.usable, 1))
 	for i := range ctl.endpoints.listed {
-		if i >= choices && c.warm && c.cost <= goodEnoughCost {
+		if i >= c.choices && c.warm && c.cost <= goodEnoughCost {
 			break
 		}
 		b := ctl.endpoints.listed[i]
-		if i < usable {
-			b = ctl.endpoints.listed[(from+i)%usable]
+		if i < c.usable { // these in turn from a random one on, then the rest in their order
+			b = ctl.endpoints.listed[(from+i)%c.usable]
 		}
-		if ctl.eligible(r, b) && ctl.considerWarmUp(&c, b, i, choices, usable, capacity) {
+		if ctl.eligible(r, b) && ctl.considerWarmUp(&c, b, i < c.choices) {
 			ctl.consider(&c, r, b)
 		}
 	}
 	if !c.warm && c.warmest != nil {
-		return ctl.selectWarmingUp(c.warmest, usable, capacity)
+		return ctl.selectWarmingUp(c.warmest, c.usable, c.capacity)
 	}
 	return c.best
 }
@@ -80,8 +84,8 @@
 }
 
 // considerWarmUp notes whether an eligible backend is warming up, and reports whether it may be
-// considered: one that is only among the first choices, and as often as slow start allows.
-func (ctl *Controller) considerWarmUp(c *choice, b *backend, index, choices, usable int, capacity float64) bool {
+// considered. One that is warming up may be only among the first choices, as often as slow start allows.
+func (ctl *Controller) considerWarmUp(c *choice, b *backend, amongFirst bool) bool {
 	fraction := ctl.warmUpFraction(b)
 	if fraction == 1 {
 		c.warm = true
@@ -90,15 +94,15 @@
 	if c.warmest == nil || ctl.warmUpFraction(c.warmest) < fraction {
 		c.warmest = b
 	}
-	return index < choices && ctl.admitsWarmingUp(b, choices, usable, capacity)
+	return amongFirst && ctl.admitsWarmingUp(b, c.choices, c.usable, c.capacity)
 }
 
-// consider takes a backend if it costs less than the best so far.
+// consider makes a backend the best so far if it costs less.
 func (ctl *Controller) consider(c *choice, r *request, b *backend) {
 	cost := ctl.backendCost(b) * ctl.costNoise()
 	switch {
 	case ctl.recoveryDue(b) && len(b.open) == 0 && r.class.Idempotency == Idempotent && r.attempts == 0:
-		cost = 0 // one idempotent request at a time: at low load it would never be tried
+		cost = 0 // one idempotent request at a time makes the recovery attempt
 	case b.ejected():
 		cost += ejectedCost
 	case slices.Contains(r.attemptedAt, b):
@@ -109,18 +113,19 @@
 	}
 }
 
-// backendCost is the latency to expect of a backend, in mean latencies of the class: by own responses
-// as far as they are fresh, else by the median and by what limiters tell of its load, for each attempt
-// that would then be out there.
+// backendCost is the latency to expect of a backend, in mean latencies of the class: the latency per
+// attempt times the attempts that would then be out there, raised where it warms up, is late or fails.
+// The latency per attempt is that of own responses as far as they are many and fresh, else the median of
+// all backends times the observed load.
 func (ctl *Controller) backendCost(b *backend) float64 {
-	own := ctl.freshness(b)
-	own *= b.samples * own / (b.samples*own + priorResponses) // one response tells little: work differs
-	observed := ctl.gossipFreshness(b)
-	unseen := unseenLatencyFactor * ctl.endpoints.medianLatency * (1 + observed*(b.relativeLoad-1))
-	cost := (unseen*(1-own) + b.latencyPerAttempt*own) * float64(len(b.open)+1)
-	cost /= observed + (1-observed)*ctl.warmUpFraction(b) // observations include that it warms up
+	ownWeight := ctl.freshness(b)
+	ownWeight *= b.samples * ownWeight / (b.samples*ownWeight + priorResponses) // a single one says little
+	observedWeight := ctl.gossipFreshness(b)
+	unseen := unseenLatencyFactor * ctl.endpoints.medianLatency * (1 + observedWeight*(b.relativeLoad-1))
+	cost := (unseen*(1-ownWeight) + b.latencyPerAttempt*ownWeight) * float64(len(b.open)+1)
+	cost /= observedWeight + (1-observedWeight)*ctl.warmUpFraction(b) // an observed load includes that it warms up
 	cost *= ctl.oldestAttemptFactor(b)
-	return cost * (1 + failureCost*b.failureRate*max(own, observed))
+	return cost * (1 + failureCost*b.failureRate*max(ownWeight, observedWeight))
 }
 
 // oldestAttemptFactor raises the cost of a backend whose oldest attempt is late: its age bounds the
@@ -134,25 +139,26 @@
 	return max((ctl.now-oldest.sentAt).Seconds()/late, 1)
 }
 
-// costNoise is a random factor on costs in a large tier. With all of it, backends are taken in
-// proportion to one over their cost: limiters that know the same, a little late, would otherwise all
-// take the same one and then all another.
+// costNoise is a random factor on costs: 1 in a small tier, and exponentially distributed with twice
+// activePeers limiters or more, which chooses a backend with a probability in proportion to one over its
+// cost. Limiters that share their observations, a little late, would otherwise all choose the same one and
+// then all another.
 func (ctl *Controller) costNoise() float64 {
 	exponent := min(max(float64(ctl.settings.Limiters)/activePeers-1, 0), 1)
 	return math.Pow(ctl.random.ExpFloat64(), exponent)
 }
 
-// freshness is how much of what was seen of a backend still counts, 0 to 1.
+// freshness is how much of what own responses have shown of a backend still counts, 0 to 1.
 func (ctl *Controller) freshness(b *backend) float64 {
 	age := (ctl.now - b.lastResponseAt).Seconds()
 	return math.Exp(-age / (memoryObjectives * ctl.control.memorySeconds))
 }
 
-// recordLatencyPerAttempt takes a response into what a backend takes per attempt, in mean latencies of
-// the class. What is known of a backend that was not used for long gives way to the new response.
+// recordLatencyPerAttempt takes the latency of a response, in seconds, into the latency per attempt of its
+// backend. The longer the backend was not used the more the new response weighs.
 func (ctl *Controller) recordLatencyPerAttempt(b *backend, r *request, latency float64) {
-	relative := (1 + responsesUnseen) * latency / max(r.class.meanLatency, minMeanLatency)
-	perAttempt := relative / (float64(r.openAtSend) + responsesUnseen)
+	relative := (1 + attemptsUnseen) * latency / max(r.class.meanLatency, minMeanLatency)
+	perAttempt := relative / (float64(r.openAtSend) + attemptsUnseen)
 	b.samples = b.samples*ctl.freshness(b) + 1
 	weight := max(latencyPerAttemptWeight, 1/b.samples)
 	bound := spikeFactor * spikeFactor * b.latencyPerAttempt
@@ -163,7 +169,7 @@
 // minMeanLatency keeps a mean latency in seconds that is divided by from being zero.
 const minMeanLatency = 1e-6
 
-// measureMedianLatency is the latency per attempt of an ordinary backend.
+// measureMedianLatency is the median latency per attempt of the listed backends, 1 if there are none.
 func (ctl *Controller) measureMedianLatency() float64 {
 	listed := ctl.endpoints.listed
 	if len(listed) == 0 {
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -48,7 +48,7 @@
 	Rate           float64 // quota, units per second
 	Burst          float64 // units that the quota saves up
 	MaxConcurrent  int     // attempts in flight at once
-	WeightFactor   float64 // factor on the weight of the class
+	WeightFactor   float64 // factor on the weight of the class; no decision depends on it
 	ExcessFraction float64 // fraction of the weight that is earned beyond the quota
 	OverQuotaCost  float64 // fraction of the weight that forwarding beyond the quota costs
 	CeilingRate    float64 // hard ceiling, units per second
@@ -59,34 +59,36 @@
 type Settings struct {
 	// Epoch grows with each start of this limiter, modulo 2^32; 0 takes it from the clock.
 	Epoch    uint32
-	Self     int // number of this limiter, from 0
-	Limiters int // how many there are; 0 counts as 1
-	Zone     string
+	Self     int    // number of this limiter, from 0
+	Limiters int    // how many there are; 0 counts as 1
+	Zone     string // of this limiter; no decision depends on it
 	// ClockResolution is the finest step of the caller's clock.
 	ClockResolution time.Duration
 	Classes         []Class
 	Plans           []Plan
 
-	ClientsMarkRetries    bool // Request.IsRetry can be trusted
-	MaxAttempts           int  // attempts for one request; 0 means one
-	MayCancel             bool // CancelAttempt may be used
-	MayProbe              bool // ProbeBackend may be used
-	GossipEnabled         bool // SendToPeer may be used
-	PeerMessagesPerSecond float64
+	ClientsMarkRetries    bool    // Request.IsRetry can be trusted
+	MaxAttempts           int     // attempts for one request; 0 means one
+	MayCancel             bool    // CancelAttempt may be used
+	MayProbe              bool    // ProbeBackend may be used
+	GossipEnabled         bool    // SendToPeer may be used
+	PeerMessagesPerSecond float64 // that one limiter takes in from all others together
 	// MaxRetryAfter is the longest Retry-After that clients follow; 0 means to give none.
 	MaxRetryAfter time.Duration
 
 	LoadReportFields []string // names of the values in a load report
-	CapacitiesKnown  bool     // Backend.RelativeCapacity tells capacities apart
+	CapacitiesKnown  bool     // Backend.RelativeCapacity is set
 	PollEndpoints    bool     // changes of the endpoint list come only after PollEndpoints
 
+	// DrainGrace is how long attempts may still start at a backend after an endpoint list that has it
+	// draining or removed. No decision depends on it: none start there from then on.
 	DrainGrace time.Duration
 	// SlowStartFraction is the fraction of its capacity that a backend has at least just after its
 	// start; SlowStartDuration later it has all of it.
 	SlowStartFraction float64
 	SlowStartDuration time.Duration
-	// A backend that warms up and is sent OverloadMultiple times its capacity for OverloadDuration
-	// goes down.
+	// A backend that warms up and is sent OverloadMultiple times its capacity for OverloadDuration goes
+	// down. No decision depends on them: slow start keeps well below.
 	OverloadMultiple float64
 	OverloadDuration time.Duration
 }
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -6,11 +6,11 @@
 const (
 	// slowStartMargin is the fraction of its fair share that a backend that warms up is sent.
 	slowStartMargin = 0.9
-	// minWarmFraction: a subset with less warm capacity, for its size, is not sent all that a warm one
-	// was.
+	// minWarmFraction is the capacity, in warm backends per backend, under which a subset is not sent the
+	// full rate of attempts.
 	minWarmFraction = 0.5
-	// maxIdleFactor bounds how many times its fair share a backend that warms up gets where limiters
-	// tell that it is idle: well below what overloads it.
+	// maxIdleFactor bounds how many times its fair share a backend that warms up gets where it is observed
+	// to be idle: well below what overloads it.
 	maxIdleFactor = 2.5
 )
 
@@ -24,10 +24,10 @@
 	return from + (1-from)*max(age.Seconds(), 0)/ctl.settings.SlowStartDuration.Seconds()
 }
 
-// admitsWarmingUp decides by chance whether a backend that warms up is considered: as often as its
-// fraction of a warm backend's share. The fraction is the least that it may have, so a backend that
-// limiters tell to be idle gets more: else the warm ones would be overloaded beside idle ones.
-// Capacity is that of the usable backends, in warm ones.
+// admitsWarmingUp decides by chance whether a backend that warms up is considered, among so many choices
+// out of so many usable backends whose capacity is given in warm ones: as often as its fraction of a warm
+// backend's share. The fraction is the least that it may have, so a backend that is observed to be idle
+// gets more: otherwise the warm ones would be overloaded beside idle ones.
 func (ctl *Controller) admitsWarmingUp(b *backend, choices, usable int, capacity float64) bool {
 	size := float64(usable)
 	idle := min(max(1/b.relativeLoad, 1), maxIdleFactor)
@@ -36,8 +36,8 @@
 	return ctl.random.Float64() < fairShare/float64(choices)
 }
 
-// selectWarmingUp returns the warmest backend where all eligible ones are warming up, as far as they
-// bear the rate of attempts together, and else nil.
+// selectWarmingUp returns the warmest backend where all eligible ones are warming up, or nil if the usable
+// backends, whose capacity is given in warm ones, do not bear another attempt now.
 func (ctl *Controller) selectWarmingUp(warmest *backend, usable int, capacity float64) *backend {
 	attempts := ctl.window.attemptRate.Value(ctl.now, ctl.control.memorySeconds)
 	perSecond := slowStartMargin * attempts * capacity / (minWarmFraction * float64(max(usable, 1)))
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -20,7 +20,7 @@
 var (
 	// ErrNotStarted means that no event has come yet, so there is nothing to store.
 	ErrNotStarted = errors.New("snapshot: not started")
-	// ErrOtherSettings means that a snapshot was taken under settings that decide otherwise.
+	// ErrOtherSettings means that a snapshot was taken under other settings.
 	ErrOtherSettings = errors.New("snapshot: of other settings")
 	// ErrIncomplete means that a part of a snapshot is missing.
 	ErrIncomplete = errors.New("snapshot: incomplete")
@@ -77,12 +77,12 @@
 	return ctl, nil
 }
 
-// fingerprint tells settings apart by all that decides. Other releases compare it with their own, so it
-// is taken of a stored form, whose names do not change.
+// fingerprint identifies settings but for the epoch. Other releases compare it with their own, so it is
+// computed of a stored form, whose names do not change.
 func fingerprint(set Settings) uint64 {
 	set.Epoch = 0
 	h := fnv.New64a()
-	_ = stateCodec.NewEncoder(h).Encode(newSettingsState(set)) // a hash takes all, and settings come from JSON
+	_ = stateCodec.NewEncoder(h).Encode(newSettingsState(set)) // writing to a hash never fails, and settings come from JSON
 	return h.Sum64()
 }
 
@@ -94,11 +94,11 @@
 	})
 	ctl.derivePending()
 	ctl.mergeEndpoints(&EndpointList{Kind: ListDelta})
-	ctl.timer.at, ctl.timer.dueAt = math.MaxInt64, ctl.now // the first event asks for the timer
+	ctl.timer.armedFor, ctl.timer.dueAt = math.MaxInt64, ctl.now // the first event arms it
 }
 
 // relinkCustomer finds the plan and the account of a customer that was stored, and reports whether it
-// is kept. Of one whose plan the settings do not have, its requests were all there is.
+// is kept. One whose plan the settings do not have is known by its requests only, which are not stored.
 func (ctl *Controller) relinkCustomer(c *customer) bool {
 	if c.planIndex >= len(ctl.settings.Plans) {
 		return false
@@ -113,7 +113,7 @@
 	return true
 }
 
-// derivePending finds what is still to be sent to other limiters.
+// derivePending finds the observations and messages that are still to be sent to other limiters.
 func (ctl *Controller) derivePending() {
 	g := &ctl.gossip
 	for _, b := range ctl.endpoints.byID {
@@ -132,7 +132,8 @@
 	slices.SortFunc(g.queued, func(a, b *peer) int { return cmp.Compare(a.number, b.number) })
 }
 
-// renewEpoch starts to hold quotas anew, in a new epoch. The requests that are out still count.
+// renewEpoch starts a new ledger in a new epoch, as after a restart. The requests at hand still count
+// among their customers' slots.
 func (ctl *Controller) renewEpoch(epoch uint32) {
 	ctl.settings.Epoch = epoch
 	ctl.startLedger()
@@ -153,7 +154,7 @@
 	ctl.announceToPeers()
 }
 
-// readoptCustomer gives a customer whose requests are out an account in a new ledger.
+// readoptCustomer gives a customer with requests at hand an account in a new ledger.
 func (ctl *Controller) readoptCustomer(c *customer) {
 	key := customerKey{c.name, c.plan.Name}
 	if ctl.customers.byKey[key] != nil {
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -7,12 +7,12 @@
 // meet their backend targets.
 
 const (
-	// windowStartPerBackend is the usual window, in attempts of all limiters together per usable
-	// backend, while few customers have been met.
+	// windowStartPerBackend is the usual window, in attempts of all limiters together per listed backend,
+	// while few customers are known.
 	windowStartPerBackend = 5.0
-	// windowSlack is added to the usual window: with few requests some coincide by chance.
+	// windowSlack is added to the usual window, in attempts: with few requests some coincide by chance.
 	windowSlack = 2.0
-	// windowFloorPerBackend is the least window, in attempts of all limiters together per backend.
+	// windowFloorPerBackend is the least window, in attempts of all limiters together per listed backend.
 	windowFloorPerBackend = 2.0
 	// windowMinScale and windowMaxScale bound the scale of the usual window.
 	windowMinScale = 0.1
@@ -20,12 +20,13 @@
 	// windowMinFactor and windowMaxFactor bound the change of the scale in one control period.
 	windowMinFactor = 0.4
 	windowMaxFactor = 1.4
-	// windowMinSamples is how many measured attempts tell how a class does: fewer are chance.
+	// windowMinSamples is how many attempts of a class must be measured to narrow the window: fewer are
+	// chance.
 	windowMinSamples = 10
-	// pressureWeight is how many measured attempts the pressure so far weighs as much as.
+	// pressureWeight is the weight of the pressure so far, in measured attempts.
 	pressureWeight = 3.0
-	// memoryObjectives is the time, in longest objectives, after which what was measured of a
-	// backend that is not used, or of a customer that is not met, has faded to 1/e or is left out.
+	// memoryObjectives is the time in longest objectives after which what was measured of an unused
+	// backend has faded to 1/e, and the quota of a customer without requests no longer counts.
 	memoryObjectives = 5.0
 )
 
@@ -35,11 +36,12 @@
 	quotaRate float64 // requests per second that the quotas served here allow
 	wasFull   bool    // at some time in this control period
 
-	// fraction is what a window under one has saved up for its next attempt.
+	// fraction is what a window of less than one attempt has saved up for its next attempt.
 	fraction rate.Allowance
 	// attemptRate is the rate at which attempts are started.
 	attemptRate rate.Decaying
-	// pressure is the latency of attempts over their targets, here and at other limiters.
+	// pressure is the upstream pressure: the latency of attempts over their backend targets, as a running
+	// mean of what is measured here and received from other limiters.
 	pressure float64
 }
 
@@ -56,8 +58,8 @@
 }
 
 // windowFull reports whether no attempt may be started now. Attempts at ejected backends do not
-// count, as they may never end. A window under one saves up for an attempt, which may start when none
-// is out: it would never open otherwise.
+// count, as they may never end. A window of less than one attempt saves up for one, which may start when
+// none is out: it would never open otherwise.
 func (ctl *Controller) windowFull() bool {
 	_, out := ctl.countUsable()
 	size := ctl.windowSize()
@@ -73,8 +75,9 @@
 	return ctl.window.fraction.Amount < 1 || out > 0
 }
 
-// scaleWindow changes the size of the window by the room that is left: below 1 attempts take longer
-// than their targets. It opens only if it was full.
+// scaleWindow changes the scale of the window by the room that is left, the ratio of backend targets to
+// latencies: below 1 attempts take longer than they should, and it narrows if any were measured. It widens
+// only if it was full.
 func (ctl *Controller) scaleWindow(room float64, measured bool) {
 	narrows := room < 1 && measured
 	widens := room >= 1 && ctl.window.wasFull
@@ -99,8 +102,8 @@
 	}
 }
 
-// requestRate is how many requests per second a customer's quota allows at all limiters: by its rate,
-// or by its slots at the time that an attempt should take.
+// requestRate is how many requests per second a customer's quota allows at all limiters together: by its
+// rate, or by its slots and the time that an attempt should take.
 func (ctl *Controller) requestRate(c *customer) float64 {
 	if c.plan.Rate > 0 {
 		return c.plan.Rate / max(c.meanUnits, 1)
@@ -111,8 +114,8 @@
 // minSeconds keeps times that are divided by from being zero.
 const minSeconds = 1e-3
 
-// measurePressure takes the attempts of a control period into the pressure: their latency against
-// what they should have taken. It is a mean over some attempts, as two in a period are chance.
+// measurePressure takes the attempts of a control period into the pressure: the sum of their latencies
+// against the sum of their targets, in seconds. The fewer they are the less they weigh, as two are chance.
 func (w *concurrencyWindow) measurePressure(attempts, latencySum, targetSum float64) {
 	weight := attempts / (attempts + pressureWeight)
 	w.pressure += weight * (latencySum/max(targetSum, 1e-9) - w.pressure)
--- a/internal/queueing/queueing.go
+++ b/internal/queueing/queueing.go
@@ -1,26 +1,29 @@
-// Package queueing holds the queueing model that the decisions follow: an M/G/1 queue that is given a
-// share of the capacity. Times are in seconds.
+// Package queueing is the queueing model by which shares of the capacity are given to request classes: each
+// class is an M/G/1 queue (Poisson arrivals, any distribution of service time, one server) whose server has
+// the class's share of the capacity. It is the model of "Model Predictive Feedback Control for QoS
+// Assurance in Web Servers". Times are in seconds, rates per second, and a share is 0 to 1.
 package queueing
 
 import "math"
 
-// ServiceTime is the first two moments of the time that a request takes at the whole capacity.
+// ServiceTime is the first two moments of the time that a request takes at the full capacity.
 type ServiceTime struct {
 	Mean   float64
 	Square float64 // mean of the square
 }
 
-// Share is the share of the capacity with which a class just meets its latency objective, at an
-// arrival rate per second: equation 9 of the paper in conjugate form, which is not singular where the
-// numerator vanishes. It may be above 1.
+// Share is the share of the capacity with which the mean latency of a class is just its objective, at an
+// arrival rate. It is equation 9 of the paper in conjugate form: the form of the paper divides zero by zero
+// where the mean square of the service time is twice the squared mean. It may be above 1.
 func Share(arrivalRate float64, service ServiceTime, objective float64) float64 {
 	y := service.Square - 2*service.Mean*service.Mean
 	z := (1 + objective*arrivalRate) * service.Mean
 	return (z + math.Sqrt(max(z*z+2*objective*arrivalRate*y, 0))) / (2 * objective)
 }
 
-// Slope is the derivative of the latency of a class by its share. It is below zero: more share, less
-// latency. A spare share below least counts as least.
+// Slope is the derivative of the mean latency of a class by its share, in seconds. It is below zero: more
+// share, less latency. What the share exceeds the load of the class by counts as least if it is less, as
+// the latency of the model has no bound there.
 func Slope(arrivalRate float64, service ServiceTime, share, least float64) float64 {
 	spare := max(share-arrivalRate*service.Mean, least)
 	return -service.Mean/(share*share) - arrivalRate*service.Square*(share+spare)/(2*share*share*spare*spare)
