--- a/internal/admission/dispatch_test.go
+++ b/internal/admission/dispatch_test.go
@@ -25,3 +25,28 @@
 	}
 	t.Error("a queued request was not rejected within its budget")
 }
+
+// Classes that have something queued are dispatched in proportion to their shares.
+func TestDispatchByShares(t *testing.T) {
+	f := newFixture(t, testSettings(), backendList("a", "b")...)
+	dispatched := map[string]int{}
+	for _, class := range f.ctl.classes.all {
+		class.queue = []*request{{Request: &Request{}, class: class, usefulUntil: math.MaxInt64, deadline: math.MaxInt64}}
+		class.queue[0].Budget = math.MaxInt64 / 2
+	}
+	shares := []float64{0.2, 0.3, 0.5}
+	for i, class := range f.ctl.classes.all {
+		class.share = shares[i]
+	}
+	const dispatches = 1000
+	for range dispatches {
+		next := f.ctl.nextClass()
+		dispatched[next.Name]++
+		f.ctl.chargeCredit(next)
+	}
+	for _, class := range f.ctl.classes.all {
+		if got := dispatched[class.Name]; math.Abs(float64(got)-class.share*dispatches) > 2*maxCredit {
+			t.Errorf("%s: %d of %d dispatches with a share of %.1f", class.Name, got, dispatches, class.share)
+		}
+	}
+}
--- a/internal/admission/pacing.go
+++ b/internal/admission/pacing.go
@@ -23,7 +23,8 @@
 	observationPauses = 6
 )
 
-// gossipState is the other limiters, and what is to be sent to them.
+// gossipState is the other limiters, and what is to be sent to them. The clock times ...PacedUntil are token
+// buckets: each message adds an interval to one, and a burst is how many intervals it may lie in the past.
 type gossipState struct {
 	peers   map[int]*peer
 	queued  []*peer    // with a message to be sent
@@ -141,8 +142,9 @@
 	return true
 }
 
-// paceAllowsAt is the clock time at which the pace of all messages allows one without grants. savedUp is
-// the time in which the pace saves up a full burst.
+// paceAllowsAt is the clock time at which the pace of all messages allows one without grants: with transfer
+// requests as soon as their own pace does, with observations only once both paces have saved up a full
+// burst, which takes savedUp.
 func (ctl *Controller) paceAllowsAt(p *peer, savedUp time.Duration) time.Duration {
 	g := &ctl.gossip
 	if ctl.customers.ledger.HasRequestsFor(p.number) {
--- a/internal/admission/recovery_test.go
+++ b/internal/admission/recovery_test.go
@@ -46,3 +46,41 @@
 		t.Error("still ejected though another limiter observed that it is well")
 	}
 }
+
+// While one limiter makes the recovery attempts for all, it tries an ejected backend once its backoff is over, and no
+// other limiter does.
+func TestRecoveryAttemptsNeedTheLease(t *testing.T) {
+	for _, leaseHeld := range []bool{true, false} {
+		f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
+		lease := RecoveryLease{Until: 0}
+		if leaseHeld {
+			lease.Until = time.Hour
+		}
+		f.handle(lease)
+		ejected := f.ctl.endpoints.byID["a"]
+		f.ctl.eject(ejected)
+		f.now = ejected.ejectedUntil
+		f.takeActions()
+		recoveryAttempts := 0
+		for range 50 {
+			id := f.request("read", "free", "x")
+			attempt := f.attemptOf(id)
+			f.takeActions()
+			if attempt.Backend == ejected.ID {
+				recoveryAttempts++
+			}
+			if attempt.Recovery != (attempt.Backend == ejected.ID) {
+				t.Errorf("attempt at %s is a recovery attempt: %v", attempt.Backend, attempt.Recovery)
+			}
+			f.now += 10 * ms
+			f.finish(id, 0, attempt.Backend, Succeeded, 10*ms)
+			f.takeActions()
+			if !ejected.ejected() {
+				break
+			}
+		}
+		if (recoveryAttempts > 0) != leaseHeld || ejected.ejected() == leaseHeld {
+			t.Errorf("lease held %v: %d recovery attempts, still ejected: %v", leaseHeld, recoveryAttempts, ejected.ejected())
+		}
+	}
+}
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// This file decides at which backend an attempt is made: the one expected to answer soonest, of a few
+// This file decides at which backend an attempt is made: the one expected to respond soonest, of a few
 // that are looked at. Each limiter looks at a small random choice out of its subset of the backends
-// (endpoints.go): hundreds of limiters that know the same would all rush to the best one, and one that
-// spread few requests over all backends would open a connection for nearly each.
+// (endpoints.go): hundreds of limiters that share their observations would all send to the best one, and
+// one that spread few requests over all backends would open a connection for nearly each.
 
 const (
 	// minChoices is how many backends are looked at, at least.
 	minChoices = 3
-	// choicesOfTier is how many are looked at by all limiters together, per backend, in a small tier.
+	// choicesOfTier is how many are looked at by all limiters together, over the usable backends, in a
+	// small tier.
 	choicesOfTier = 4.0
 	// priorResponses is how many own responses of a backend weigh as much as the observations of it.
 	priorResponses = 3.0
-	// unseenLatencyFactor is the latency of a backend not used for long, over the median: it looks a
-	// little better and is tried.
+	// unseenLatencyFactor is the latency per attempt of a backend not used for long, over the median: it
+	// looks a little better than it may be, so that it is tried.
 	unseenLatencyFactor = 0.8
-	// failureCost is how many times more a wholly failing backend costs, beyond its latency.
+	// failureCost is how many times its latency a backend costs in addition that always fails.
 	failureCost = 4.0
 	// ejectedCost and triedCost are added to a cost: a backend that was tried for the request already is
 	// used only when there is no other, and an ejected one only when there is not even such a one.
@@ -144,7 +145,7 @@
 // cost. Limiters that share their observations, a little late, would otherwise all choose the same one and
 // then all another.
 func (ctl *Controller) costNoise() float64 {
-	exponent := min(max(float64(ctl.settings.Limiters)/activePeers-1, 0), 1)
+	exponent := min(max(float64(ctl.settings.Limiters)/activePeers-1, 0), 1) // 0 for no noise, 1 for all of it
 	return math.Pow(ctl.random.ExpFloat64(), exponent)
 }
 
