--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -32,7 +32,7 @@
 	requestAllowance      float64        // asks of a hot customer that may go
 	requestOutstanding    bool           // the req at the head waits for a word
 	ownerDecision         int            // what came since
-	levelAnnounced        bool           // an asker told what the level was
+	levelHintReceived     bool           // an asker told what the level was
 	lastGrantAt           time.Duration
 	ceilingInTransit      []inTransit // of the ceiling, granted and maybe not there yet
 	ceilingUnitsInTransit float64     // their sum
@@ -61,8 +61,8 @@
 
 // A link is what stands between this limiter and one other for an account.
 type link struct {
-	peer  int
-	epoch uint32 // of the peer: what was agreed with an earlier life of it is void
+	peerID int
+	epoch  uint32 // of the peer: what was agreed with an earlier life of it is void
 
 	pending       bool // an ask is out
 	nonce         uint16
@@ -75,20 +75,20 @@
 	nextRequestAt time.Duration
 	borrowed      loan // borrowed there: what the last answer said
 
-	lent []grant // lent there, each until it ends: the peer goes by one of them
+	lent []grantRecord // lent there, each until it ends: the peer goes by one of them
 
 	lastGrant            gossip.Grant  // the last one given, of a home
 	ceilingBorrowedUntil time.Duration // of a home's link to one that stands in: until when what that one gained of the ceiling was asked for
-	extraDemand          uint8         // units asked for beside, of a large set
-
-	known          bool // what the peer told of itself
-	reclaimed      bool // what it held was taken up
-	restarted      bool // it did in an earlier life: what it tells next it sent on since
-	level          float64
-	consumed       uint16
-	demand         float64 // its demand
-	heardAt        time.Duration
-	slotsRequested bool // places are to be given back there
+	demandToReport       uint8         // units asked for beside, of a large set
+
+	known      bool // what the peer told of itself
+	reclaimed  bool // what it held was taken up
+	restarted  bool // it did in an earlier life: what it tells next it sent on since
+	level      float64
+	consumed   uint16
+	demand     float64 // its demand
+	reportedAt time.Duration
+	returnDue  bool // places are to be given back there
 }
 
 // A loan is a part of the rate and size of both stores that is used here until
@@ -99,9 +99,9 @@
 	expiresAt time.Duration
 }
 
-// A grant is the lender's record of a loan. It ends later than the loan by what
+// A grantRecord is the lender's record of a loan. It ends later than the loan by what
 // two clocks may differ. Units in it are on their way.
-type grant struct {
+type grantRecord struct {
 	loan
 	nonce                    uint16
 	quotaUnits, ceilingUnits float64
@@ -232,7 +232,7 @@
 func (a *Account) loansSettledAt() time.Duration {
 	l := a.ledger
 	at := l.startedAt
-	if a.advancedTo >= l.startedAt+lenderLease || !a.isAllocated() {
+	if a.advancedTo >= l.startedAt+lenderLoanDuration || !a.isAllocated() {
 		return at
 	}
 	for i := range a.setSize {
@@ -241,9 +241,9 @@
 			continue
 		}
 		if p := l.peers[who]; p != nil && p.acked {
-			at = max(at, min(p.ackedAt, l.startedAt+lenderLease))
+			at = max(at, min(p.ackedAt, l.startedAt+lenderLoanDuration))
 		} else {
-			return l.startedAt + lenderLease
+			return l.startedAt + lenderLoanDuration
 		}
 	}
 	return at
@@ -276,7 +276,7 @@
 func (a *Account) dropStaleLinks() {
 	for i := range a.links {
 		k := &a.links[i]
-		p := a.ledger.peers[k.peer]
+		p := a.ledger.peers[k.peerID]
 		if p != nil && k.epoch == 0 { // not heard before: there was nothing yet to agree on
 			k.epoch = p.epoch
 		}
@@ -286,11 +286,11 @@
 		if p != nil && p.epoch != k.epoch {
 			a.ledger.Counts.RateReclaimed += k.lentShare() * a.plan().Quota.Rate
 			if k.known { // what it sent on at last nobody will ever tell
-				past := min((a.ledger.lastMessageAt - k.heardAt).Seconds(), 1)
-				a.totalLevel -= min(k.demand, a.peerFraction(k.peer)*a.plan().Quota.Rate) * past
+				past := min((a.ledger.lastMessageAt - k.reportedAt).Seconds(), 1)
+				a.totalLevel -= min(k.demand, a.peerFraction(k.peerID)*a.plan().Quota.Rate) * past
 			}
 			a.reclaim(k)
-			*k = link{peer: k.peer, epoch: p.epoch, queued: k.queued, restarted: k.known}
+			*k = link{peerID: k.peerID, epoch: p.epoch, queued: k.queued, restarted: k.known}
 		}
 	}
 }
@@ -304,7 +304,7 @@
 	}
 	k.reclaimed = true
 	most := a.evenFraction * p.Quota.Burst
-	past := min((a.ledger.lastMessageAt - k.heardAt).Seconds(), 1)
+	past := min((a.ledger.lastMessageAt - k.reportedAt).Seconds(), 1)
 	level := min(max(k.level+(a.evenFraction*p.Quota.Rate-k.demand)*past, 0), most)
 	if k.level < 0 { // its debt is ours as well
 		level = k.level
@@ -316,18 +316,18 @@
 // link finds or starts what stands with a peer.
 func (a *Account) link(who int) *link {
 	for i := range a.links {
-		if k := &a.links[i]; k.peer == who {
+		if k := &a.links[i]; k.peerID == who {
 			if p := a.ledger.peers[who]; !a.isAllocated() && p != nil && p.epoch != k.epoch {
 				if k.epoch == 0 { // not heard before: what is asked of it stands
 					k.epoch = p.epoch
 				} else {
-					*k = link{peer: who, epoch: p.epoch, queued: k.queued}
+					*k = link{peerID: who, epoch: p.epoch, queued: k.queued}
 				}
 			}
 			return k
 		}
 	}
-	k := link{peer: who}
+	k := link{peerID: who}
 	if p := a.ledger.peers[who]; p != nil {
 		k.epoch = p.epoch
 	}
@@ -348,20 +348,20 @@
 // has gained and spent since; of one that told nothing, that it is like this one.
 func (a *Account) estimatePeer(k *link, now time.Duration) (level, demand float64) {
 	p := a.plan()
-	part := max(a.peerFraction(k.peer)-k.borrowed.share, 0)
+	part := max(a.peerFraction(k.peerID)-k.borrowed.share, 0)
 	most := part * p.Quota.Burst
-	if p := a.ledger.peers[k.peer]; p != nil && now < p.silentUntil {
+	if p := a.ledger.peers[k.peerID]; p != nil && now < p.silentUntil {
 		return 0, 0
 	}
 	if !k.known {
-		demand = min(a.demand.Value(now, demandMemorySeconds)/2, unseenDemand*part*p.Quota.Rate)
-		level = most * unseenLevel
+		demand = min(a.demand.Value(now, demandMemorySeconds)/2, unknownDemandFraction*part*p.Quota.Rate)
+		level = most * unknownLevelFraction
 		if s := a.ledger.recovery; s == RecoveryUnknown || s == TierRestarted { // it started from nothing as well
 			level = min(level, part*p.Quota.Rate*(now-a.ledger.startedAt).Seconds())
 		}
 		return level, demand
 	}
-	dt := (now - k.heardAt).Seconds()
+	dt := (now - k.reportedAt).Seconds()
 	return min(max(k.level+(part*p.Quota.Rate-k.demand)*dt, 0), most), k.demand
 }
 
@@ -392,7 +392,7 @@
 	if k.known || k.restarted || a.startedFull { // a new life counts from nothing
 		a.totalLevel -= float64(int16(drawn-k.consumed)) / gossip.UnitParts
 	}
-	k.known, k.restarted, k.heardAt, k.consumed = true, false, now, drawn
+	k.known, k.restarted, k.reportedAt, k.consumed = true, false, now, drawn
 	k.level = float64(level) / gossip.LevelSteps * p.Quota.Burst
 	k.demand = float64(demand) / gossip.DemandSteps * p.Quota.Rate
 	if p.Quota.Rate <= 0 || a.baseFraction <= 0 {
@@ -405,25 +405,25 @@
 		if peer != nil && peer.dead {
 			continue // what it held strays
 		}
-		if !o.known || now-o.heardAt > strayHeard && (now-o.heardAt > strayQuiet || o.demand*(now-o.heardAt).Seconds() > 1) {
+		if !o.known || now-o.reportedAt > busyReportMaxAge && (now-o.reportedAt > idleReportMaxAge || o.demand*(now-o.reportedAt).Seconds() > 1) {
 			return
 		}
 		for _, g := range o.lent {
 			held += g.quotaUnits
 		}
 		part := max(a.baseFraction+o.lentShare()-o.borrowed.share, 0)
-		held += o.level + part*p.Quota.Rate*(now-o.heardAt).Seconds()
+		held += o.level + part*p.Quota.Rate*(now-o.reportedAt).Seconds()
 	}
 	if !a.totalKnown || a.totalLevel < held { // the parts never hold more than there is
 		a.totalLevel, a.totalKnown, a.unallocatedTicks = held, true, 0
 		return
 	}
 	stray := a.totalLevel - held - a.largestRequest - p.Quota.Burst/gossip.LevelSteps*float64(a.setSize)
-	if a.unallocatedTicks == 0 || now-a.unallocatedSince > strayQuiet {
+	if a.unallocatedTicks == 0 || now-a.unallocatedSince > idleReportMaxAge {
 		a.unallocatedUnits, a.unallocatedSince, a.unallocatedTicks = stray, now, 0
 	}
 	a.unallocatedUnits = min(a.unallocatedUnits, stray)
-	if a.unallocatedTicks++; a.unallocatedTicks < strayViews || now-a.unallocatedSince < strayFor {
+	if a.unallocatedTicks++; a.unallocatedTicks < unallocatedMinTicks || now-a.unallocatedSince < unallocatedMinDuration {
 		return
 	}
 	if a.unallocatedUnits > 0 {
@@ -443,14 +443,14 @@
 	for _, who := range a.lenders {
 		k := a.link(who)
 		level, demand := a.estimatePeer(k, now)
-		past := settleWithin
+		past := debtSettlementTime
 		if told = told && k.known; k.known {
-			past = min(now-k.heardAt+unseenWay, unseenMost)
+			past = min(now-k.reportedAt+reportDelay, unseenMaxAge)
 			demand = k.demand
 		}
-		spare += max(level-demand*settleWithin.Seconds(), 0)
-		drawn := max(demand, unseenLeast*p.Quota.Rate*a.evenFraction) * past.Seconds()
-		if k.known && now-k.heardAt < silentFor { // it goes by its own rights too, while it hears of ours
+		spare += max(level-demand*debtSettlementTime.Seconds(), 0)
+		drawn := max(demand, unseenMinFraction*p.Quota.Rate*a.evenFraction) * past.Seconds()
+		if k.known && now-k.reportedAt < peerSilenceTimeout { // it goes by its own rights too, while it hears of ours
 			drawn = min(drawn, max(k.level, 0)+a.evenFraction*p.Quota.Rate*past.Seconds())
 		}
 		unseen += drawn
@@ -466,5 +466,5 @@
 
 // maxDebt is how far below nothing the store may go here on chance.
 func (a *Account) maxDebt() float64 {
-	return max(debtPart*a.plan().Quota.Burst*a.evenFraction, a.largestRequest)
+	return max(maxDebtFraction*a.plan().Quota.Burst*a.evenFraction, a.largestRequest)
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -43,44 +43,44 @@
 	// so often that a home could not say a word to each req at the pace of messages.
 	SmallSetSize = 8
 
-	fewLimiters = 8 // in a tier of no more each pair has something to tell each other all the time
-
-	lenderWait          = askGivenUp + time.Duration(float64(askGivenUp)*2*ClockDrift)
-	lenderLease         = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
-	demandMemory        = 2 * time.Second // over which demand is seen
-	demandMemorySeconds = float64(demandMemory) / float64(time.Second)
-	ahead               = 250 * time.Millisecond // of the demand: what a busy limiter keeps in hand
-	askRest             = 150 * time.Millisecond // between asks of one customer to one peer
-	poorRest            = 500 * time.Millisecond // after an answer that brought next to nothing
-	askRepeat           = 70 * time.Millisecond  // without an answer: the ask or the answer is lost
-	askGivenUp          = 500 * time.Millisecond // and then the peer is silent
-	silentFor           = time.Second            // asked again after this
-	newsAfter           = time.Second            // a peer thought to hold nothing is asked again after this
-	settleWithin        = 500 * time.Millisecond // in which a debt is settled
-	strayHeard          = 400 * time.Millisecond // all holders were heard within it
-	freshFor            = 3 * time.Second        // after a fresh start nothing was sent on yet that is not told
-	strayQuiet          = 3 * time.Second        // or within this, if they wanted next to nothing
-	renewWithin         = 800 * time.Millisecond // of its end a loan that is still wanted is asked for again
-	strayFor            = 500 * time.Millisecond // and units are astray all that time
-	strayViews          = 3                      // and at so many looks
-	lookWeight          = 0.05                   // of one look at what is asked for here
-	looksLeast          = 10                     // looks before the mean means anything
-	riseClear           = 2.0                    // times the usual ups and downs: a rise that stands out
-	debtPart            = 1.0                    // of the even part of the burst: debt on chance
-	sureChance          = 0.9                    // a req goes at once, without the others' word
-	lastChance          = 0.5                    // nor does one whose word nobody can bring, above this ...
-	lastLeast           = 0.6                    // ... and this times the least chance that its plan pays for
-	unseenLevel         = 0.8                    // of its part: what a peer that told nothing is thought to hold
-	unseenDemand        = 0.5                    // of its part of the rate: likewise to want
-	unseenWay           = 100 * time.Millisecond // what was told is that old when it comes
-	unseenMost          = 5 * time.Second        // and counts as at most so old: stores are full again
-	unseenLeast         = 0.05                   // of a part of the rate: the least thought to be spent unseen
-	spareMargin         = 1.2                    // of its demand: what a lender keeps
-	wantMargin          = 1.15                   // of its demand: what a borrower asks for
-	shareLeast          = 0.03                   // of the whole: no smaller share is lent
-	olderBy             = 2                      // quarters of a second: a peer that served that much longer is older
-	olderEpoch          = 10 * time.Second       // an epoch before the known one is believed after this
-	dropMost            = 64                     // accounts looked at per Sweep
+	smallTierSize = 8 // in a tier of no more each pair has something to tell each other all the time
+
+	grantDeliveryTimeout   = requestTimeout + time.Duration(float64(requestTimeout)*2*ClockDrift)
+	lenderLoanDuration     = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
+	demandMemory           = 2 * time.Second // over which demand is seen
+	demandMemorySeconds    = float64(demandMemory) / float64(time.Second)
+	prefetchDuration       = 250 * time.Millisecond // of the demand: what a busy limiter keeps in hand
+	requestInterval        = 150 * time.Millisecond // between asks of one customer to one peer
+	emptyGrantBackoff      = 500 * time.Millisecond // after an answer that brought next to nothing
+	requestRetransmitAfter = 70 * time.Millisecond  // without an answer: the ask or the answer is lost
+	requestTimeout         = 500 * time.Millisecond // and then the peer is silent
+	peerSilenceTimeout     = time.Second            // asked again after this
+	reportStaleAfter       = time.Second            // a peer thought to hold nothing is asked again after this
+	debtSettlementTime     = 500 * time.Millisecond // in which a debt is settled
+	busyReportMaxAge       = 400 * time.Millisecond // all holders were heard within it
+	tierStartDuration      = 3 * time.Second        // after a fresh start nothing was sent on yet that is not told
+	idleReportMaxAge       = 3 * time.Second        // or within this, if they wanted next to nothing
+	loanRenewalMargin      = 800 * time.Millisecond // of its end a loan that is still wanted is asked for again
+	unallocatedMinDuration = 500 * time.Millisecond // and units are astray all that time
+	unallocatedMinTicks    = 3                      // and at so many looks
+	demandTickWeight       = 0.05                   // of one look at what is asked for here
+	demandMinTicks         = 10                     // looks before the mean means anything
+	significantDeviations  = 2.0                    // times the usual ups and downs: a rise that stands out
+	maxDebtFraction        = 1.0                    // of the even part of the burst: debt on chance
+	immediateProbability   = 0.9                    // a req goes at once, without the others' word
+	finalProbability       = 0.5                    // nor does one whose word nobody can bring, above this ...
+	finalProbabilityFactor = 0.6                    // ... and this times the least chance that its plan pays for
+	unknownLevelFraction   = 0.8                    // of its part: what a peer that told nothing is thought to hold
+	unknownDemandFraction  = 0.5                    // of its part of the rate: likewise to want
+	reportDelay            = 100 * time.Millisecond // what was told is that old when it comes
+	unseenMaxAge           = 5 * time.Second        // and counts as at most so old: stores are full again
+	unseenMinFraction      = 0.05                   // of a part of the rate: the least thought to be spent unseen
+	lenderDemandFactor     = 1.2                    // of its demand: what a lender keeps
+	borrowerDemandFactor   = 1.15                   // of its demand: what a borrower asks for
+	minLoanShare           = 0.03                   // of the whole: no smaller share is lent
+	olderServingAge        = 2                      // quarters of a second: a peer that served that much longer is older
+	earlierEpochDuration   = 10 * time.Second       // an epoch before the known one is believed after this
+	accountsPerSweep       = 64                     // accounts looked at per Sweep
 )
 
 // A Bucket is a plan's: it fills at Rate (units a second) and holds Burst.
@@ -161,7 +161,7 @@
 	known          bool
 	acked          bool // it knows of this life
 	ackedAt        time.Duration
-	heardAt        time.Duration
+	lastReceivedAt time.Duration
 	silentUntil    time.Duration // it left asks unanswered, and is left alone for a while
 	unresponsive   bool          // since then nothing came: it is asked, but not waited for
 	dead           bool          // silent, and its clients come here: its parts of quotas are shared out
@@ -228,7 +228,7 @@
 			a.lastSeen = now
 			return a
 		}
-		list := l.allocationHolders(a)
+		list := l.allocatedLimiters(a)
 		for i, who := range list {
 			if who == l.Self {
 				a.baseFraction = 1 / float64(len(list))
@@ -244,7 +244,7 @@
 		a.advance(now)
 		if full := a.baseFraction * p.Quota.Burst; l.recovery == TierStarted {
 			a.quotaLevel = max(a.quotaLevel, full)
-			if now-l.startedAt < freshFor {
+			if now-l.startedAt < tierStartDuration {
 				a.assumeFull()
 			}
 		} else if l.recovery == RecoveryUnknown {
@@ -272,7 +272,7 @@
 	list := l.accounts[m.Customer]
 	for _, a := range list {
 		for i := range a.links {
-			if k := &a.links[i]; k.peer == who && k.pending && k.nonce == m.Nonce {
+			if k := &a.links[i]; k.peerID == who && k.pending && k.nonce == m.Nonce {
 				return a
 			}
 		}
@@ -283,32 +283,32 @@
 	return nil
 }
 
-// relink builds what follows from the rest in a Ledger that was unpacked from another
+// rebuildDerived builds what follows from the rest in a Ledger that was unpacked from another
 // process's. The configuration has to be that one's.
-func (l *Ledger) relink(c Config) {
+func (l *Ledger) rebuildDerived(c Config) {
 	c.Limiters = max(c.Limiters, 1)
 	l.Config = c
 	for _, hash := range slices.Sorted(maps.Keys(l.accounts)) {
 		for _, a := range l.accounts[hash] {
-			a.ledger, a.requestOutstanding, a.ownerDecision = l, false, ownerSilent
+			a.ledger, a.requestOutstanding, a.ownerDecision = l, false, ownerUndecided
 			l.accountOrder = append(l.accountOrder, a)
 			if a.ownerRank == 0 && !a.isAllocated() {
 				l.ownedAccounts = append(l.ownedAccounts, a)
 			}
 			for i := range a.links {
 				if k := &a.links[i]; k.queued {
-					p := l.peer(k.peer)
+					p := l.peer(k.peerID)
 					p.queuedRequests = append(p.queuedRequests, a)
-					l.markReady(k.peer, p)
+					l.markReady(k.peerID, p)
 				}
 			}
 		}
 	}
 }
 
-// allocationHolders are the limiters of a small set, each of which has a base part of the
+// allocatedLimiters are the limiters of a small set, each of which has a base part of the
 // stores.
-func (l *Ledger) allocationHolders(a *Account) []int {
+func (l *Ledger) allocatedLimiters(a *Account) []int {
 	list := make([]int, a.setSize)
 	turn := int(a.CustomerHash) % a.setSize // so that odd places are spread over the set
 	for i := range list {
@@ -366,12 +366,12 @@
 			chance = 1
 		}
 	}
-	if chance < max(p.LeastProbability, sureChance) && !last {
+	if chance < max(p.LeastProbability, immediateProbability) && !last {
 		if l.requestTransfers(a, short, over, place, now) || l.recovery == RecoveryUnknown && over == 0 && place == 0 && a.unresolvedUnits >= short {
 			return Pending, 0
 		}
 	}
-	if chance > 0 && chance >= max(p.LeastProbability, lastChance+lastLeast*p.LeastProbability) {
+	if chance > 0 && chance >= max(p.LeastProbability, finalProbability+finalProbabilityFactor*p.LeastProbability) {
 		l.Counts.AdmittedWithoutGrant++
 		a.admittedWhileUnresolved = true
 		l.consume(a, units, now)
@@ -380,7 +380,7 @@
 	quota, ceiling, _, _ := a.fractions(true)
 	wait := max(short/max(quota*p.Quota.Rate, 1e-3), over/max(ceiling*p.Ceiling.Rate, 1e-3))
 	if place > 0 {
-		wait = max(wait, settleWithin.Seconds()/4)
+		wait = max(wait, debtSettlementTime.Seconds()/4)
 	}
 	return Rejected, time.Duration(min(wait, 3600) * float64(time.Second))
 }
@@ -439,7 +439,7 @@
 		k := &a.links[i]
 		if k.borrowed.slots > 0 {
 			k.borrowed.slots--
-			k.slotsRequested = true
+			k.returnDue = true
 			l.queueRequest(a, k, now)
 			return
 		}
@@ -453,16 +453,16 @@
 	demand := a.demand.Value(now, demandMemorySeconds)
 	want, overWant := short, over
 	if p.Quota.Rate > 0 {
-		if keep := demand*ahead.Seconds() + a.largestRequest; a.quotaLevel < keep && a.baseFraction > 0 {
+		if keep := demand*prefetchDuration.Seconds() + a.largestRequest; a.quotaLevel < keep && a.baseFraction > 0 {
 			want = max(want, keep-a.quotaLevel)
 		}
 	}
 	if p.Ceiling.Rate > 0 {
-		if keep := demand*ahead.Seconds() + a.largestRequest; a.ceilingLevel < keep {
+		if keep := demand*prefetchDuration.Seconds() + a.largestRequest; a.ceilingLevel < keep {
 			overWant = max(overWant, keep-a.ceilingLevel)
 		}
 	}
-	busy := p.Quota.Rate > 0 && demand*wantMargin > a.baseFraction*p.Quota.Rate
+	busy := p.Quota.Rate > 0 && demand*borrowerDemandFactor > a.baseFraction*p.Quota.Rate
 	if want <= 0 && overWant <= 0 && place == 0 && !(busy && a.loanExpiring(now)) {
 		return false
 	}
@@ -474,8 +474,8 @@
 		if now < peer.silentUntil || peer.dead {
 			continue
 		}
-		if k.pending && now-k.requestedAt < askGivenUp {
-			if now-k.lastSentAt > askRepeat && !k.queued {
+		if k.pending && now-k.requestedAt < requestTimeout {
+			if now-k.lastSentAt > requestRetransmitAfter && !k.queued {
 				l.queueRequest(a, k, now)
 			}
 			waits = waits || urgent && !peer.unresponsive
@@ -484,23 +484,23 @@
 		}
 		if k.pending { // nothing came
 			k.pending = false
-			if peer.heardAt < k.requestedAt {
-				peer.silentUntil, peer.unresponsive = now+silentFor, true
+			if peer.lastReceivedAt < k.requestedAt {
+				peer.silentUntil, peer.unresponsive = now+peerSilenceTimeout, true
 				continue
 			}
 		}
 		level, theirs := a.estimatePeer(k, now)
-		spare := level > a.largestRequest*3/4 && (urgent || level > theirs*ahead.Seconds())
-		lendable := p.Quota.Rate > 0 && a.peerFraction(who)*p.Quota.Rate > theirs*spareMargin+shareLeast*p.Quota.Rate
-		renews := busy && k.borrowed.share > 0 && k.borrowed.expiresAt-now < renewWithin
-		news := now-k.heardAt > newsAfter
+		spare := level > a.largestRequest*3/4 && (urgent || level > theirs*prefetchDuration.Seconds())
+		lendable := p.Quota.Rate > 0 && a.peerFraction(who)*p.Quota.Rate > theirs*lenderDemandFactor+minLoanShare*p.Quota.Rate
+		renews := busy && k.borrowed.share > 0 && k.borrowed.expiresAt-now < loanRenewalMargin
+		news := now-k.reportedAt > reportStaleAfter
 		ceilings := p.Ceiling.Rate > 0 && overWant > 0
 		useful := !k.known || spare || renews || place > 0 || (lendable && busy || ceilings || urgent) && news
 		if !useful || now < k.nextRequestAt {
 			continue
 		}
 		l.nextNonce()
-		k.pending, k.nonce, k.requestedAt, k.lastSentAt, k.nextRequestAt = true, l.lastNonce, now, now, now+askRest
+		k.pending, k.nonce, k.requestedAt, k.lastSentAt, k.nextRequestAt = true, l.lastNonce, now, now, now+requestInterval
 		k.quotaWanted, k.ceilingWanted, k.slotsWanted = want, overWant, place
 		l.queueRequest(a, k, now)
 		asked++
@@ -512,7 +512,7 @@
 // loanExpiring tells whether a borrowed share is about to end.
 func (a *Account) loanExpiring(now time.Duration) bool {
 	for i := range a.links {
-		if got := a.links[i].borrowed; got.share > 0 && got.expiresAt-now < renewWithin {
+		if got := a.links[i].borrowed; got.share > 0 && got.expiresAt-now < loanRenewalMargin {
 			return true
 		}
 	}
@@ -525,9 +525,9 @@
 		return
 	}
 	k.queued = true
-	p := l.peer(k.peer)
+	p := l.peer(k.peerID)
 	p.queuedRequests = append(p.queuedRequests, a)
-	l.markReady(k.peer, p)
+	l.markReady(k.peerID, p)
 }
 
 func (l *Ledger) markReady(who int, p *peer) {
@@ -569,17 +569,17 @@
 		a := p.queuedRequests[0]
 		p.queuedRequests = p.queuedRequests[1:]
 		k := a.link(who)
-		if k.queued = false; !k.pending && !k.slotsRequested {
+		if k.queued = false; !k.pending && !k.returnDue {
 			continue
 		}
-		if k.slotsRequested && !k.pending {
+		if k.returnDue && !k.pending {
 			l.nextNonce()
 			k.nonce, k.quotaWanted, k.ceilingWanted, k.slotsWanted = l.lastNonce, 0, 0, 0
 			if !a.isAllocated() {
 				k.attachDebt(a)
 			}
 		}
-		k.slotsRequested = false
+		k.returnDue = false
 		k.lastSentAt = now
 		asks = append(asks, l.buildRequest(a, k, now))
 		l.Counts.RequestsSent++
@@ -587,8 +587,8 @@
 	n := min(len(p.queuedGrants), gossip.MaxGrants)
 	answers, p.queuedGrants = p.queuedGrants[:n:n], p.queuedGrants[n:]
 	l.Counts.GrantsSent += uint64(n)
-	if l.Limiters > SmallSetSize && n < tellHot {
-		answers = append(answers, l.hotCustomerUpdates(tellHot-n, now)...)
+	if l.Limiters > SmallSetSize && n < hotUpdatesPerMessage {
+		answers = append(answers, l.hotCustomerUpdates(hotUpdatesPerMessage-n, now)...)
 	}
 	if len(p.queuedRequests) == 0 {
 		p.queuedRequests = nil
@@ -647,13 +647,13 @@
 func (l *Ledger) ObservePeer(who int, epoch uint32, knows bool, theirs, ours uint8, now time.Duration) bool {
 	p := l.peer(who)
 	l.lastMessageAt = now
-	if p.known && int32(epoch-p.epoch) < 0 && now-p.heardAt < olderEpoch {
+	if p.known && int32(epoch-p.epoch) < 0 && now-p.lastReceivedAt < earlierEpochDuration {
 		return false
 	}
 	if p.known && p.epoch != epoch {
 		p.queuedGrants = nil
 	}
-	p.epoch, p.known, p.heardAt, p.silentUntil = epoch, true, now, 0
+	p.epoch, p.known, p.lastReceivedAt, p.silentUntil = epoch, true, now, 0
 	p.dead, p.unresponsive = theirs == gossip.LeavingAge, false
 	if p.dead {
 		return true
@@ -661,7 +661,7 @@
 	if knows && !p.acked {
 		p.acked, p.ackedAt = true, now
 	}
-	if int(theirs) >= int(ours)+olderBy {
+	if int(theirs) >= int(ours)+olderServingAge {
 		l.Resolve(LimiterRestarted, now)
 	}
 	return true
@@ -700,7 +700,7 @@
 		k.lent[i].quotaUnits, k.lent[i].ceilingUnits = 0, 0
 		k.lent[i].slots = min(k.lent[i].slots, int(m.SlotsHeld))
 	}
-	k.lent = slices.DeleteFunc(k.lent, func(g grant) bool { return g.share == 0 && g.slots == 0 })
+	k.lent = slices.DeleteFunc(k.lent, func(g grantRecord) bool { return g.share == 0 && g.slots == 0 })
 	l.queueGrant(who, l.lend(a, k, m, now))
 }
 
@@ -721,7 +721,7 @@
 	if mine+theirs > 0 {
 		weight = theirs / (mine + theirs)
 	}
-	g := grant{nonce: m.Nonce, loan: loan{expiresAt: now + lenderLease}, deliveredBy: now + lenderWait}
+	g := grantRecord{nonce: m.Nonce, loan: loan{expiresAt: now + lenderLoanDuration}, deliveredBy: now + grantDeliveryTimeout}
 	quota, ceiling, _, overFlying := a.fractions(ready)
 	lent, most := 0.0, 0.0 // to others, and to this one
 	for i := range a.links {
@@ -731,12 +731,12 @@
 	}
 	most = k.lentShare()
 	if p.Quota.Rate > 0 && (m.QuotaWanted > 0 || m.Demand > 0) {
-		spare := min(quota+most-mine*spareMargin/p.Quota.Rate, MaxLentFraction*a.baseFraction-lent)
+		spare := min(quota+most-mine*lenderDemandFactor/p.Quota.Rate, MaxLentFraction*a.baseFraction-lent)
 		if !ready {
 			spare = 0
 		}
-		lack := min(theirs*wantMargin/p.Quota.Rate, 1) - float64(m.Share)/gossip.ShareSteps
-		if g.share = math.Floor(min(spare, lack)*gossip.ShareSteps) / gossip.ShareSteps; g.share < shareLeast {
+		lack := min(theirs*borrowerDemandFactor/p.Quota.Rate, 1) - float64(m.Share)/gossip.ShareSteps
+		if g.share = math.Floor(min(spare, lack)*gossip.ShareSteps) / gossip.ShareSteps; g.share < minLoanShare {
 			g.share = 0
 		}
 		fair := min((a.quotaLevel+max(k.level, -a.quotaLevel))*weight-k.level, float64(m.QuotaWanted)/gossip.UnitParts)
@@ -779,7 +779,7 @@
 		return a
 	}
 	k := a.link(who)
-	if !k.pending || k.nonce != m.Nonce || now >= k.requestedAt+askGivenUp {
+	if !k.pending || k.nonce != m.Nonce || now >= k.requestedAt+requestTimeout {
 		return nil
 	}
 	k.pending = false
@@ -789,7 +789,7 @@
 	a.reconcile(k, m.Level, m.Consumed, m.Demand, m.TotalLevel, now)
 	l.Counts.UnitsReceived += float64(m.QuotaUnits) / gossip.UnitParts
 	if float64(m.QuotaUnits)/gossip.UnitParts < min(k.quotaWanted, a.largestRequest) {
-		k.nextRequestAt = now + poorRest
+		k.nextRequestAt = now + emptyGrantBackoff
 	}
 	return a
 }
@@ -813,7 +813,7 @@
 		if l.ticks++; l.ticks == 1 {
 			l.meanDemand = v
 		}
-		w := max(lookWeight, 1/float64(l.ticks))
+		w := max(demandTickWeight, 1/float64(l.ticks))
 		off := v - l.meanDemand
 		l.meanDemand += w * off
 		l.demandVariance += w * (off*off - l.demandVariance)
@@ -827,7 +827,7 @@
 	}
 	usual := math.Sqrt(max(l.demandVariance, l.meanDemand*l.meanDemand/float64(active)))
 	rise := l.meanDemand * float64(silent) / float64(max(l.Limiters-silent, 1))
-	if 2*silent >= l.Limiters || l.ticks < looksLeast || rise < riseClear*usual || v-l.meanDemand < rise/2 {
+	if 2*silent >= l.Limiters || l.ticks < demandMinTicks || rise < significantDeviations*usual || v-l.meanDemand < rise/2 {
 		return
 	}
 	for who := range l.Limiters {
@@ -841,7 +841,7 @@
 // isSilent tells whether a peer is silent that should not be. In a tier of many most
 // pairs have nothing to tell each other for seconds, and only an unanswered ask counts.
 func (l *Ledger) isSilent(p *peer, now time.Duration) bool {
-	return p != nil && p.known && now-p.heardAt > silentFor && (p.unresponsive || l.Limiters <= fewLimiters)
+	return p != nil && p.known && now-p.lastReceivedAt > peerSilenceTimeout && (p.unresponsive || l.Limiters <= smallTierSize)
 }
 
 // IsLastOwner tells whether, with some other limiters out, this one is the last that holds the stores of a
@@ -878,7 +878,7 @@
 // Sweep forgets some of the accounts that are as good as new: idle, with full
 // stores and nothing lent or borrowed. What is met again starts as full.
 func (l *Ledger) Sweep(idle, now time.Duration) {
-	for range min(dropMost, len(l.accountOrder)) {
+	for range min(accountsPerSweep, len(l.accountOrder)) {
 		if l.sweepIndex >= len(l.accountOrder) {
 			l.sweepIndex = 0
 		}
@@ -907,7 +907,7 @@
 	a.advance(now)
 	p := a.plan()
 	for i := range a.links {
-		if k := &a.links[i]; k.borrowed.expiresAt > now || len(k.lent) > 0 || k.queued || k.pending && now-k.requestedAt < askGivenUp {
+		if k := &a.links[i]; k.borrowed.expiresAt > now || len(k.lent) > 0 || k.queued || k.pending && now-k.requestedAt < requestTimeout {
 			return false
 		}
 	}
@@ -921,7 +921,7 @@
 	c := l.Counts
 	c.Accounts, c.RecoveryState = len(l.accountOrder), l.recovery.String()
 	for _, p := range l.peers {
-		if p.known && now-p.heardAt > silentFor {
+		if p.known && now-p.lastReceivedAt > peerSilenceTimeout {
 			c.SilentPeers++
 		}
 	}
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -23,17 +23,17 @@
 // together is at most creditTimes the rate and one req a limiter.
 
 const (
-	ownerCount  = 3                     // the home, and those that stand in for it
-	homeRepeat  = 50 * time.Millisecond // without an answer: the ask or the answer is lost
-	restLevel   = 0.5                   // of the burst: what a home that lost all takes its stores to hold
-	creditTimes = 2.0                   // of its even part of the rate: credit of a limiter without a word
-	viewFor     = 5 * time.Second       // what a home told of its level means something for as long
-	hotDemand   = 1.2                   // times the rate: a customer that asks for so much is told of unasked
-	thinTo      = 1.3                   // times the rate: what a hot customer's limiters ask for together
-	tellHot     = 2                     // such customers told of in a message
-	hotFor      = 2 * time.Second       // since it was last asked for
-	borrowLeast = 1.0                   // units that a home asks of one that stands in for it
-	standsFor   = 2 * time.Second       // without a grant: a stand-in's level is not what it thinks
+	ownerCount           = 3                     // the home, and those that stand in for it
+	ownerRetransmitAfter = 50 * time.Millisecond // without an answer: the ask or the answer is lost
+	restartLevelFraction = 0.5                   // of the burst: what a home that lost all takes its stores to hold
+	creditRateFactor     = 2.0                   // of its even part of the rate: credit of a limiter without a word
+	ownerViewDuration    = 5 * time.Second       // what a home told of its level means something for as long
+	hotDemandFactor      = 1.2                   // times the rate: a customer that asks for so much is told of unasked
+	hotRequestFactor     = 1.3                   // times the rate: what a hot customer's limiters ask for together
+	hotUpdatesPerMessage = 2                     // such customers told of in a message
+	hotCustomerDuration  = 2 * time.Second       // since it was last asked for
+	minBorrowedCeiling   = 1.0                   // units that a home asks of one that stands in for it
+	backupLevelDuration  = 2 * time.Second       // without a grant: a stand-in's level is not what it thinks
 )
 
 // ceilingFractions are the parts of a ceiling that the home and its stand-ins hold. As a ceiling
@@ -42,7 +42,7 @@
 
 // What the home said to the req at the head since it asked.
 const (
-	ownerSilent = iota
+	ownerUndecided = iota
 	ownerGranted
 	ownerRejected
 )
@@ -91,7 +91,7 @@
 			l.ownedAccounts = append(l.ownedAccounts, a)
 		}
 		full := p.Quota.Burst
-		a.quotaLevel = full * restLevel
+		a.quotaLevel = full * restartLevelFraction
 		switch l.recovery {
 		case TierStarted:
 			a.quotaLevel = full
@@ -104,7 +104,7 @@
 // predictedOwnerLevel is what a limiter thinks that the store holds, by its home's last word.
 func (a *Account) predictedOwnerLevel(now time.Duration) (level, demand float64, known bool) {
 	v := a.ownerView
-	if !v.known || now-v.receivedAt > viewFor {
+	if !v.known || now-v.receivedAt > ownerViewDuration {
 		return 0, 0, false
 	}
 	p := a.plan()
@@ -118,7 +118,7 @@
 		p.Slots > 0 && a.SlotsInUse >= a.slotLimit()
 	first := a.ownerRank == 0 || a.ownerRank > 0 && l.firstLiveOwner(a, now) < 0
 	said := a.ownerDecision
-	a.ownerDecision = ownerSilent
+	a.ownerDecision = ownerUndecided
 	if !lacks && (a.ownerRank < 0 || first || said == ownerGranted) {
 		l.consumeOwned(a, units, now)
 		l.borrowCeiling(a, now)
@@ -126,16 +126,16 @@
 	}
 	l.borrowCeiling(a, now)
 	wait := time.Duration(units / max(p.Quota.Rate, 1e-3) * float64(time.Second))
-	if first || said != ownerSilent {
+	if first || said != ownerUndecided {
 		a.requestOutstanding = false
 		return Rejected, wait
 	}
 	level, demand, known := a.predictedOwnerLevel(now)
-	if known && !a.requestOutstanding && level < units && demand > thinTo*p.Quota.Rate {
+	if known && !a.requestOutstanding && level < units && demand > hotRequestFactor*p.Quota.Rate {
 		// Of a hot customer as much is asked for as its home may grant: it need not
 		// say no to each req. More the older the word is, as a rush may be over.
-		old := (now - a.ownerView.receivedAt).Seconds() / viewFor.Seconds()
-		if a.requestAllowance += thinTo*p.Quota.Rate/demand + old*old; a.requestAllowance < 1 {
+		old := (now - a.ownerView.receivedAt).Seconds() / ownerViewDuration.Seconds()
+		if a.requestAllowance += hotRequestFactor*p.Quota.Rate/demand + old*old; a.requestAllowance < 1 {
 			return Rejected, wait
 		}
 		a.requestAllowance--
@@ -155,7 +155,7 @@
 	if known && level < units && demand > p.Quota.Rate && p.LeastProbability > 0 {
 		return Rejected, wait
 	}
-	if a.credit.Refill(now, creditTimes*p.Quota.Rate*a.evenFraction, max(a.largestRequest, p.Quota.Burst*a.evenFraction)) < units {
+	if a.credit.Refill(now, creditRateFactor*p.Quota.Rate*a.evenFraction, max(a.largestRequest, p.Quota.Burst*a.evenFraction)) < units {
 		return Rejected, wait
 	}
 	a.credit.Amount -= units
@@ -206,8 +206,8 @@
 			continue
 		}
 		k := a.link(who)
-		if k.pending && now-k.requestedAt < askGivenUp {
-			if now-k.lastSentAt > homeRepeat && !k.queued {
+		if k.pending && now-k.requestedAt < requestTimeout {
+			if now-k.lastSentAt > ownerRetransmitAfter && !k.queued {
 				l.queueRequest(a, k, now)
 			}
 			if !peer.unresponsive {
@@ -217,8 +217,8 @@
 		}
 		if k.pending {
 			k.pending = false
-			if peer.heardAt < k.requestedAt {
-				peer.silentUntil, peer.unresponsive = now+silentFor, true
+			if peer.lastReceivedAt < k.requestedAt {
+				peer.silentUntil, peer.unresponsive = now+peerSilenceTimeout, true
 				continue
 			}
 		}
@@ -235,7 +235,7 @@
 		if p.Slots > 0 && a.SlotsInUse >= a.slotLimit() {
 			k.slotsWanted = 1
 		}
-		k.extraDemand = uint8(min(max(a.unreportedDemand-units, 0), 255))
+		k.demandToReport = uint8(min(max(a.unreportedDemand-units, 0), 255))
 		a.unreportedDemand = 0
 		k.attachDebt(a)
 		l.queueRequest(a, k, now)
@@ -268,7 +268,7 @@
 	a.unreportedUnits -= units
 	if first >= 0 {
 		k := a.link(a.owners[first])
-		k.slotsRequested = true
+		k.returnDue = true
 		l.queueRequest(a, k, now)
 	}
 }
@@ -281,7 +281,7 @@
 	}
 	return gossip.TransferRequest{
 		Customer: a.CustomerHash, Plan: uint8(a.PlanIndex), FirstLimiter: uint16(a.firstLimiter), SetSize: uint16(a.setSize), Nonce: k.nonce,
-		QuotaWanted: encodeUnits(k.quotaWanted), CeilingWanted: encodeUnits(k.ceilingWanted), Consumed: k.consumed, Share: k.extraDemand, TotalLevel: whole,
+		QuotaWanted: encodeUnits(k.quotaWanted), CeilingWanted: encodeUnits(k.ceilingWanted), Consumed: k.consumed, Share: k.demandToReport, TotalLevel: whole,
 		SlotsHeld: uint8(min(k.borrowed.slots, 255)), SlotsWanted: uint8(k.slotsWanted),
 	}
 }
@@ -293,7 +293,7 @@
 		l.queueGrant(who, k.lastGrant)
 		return
 	}
-	k.known, k.heardAt = true, now
+	k.known, k.reportedAt = true, now
 	k.lastGrant = gossip.Grant{Customer: a.CustomerHash, Nonce: m.Nonce}
 	if a.ownerRank < 0 { // asked in error: there is nothing to give, nor to give back to
 		l.queueGrant(who, k.lastGrant)
@@ -303,12 +303,12 @@
 	if m.TotalLevel != gossip.UnknownTotal && p.Quota.Rate > 0 {
 		hint := float64(m.TotalLevel) / gossip.TotalSteps * p.Quota.Burst
 		switch {
-		case a.ownerRank > 0 && now-a.lastGrantAt > standsFor:
+		case a.ownerRank > 0 && now-a.lastGrantAt > backupLevelDuration:
 			a.quotaLevel = min(a.quotaLevel, hint)
-		case a.ownerRank == 0 && !a.levelAnnounced && l.recovery != TierStarted:
+		case a.ownerRank == 0 && !a.levelHintReceived && l.recovery != TierStarted:
 			a.quotaLevel = max(a.quotaLevel, hint)
 		}
-		a.levelAnnounced = true
+		a.levelHintReceived = true
 	}
 	want, over := float64(m.QuotaWanted)/gossip.UnitParts, float64(m.CeilingWanted)/gossip.UnitParts
 	lends := a.ownerRank > 0 && who == a.owners[0] // no client asks for it
@@ -329,13 +329,13 @@
 			held += int(m.SlotsWanted)
 		}
 		if held > 0 {
-			k.lent = []grant{{loan: loan{slots: held, expiresAt: now + lenderLease}}}
+			k.lent = []grantRecord{{loan: loan{slots: held, expiresAt: now + lenderLoanDuration}}}
 		}
 		answer.Slots = uint8(held)
 	}
 	if granted {
 		if over > 0 {
-			a.ceilingInTransit, a.ceilingUnitsInTransit = append(a.ceilingInTransit, inTransit{over, now + lenderWait}), a.ceilingUnitsInTransit+over
+			a.ceilingInTransit, a.ceilingUnitsInTransit = append(a.ceilingInTransit, inTransit{over, now + grantDeliveryTimeout}), a.ceilingUnitsInTransit+over
 		}
 		if !lends {
 			a.lastGrantAt = now
@@ -366,27 +366,27 @@
 	if a.ownerRank != 0 || p.Ceiling.Rate <= 0 {
 		return
 	}
-	want := min(a.demand.Value(now, demandMemorySeconds)*ahead.Seconds()+a.largestRequest, a.ceilingFraction*p.Ceiling.Burst-a.ceilingUnitsInTransit-a.reservedUnits) - a.ceilingLevel
+	want := min(a.demand.Value(now, demandMemorySeconds)*prefetchDuration.Seconds()+a.largestRequest, a.ceilingFraction*p.Ceiling.Burst-a.ceilingUnitsInTransit-a.reservedUnits) - a.ceilingLevel
 	if p.Quota.Rate > 0 {
 		want = min(want, a.quotaLevel-a.ceilingLevel) // beyond that the quota binds
 	}
 	for i, who := range a.owners[1:] {
-		if want < borrowLeast {
+		if want < minBorrowedCeiling {
 			return
 		}
 		k, peer := a.link(who), l.peer(who)
-		if now < peer.silentUntil || peer.dead || peer.unresponsive || k.pending && now-k.requestedAt < askGivenUp {
+		if now < peer.silentUntil || peer.dead || peer.unresponsive || k.pending && now-k.requestedAt < requestTimeout {
 			continue
 		}
 		rate := ceilingFractions[i+1] * p.Ceiling.Rate * (1 - ClockDrift)
 		k.ceilingBorrowedUntil = max(k.ceilingBorrowedUntil, l.startedAt, now-time.Duration(p.Ceiling.Burst/p.Ceiling.Rate*float64(time.Second)))
 		units := float64(encodeUnits(min(want, rate*(now-k.ceilingBorrowedUntil).Seconds()))) / gossip.UnitParts
-		if units < borrowLeast {
+		if units < minBorrowedCeiling {
 			continue
 		}
 		l.nextNonce()
 		k.pending, k.nonce, k.requestedAt, k.lastSentAt = true, l.lastNonce, now, now
-		k.quotaWanted, k.ceilingWanted, k.slotsWanted, k.consumed, k.extraDemand = 0, units, 0, 0, 0
+		k.quotaWanted, k.ceilingWanted, k.slotsWanted, k.consumed, k.demandToReport = 0, units, 0, 0, 0
 		k.ceilingBorrowedUntil += time.Duration(units / rate * float64(time.Second))
 		l.queueRequest(a, k, now)
 		want -= units
@@ -409,7 +409,7 @@
 		}
 	}
 	k := a.link(who)
-	if !k.pending || k.nonce != m.Nonce || now >= k.requestedAt+askGivenUp {
+	if !k.pending || k.nonce != m.Nonce || now >= k.requestedAt+requestTimeout {
 		return
 	}
 	k.pending = false
@@ -434,10 +434,10 @@
 		}
 		l.hotCursor = (l.hotCursor + 1) % len(l.ownedAccounts)
 		a := l.ownedAccounts[l.hotCursor]
-		if now-a.lastSeen > hotFor {
+		if now-a.lastSeen > hotCustomerDuration {
 			continue
 		}
-		if r := a.plan().Quota.Rate; r > 0 && a.quotaLevel < a.plan().Quota.Burst/4 && a.demand.Value(now, demandMemorySeconds) > hotDemand*r {
+		if r := a.plan().Quota.Rate; r > 0 && a.quotaLevel < a.plan().Quota.Burst/4 && a.demand.Value(now, demandMemorySeconds) > hotDemandFactor*r {
 			m := gossip.Grant{Customer: a.CustomerHash}
 			a.encodeOwnerView(&m, now)
 			list = append(list, m)
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -72,7 +72,7 @@
 		}
 		t.talk()
 		if word, _ = l.Reserve(a, 1, false, t.now); word == Pending {
-			t.now += homeRepeat + time.Millisecond
+			t.now += ownerRetransmitAfter + time.Millisecond
 		}
 	}
 	if word == Pending {
@@ -122,7 +122,7 @@
 		l.Reserve(a, 1, false, tr.now)
 		tr.talk()
 	}
-	tr.now += askGivenUp
+	tr.now += requestTimeout
 	sum := 0
 	for i := range 80 {
 		if i != home && tr.req(i) {
@@ -225,7 +225,7 @@
 			sum++
 		}
 	}
-	most := creditTimes*plain.Quota.Rate*(tr.now-from).Seconds() + 80
+	most := creditRateFactor*plain.Quota.Rate*(tr.now-from).Seconds() + 80
 	if got := float64(sum); got > most || got < 70 {
 		t.Errorf("%d granted without a word, want at most %.0f and one of most limiters", sum, most)
 	}
@@ -307,7 +307,7 @@
 	who := (home + 1) % 80
 	l.ObservePeer(who, 5, true, 9, 9, tr.now)
 	l.HandleRequest(who, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: 4 * gossip.UnitParts, CeilingWanted: 4 * gossip.UnitParts, TotalLevel: gossip.UnknownTotal}, tr.now)
-	if level := l.Ceiling(a, tr.now+askGivenUp); level > full-4+1e-9 {
+	if level := l.Ceiling(a, tr.now+requestTimeout); level > full-4+1e-9 {
 		t.Errorf("level %.1f while 4 units of %.1f are on their way", level, full)
 	}
 	if level := l.Ceiling(a, tr.now+2*time.Second); level < full-1e-9 || a.ceilingUnitsInTransit != 0 || len(a.ceilingInTransit) != 0 {
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -20,7 +20,7 @@
 	if l.peers == nil {
 		l.peers = map[int]*peer{}
 	}
-	l.relink(c)
+	l.rebuildDerived(c)
 	return l
 }
 
@@ -314,7 +314,7 @@
 		RequestAllowance:        x.requestAllowance,
 		RequestOutstanding:      x.requestOutstanding,
 		OwnerDecision:           x.ownerDecision,
-		LevelAnnounced:          x.levelAnnounced,
+		LevelAnnounced:          x.levelHintReceived,
 		LastGrantAt:             x.lastGrantAt,
 		CeilingInTransit:        memento.List(x.ceilingInTransit, newTransitState),
 		CeilingUnitsInTransit:   x.ceilingUnitsInTransit,
@@ -360,7 +360,7 @@
 		requestAllowance:        s.RequestAllowance,
 		requestOutstanding:      s.RequestOutstanding,
 		ownerDecision:           s.OwnerDecision,
-		levelAnnounced:          s.LevelAnnounced,
+		levelHintReceived:       s.LevelAnnounced,
 		lastGrantAt:             s.LastGrantAt,
 		ceilingInTransit:        memento.List(s.CeilingInTransit, transitState.restore),
 		ceilingUnitsInTransit:   s.CeilingUnitsInTransit,
@@ -434,7 +434,7 @@
 
 func newLinkState(x link) linkState {
 	return linkState{
-		Peer:                 x.peer,
+		Peer:                 x.peerID,
 		Epoch:                x.epoch,
 		Pending:              x.pending,
 		Nonce:                x.nonce,
@@ -449,21 +449,21 @@
 		Lent:                 memento.List(x.lent, newLentState),
 		LastGrant:            newGrantState(x.lastGrant),
 		CeilingBorrowedUntil: x.ceilingBorrowedUntil,
-		ExtraDemand:          x.extraDemand,
+		ExtraDemand:          x.demandToReport,
 		Known:                x.known,
 		Reclaimed:            x.reclaimed,
 		Restarted:            x.restarted,
 		Level:                x.level,
 		Consumed:             x.consumed,
 		Demand:               x.demand,
-		HeardAt:              x.heardAt,
-		SlotsRequested:       x.slotsRequested,
+		HeardAt:              x.reportedAt,
+		SlotsRequested:       x.returnDue,
 	}
 }
 
 func (s linkState) restore() link {
 	return link{
-		peer:                 s.Peer,
+		peerID:               s.Peer,
 		epoch:                s.Epoch,
 		pending:              s.Pending,
 		nonce:                s.Nonce,
@@ -478,15 +478,15 @@
 		lent:                 memento.List(s.Lent, lentState.restore),
 		lastGrant:            s.LastGrant.restore(),
 		ceilingBorrowedUntil: s.CeilingBorrowedUntil,
-		extraDemand:          s.ExtraDemand,
+		demandToReport:       s.ExtraDemand,
 		known:                s.Known,
 		reclaimed:            s.Reclaimed,
 		restarted:            s.Restarted,
 		level:                s.Level,
 		consumed:             s.Consumed,
 		demand:               s.Demand,
-		heardAt:              s.HeardAt,
-		slotsRequested:       s.SlotsRequested,
+		reportedAt:           s.HeardAt,
+		returnDue:            s.SlotsRequested,
 	}
 }
 
@@ -506,7 +506,7 @@
 	}
 }
 
-func newLentState(x grant) lentState {
+func newLentState(x grantRecord) lentState {
 	return lentState{
 		loanState:    newLoanState(x.loan),
 		Nonce:        x.nonce,
@@ -517,8 +517,8 @@
 	}
 }
 
-func (s lentState) restore() grant {
-	return grant{
+func (s lentState) restore() grantRecord {
+	return grantRecord{
 		loan:         s.loanState.restore(),
 		nonce:        s.Nonce,
 		quotaUnits:   s.QuotaUnits,
@@ -564,7 +564,7 @@
 		Known:         x.known,
 		Acked:         x.acked,
 		AckedAt:       x.ackedAt,
-		HeardAt:       x.heardAt,
+		HeardAt:       x.lastReceivedAt,
 		SilentUntil:   x.silentUntil,
 		Unresponsive:  x.unresponsive,
 		Dead:          x.dead,
@@ -575,15 +575,15 @@
 
 func (s peerState) restore() *peer {
 	return &peer{
-		epoch:         s.Epoch,
-		known:         s.Known,
-		acked:         s.Acked,
-		ackedAt:       s.AckedAt,
-		heardAt:       s.HeardAt,
-		silentUntil:   s.SilentUntil,
-		unresponsive:  s.Unresponsive,
-		dead:          s.Dead,
-		queuedGrants:  memento.List(s.QueuedGrants, grantState.restore),
-		queuedForSend: s.QueuedForSend,
+		epoch:          s.Epoch,
+		known:          s.Known,
+		acked:          s.Acked,
+		ackedAt:        s.AckedAt,
+		lastReceivedAt: s.HeardAt,
+		silentUntil:    s.SilentUntil,
+		unresponsive:   s.Unresponsive,
+		dead:           s.Dead,
+		queuedGrants:   memento.List(s.QueuedGrants, grantState.restore),
+		queuedForSend:  s.QueuedForSend,
 	}
 }
