--- /dev/null
+++ b/internal/quota/config.go
@@ -0,0 +1,72 @@
+// Package quota holds customers' quotas and ceilings together over the limiters of a tier.
+//
+// # Buckets and allocations
+//
+// A plan gives each customer a token bucket, its quota: it fills at a rate, holds a burst, and every
+// request takes units from it. A plan may add a second bucket, the ceiling, which is never exceeded,
+// and a number of slots: attempts in flight at once. All are the customer's over a set of limiters;
+// a request may come in at any of these, and limiters exchange small messages that may be lost,
+// repeated, reordered or late.
+//
+// In a set of at most SmallSetSize limiters each bucket is cut into allocations, one for each limiter.
+// An allocation has a level in units, fills by its fraction of the rate and holds its fraction of the
+// burst. A limiter grants requests from its own allocations without a message. One that runs short
+// sends transfer requests to the others, whose grants move units for good, and lend shares of the rate
+// and of the burst, and slots, for LoanDuration: a loan ends by itself, so a limiter that died or is cut
+// off needs to return nothing.
+//
+// In a larger set each limiter meets a customer too rarely to hold units ahead of need. One limiter, the
+// owner, chosen by rendezvous hashing, has the customer's complete quota, and the others request each
+// request's units from it. Two backup owners decide, in their order, while those before them are silent.
+//
+// # Guarantees
+//
+// A ceiling is never exceeded, whatever happens to messages, limiters and clocks within ClockDrift:
+// units and shares are moved and never copied, so all allocations together with the units in transit
+// never hold more than the one bucket would.
+//
+// A quota may be exceeded by a bounded debt. A limiter whose allocation runs short may admit a request
+// without a grant, if the probability is high enough that the customer's bucket still has the units; its
+// level then goes below zero and refills later. In a set with an owner, a limiter that gets no decision
+// at all has a small credit instead. docs/design/quota-loss.md has the bounds and their proof.
+//
+// # Use
+//
+// A caller creates one Ledger, reports demand by RecordDemand, decides by Reserve, and reports what
+// became of reserved units by MarkSent and Refund. It sends what Compose returns to the peers that
+// TakeReadyPeers lists, hands over what they send, and calls Tick and Sweep a few times a second.
+//
+// The package does no I/O, reads no clock, draws no random number and starts no goroutine: the same
+// calls always give the same results. Nothing in it is safe for concurrent use. Clock times are
+// durations since an origin of the caller's choice.
+package quota
+
+// SmallSetSize is how many limiters of a set have an allocation of a customer's buckets at most. In a
+// larger set one owner has them complete: with more allocations each would hold less than a request
+// takes. A smaller set meets a customer too often for an owner to decide on each of its requests.
+const SmallSetSize = 8
+
+// Bucket is the settings of a token bucket. A zero Rate means no such limit.
+type Bucket struct {
+	Rate  float64 // units per second
+	Burst float64 // units: how much the bucket holds
+}
+
+// Plan is the limits of a customer.
+type Plan struct {
+	Quota   Bucket
+	Ceiling Bucket // a hard limit beside the quota
+	Slots   int    // attempts in flight at once; 0 means no such limit
+	// LeastProbability is the least probability, 0 to 1, at which a request may be admitted without a
+	// grant.
+	LeastProbability float64
+}
+
+// Config is the settings of a Ledger.
+type Config struct {
+	Self     int    // number of this limiter, from 0
+	Limiters int    // in the tier; less than 1 counts as 1
+	Gossips  bool   // messages to and from the other limiters are possible
+	Plans    []Plan // by index
+	Epoch    uint32 // grows with each start of this limiter
+}
--- a/internal/quota/format_test.go
+++ b/internal/quota/format_test.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/golden"
 )
 
-// What a start was taken for is told by the names of 0.8.0.
-func TestStandingNamesOfEarlierRelease(t *testing.T) {
+// Recovery states have the names that release 0.8.0 gave them.
+func TestRecoveryStateNamesOfEarlierRelease(t *testing.T) {
 	var b strings.Builder
 	for _, s := range []RecoveryState{RecoveryUnknown, TierStarted, LimiterRestarted, TierRestarted} {
 		fmt.Fprintf(&b, "%d %v\n", s, s)
--- /dev/null
+++ b/internal/quota/lending.go
@@ -0,0 +1,264 @@
+package quota
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// This file decides what a limiter grants to a peer out of its allocation: units for good, and a share
+// and slots on loan.
+
+const (
+	// LoanDuration is how long a share is lent, from the request on.
+	LoanDuration = 2 * time.Second
+	// MaxLentFraction bounds what a limiter lends of its allocation. What is left can be used at once
+	// after a restart, when it is not known what was lent before.
+	MaxLentFraction = 0.75
+
+	// lenderLoanDuration is how long a loan lasts at the lender: longer than at the borrower by what two
+	// clocks may differ, so that no share is used on both sides.
+	lenderLoanDuration = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
+	// grantDeliveryTimeout is the time after which the units of a grant have arrived or never will, by
+	// the lender's clock.
+	grantDeliveryTimeout = requestTimeout + time.Duration(float64(requestTimeout)*2*ClockDrift)
+	// loanRenewalMargin is how long before its end a loan that is still needed is requested again.
+	loanRenewalMargin = 800 * time.Millisecond
+	// lenderDemandFactor times its demand is the rate that a lender keeps.
+	lenderDemandFactor = 1.2
+	// minLoanShare is the least share that is lent.
+	minLoanShare = 0.03
+	// minDemandSum in units per second keeps a sum that is divided by from being zero.
+	minDemandSum = 1e-6
+)
+
+// A loan is a share of the rate and burst of both buckets, and slots, that are used here until the loan
+// ends by itself.
+type loan struct {
+	share     float64
+	slots     int
+	expiresAt time.Duration
+}
+
+// expiresWithin reports whether the loan has a share and less than some time left.
+func (ln loan) expiresWithin(margin, now time.Duration) bool {
+	return ln.share > 0 && ln.expiresAt-now < margin
+}
+
+// A grantRecord is what a lender keeps of a grant. Its loan ends later than the borrower's by what two
+// clocks may differ.
+type grantRecord struct {
+	loan
+	nonce                    uint16
+	quotaUnits, ceilingUnits float64       // in transit
+	deliveredBy              time.Duration // the units have arrived by then, or never will
+	message                  gossip.Grant  // to be sent again when the request is repeated
+}
+
+// loanExpiring reports whether a borrowed share is about to end.
+func (a *Account) loanExpiring(now time.Duration) bool {
+	return slices.ContainsFunc(a.links, func(lk link) bool { return lk.borrowed.expiresWithin(loanRenewalMargin, now) })
+}
+
+// lentShare is the share that the peer may be using.
+func (lk *link) lentShare() float64 {
+	share := 0.0
+	for i := range lk.lent {
+		share = max(share, lk.lent[i].share)
+	}
+	return share
+}
+
+// lentSlots is how many slots of this limiter the peer may be using.
+func (lk *link) lentSlots() int {
+	slots := 0
+	for i := range lk.lent {
+		slots = max(slots, lk.lent[i].slots)
+	}
+	return slots
+}
+
+// settleGrants books that a peer sent a new request: the units of earlier grants have arrived by now or
+// never will, and of the slots lent it still uses some.
+func (lk *link) settleGrants(slotsHeld int) {
+	for i := range lk.lent {
+		lent := &lk.lent[i]
+		lent.quotaUnits, lent.ceilingUnits = 0, 0
+		lent.slots = min(lent.slots, slotsHeld)
+	}
+	lk.lent = slices.DeleteFunc(lk.lent, func(lent grantRecord) bool { return lent.share == 0 && lent.slots == 0 })
+}
+
+// expireLoans drops loans and grants that have ended.
+func (a *Account) expireLoans() {
+	for i := range a.links {
+		lk := &a.links[i]
+		if lk.borrowed.expiresAt <= a.advancedTo {
+			lk.borrowed = loan{}
+		}
+		for j := range lk.lent {
+			a.settleDelivery(&lk.lent[j])
+		}
+		lk.lent = slices.DeleteFunc(lk.lent, func(lent grantRecord) bool { return lent.expiresAt <= a.advancedTo })
+	}
+}
+
+// settleDelivery ends the transit of a grant's units once they have arrived or never will.
+func (a *Account) settleDelivery(lent *grantRecord) {
+	if lent.deliveredBy <= a.advancedTo && lent.quotaUnits+lent.ceilingUnits > 0 {
+		a.ledger.Counts.UnitsUnacknowledged += lent.quotaUnits
+		lent.quotaUnits, lent.ceilingUnits = 0, 0
+	}
+}
+
+// loansSettledAt is the clock time from which on no peer can still use what an earlier epoch of this
+// limiter lent it: all of the set know of this epoch, or every loan has ended.
+func (a *Account) loansSettledAt() time.Duration {
+	l := a.ledger
+	latest := l.startedAt + lenderLoanDuration
+	if a.advancedTo >= latest || !a.isAllocated() {
+		return l.startedAt
+	}
+	settledAt := l.startedAt
+	for i := range a.setSize {
+		limiter := (a.firstLimiter + i) % l.Limiters
+		if limiter == l.Self {
+			continue
+		}
+		peer := l.peers[limiter]
+		if peer == nil || !peer.acked {
+			return latest
+		}
+		settledAt = max(settledAt, min(peer.ackedAt, latest))
+	}
+	return settledAt
+}
+
+// lending is what one decision about a transfer request goes by.
+type lending struct {
+	account      *Account
+	link         *link
+	request      gossip.TransferRequest
+	settled      bool // no peer can still use a loan of an earlier epoch
+	ownDemand    float64
+	peerDemand   float64
+	demandWeight float64 // the peer's part of both demands
+	fractions    fractions
+	lentToOthers float64 // shares
+	lentToPeer   float64
+}
+
+func (a *Account) newLending(lk *link, request gossip.TransferRequest, now time.Duration) lending {
+	g := lending{
+		account:      a,
+		link:         lk,
+		request:      request,
+		settled:      now >= a.loansSettledAt(),
+		ownDemand:    a.demandRate(now),
+		peerDemand:   lk.demand,
+		demandWeight: 1,
+		lentToPeer:   lk.lentShare(),
+	}
+	if sum := g.ownDemand + g.peerDemand; sum > 0 {
+		g.demandWeight = g.peerDemand / sum
+	}
+	g.fractions = a.fractions(g.settled)
+	for i := range a.links {
+		if other := &a.links[i]; other != lk {
+			g.lentToOthers += other.lentShare()
+		}
+	}
+	return g
+}
+
+// lend moves units and lends a share and slots to a peer, and returns the grant to send.
+func (l *Ledger) lend(a *Account, lk *link, request gossip.TransferRequest, now time.Duration) gossip.Grant {
+	decision := a.newLending(lk, request, now)
+	record := grantRecord{
+		nonce:       request.Nonce,
+		loan:        loan{expiresAt: now + lenderLoanDuration},
+		deliveredBy: now + grantDeliveryTimeout,
+	}
+	if a.plan().Quota.Rate > 0 && (request.QuotaWanted > 0 || request.Demand > 0) {
+		record.share = decision.share()
+		record.quotaUnits = decision.quotaUnits(record.share)
+	}
+	if decision.settled && a.plan().Ceiling.Rate > 0 && request.CeilingWanted > 0 {
+		record.ceilingUnits = decision.ceilingUnits(record.share)
+	}
+	record.slots = decision.slots()
+	a.quotaLevel -= record.quotaUnits
+	a.ceilingLevel -= record.ceilingUnits
+	l.Counts.UnitsSent += record.quotaUnits
+	record.message = a.buildGrant(record, now)
+	lk.lent = append(lk.lent, record)
+	return record.message
+}
+
+// share is the share to lend: as much as the peer lacks of its demand and this limiter can spare.
+func (g *lending) share() float64 {
+	rate := g.account.plan().Quota.Rate
+	spare := 0.0
+	if g.settled {
+		notNeeded := g.fractions.quota + g.lentToPeer - g.ownDemand*lenderDemandFactor/rate
+		spare = min(notNeeded, MaxLentFraction*g.account.baseFraction-g.lentToOthers)
+	}
+	lack := min(g.peerDemand*borrowerDemandFactor/rate, 1) - decodeShare(g.request.Share)
+	share := math.Floor(min(spare, lack)*gossip.ShareSteps) / gossip.ShareSteps
+	if share < minLoanShare {
+		return 0
+	}
+	return share
+}
+
+// quotaUnits is the units of the quota to move: what makes the levels of both limiters as their demands,
+// and with a share that is lent what the smaller allocation has no room for.
+func (g *lending) quotaUnits(share float64) float64 {
+	a := g.account
+	both := a.quotaLevel + max(g.link.level, -a.quotaLevel)
+	units := min(both*g.demandWeight-g.link.level, decodeUnits(g.request.QuotaWanted))
+	if share > 0 {
+		remaining := g.fractions.quota + g.lentToPeer - max(g.lentToPeer, share)
+		units = max(units, a.quotaLevel-remaining*a.plan().Quota.Burst)
+	}
+	return roundToParts(min(units, a.quotaLevel))
+}
+
+// ceilingUnits is the units of the ceiling to move: what is not needed here, as far as the units in
+// transit keep their room after a restart too.
+func (g *lending) ceilingUnits(share float64) float64 {
+	a, ceiling := g.account, g.account.plan().Ceiling
+	lent := (g.lentToOthers + max(share, g.lentToPeer)) * ceiling.Burst
+	room := MaxLentFraction*a.evenFraction*ceiling.Burst - lent - g.fractions.ceilingInTransit
+	ownNeed := g.ownDemand / max(g.ownDemand+g.fractions.ceiling*ceiling.Rate, minDemandSum)
+	spare := a.ceilingLevel * max(g.demandWeight, 1-ownNeed)
+	return roundToParts(min(spare, decodeUnits(g.request.CeilingWanted), max(room, 0)))
+}
+
+// slots is how many slots are lent to the peer, with those it has already.
+func (g *lending) slots() int {
+	a := g.account
+	free := a.slotLimit() - a.SlotsInUse
+	if a.plan().Slots <= 0 || g.request.SlotsWanted == 0 || free <= 0 {
+		return 0
+	}
+	return min(int(g.request.SlotsWanted), free) + g.link.lentSlots()
+}
+
+// buildGrant returns the message of a grant, with a report of the account here.
+func (a *Account) buildGrant(record grantRecord, now time.Duration) gossip.Grant {
+	return gossip.Grant{
+		Customer:     a.CustomerHash,
+		Nonce:        record.nonce,
+		QuotaUnits:   encodeUnits(record.quotaUnits),
+		CeilingUnits: encodeUnits(record.ceilingUnits),
+		Consumed:     a.consumed,
+		Share:        uint8(math.Round(record.share * gossip.ShareSteps)),
+		Level:        a.encodeLevel(),
+		Demand:       a.encodeDemand(now),
+		Slots:        uint8(record.slots),
+		TotalLevel:   a.encodeTotal(),
+	}
+}
--- /dev/null
+++ b/internal/quota/link.go
@@ -0,0 +1,92 @@
+package quota
+
+import (
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// This file is the state of the exchange between two limiters about one account.
+
+// A link is the exchange between this limiter and one peer about an account.
+type link struct {
+	peerID int
+	epoch  uint32 // of the peer: what was agreed with an earlier one is void
+
+	// The transfer request that is out, and what it requested.
+	pending       bool
+	nonce         uint16
+	requestedAt   time.Duration // when it was first sent
+	lastSentAt    time.Duration
+	queued        bool // a message about the account is to be sent
+	quotaWanted   float64
+	ceilingWanted float64
+	slotsWanted   int
+	returnDue     bool          // slots or units are to be given back, by a message that requests nothing
+	nextRequestAt time.Duration // no new request before
+	borrowed      loan          // what the last grant lent
+
+	// The grants to the peer. It uses one of them, and which one is not known for sure.
+	lent      []grantRecord
+	lastGrant gossip.Grant // of an owner: the last one
+
+	// What the peer reported.
+	known      bool // it reported something in this epoch; of an owner's link, it requested something
+	reportedAt time.Duration
+	level      float64 // units
+	consumed   uint16  // in gossip.UnitParts, modulo 2^16; to an owner: the debt that the request reports
+	demand     float64 // units per second
+	reclaimed  bool    // what it had was reclaimed
+	restarted  bool    // it was known in an earlier epoch: what it reports next was consumed since
+
+	// Of a set with an owner alone.
+	ceilingBorrowedUntil time.Duration // what a backup owner gained of the ceiling until then was requested
+	demandToReport       uint8         // units of requests here that the owner does not know of
+}
+
+// inUse reports whether anything is lent, borrowed or requested by a link.
+func (lk *link) inUse(now time.Duration) bool {
+	return lk.borrowed.expiresAt > now || len(lk.lent) > 0 || lk.queued || lk.isPending(now)
+}
+
+// isPending reports whether a reply to the request that is out may still come.
+func (lk *link) isPending(now time.Duration) bool {
+	return lk.pending && now-lk.requestedAt < requestTimeout
+}
+
+// accepts reports whether a grant replies to the request that is out, and in time.
+func (lk *link) accepts(grant gossip.Grant, now time.Duration) bool {
+	return lk.isPending(now) && lk.nonce == grant.Nonce
+}
+
+// link returns the link to a peer, a new one if there is none. A new one may move the others: a pointer
+// to a link does not stay valid over a call with another peer.
+func (a *Account) link(peerID int) *link {
+	for i := range a.links {
+		lk := &a.links[i]
+		if lk.peerID == peerID {
+			a.renewOwnerLink(lk)
+			return lk
+		}
+	}
+	lk := link{peerID: peerID}
+	if peer := a.ledger.peers[peerID]; peer != nil {
+		lk.epoch = peer.epoch
+	}
+	a.links = append(a.links, lk)
+	return &a.links[len(a.links)-1]
+}
+
+// renewOwnerLink drops what was agreed with an earlier epoch of a peer, in a set with an owner. Links of
+// allocated accounts are renewed by dropStaleLinks.
+func (a *Account) renewOwnerLink(lk *link) {
+	peer := a.ledger.peers[lk.peerID]
+	if a.isAllocated() || peer == nil || peer.epoch == lk.epoch {
+		return
+	}
+	if lk.epoch == 0 { // no message had come before: the request that is out stays valid
+		lk.epoch = peer.epoch
+		return
+	}
+	*lk = link{peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued}
+}
--- /dev/null
+++ b/internal/quota/owner_ceiling.go
@@ -0,0 +1,61 @@
+package quota
+
+import "time"
+
+// This file lets an owner use the complete ceiling of a customer. The owners have fixed parts of it,
+// whoever is silent, and an owner whose part runs short borrows out of those of its backups.
+
+// minBorrowedCeiling is the least that an owner requests of a backup owner, in units.
+const minBorrowedCeiling = 1.0
+
+// borrowCeiling requests of the backup owners what they gained of the ceiling since the last request:
+// while the owner lives they have no use for it. No unit is made so: it leaves one part before it comes
+// to the other, and the owner requests no more than its own part has room for.
+func (l *Ledger) borrowCeiling(a *Account, now time.Duration) {
+	if a.ownerRank != 0 || a.plan().Ceiling.Rate <= 0 {
+		return
+	}
+	need := a.ceilingNeed(now)
+	for i, owner := range a.owners[1:] {
+		if need < minBorrowedCeiling {
+			return
+		}
+		lk, peer := a.link(owner), l.peer(owner)
+		if !peer.available(now) || peer.unresponsive || lk.isPending(now) {
+			continue
+		}
+		need -= l.borrowCeilingFrom(a, lk, ceilingFractions[i+1], need, now)
+	}
+}
+
+// ceilingNeed is what an owner can use of the ceiling beyond its level: what its demand takes, as far as
+// there is room for it and the quota does not bind first.
+func (a *Account) ceilingNeed(now time.Duration) float64 {
+	plan := a.plan()
+	target := a.demandRate(now)*prefetchDuration.Seconds() + a.largestRequest
+	room := a.ceilingFraction*plan.Ceiling.Burst - a.ceilingUnitsInTransit - a.reservedUnits
+	need := min(target, room) - a.ceilingLevel
+	if plan.Quota.Rate > 0 {
+		need = min(need, a.quotaLevel-a.ceilingLevel)
+	}
+	return need
+}
+
+// borrowCeilingFrom requests of a backup owner with a fraction of the ceiling what it gained, up to what
+// is needed, and returns the units requested.
+func (l *Ledger) borrowCeilingFrom(a *Account, lk *link, fraction, need float64, now time.Duration) float64 {
+	ceiling := a.plan().Ceiling
+	gainRate := fraction * ceiling.Rate * (1 - ClockDrift)
+	fillDuration := time.Duration(ceiling.Burst / ceiling.Rate * float64(time.Second))
+	lk.ceilingBorrowedUntil = max(lk.ceilingBorrowedUntil, l.startedAt, now-fillDuration)
+	gained := gainRate * (now - lk.ceilingBorrowedUntil).Seconds()
+	units := roundToParts(min(need, gained))
+	if units < minBorrowedCeiling {
+		return 0
+	}
+	l.startRequest(lk, amounts{ceiling: units}, now)
+	lk.consumed, lk.demandToReport = 0, 0
+	lk.ceilingBorrowedUntil += time.Duration(units / gainRate * float64(time.Second))
+	l.queueRequest(a, lk)
+	return units
+}
--- /dev/null
+++ b/internal/quota/owner_reserve.go
@@ -0,0 +1,123 @@
+package quota
+
+import "time"
+
+// This file decides on requests of customers with an owner: at the owner itself, at the limiters that
+// request the units from it, and at those that get no decision.
+
+const (
+	// creditRateFactor times its even part of the rate is what a limiter may consume without a decision.
+	creditRateFactor = 2.0
+	// hotRequestFactor times the rate is what the limiters of a hot customer request together: a little
+	// more than its owner may grant.
+	hotRequestFactor = 1.3
+)
+
+// reserveOwned is Reserve for a customer with an owner.
+func (l *Ledger) reserveOwned(a *Account, units float64, last bool, now time.Duration) (Decision, time.Duration) {
+	lacking := a.lack(units) != amounts{}
+	decides := l.decides(a, now)
+	decision := a.ownerDecision
+	a.ownerDecision = ownerUndecided
+	if !lacking && (decides || a.ownerRank == notOwner || decision == ownerGranted) {
+		l.consumeOwned(a, units, now)
+		l.borrowCeiling(a, now)
+		return Granted, 0
+	}
+	l.borrowCeiling(a, now)
+	retryAfter := time.Duration(units / max(a.plan().Quota.Rate, minDivisor) * float64(time.Second))
+	if decides || decision != ownerUndecided {
+		a.requestOutstanding = false
+		return Rejected, retryAfter
+	}
+	view := a.predictOwnerView(now)
+	if a.skipsRequest(view, units, now) {
+		return Rejected, retryAfter
+	}
+	if !last && l.requestFromOwner(a, units, now) {
+		a.requestOutstanding = true
+		return Pending, 0
+	}
+	if l.decides(a, now) { // the request found all owners before this one silent
+		return l.reserveOwned(a, units, last, now)
+	}
+	a.requestOutstanding = false
+	if !a.takeCredit(view, units, now) {
+		return Rejected, retryAfter
+	}
+	l.Counts.AdmittedWithoutGrant++
+	l.consumeOwned(a, units, now)
+	return Granted, 0
+}
+
+// skipsRequest reports whether a request of a hot customer is rejected without a request to its owner,
+// which need not reject each of them. The owner gets more of them the older its last report is, as the
+// demand may have gone.
+func (a *Account) skipsRequest(view ownerView, units float64, now time.Duration) bool {
+	target := hotRequestFactor * a.plan().Quota.Rate
+	if !view.known || a.requestOutstanding || view.level >= units || view.demand <= target {
+		return false
+	}
+	age := (now - view.receivedAt).Seconds() / ownerViewDuration.Seconds()
+	a.requestAllowance += target/view.demand + age*age
+	if a.requestAllowance < 1 {
+		return true
+	}
+	a.requestAllowance--
+	return false
+}
+
+// takeCredit admits a request without a decision, as none came or there is no owner to make one. The
+// owner gets to know the units as debt. There is no credit for a ceiling and for slots.
+func (a *Account) takeCredit(view ownerView, units float64, now time.Duration) bool {
+	plan := a.plan()
+	if plan.Ceiling.Rate > 0 || plan.Slots > 0 {
+		return false
+	}
+	if view.known && view.level < units && view.demand > plan.Quota.Rate && plan.LeastProbability > 0 {
+		return false
+	}
+	perSecond := creditRateFactor * plan.Quota.Rate * a.evenFraction
+	limit := max(a.largestRequest, plan.Quota.Burst*a.evenFraction)
+	if a.credit.Refill(now, perSecond, limit) < units {
+		return false
+	}
+	a.credit.Amount -= units
+	a.unreportedUnits += units
+	a.quotaLevel += units
+	return true
+}
+
+// consumeOwned takes units that are granted.
+func (l *Ledger) consumeOwned(a *Account, units float64, now time.Duration) {
+	plan := a.plan()
+	a.requestOutstanding = false
+	if plan.Quota.Rate > 0 {
+		a.quotaLevel -= units
+	}
+	if plan.Ceiling.Rate > 0 {
+		a.ceilingLevel -= units
+	}
+	a.reservedUnits += units
+	a.lastGrantAt = now
+}
+
+// refundOwned returns units of a quota whose request was not forwarded: to the owner, by a message soon,
+// as no other limiter could use them, or to this limiter's own level where it decides itself. If the
+// message is lost, so are the units.
+func (l *Ledger) refundOwned(a *Account, units float64, now time.Duration) {
+	decider := notOwner
+	if a.ownerRank != 0 {
+		decider = l.firstLiveOwner(a, now)
+	}
+	if decider == notOwner && a.ownerRank != notOwner {
+		a.quotaLevel += units
+		return
+	}
+	a.unreportedUnits -= units
+	if decider != notOwner {
+		lk := a.link(a.owners[decider])
+		lk.returnDue = true
+		l.queueRequest(a, lk)
+	}
+}
--- /dev/null
+++ b/internal/quota/owner_transfer.go
@@ -0,0 +1,207 @@
+package quota
+
+import (
+	"math"
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// This file is the exchange between the limiters of a large set and the owner: the requests for units of
+// each request, and what the owner grants.
+
+const (
+	// ownerRetransmitAfter is the time without a grant after which a request to an owner is sent again.
+	ownerRetransmitAfter = 50 * time.Millisecond
+	// backupLevelDuration is how long after its last grant a backup owner's level is what it assumes.
+	backupLevelDuration = 2 * time.Second
+)
+
+// requestFromOwner requests a request's units from the first owner that is not silent, and reports
+// whether there is one. One that was silent before gets the request as well, as it may be back, but
+// nothing waits for its grant.
+func (l *Ledger) requestFromOwner(a *Account, units float64, now time.Duration) bool {
+	for _, owner := range a.owners {
+		if owner == l.Self {
+			return false
+		}
+		peer := l.peer(owner)
+		if !peer.available(now) {
+			continue
+		}
+		lk := a.link(owner)
+		switch l.checkRequest(a, lk, ownerRetransmitAfter, now) {
+		case requestTimedOut:
+			continue
+		case noRequest:
+			l.startOwnedRequest(a, lk, units, now)
+		}
+		if !peer.unresponsive {
+			return true
+		}
+	}
+	return false
+}
+
+// startOwnedRequest requests what a request for units needs, and reports what the owner does not know.
+func (l *Ledger) startOwnedRequest(a *Account, lk *link, units float64, now time.Duration) {
+	l.startRequest(lk, a.ownedNeed(units), now)
+	lk.demandToReport = uint8(min(max(a.unreportedDemand-units, 0), math.MaxUint8))
+	a.unreportedDemand = 0
+	a.attachDebt(lk)
+	l.queueRequest(a, lk)
+}
+
+// ownedNeed is what a request for units needs beyond what was granted before and not used.
+func (a *Account) ownedNeed(units float64) amounts {
+	plan := a.plan()
+	var need amounts
+	if plan.Quota.Rate > 0 {
+		need.quota = max(units-max(a.quotaLevel, 0), 0)
+	}
+	if plan.Ceiling.Rate > 0 {
+		need.ceiling = max(units-max(a.ceilingLevel, 0), 0)
+	}
+	if plan.Slots > 0 && a.SlotsInUse >= a.slotLimit() {
+		need.slots = 1
+	}
+	return need
+}
+
+// attachDebt adds to a request to the owner what was consumed here without a decision, less what was
+// granted and not used.
+func (a *Account) attachDebt(lk *link) {
+	lk.consumed = encodeDebt(a.unreportedUnits)
+	a.unreportedUnits = 0
+}
+
+// addOwnedReport adds to a request to an owner what the owner does not know.
+func (a *Account) addOwnedReport(request *gossip.TransferRequest, lk *link, now time.Duration) {
+	request.Consumed, request.Share = lk.consumed, lk.demandToReport
+	request.TotalLevel = gossip.UnknownTotal
+	if view := a.predictOwnerView(now); view.known {
+		request.TotalLevel = uint8(a.relativeToBurst(view.level) * gossip.TotalSteps)
+	}
+}
+
+// handleOwnedRequest grants what a limiter requests of its owner, all of it or nothing.
+func (l *Ledger) handleOwnedRequest(peerID int, a *Account, request gossip.TransferRequest, now time.Duration) {
+	lk := a.link(peerID)
+	if lk.known && lk.lastGrant.Nonce == request.Nonce { // a repeated request: the grant was lost
+		l.queueGrant(peerID, lk.lastGrant)
+		return
+	}
+	lk.known, lk.reportedAt = true, now
+	lk.lastGrant = gossip.Grant{Customer: a.CustomerHash, Nonce: request.Nonce}
+	if a.ownerRank == notOwner { // sent here in error: there is nothing to grant, nor to give back to
+		l.queueGrant(peerID, lk.lastGrant)
+		return
+	}
+	a.adoptLevelHint(request, now)
+	ofOwner := a.ownerRank > 0 && peerID == a.owners[0] // borrows, see borrowCeiling
+	if !ofOwner {
+		a.recordRequestedDemand(request, now)
+	}
+	a.settleDebt(request)
+	grant := lk.lastGrant
+	if l.grantOwned(a, lk, request, &grant, now) && !ofOwner {
+		a.lastGrantAt = now
+	}
+	l.borrowCeiling(a, now)
+	a.addOwnerView(&grant, now)
+	lk.lastGrant = grant
+	if request.QuotaWanted+request.CeilingWanted > 0 || request.SlotsWanted > 0 { // nothing waits for a mere return
+		l.queueGrant(peerID, grant)
+	}
+}
+
+// adoptLevelHint takes over what a requester knows of the quota's level, where this limiter knows less: a
+// backup owner that has not granted of late, and an owner that restarted.
+func (a *Account) adoptLevelHint(request gossip.TransferRequest, now time.Duration) {
+	if request.TotalLevel == gossip.UnknownTotal || a.plan().Quota.Rate <= 0 {
+		return
+	}
+	hint := a.decodeTotal(request.TotalLevel)
+	switch {
+	case a.ownerRank > 0 && now-a.lastGrantAt > backupLevelDuration:
+		a.quotaLevel = min(a.quotaLevel, hint)
+	case a.ownerRank == 0 && !a.levelHintReceived && a.ledger.recovery != TierStarted:
+		a.quotaLevel = max(a.quotaLevel, hint)
+	}
+	a.levelHintReceived = true
+}
+
+// recordRequestedDemand counts a request, and those that the requester rejected itself, as demand.
+func (a *Account) recordRequestedDemand(request gossip.TransferRequest, now time.Duration) {
+	units := max(decodeUnits(request.QuotaWanted), decodeUnits(request.CeilingWanted))
+	a.demand.Add(now, units+float64(request.Share), demandMemorySeconds)
+}
+
+// settleDebt takes units that the requester consumed without a grant, or returns what it did not use. The
+// quota holds no more than its burst, and no more debt than that.
+func (a *Account) settleDebt(request gossip.TransferRequest) {
+	burst := a.plan().Quota.Burst
+	level := a.quotaLevel - decodeDebt(request.Consumed)
+	a.quotaLevel = min(max(level, -burst), max(burst, a.quotaLevel))
+}
+
+// grantOwned decides on a request, moves what it grants into the grant, and reports whether it does.
+func (l *Ledger) grantOwned(a *Account, lk *link, request gossip.TransferRequest, grant *gossip.Grant, now time.Duration) bool {
+	quota, ceiling := decodeUnits(request.QuotaWanted), decodeUnits(request.CeilingWanted)
+	slotsHeld := lk.takeBackSlots(int(request.SlotsHeld))
+	granted := (quota == 0 || a.quotaLevel >= quota) && (ceiling == 0 || a.ceilingLevel >= ceiling)
+	if a.plan().Slots > 0 {
+		granted = granted && a.slotLimit()-slotsHeld-a.SlotsInUse >= int(request.SlotsWanted)
+		if granted {
+			slotsHeld += int(request.SlotsWanted)
+		}
+		lk.lendSlots(slotsHeld, now)
+		grant.Slots = uint8(slotsHeld)
+	}
+	if !granted {
+		return false
+	}
+	if ceiling > 0 {
+		a.ceilingInTransit = append(a.ceilingInTransit, inTransit{units: ceiling, arrivesBy: now + grantDeliveryTimeout})
+		a.ceilingUnitsInTransit += ceiling
+	}
+	a.quotaLevel -= quota
+	a.ceilingLevel -= ceiling
+	l.Counts.UnitsSent += quota
+	grant.QuotaUnits, grant.CeilingUnits = request.QuotaWanted, request.CeilingWanted
+	return true
+}
+
+// takeBackSlots ends the loans of slots to a peer, and returns how many of them it still uses.
+func (lk *link) takeBackSlots(slotsHeld int) int {
+	held := 0
+	for i := range lk.lent {
+		held += min(lk.lent[i].slots, slotsHeld)
+	}
+	lk.lent = nil
+	return held
+}
+
+// lendSlots lends slots to a peer that has none.
+func (lk *link) lendSlots(slots int, now time.Duration) {
+	if slots > 0 {
+		lk.lent = []grantRecord{{loan: loan{slots: slots, expiresAt: now + lenderLoanDuration}}}
+	}
+}
+
+// handleOwnedGrant takes in what an owner granted and reported.
+func (l *Ledger) handleOwnedGrant(peerID int, a *Account, grant gossip.Grant, now time.Duration) {
+	a.recordOwnerView(grant, now)
+	lk := a.link(peerID)
+	if !lk.accepts(grant, now) {
+		return
+	}
+	l.takeGrant(a, lk, grant)
+	if grant.CeilingUnits == 0 && lk.ceilingWanted > 0 { // the backup owner has less than was expected
+		lk.ceilingBorrowedUntil = now
+	}
+	a.ownerDecision = ownerRejected
+	if grant.QuotaUnits > 0 || grant.CeilingUnits > 0 || grant.Slots > 0 {
+		a.ownerDecision = ownerGranted
+	}
+}
--- /dev/null
+++ b/internal/quota/reclaim.go
@@ -0,0 +1,61 @@
+package quota
+
+// This file is what becomes of the exchange with a peer that restarted, left or died.
+
+// maxUnseenSeconds bounds the time in seconds that a peer is assumed to have gone on after its last report.
+const maxUnseenSeconds = 1.0
+
+// dropStaleLinks ends what was agreed with earlier epochs of peers. What these borrowed is available here
+// again, and what they lent is their new epoch's.
+func (a *Account) dropStaleLinks() {
+	for i := range a.links {
+		lk := &a.links[i]
+		peer := a.ledger.peers[lk.peerID]
+		if peer == nil {
+			continue
+		}
+		if lk.epoch == 0 { // no message had come before: nothing was agreed
+			lk.epoch = peer.epoch
+		}
+		if peer.dead {
+			a.reclaim(lk)
+		}
+		if peer.epoch != lk.epoch {
+			a.dropEpoch(lk, peer)
+		}
+	}
+}
+
+// dropEpoch starts a link anew with a peer that restarted.
+func (a *Account) dropEpoch(lk *link, peer *peer) {
+	rate := a.plan().Quota.Rate
+	a.ledger.Counts.RateReclaimed += lk.lentShare() * rate
+	if lk.known { // what the earlier epoch consumed after its last report nobody will ever report
+		a.totalLevel -= min(lk.demand, a.evenFraction*rate) * a.unreportedSeconds(lk)
+	}
+	a.reclaim(lk)
+	*lk = link{peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, restarted: lk.known}
+}
+
+// unreportedSeconds is the time that a peer may have gone on after its last report.
+func (a *Account) unreportedSeconds(lk *link) float64 {
+	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnseenSeconds)
+}
+
+// reclaim takes up this limiter's part of the units that a peer had when it left or died. The customer's
+// bucket still has them, and the peer's next epoch starts without them. Debt is taken over likewise.
+func (a *Account) reclaim(lk *link) {
+	plan := a.plan()
+	if !lk.known || lk.reclaimed || a.baseFraction <= 0 || plan.Quota.Rate <= 0 {
+		return
+	}
+	lk.reclaimed = true
+	gained := (a.evenFraction*plan.Quota.Rate - lk.demand) * a.unreportedSeconds(lk)
+	level := min(max(lk.level+gained, 0), a.evenFraction*plan.Quota.Burst)
+	if lk.level < 0 {
+		level = lk.level
+	}
+	part := level / float64(len(a.lenders))
+	a.quotaLevel += part
+	a.ledger.Counts.UnitsRecovered += part
+}
--- /dev/null
+++ b/internal/quota/reconcile.go
@@ -0,0 +1,122 @@
+package quota
+
+import (
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// This file takes in what peers report of an account, and recovers unallocated units: those that are in
+// the customer's bucket and in no allocation. An allocation was full while the bucket was not, a message
+// with units was lost, or a limiter died with units at hand.
+
+const (
+	// busyReportMaxAge is the age up to which a report counts in the sum of all allocations;
+	// idleReportMaxAge is that of a peer that is expected to have consumed next to nothing since.
+	busyReportMaxAge = 400 * time.Millisecond
+	idleReportMaxAge = 3 * time.Second
+	// idleReportUnits is what counts as next to nothing.
+	idleReportUnits = 1.0
+	// Units are recovered once they were unallocated at unallocatedMinTicks reports over
+	// unallocatedMinDuration: units in transit between two peers look unallocated for a while.
+	unallocatedMinTicks    = 3
+	unallocatedMinDuration = 500 * time.Millisecond
+)
+
+// peerReport is what a message reports of an account at its sender, as encoded.
+type peerReport struct {
+	level      int8
+	consumed   uint16
+	demand     uint8
+	totalLevel uint8
+}
+
+// reconcile takes in a peer's report. Where the reports of all peers are recent, it compares the
+// customer's bucket with the sum of all allocations.
+func (a *Account) reconcile(lk *link, report peerReport, now time.Duration) {
+	a.recordReport(lk, report, now)
+	if a.plan().Quota.Rate <= 0 || a.baseFraction <= 0 {
+		return
+	}
+	allocated, known := a.allocatedUnits(now)
+	if !known {
+		return
+	}
+	if !a.totalKnown || a.totalLevel < allocated { // the allocations never hold more than there is
+		a.totalLevel, a.totalKnown, a.unallocatedTicks = allocated, true, 0
+		return
+	}
+	a.recoverUnallocated(allocated, now)
+}
+
+// recordReport takes over what a peer reported of itself, and what it consumed since its last report out
+// of the customer's complete quota.
+func (a *Account) recordReport(lk *link, report peerReport, now time.Duration) {
+	if report.totalLevel != gossip.UnknownTotal && !a.totalKnown { // the peer knows more than this epoch
+		a.totalLevel, a.totalKnown = a.decodeTotal(report.totalLevel), true
+		lk.known, lk.consumed = true, report.consumed
+	}
+	if lk.known || lk.restarted || a.startedFull { // a new epoch counts from 0
+		a.totalLevel -= decodeDebt(report.consumed - lk.consumed)
+	}
+	lk.known, lk.restarted, lk.reportedAt, lk.consumed = true, false, now, report.consumed
+	lk.level = a.decodeLevel(report.level)
+	lk.demand = a.decodeDemand(report.demand)
+}
+
+// allocatedUnits is the sum of the levels of all allocations and of the units in transit from here, as
+// far as the reports of the peers are recent enough to tell. What a dead peer had is unallocated.
+func (a *Account) allocatedUnits(now time.Duration) (units float64, known bool) {
+	units = a.quotaLevel
+	for _, peerID := range a.lenders {
+		lk := a.link(peerID)
+		peer := a.ledger.peers[peerID]
+		if peer != nil && peer.dead {
+			continue
+		}
+		if !lk.hasRecentReport(now) {
+			return 0, false
+		}
+		for _, lent := range lk.lent {
+			units += lent.quotaUnits
+		}
+		fraction := max(a.baseFraction+lk.lentShare()-lk.borrowed.share, 0)
+		units += lk.level + fraction*a.plan().Quota.Rate*(now-lk.reportedAt).Seconds()
+	}
+	return units, true
+}
+
+// hasRecentReport reports whether a peer's level can still be told by its last report.
+func (lk *link) hasRecentReport(now time.Duration) bool {
+	age := now - lk.reportedAt
+	switch {
+	case !lk.known || age > idleReportMaxAge:
+		return false
+	case age <= busyReportMaxAge:
+		return true
+	}
+	return lk.demand*age.Seconds() <= idleReportUnits
+}
+
+// recoverUnallocated adds this limiter's part of the unallocated units to its allocation, once they were
+// there for a while.
+func (a *Account) recoverUnallocated(allocated float64, now time.Duration) {
+	burst := a.plan().Quota.Burst
+	rounding := burst / gossip.LevelSteps * float64(a.setSize) // of the levels in reports
+	unallocated := a.totalLevel - allocated - a.largestRequest - rounding
+	if a.unallocatedTicks == 0 || now-a.unallocatedSince > idleReportMaxAge {
+		a.unallocatedUnits, a.unallocatedSince, a.unallocatedTicks = unallocated, now, 0
+	}
+	a.unallocatedUnits = min(a.unallocatedUnits, unallocated)
+	a.unallocatedTicks++
+	if a.unallocatedTicks < unallocatedMinTicks || now-a.unallocatedSince < unallocatedMinDuration {
+		return
+	}
+	a.unallocatedTicks = 0
+	if a.unallocatedUnits <= 0 {
+		return
+	}
+	recovered := a.unallocatedUnits * a.baseFraction
+	a.quotaLevel += recovered
+	a.ledger.Counts.UnitsRecovered += recovered
+}
--- /dev/null
+++ b/internal/quota/recovery.go
@@ -0,0 +1,79 @@
+package quota
+
+import "time"
+
+// This file decides what a limiter that starts with nothing in memory assumes of the customers' buckets.
+
+// tierStartDuration is how long after the start of a tier an account that is met counts as full: until
+// then no limiter can have consumed units that it did not report yet.
+const tierStartDuration = 3 * time.Second
+
+// RecoveryState is what a limiter takes its own start for. With nothing in memory, the buckets may be
+// full, as the tier is new, or consumed, as the tier was there before.
+type RecoveryState uint8
+
+// Recovery states.
+const (
+	// RecoveryUnknown means that nothing is known yet. One request of each customer may be admitted
+	// without a grant; others wait.
+	RecoveryUnknown RecoveryState = iota
+	// TierStarted means that the tier is new: all buckets are full.
+	TierStarted
+	// LimiterRestarted means that the other limiters were there before. What this one had is lost, the
+	// rest is theirs.
+	LimiterRestarted
+	// TierRestarted means that all limiters were there before and lost what they had. The buckets
+	// certainly hold what they gained since.
+	TierRestarted
+)
+
+// String returns the name that counters and scripts use.
+func (s RecoveryState) String() string { return [...]string{"unsure", "fresh", "returned", "spent"}[s] }
+
+// Recovery returns what the limiter takes its own start for.
+func (l *Ledger) Recovery() RecoveryState { return l.recovery }
+
+// Resolve sets what the limiter takes its own start for. Only the first state other than RecoveryUnknown
+// counts.
+func (l *Ledger) Resolve(s RecoveryState, now time.Duration) {
+	if l.recovery != RecoveryUnknown || s == RecoveryUnknown {
+		return
+	}
+	l.recovery = s
+	for _, a := range l.accountOrder {
+		a.advance(now)
+		if s == TierStarted {
+			a.quotaLevel += a.unresolvedUnits
+			a.assumeFull()
+		}
+		a.unresolvedUnits = 0
+	}
+}
+
+// assumeFull takes the customer's bucket for full at the start of the tier.
+func (a *Account) assumeFull() {
+	a.totalLevel = a.plan().Quota.Burst - decodeUnits(a.consumed)
+	a.totalKnown, a.startedFull = true, true
+	for i := range a.links {
+		lk := &a.links[i]
+		if lk.known {
+			a.totalLevel -= decodeUnits(lk.consumed)
+		}
+	}
+}
+
+// initialLevel gives a new allocation what the recovery state allows beyond what it gained since the
+// start.
+func (a *Account) initialLevel(now time.Duration) {
+	l := a.ledger
+	full := a.baseFraction * a.plan().Quota.Burst
+	switch l.recovery {
+	case TierStarted:
+		a.quotaLevel = max(a.quotaLevel, full)
+		if now-l.startedAt < tierStartDuration {
+			a.assumeFull()
+		}
+	case RecoveryUnknown:
+		a.unresolvedUnits = max(full-a.quotaLevel, 0)
+	}
+}
--- /dev/null
+++ b/internal/quota/refill.go
@@ -0,0 +1,126 @@
+package quota
+
+import "time"
+
+// This file is the arithmetic of allocations: what part of each bucket is this limiter's, and how levels
+// change with time.
+
+// ClockDrift is the most that a clock may run fast or slow, as a fraction.
+const ClockDrift = 0.01
+
+// advance brings an account up to a clock time.
+func (a *Account) advance(now time.Duration) {
+	if a.isAllocated() {
+		a.advanceAllocated(now)
+	} else {
+		a.advanceOwned(now)
+	}
+}
+
+// advanceAllocated refills an allocation step by step, from one change of its fractions to the next.
+func (a *Account) advanceAllocated(now time.Duration) {
+	a.dropStaleLinks()
+	for a.advancedTo < now {
+		settledAt := a.loansSettledAt()
+		next := a.nextChange(settledAt, now)
+		a.refill((next - a.advancedTo).Seconds(), a.advancedTo >= settledAt)
+		a.advancedTo = next
+		a.expireLoans()
+	}
+}
+
+// nextChange is the first clock time, now at the latest, at which a loan or a grant ends or the loans of
+// earlier epochs have ended.
+func (a *Account) nextChange(settledAt, now time.Duration) time.Duration {
+	next := now
+	consider := func(at time.Duration) {
+		if at > a.advancedTo && at < next {
+			next = at
+		}
+	}
+	consider(settledAt)
+	for i := range a.links {
+		consider(a.links[i].borrowed.expiresAt)
+		for _, lent := range a.links[i].lent {
+			consider(lent.expiresAt)
+			consider(lent.deliveredBy)
+		}
+	}
+	return next
+}
+
+// refill adds what some seconds bring. An allocation that holds more than its room, as one that lent a
+// share or whose loan ended, drains as fast as the others may fill: so all allocations together never
+// gain while they hold as much as the bucket can.
+func (a *Account) refill(seconds float64, loansSettled bool) {
+	plan := a.plan()
+	f := a.fractions(loansSettled)
+	if plan.Quota.Rate > 0 {
+		gain := seconds * plan.Quota.Rate
+		room := f.quota*plan.Quota.Burst - f.quotaInTransit
+		a.totalLevel = min(a.totalLevel+gain, plan.Quota.Burst)
+		a.quotaLevel = refilled(a.quotaLevel, room, gain, f.quota, 1)
+	}
+	if plan.Ceiling.Rate > 0 {
+		gain := seconds * plan.Ceiling.Rate
+		room := f.ceiling*plan.Ceiling.Burst - f.ceilingInTransit - a.reservedUnits
+		a.ceilingLevel = refilled(a.ceilingLevel, room, gain, f.ceiling, 1-ClockDrift)
+	}
+}
+
+// refilled returns the level of an allocation after the complete bucket gained some units. Share is the
+// allocation's fraction of the rate, and slowdown a factor on it.
+func refilled(level, room, gain, share, slowdown float64) float64 {
+	room = max(room, 0)
+	if level > room {
+		return max(room, level-gain*(1-share))
+	}
+	return min(level+gain*share*slowdown, room)
+}
+
+// fractions are the parts of the two buckets that are this limiter's to fill, and the units of its
+// grants that are in transit and keep their room here.
+type fractions struct {
+	quota, ceiling                   float64
+	quotaInTransit, ceilingInTransit float64 // units
+}
+
+// fractions returns what is this limiter's now. Until the loans of earlier epochs are settled, those may
+// have lent MaxLentFraction of the ceiling.
+func (a *Account) fractions(loansSettled bool) fractions {
+	f := fractions{quota: a.baseFraction, ceiling: a.ceilingFraction}
+	if !loansSettled {
+		f.ceiling *= 1 - MaxLentFraction
+	}
+	if !a.isAllocated() {
+		f.ceilingInTransit = a.ceilingUnitsInTransit
+		return f
+	}
+	borrowed := 0.0 // less what is lent
+	for i := range a.links {
+		lk := &a.links[i]
+		borrowed += lk.borrowed.share - lk.lentShare()
+		for _, lent := range lk.lent {
+			f.quotaInTransit += lent.quotaUnits
+			f.ceilingInTransit += lent.ceilingUnits
+		}
+	}
+	if a.baseFraction > 0 {
+		f.quota += a.fractionOfDead()
+	}
+	f.quota, f.ceiling = max(f.quota+borrowed, 0), max(f.ceiling+borrowed, 0)
+	return f
+}
+
+// fractionOfDead is this limiter's part of the quota allocations of dead peers. Ceilings are not shared
+// out: a peer that counts as dead may live.
+func (a *Account) fractionOfDead() float64 {
+	dead := 0
+	for _, peerID := range a.lenders {
+		peer := a.ledger.peers[peerID]
+		if peer != nil && peer.dead {
+			dead++
+		}
+	}
+	return a.baseFraction * float64(dead) / float64(len(a.lenders)+1-dead)
+}
--- /dev/null
+++ b/internal/quota/sendqueue.go
@@ -0,0 +1,133 @@
+package quota
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// This file queues what is to be sent to each peer, and composes messages of it.
+
+// queueRequest queues a message to a peer about an account.
+func (l *Ledger) queueRequest(a *Account, lk *link) {
+	if lk.queued {
+		return
+	}
+	lk.queued = true
+	peer := l.peer(lk.peerID)
+	peer.queuedRequests = append(peer.queuedRequests, a)
+	l.markReady(lk.peerID, peer)
+}
+
+// queueGrant queues a grant to a peer, in place of an earlier one to the same customer.
+func (l *Ledger) queueGrant(peerID int, grant gossip.Grant) {
+	peer := l.peer(peerID)
+	sameCustomer := func(other gossip.Grant) bool { return other.Customer == grant.Customer }
+	peer.queuedGrants = append(slices.DeleteFunc(peer.queuedGrants, sameCustomer), grant)
+	l.markReady(peerID, peer)
+}
+
+func (l *Ledger) markReady(peerID int, peer *peer) {
+	if !peer.queuedForSend {
+		peer.queuedForSend = true
+		l.readyPeers = append(l.readyPeers, peerID)
+	}
+}
+
+// TakeReadyPeers returns the peers for which something was queued since the last call.
+func (l *Ledger) TakeReadyPeers() []int {
+	list := l.readyPeers
+	l.readyPeers = nil
+	for _, peerID := range list {
+		l.peers[peerID].queuedForSend = false
+	}
+	return list
+}
+
+// HasGrantsFor reports whether a grant to a peer is queued. There are no more grants than requests that
+// came in.
+func (l *Ledger) HasGrantsFor(peerID int) bool {
+	peer := l.peers[peerID]
+	return peer != nil && len(peer.queuedGrants) > 0
+}
+
+// HasRequestsFor reports whether a transfer request to a peer is queued.
+func (l *Ledger) HasRequestsFor(peerID int) bool {
+	peer := l.peers[peerID]
+	return peer != nil && len(peer.queuedRequests) > 0
+}
+
+// Compose takes as much of what is queued for a peer as fits into one message, and reports whether there
+// is more.
+func (l *Ledger) Compose(peerID int, now time.Duration) (requests []gossip.TransferRequest, grants []gossip.Grant, more bool) {
+	peer := l.peer(peerID)
+	requests = l.takeRequests(peerID, peer, now)
+	n := min(len(peer.queuedGrants), gossip.MaxGrants)
+	grants, peer.queuedGrants = peer.queuedGrants[:n:n], peer.queuedGrants[n:]
+	l.Counts.GrantsSent += uint64(n)
+	if l.Limiters > SmallSetSize && n < hotUpdatesPerMessage {
+		grants = append(grants, l.hotCustomerUpdates(hotUpdatesPerMessage-n, now)...)
+	}
+	return requests, grants, len(peer.queuedRequests)+len(peer.queuedGrants) > 0
+}
+
+// takeRequests takes the requests of a message out of a peer's queue. What a queued account requests is
+// decided only now, but for its amounts.
+func (l *Ledger) takeRequests(peerID int, peer *peer, now time.Duration) (requests []gossip.TransferRequest) {
+	for len(peer.queuedRequests) > 0 && len(requests) < gossip.MaxRequests {
+		a := peer.queuedRequests[0]
+		peer.queuedRequests = peer.queuedRequests[1:]
+		lk := a.link(peerID)
+		lk.queued = false
+		if !lk.pending && !lk.returnDue {
+			continue
+		}
+		if !lk.pending {
+			l.startReturn(a, lk)
+		}
+		lk.returnDue = false
+		lk.lastSentAt = now
+		requests = append(requests, l.buildRequest(a, lk, now))
+		l.Counts.RequestsSent++
+	}
+	if len(peer.queuedRequests) == 0 {
+		peer.queuedRequests = nil
+	}
+	return requests
+}
+
+// startReturn makes a link's request one that only gives back slots or units. No grant is expected.
+func (l *Ledger) startReturn(a *Account, lk *link) {
+	lk.nonce, lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = l.nextNonce(), 0, 0, 0
+	if !a.isAllocated() {
+		a.attachDebt(lk)
+	}
+}
+
+// buildRequest returns the message of a link's request, with a report of the account here.
+func (l *Ledger) buildRequest(a *Account, lk *link, now time.Duration) gossip.TransferRequest {
+	a.advance(now)
+	request := gossip.TransferRequest{
+		Customer:      a.CustomerHash,
+		Plan:          uint8(a.PlanIndex),
+		FirstLimiter:  uint16(a.firstLimiter),
+		SetSize:       uint16(a.setSize),
+		Nonce:         lk.nonce,
+		QuotaWanted:   encodeUnits(lk.quotaWanted),
+		CeilingWanted: encodeUnits(lk.ceilingWanted),
+		SlotsHeld:     uint8(min(lk.borrowed.slots, math.MaxUint8)),
+		SlotsWanted:   uint8(lk.slotsWanted),
+	}
+	if a.isAllocated() {
+		request.Consumed = a.consumed
+		request.Demand = a.encodeDemand(now)
+		request.Level = a.encodeLevel()
+		request.Share = uint8(min(max(a.fractions(true).quota-lk.borrowed.share, 0), 1) * gossip.ShareSteps)
+		request.TotalLevel = a.encodeTotal()
+	} else {
+		a.addOwnedReport(&request, lk, now)
+	}
+	return request
+}
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -10,8 +10,8 @@
 
 // This file is the stored form of a Ledger, and the one place where it is mapped to the live types.
 
-// Restore returns the Ledger that a process of this limiter stored, under the configuration that
-// it had there.
+// Restore returns the Ledger that a process of this limiter stored, with the configuration that it had
+// there.
 func Restore(s LedgerState, c Config) *Ledger {
 	l := s.restore()
 	if l.accounts == nil {
@@ -60,7 +60,7 @@
 	PeersDeclaredDead    uint64  `json:"dead"`
 }
 
-// rateState is the stored form of a decayed rate.
+// rateState is the stored form of a rate.Decaying.
 type rateState struct {
 	Rate      float64       `json:"rate"`
 	UpdatedAt time.Duration `json:"at"`
@@ -86,7 +86,7 @@
 	RequestAllowance        float64        `json:"thin"`
 	RequestOutstanding      bool           `json:"asked"`
 	OwnerDecision           int            `json:"word"`
-	LevelAnnounced          bool           `json:"hinted"`
+	LevelHintReceived       bool           `json:"hinted"`
 	LastGrantAt             time.Duration  `json:"granted"`
 	CeilingInTransit        []transitState `json:"flying"`
 	CeilingUnitsInTransit   float64        `json:"aloft"`
@@ -111,7 +111,7 @@
 	UnallocatedSince        time.Duration  `json:"since"`
 }
 
-// ownerViewState is the stored form of a view.
+// ownerViewState is the stored form of an ownerView.
 type ownerViewState struct {
 	Known      bool          `json:"known"`
 	Level      float64       `json:"level"`
@@ -119,13 +119,13 @@
 	ReceivedAt time.Duration `json:"at"`
 }
 
-// allowanceState is the stored form of a saved amount.
+// allowanceState is the stored form of a rate.Allowance.
 type allowanceState struct {
 	Amount    float64       `json:"amount"`
 	UpdatedAt time.Duration `json:"at"`
 }
 
-// transitState is the stored form of a flight.
+// transitState is the stored form of an inTransit.
 type transitState struct {
 	Units     float64       `json:"units"`
 	ArrivesBy time.Duration `json:"until"`
@@ -133,7 +133,7 @@
 
 // linkState is the stored form of a link.
 type linkState struct {
-	Peer                 int           `json:"peer"`
+	PeerID               int           `json:"peer"`
 	Epoch                uint32        `json:"epoch"`
 	Pending              bool          `json:"pending"`
 	Nonce                uint16        `json:"nonce"`
@@ -148,15 +148,15 @@
 	Lent                 []lentState   `json:"out"`
 	LastGrant            grantState    `json:"answer"`
 	CeilingBorrowedUntil time.Duration `json:"leant"`
-	ExtraDemand          uint8         `json:"extra"`
+	DemandToReport       uint8         `json:"extra"`
 	Known                bool          `json:"known"`
 	Reclaimed            bool          `json:"heir"`
 	Restarted            bool          `json:"reborn"`
 	Level                float64       `json:"level"`
 	Consumed             uint16        `json:"drawn"`
 	Demand               float64       `json:"asks"`
-	HeardAt              time.Duration `json:"heard"`
-	SlotsRequested       bool          `json:"needed"`
+	ReportedAt           time.Duration `json:"heard"`
+	ReturnDue            bool          `json:"needed"`
 }
 
 // loanState is the stored form of a loan.
@@ -166,7 +166,7 @@
 	ExpiresAt time.Duration `json:"until"`
 }
 
-// lentState is the stored form of a grant.
+// lentState is the stored form of a grantRecord.
 type lentState struct {
 	loanState
 	Nonce        uint16        `json:"nonce"`
@@ -176,7 +176,7 @@
 	Message      grantState    `json:"answer"`
 }
 
-// grantState is the stored form of a peermsg.Answer.
+// grantState is the stored form of a gossip.Grant.
 type grantState struct {
 	Customer     uint32 `json:"Customer"`
 	Nonce        uint16 `json:"Nonce"`
@@ -192,16 +192,16 @@
 
 // peerState is the stored form of a peer.
 type peerState struct {
-	Epoch         uint32        `json:"epoch"`
-	Known         bool          `json:"known"`
-	Acked         bool          `json:"acked"`
-	AckedAt       time.Duration `json:"ackedAt"`
-	HeardAt       time.Duration `json:"heard"`
-	SilentUntil   time.Duration `json:"silentUntil"`
-	Unresponsive  bool          `json:"missed"`
-	Dead          bool          `json:"dead"`
-	QueuedGrants  []grantState  `json:"answers"`
-	QueuedForSend bool          `json:"waiting"`
+	Epoch          uint32        `json:"epoch"`
+	Known          bool          `json:"known"`
+	Acked          bool          `json:"acked"`
+	AckedAt        time.Duration `json:"ackedAt"`
+	LastReceivedAt time.Duration `json:"heard"`
+	SilentUntil    time.Duration `json:"silentUntil"`
+	Unresponsive   bool          `json:"missed"`
+	Dead           bool          `json:"dead"`
+	QueuedGrants   []grantState  `json:"answers"`
+	QueuedForSend  bool          `json:"waiting"`
 }
 
 // State returns what another process of this limiter needs to go on.
@@ -224,7 +224,7 @@
 	}
 }
 
-// restore returns a Ledger without its configuration and what Relink derives.
+// restore returns a Ledger without its configuration and what rebuildDerived builds.
 func (s LedgerState) restore() *Ledger {
 	return &Ledger{
 		Counts:         s.Counters.restore(),
@@ -313,8 +313,8 @@
 		UnreportedDemand:        x.unreportedDemand,
 		RequestAllowance:        x.requestAllowance,
 		RequestOutstanding:      x.requestOutstanding,
-		OwnerDecision:           x.ownerDecision,
-		LevelAnnounced:          x.levelHintReceived,
+		OwnerDecision:           int(x.ownerDecision),
+		LevelHintReceived:       x.levelHintReceived,
 		LastGrantAt:             x.lastGrantAt,
 		CeilingInTransit:        memento.List(x.ceilingInTransit, newTransitState),
 		CeilingUnitsInTransit:   x.ceilingUnitsInTransit,
@@ -359,8 +359,8 @@
 		unreportedDemand:        s.UnreportedDemand,
 		requestAllowance:        s.RequestAllowance,
 		requestOutstanding:      s.RequestOutstanding,
-		ownerDecision:           s.OwnerDecision,
-		levelHintReceived:       s.LevelAnnounced,
+		ownerDecision:           ownerDecision(s.OwnerDecision),
+		levelHintReceived:       s.LevelHintReceived,
 		lastGrantAt:             s.LastGrantAt,
 		ceilingInTransit:        memento.List(s.CeilingInTransit, transitState.restore),
 		ceilingUnitsInTransit:   s.CeilingUnitsInTransit,
@@ -434,7 +434,7 @@
 
 func newLinkState(x link) linkState {
 	return linkState{
-		Peer:                 x.peerID,
+		PeerID:               x.peerID,
 		Epoch:                x.epoch,
 		Pending:              x.pending,
 		Nonce:                x.nonce,
@@ -449,21 +449,21 @@
 		Lent:                 memento.List(x.lent, newLentState),
 		LastGrant:            newGrantState(x.lastGrant),
 		CeilingBorrowedUntil: x.ceilingBorrowedUntil,
-		ExtraDemand:          x.demandToReport,
+		DemandToReport:       x.demandToReport,
 		Known:                x.known,
 		Reclaimed:            x.reclaimed,
 		Restarted:            x.restarted,
 		Level:                x.level,
 		Consumed:             x.consumed,
 		Demand:               x.demand,
-		HeardAt:              x.reportedAt,
-		SlotsRequested:       x.returnDue,
+		ReportedAt:           x.reportedAt,
+		ReturnDue:            x.returnDue,
 	}
 }
 
 func (s linkState) restore() link {
 	return link{
-		peerID:               s.Peer,
+		peerID:               s.PeerID,
 		epoch:                s.Epoch,
 		pending:              s.Pending,
 		nonce:                s.Nonce,
@@ -478,15 +478,15 @@
 		lent:                 memento.List(s.Lent, lentState.restore),
 		lastGrant:            s.LastGrant.restore(),
 		ceilingBorrowedUntil: s.CeilingBorrowedUntil,
-		demandToReport:       s.ExtraDemand,
+		demandToReport:       s.DemandToReport,
 		known:                s.Known,
 		reclaimed:            s.Reclaimed,
 		restarted:            s.Restarted,
 		level:                s.Level,
 		consumed:             s.Consumed,
 		demand:               s.Demand,
-		reportedAt:           s.HeardAt,
-		returnDue:            s.SlotsRequested,
+		reportedAt:           s.ReportedAt,
+		returnDue:            s.ReturnDue,
 	}
 }
 
@@ -560,16 +560,16 @@
 
 func newPeerState(x *peer) peerState {
 	return peerState{
-		Epoch:         x.epoch,
-		Known:         x.known,
-		Acked:         x.acked,
-		AckedAt:       x.ackedAt,
-		HeardAt:       x.lastReceivedAt,
-		SilentUntil:   x.silentUntil,
-		Unresponsive:  x.unresponsive,
-		Dead:          x.dead,
-		QueuedGrants:  memento.List(x.queuedGrants, newGrantState),
-		QueuedForSend: x.queuedForSend,
+		Epoch:          x.epoch,
+		Known:          x.known,
+		Acked:          x.acked,
+		AckedAt:        x.ackedAt,
+		LastReceivedAt: x.lastReceivedAt,
+		SilentUntil:    x.silentUntil,
+		Unresponsive:   x.unresponsive,
+		Dead:           x.dead,
+		QueuedGrants:   memento.List(x.queuedGrants, newGrantState),
+		QueuedForSend:  x.queuedForSend,
 	}
 }
 
@@ -579,7 +579,7 @@
 		known:          s.Known,
 		acked:          s.Acked,
 		ackedAt:        s.AckedAt,
-		lastReceivedAt: s.HeardAt,
+		lastReceivedAt: s.LastReceivedAt,
 		silentUntil:    s.SilentUntil,
 		unresponsive:   s.Unresponsive,
 		dead:           s.Dead,
--- /dev/null
+++ b/internal/quota/transfer.go
@@ -0,0 +1,226 @@
+package quota
+
+import (
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// This file is the exchange of transfer requests and grants: when units are requested of which peer, and
+// what is done with the messages that come. sendqueue.go composes those that are sent.
+
+const (
+	// prefetchDuration is how long what a busy limiter has at hand lasts at its demand.
+	prefetchDuration = 250 * time.Millisecond
+	// requestInterval is the least time between requests to one peer about one customer.
+	requestInterval = 150 * time.Millisecond
+	// emptyGrantBackoff takes its place after a grant that brought next to nothing.
+	emptyGrantBackoff = 500 * time.Millisecond
+	// requestRetransmitAfter is the time without a grant after which a request is sent again.
+	requestRetransmitAfter = 70 * time.Millisecond
+	// requestTimeout is the time after which no grant is accepted any longer; a peer that sent nothing
+	// in this time is silent.
+	requestTimeout = 500 * time.Millisecond
+	// reportStaleAfter is the age of a report from which on a peer that had nothing is requested again.
+	reportStaleAfter = time.Second
+	// borrowerDemandFactor times its demand is the rate that a borrower wants.
+	borrowerDemandFactor = 1.15
+	// spareLevelFraction of the larger requests is the least level at which a peer may have units to
+	// spare.
+	spareLevelFraction = 3.0 / 4
+)
+
+// transferNeed is what an account is to request from its peers.
+type transferNeed struct {
+	amounts
+	urgent bool // a request waits for it
+	busy   bool // the demand is more than the allocation gains without loans
+}
+
+// transferNeed is what an account lacks: for a request that waits, and ahead of need for a busy
+// customer.
+func (a *Account) transferNeed(lack amounts, now time.Duration) transferNeed {
+	plan := a.plan()
+	demand := a.demandRate(now)
+	target := demand*prefetchDuration.Seconds() + a.largestRequest
+	need := transferNeed{amounts: lack}
+	if plan.Quota.Rate > 0 {
+		need.busy = demand*borrowerDemandFactor > a.baseFraction*plan.Quota.Rate
+		if a.quotaLevel < target && a.baseFraction > 0 {
+			need.quota = max(lack.quota, target-a.quotaLevel)
+		}
+	}
+	if plan.Ceiling.Rate > 0 && a.ceilingLevel < target {
+		need.ceiling = max(lack.ceiling, target-a.ceilingLevel)
+	}
+	need.urgent = lack != amounts{}
+	return need
+}
+
+// requestTransfers requests from the other limiters what an account needs. It reports whether a request
+// may wait for a grant.
+func (l *Ledger) requestTransfers(a *Account, lack amounts, now time.Duration) (wait bool) {
+	need := a.transferNeed(lack, now)
+	needsRenewal := need.busy && a.loanExpiring(now)
+	if need.amounts == (amounts{}) && !needsRenewal {
+		return false
+	}
+	for _, peerID := range a.lenders {
+		lk := a.link(peerID)
+		peer := l.peer(peerID)
+		if !peer.available(now) {
+			continue
+		}
+		switch l.checkRequest(a, lk, requestRetransmitAfter, now) {
+		case requestTimedOut:
+			continue
+		case noRequest:
+			if !a.worthRequesting(lk, need, now) {
+				continue
+			}
+			l.startRequest(lk, need.amounts, now)
+			lk.nextRequestAt = now + requestInterval
+			l.queueRequest(a, lk)
+		}
+		wait = wait || need.urgent && !peer.unresponsive
+	}
+	return wait
+}
+
+// worthRequesting reports whether a peer may have something of what an account needs, or has to be
+// requested to learn whether it has.
+func (a *Account) worthRequesting(lk *link, need transferNeed, now time.Duration) bool {
+	if now < lk.nextRequestAt {
+		return false
+	}
+	plan := a.plan()
+	level, demand := a.estimatePeer(lk, now)
+	hasUnits := level > a.largestRequest*spareLevelFraction && (need.urgent || level > demand*prefetchDuration.Seconds())
+	renewal := need.busy && lk.borrowed.expiresWithin(loanRenewalMargin, now)
+	if !lk.known || hasUnits || renewal || need.slots > 0 {
+		return true
+	}
+	if now-lk.reportedAt <= reportStaleAfter {
+		return false
+	}
+	spareRate := demand*lenderDemandFactor + minLoanShare*plan.Quota.Rate
+	hasRate := plan.Quota.Rate > 0 && a.evenFraction*plan.Quota.Rate > spareRate
+	needsCeiling := plan.Ceiling.Rate > 0 && need.ceiling > 0
+	return hasRate && need.busy || needsCeiling || need.urgent
+}
+
+// requestStatus is what became of the transfer request on a link.
+type requestStatus uint8
+
+const (
+	noRequest       requestStatus = iota // none is out
+	requestPending                       // a grant may still come
+	requestTimedOut                      // nothing came of the peer: it is silent
+)
+
+// checkRequest returns what became of the request on a link. It sends it again if a time has passed
+// since it was last sent, and gives it up after requestTimeout.
+func (l *Ledger) checkRequest(a *Account, lk *link, retransmitAfter, now time.Duration) requestStatus {
+	if lk.isPending(now) {
+		if now-lk.lastSentAt > retransmitAfter {
+			l.queueRequest(a, lk)
+		}
+		return requestPending
+	}
+	if !lk.pending {
+		return noRequest
+	}
+	lk.pending = false
+	peer := l.peer(lk.peerID)
+	if peer.lastReceivedAt >= lk.requestedAt {
+		return noRequest
+	}
+	peer.silentUntil, peer.unresponsive = now+peerSilenceTimeout, true
+	return requestTimedOut
+}
+
+// startRequest makes a link's request one for some amounts.
+func (l *Ledger) startRequest(lk *link, wanted amounts, now time.Duration) {
+	lk.pending, lk.nonce, lk.requestedAt, lk.lastSentAt = true, l.nextNonce(), now, now
+	lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = wanted.quota, wanted.ceiling, wanted.slots
+}
+
+// nextNonce returns a new nonce of a request. None is 0, which marks a grant that nobody requested.
+func (l *Ledger) nextNonce() uint16 {
+	l.lastNonce++
+	if l.lastNonce == 0 {
+		l.lastNonce = 1
+	}
+	return l.lastNonce
+}
+
+// HandleRequest takes in a peer's report of an account, and queues a grant of what this limiter can
+// give. A request that does not fit the configuration is dropped.
+func (l *Ledger) HandleRequest(peerID int, request gossip.TransferRequest, now time.Duration) {
+	if !l.isValid(peerID, request) {
+		return
+	}
+	a := l.Account(request.Customer, int(request.Plan), int(request.FirstLimiter), int(request.SetSize), now)
+	a.advance(now)
+	if !a.isAllocated() {
+		l.handleOwnedRequest(peerID, a, request, now)
+		return
+	}
+	lk := a.link(peerID)
+	a.reconcile(lk, peerReport{request.Level, request.Consumed, request.Demand, request.TotalLevel}, now)
+	for i := range lk.lent {
+		if lk.lent[i].nonce == request.Nonce { // a repeated request: the grant was lost
+			l.queueGrant(peerID, lk.lent[i].message)
+			return
+		}
+	}
+	lk.settleGrants(int(request.SlotsHeld))
+	l.queueGrant(peerID, l.lend(a, lk, request, now))
+}
+
+// isValid reports whether a peer's request names a plan and a set that there is, of which both limiters
+// are.
+func (l *Ledger) isValid(peerID int, request gossip.TransferRequest) bool {
+	first, size := int(request.FirstLimiter), int(request.SetSize)
+	if int(request.Plan) >= len(l.Plans) || first >= l.Limiters || size == 0 || size > l.Limiters {
+		return false
+	}
+	inSet := func(limiter int) bool { return (limiter-first+l.Limiters)%l.Limiters < size }
+	return inSet(peerID) && inSet(l.Self)
+}
+
+// HandleGrant takes in what a peer granted and reported. It returns the account if requests may wait for
+// the grant, else nil.
+func (l *Ledger) HandleGrant(peerID int, grant gossip.Grant, now time.Duration) *Account {
+	a := l.accountOfGrant(peerID, grant)
+	if a == nil {
+		return nil
+	}
+	a.advance(now)
+	if !a.isAllocated() {
+		l.handleOwnedGrant(peerID, a, grant, now)
+		return a
+	}
+	lk := a.link(peerID)
+	if !lk.accepts(grant, now) {
+		return nil
+	}
+	l.takeGrant(a, lk, grant)
+	a.reconcile(lk, peerReport{grant.Level, grant.Consumed, grant.Demand, grant.TotalLevel}, now)
+	if decodeUnits(grant.QuotaUnits) < min(lk.quotaWanted, a.largestRequest) {
+		lk.nextRequestAt = now + emptyGrantBackoff
+	}
+	return a
+}
+
+// takeGrant adds what a grant brings to an account.
+func (l *Ledger) takeGrant(a *Account, lk *link, grant gossip.Grant) {
+	lk.pending = false
+	lk.borrowed = loan{slots: int(grant.Slots), expiresAt: lk.requestedAt + LoanDuration}
+	if a.isAllocated() {
+		lk.borrowed.share = decodeShare(grant.Share)
+	}
+	a.quotaLevel += decodeUnits(grant.QuotaUnits)
+	a.ceilingLevel += decodeUnits(grant.CeilingUnits)
+	l.Counts.UnitsReceived += decodeUnits(grant.QuotaUnits)
+}
