--- a/internal/gossip/format_test.go
+++ b/internal/gossip/format_test.go
@@ -8,7 +8,8 @@
 	"lemongate/internal/golden"
 )
 
-// A message that 0.8.0 packed is read as what it was packed from, and packed to the same bytes.
+// A message that release 0.8.0 encoded is decoded to what it was encoded from, and encoded to the same
+// bytes.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var m Message
 	(&golden.Filler{}).Fill(&m)
@@ -18,6 +19,6 @@
 		t.Fatal(err)
 	}
 	if got, ok := Parse(data); !ok || !reflect.DeepEqual(got, m) {
-		t.Errorf("read as %+v, want %+v", got, m)
+		t.Errorf("decoded as %+v, want %+v", got, m)
 	}
 }
