--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -86,7 +86,7 @@
 	return units, true
 }
 
-// hasRecentReport reports whether a peer's level can still be told by its last report.
+// hasRecentReport reports whether a peer's last report still shows its level.
 func (lk *link) hasRecentReport(now time.Duration) bool {
 	age := now - lk.reportedAt
 	switch {
