--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -409,3 +409,69 @@
 		}
 	}
 }
+
+// A request that is repeated, as its grant was lost, is answered by the grant that it got at first, also
+// where it was the first that the owner ever took in.
+func TestOwnerRepeatsItsFirstGrant(t *testing.T) {
+	const units = 34
+	tr := newOwnedTier(80, Plan{Quota: Bucket{Rate: 50, Burst: 60}, Ceiling: Bucket{Rate: 60, Burst: 100}})
+	tr.now += time.Second // the ceiling is short, so that the owner borrows
+	owner := tr.owner(0)
+	l, peerID := tr.ledgers[owner], (owner+1)%80
+	l.ObservePeer(peerID, 5, true, 9, 9, tr.now)
+	request := gossip.TransferRequest{
+		Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: units * gossip.UnitParts, CeilingWanted: units * gossip.UnitParts,
+		TotalLevel: gossip.UnknownTotal,
+	}
+	var granted []uint16
+	for range 2 {
+		l.HandleRequest(peerID, request, tr.now)
+		_, grants, _ := l.Compose(peerID, tr.now)
+		for _, grant := range grants {
+			if grant.Nonce == request.Nonce {
+				granted = append(granted, grant.QuotaUnits)
+			}
+		}
+	}
+	if len(granted) != 2 || granted[0] != units*gossip.UnitParts || granted[1] != granted[0] {
+		t.Errorf("granted %v sixteenths of a unit, want %d twice", granted, units*gossip.UnitParts)
+	}
+}
+
+// A lender records its first loan out of an account that a peer's request created, and does not use the
+// share that it lent: a ceiling is never exceeded, here with no message lost.
+func TestFirstLoanCountsAtLender(t *testing.T) {
+	plan := Plan{Quota: Bucket{Rate: 50, Burst: 200}, Ceiling: Bucket{Rate: 10, Burst: 24}}
+	tr := newOwnedTier(3, plan)
+	for i, l := range tr.ledgers {
+		for k := range 3 {
+			if k != i {
+				l.ObservePeer(k, uint32(k+1), true, 9, 9, tr.now)
+			}
+		}
+	}
+	tr.now += 10 * time.Second // the ceiling is full: 24
+	consumed := 0
+	drain := func(i int) {
+		for range 100 {
+			l, a := tr.ledgers[i], tr.account(i)
+			l.RecordDemand(a, 1, tr.now)
+			if d, _ := l.Reserve(a, 1, true, tr.now); d == Granted {
+				a.MarkSent(1)
+				consumed++
+			}
+		}
+	}
+	drain(0)
+	tr.exchange()
+	drain(0)
+	level := 24.0 - float64(consumed)
+	tr.now += 1900 * time.Millisecond
+	level, consumed = min(24, level+19), 0
+	for i := range 3 {
+		drain(i)
+	}
+	if level -= float64(consumed); level < 0 {
+		t.Errorf("the ceiling's level is %.1f", level)
+	}
+}
