--- a/cmd/lemonlab/host.go
+++ b/cmd/lemongate-experiment/host.go
@@ -101,7 +101,7 @@
 
 // TempDir is a folder that goes with the host.
 func (h *host) TempDir() string {
-	dir, err := os.MkdirTemp("", "lemonlab")
+	dir, err := os.MkdirTemp("", "lemongate-experiment")
 	if err != nil {
 		h.Fatal(err)
 	}
--- a/cmd/lemonlab/main.go
+++ b/cmd/lemongate-experiment/main.go
@@ -1,4 +1,4 @@
-// Command lemonlab plays experiments on lemongate: tiers of real limiters in
+// Command lemongate-experiment plays experiments on lemongate: tiers of real limiters in
 // virtual time, with what goes wrong by schedule, and a verdict at the end.
 package main
 
@@ -17,9 +17,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"lemongate/internal/lab/experiment"
-	"lemongate/internal/lab/fleet"
-	"lemongate/internal/lab/sim"
+	"lemongate/internal/experiment"
+	"lemongate/internal/processharness"
+	"lemongate/internal/simulation"
 )
 
 // errBroken ends the program with exit code 1 after the verdict was printed.
@@ -28,7 +28,7 @@
 func main() {
 	err := command().Run(context.Background(), os.Args)
 	if err != nil && !errors.Is(err, errBroken) {
-		fmt.Fprintln(os.Stderr, "lemonlab:", err)
+		fmt.Fprintln(os.Stderr, "lemongate-experiment:", err)
 	}
 	if err != nil {
 		os.Exit(1)
@@ -37,7 +37,7 @@
 
 func command() *cli.Command {
 	return &cli.Command{
-		Name: "lemonlab", Usage: "play experiments on lemongate",
+		Name: "lemongate-experiment", Usage: "play experiments on lemongate",
 		Commands: []*cli.Command{
 			{
 				Name: "run", Usage: "play an experiment and tell the verdict", ArgsUsage: "FILE.json",
@@ -140,17 +140,17 @@
 	if !cmd.IsSet("seeds") && !cmd.IsSet("seed") {
 		last = first
 	}
-	if err := x.Playable(fleet.Plays); err != nil {
+	if err := x.Playable(processharness.Plays); err != nil {
 		return nil, err
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	h := newHost(cmd.Root().Writer)
 	err = h.run(ctx, func() error {
-		list = x.RunOn(first, last, func(sc sim.Scenario, seed uint64) sim.Result {
+		list = x.RunOn(first, last, func(sc simulation.Scenario, seed uint64) simulation.Result {
 			in := h.within()
 			defer in.end()
-			return fleet.Play(in, sc, seed, program, "serve", "--log-level", "error")
+			return processharness.Play(in, sc, seed, program, "serve", "--log-level", "error")
 		}, max(cmd.Int("at-once"), 1))
 		return nil
 	})
--- a/cmd/lemonlab/town.go
+++ b/cmd/lemongate-experiment/town.go
@@ -13,7 +13,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/urfave/cli/v3"
 
-	"lemongate/internal/lab/fleet"
+	"lemongate/internal/processharness"
 )
 
 // The town: three limiters and six backends on loopback.
@@ -46,7 +46,7 @@
 	return &tally{took: hdrhistogram.New(1, slowest.Microseconds(), 3)}
 }
 
-func (y *tally) add(r fleet.Result) {
+func (y *tally) add(r processharness.Result) {
 	y.all++
 	switch {
 	case r.Status == 0:
@@ -83,8 +83,8 @@
 
 // play is the town's day.
 func play(ctx context.Context, h *host, out io.Writer, program string, length time.Duration, rate float64) error {
-	x := fleet.New(h, townLimiters, townBackends, program, "serve", "--log-level", "error")
-	x.Plans = append(x.Plans, fleet.Plan{Name: "capped", Rate: rate / 10, Burst: rate / 5})
+	x := processharness.New(h, townLimiters, townBackends, program, "serve", "--log-level", "error")
+	x.Plans = append(x.Plans, processharness.Plan{Name: "capped", Rate: rate / 10, Burst: rate / 5})
 	for _, b := range x.Backends {
 		b.Delay(townAnswer)
 	}
@@ -95,8 +95,8 @@
 	fmt.Fprintf(out, "%8s %8s %8s %8s %8s %6s %8s %8s %5s\n", "second", "req/s", "served", "refused", "failed", "lost", "p50 ms", "p99 ms", "up")
 	var mu sync.Mutex
 	second, whole := newTally(), newTally()
-	load := x.Begin(rate, func(n int) fleet.Req {
-		q := fleet.Req{Limiter: n % townLimiters, Class: "read", Plan: "free", Customer: uint64(100 + n%50), Spread: townLimiters}
+	load := x.Begin(rate, func(n int) processharness.Req {
+		q := processharness.Req{Limiter: n % townLimiters, Class: "read", Plan: "free", Customer: uint64(100 + n%50), Spread: townLimiters}
 		switch n % 10 {
 		case 0, 5:
 			q.Plan, q.Customer = "capped", 7
@@ -105,7 +105,7 @@
 		}
 		return q
 	})
-	load.Each(func(r fleet.Result) {
+	load.Each(func(r processharness.Result) {
 		mu.Lock()
 		defer mu.Unlock()
 		second.add(r)
--- a/cmd/lemonlab/town_test.go
+++ b/cmd/lemongate-experiment/town_test.go
@@ -18,7 +18,7 @@
 	var out bytes.Buffer
 	cmd := command()
 	cmd.Writer = &out
-	if err := cmd.Run(context.Background(), []string{"lemonlab", "town", "--for", "4s", "--program", program}); err != nil {
+	if err := cmd.Run(context.Background(), []string{"lemongate-experiment", "town", "--for", "4s", "--program", program}); err != nil {
 		t.Errorf("%v\n%s", err, &out)
 	}
 	for _, want := range []string{"\n       1 ", "a backend is killed", "it is back", "  in all "} {
@@ -26,7 +26,7 @@
 			t.Errorf("%q is missing in\n%s", want, &out)
 		}
 	}
-	if err := command().Run(context.Background(), []string{"lemonlab", "town", "--program", "no such file"}); err == nil {
+	if err := command().Run(context.Background(), []string{"lemongate-experiment", "town", "--program", "no such file"}); err == nil {
 		t.Error("a town without limiters")
 	}
 }
--- a/cmd/lemongate/lease_test.go
+++ b/cmd/lemongate/lease_test.go
@@ -11,28 +11,28 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"lemongate/internal/lab/fleet"
 	"lemongate/internal/lease"
+	"lemongate/internal/processharness"
 )
 
 // leaseLength is the shortest that the operators' file allows.
 const leaseLength = time.Second
 
 // leased makes a tier whose limiters try ejected backends one for all.
-func leased(t *testing.T, limiters, backends int) *fleet.Tier {
+func leased(t *testing.T, limiters, backends int) *processharness.Tier {
 	t.Helper()
 	operator := t.TempDir() + "/operator.json"
 	text := `{"leases":{"on":true,"length_ms":1000,"keepers":3,"tasks":["trials"]}}`
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := fleet.New(t, limiters, backends, os.Args[0], "serve", "--operator", operator)
+	x := processharness.New(t, limiters, backends, os.Args[0], "serve", "--operator", operator)
 	x.Env = []string{"LEMONGATE_TEST=serve"}
 	return x
 }
 
 // views asks a limiter's console how the trials' lease stands.
-func views(t *testing.T, p *fleet.Process) (v lease.View, ok bool) {
+func views(t *testing.T, p *processharness.Process) (v lease.View, ok bool) {
 	t.Helper()
 	out, err := run(t, "leases", "--json", "--console", p.Console)
 	if err != nil {
@@ -46,9 +46,9 @@
 }
 
 // holder finds the limiter that says it holds the lease.
-func holder(t *testing.T, processes []*fleet.Process) int {
+func holder(t *testing.T, processes []*processharness.Process) int {
 	who := -1
-	fleet.Until(t, "a holder", func() bool {
+	processharness.Until(t, "a holder", func() bool {
 		for i, p := range processes {
 			if v, ok := views(t, p); ok && v.Holds {
 				who = i
@@ -62,7 +62,7 @@
 // tokensGrow holds what came to the backends under a lease against the promise: tokens never fall.
 // An attempt that was on its way when the next holder began would be one, but a lease's end comes
 // before its first byte.
-func tokensGrow(t *testing.T, acts []fleet.Act) (holders int) {
+func tokensGrow(t *testing.T, acts []processharness.Act) (holders int) {
 	t.Helper()
 	for i, a := range acts {
 		if i > 0 && a.Token < acts[i-1].Token {
@@ -72,7 +72,7 @@
 			holders++
 		}
 	}
-	if !fleet.Locked(acts) {
+	if !processharness.Locked(acts) {
 		t.Error("no history of a lock with tokens")
 	}
 	return holders
@@ -81,12 +81,12 @@
 // The judge of histories sees a late act, and lets one pass that ends after the next holder's began.
 func TestLocked(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, int64(ms)*1e6) }
-	acts := []fleet.Act{{At: at(0), End: at(10), Token: 5}, {At: at(20), End: at(40), Token: 6}, {At: at(30), End: at(50), Token: 5}}
-	if !fleet.Locked(acts) {
+	acts := []processharness.Act{{At: at(0), End: at(10), Token: 5}, {At: at(20), End: at(40), Token: 6}, {At: at(30), End: at(50), Token: 5}}
+	if !processharness.Locked(acts) {
 		t.Error("two that overlap may have been in either order")
 	}
 	acts[2].At = at(41)
-	if fleet.Locked(acts) {
+	if processharness.Locked(acts) {
 		t.Error("an act under token 5 after one under 6 was over")
 	}
 }
@@ -121,8 +121,8 @@
 					}
 				}
 			}()
-			load := x.Begin(240, func(n int) fleet.Req {
-				return fleet.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(n % 30), Spread: 3}
+			load := x.Begin(240, func(n int) processharness.Req {
+				return processharness.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(n % 30), Spread: 3}
 			})
 			rounds := 4
 			for round := range rounds {
@@ -186,7 +186,7 @@
 		settings["siblings"] = 5
 		c["peers"] = append(c["peers"].([]string), "127.0.0.1:9", "127.0.0.1:9")
 	}
-	processes := []*fleet.Process{x.Limiters[0].Start(), x.Limiters[1].Start(), x.Limiters[2].Start(odd)}
+	processes := []*processharness.Process{x.Limiters[0].Start(), x.Limiters[1].Start(), x.Limiters[2].Start(odd)}
 	for _, p := range processes {
 		p.Await(t)
 	}
@@ -234,8 +234,8 @@
 			x.Net.Say(from, to, data)
 		}
 	}()
-	load := x.Begin(200, func(n int) fleet.Req {
-		return fleet.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(n % 30), Spread: 3}
+	load := x.Begin(200, func(n int) processharness.Req {
+		return processharness.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(n % 30), Spread: 3}
 	})
 	who := holder(t, processes)
 	time.Sleep(4 * leaseLength)
@@ -267,7 +267,7 @@
 func TestLeasesCommand(t *testing.T) {
 	x := leased(t, 1, 1)
 	p := startAll(t, x)[0]
-	holder(t, []*fleet.Process{p})
+	holder(t, []*processharness.Process{p})
 	out, err := run(t, "leases", "--console", p.Console)
 	if err != nil || !strings.Contains(out, "trials") || !strings.Contains(out, "yes") {
 		t.Errorf("%q, %v", out, err)
--- a/cmd/lemongate/restart_test.go
+++ b/cmd/lemongate/restart_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"lemongate/internal/lab/fleet"
+	"lemongate/internal/processharness"
 )
 
 // counter is what a process counted, at its end.
-func counter(t *testing.T, p *fleet.Process, name string) int {
+func counter(t *testing.T, p *processharness.Process, name string) int {
 	t.Helper()
 	found := regexp.MustCompile(`"` + name + `":(\d+)`).FindStringSubmatch(p.Last(`"msg":"counters"`))
 	if found == nil {
@@ -24,7 +24,7 @@
 
 // account holds what clients got against what a process says it has read, or told to come again for want
 // of room: each such req has one whole answer, and one without was not read. It tells how many these are.
-func account(t *testing.T, results []fleet.Result, p *fleet.Process) (unread int) {
+func account(t *testing.T, results []processharness.Result, p *processharness.Process) (unread int) {
 	t.Helper()
 	answered, faults := 0, map[string]int{}
 	for _, r := range results {
@@ -41,9 +41,9 @@
 	return unread
 }
 
-func alone(t *testing.T) *fleet.Tier {
+func alone(t *testing.T) *processharness.Tier {
 	t.Helper()
-	x := fleet.New(t, 1, 2, os.Args[0], "serve")
+	x := processharness.New(t, 1, 2, os.Args[0], "serve")
 	x.Env = []string{"LEMONGATE_TEST=serve"}
 	for _, b := range x.Backends {
 		b.Delay(30 * time.Millisecond)
@@ -58,8 +58,8 @@
 	for round := range 6 {
 		p := x.Limiters[0].Start()
 		p.Await(t)
-		load := x.Begin(500, func(n int) fleet.Req {
-			return fleet.Req{Class: []string{"read", "post"}[n%2], Key: []string{"", strconv.Itoa(round) + "k" + strconv.Itoa(n)}[n%2], Plan: "free", Customer: uint64(n % 30), Body: n % 2 * 3000}
+		load := x.Begin(500, func(n int) processharness.Req {
+			return processharness.Req{Class: []string{"read", "post"}[n%2], Key: []string{"", strconv.Itoa(round) + "k" + strconv.Itoa(n)}[n%2], Plan: "free", Customer: uint64(n % 30), Body: n % 2 * 3000}
 		})
 		if err := load.Warm(0, 20); err != nil {
 			t.Fatal(err)
@@ -89,8 +89,8 @@
 	x.Sockets = 256
 	p := x.Limiters[0].Start()
 	p.Await(t)
-	load := x.Begin(120, func(n int) fleet.Req {
-		return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 30)}
+	load := x.Begin(120, func(n int) processharness.Req {
+		return processharness.Req{Class: "read", Plan: "free", Customer: uint64(n % 30)}
 	})
 	if err := load.Warm(0, 70); err != nil { // over a quarter of what is allowed
 		t.Fatal(err)
--- a/cmd/lemongate/restartslot_test.go
+++ b/cmd/lemongate/restartslot_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lemongate/internal/lab/fleet"
+	"lemongate/internal/processharness"
 )
 
 // Operators restart all limiters at once, each when it has its turn, while datagrams are lost, late and
@@ -21,7 +21,7 @@
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := fleet.New(t, limiters, 2, os.Args[0], "serve", "--operator", operator)
+	x := processharness.New(t, limiters, 2, os.Args[0], "serve", "--operator", operator)
 	x.Env = []string{"LEMONGATE_TEST=serve"}
 	x.Net.Bad(0.08, 0.1, 30*time.Millisecond)
 	processes := startAll(t, x)
@@ -35,7 +35,7 @@
 		worst = max(worst, out)
 		mu.Unlock()
 	}
-	process := func(n int) *fleet.Process {
+	process := func(n int) *processharness.Process {
 		mu.Lock()
 		defer mu.Unlock()
 		return processes[n]
@@ -53,7 +53,7 @@
 			old.Signal(syscall.SIGTERM)
 			old.Wait(t)
 			next := x.Limiters[n].Start()
-			fleet.Until(t, "a process that takes clients", next.Healthy)
+			processharness.Until(t, "a process that takes clients", next.Healthy)
 			count(-1)
 			mu.Lock()
 			processes[n] = next
@@ -110,7 +110,7 @@
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := fleet.New(t, 3, 1, os.Args[0], "serve", "--operator", operator)
+	x := processharness.New(t, 3, 1, os.Args[0], "serve", "--operator", operator)
 	x.Env = []string{"LEMONGATE_TEST=serve"}
 	list := startAll(t, x)
 	for range 2 {
--- a/cmd/lemongate/takeover_test.go
+++ b/cmd/lemongate/takeover_test.go
@@ -14,7 +14,7 @@
 
 	"lemongate/internal/hotrestart"
 	"lemongate/internal/hotrestart/link"
-	"lemongate/internal/lab/fleet"
+	"lemongate/internal/processharness"
 )
 
 // TestMain lets the test program be a limiter's process, or one side of a takeover that fails
@@ -25,28 +25,28 @@
 		os.Args = append([]string{"lemongate"}, os.Args[1:]...)
 		main()
 	case "heir":
-		fleet.PlayHeir(script)
+		processharness.PlayHeir(script)
 	case "elder":
-		fleet.PlayElder(script)
+		processharness.PlayElder(script)
 	default:
 		os.Exit(m.Run())
 	}
 }
 
 // tier makes limiters that take over from each other.
-func tier(t *testing.T, limiters, backends int) *fleet.Tier {
+func tier(t *testing.T, limiters, backends int) *processharness.Tier {
 	t.Helper()
 	operator := t.TempDir() + "/operator.json"
 	if err := os.WriteFile(operator, []byte(`{"takeover":{"on":true,"silence_ms":300}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := fleet.New(t, limiters, backends, os.Args[0], "serve", "--operator", operator)
+	x := processharness.New(t, limiters, backends, os.Args[0], "serve", "--operator", operator)
 	x.Env = []string{"LEMONGATE_TEST=serve"}
 	return x
 }
 
 // startAll starts each limiter once.
-func startAll(t *testing.T, x *fleet.Tier) (list []*fleet.Process) {
+func startAll(t *testing.T, x *processharness.Tier) (list []*processharness.Process) {
 	t.Helper()
 	for _, l := range x.Limiters {
 		list = append(list, l.Start())
@@ -59,7 +59,7 @@
 
 // judge holds what came of all reqs against what is owed: a whole answer each, of a backend's
 // making or synthetic, no effect twice, and few reqs sent on more than once.
-func judge(t *testing.T, x *fleet.Tier, results []fleet.Result) (served int, gap time.Duration) {
+func judge(t *testing.T, x *processharness.Tier, results []processharness.Result) (served int, gap time.Duration) {
 	t.Helper()
 	attempts, _ := x.Attempts()
 	// The settings allow three attempts; on a slow machine one may take so long that it is called
@@ -110,13 +110,13 @@
 func TestTakeoversUnderLoad(t *testing.T) {
 	const takeovers, rate, burst = 10, 100.0, 60.0
 	x := tier(t, 3, 4)
-	x.Plans = append(x.Plans, fleet.Plan{Name: "capped", Rate: rate, Burst: burst, CeilRate: rate, Ceil: burst})
+	x.Plans = append(x.Plans, processharness.Plan{Name: "capped", Rate: rate, Burst: burst, CeilRate: rate, Ceil: burst})
 	processes := startAll(t, x)
 	for _, b := range x.Backends {
 		b.Delay(15 * time.Millisecond)
 	}
-	load := x.Begin(500, func(n int) fleet.Req {
-		q := fleet.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), Spread: 3}
+	load := x.Begin(500, func(n int) processharness.Req {
+		q := processharness.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), Spread: 3}
 		switch n % 5 {
 		case 0, 1: // twice the ceiling, by all three
 			q.Plan, q.Customer = "capped", 7
@@ -132,7 +132,7 @@
 	for i := range takeovers {
 		next := x.Limiters[0].Start()
 		next.Await(t)
-		fleet.Until(t, "it takes over", func() bool { return next.Log("takes over") })
+		processharness.Until(t, "it takes over", func() bool { return next.Log("takes over") })
 		if i%3 == 0 { // in the trial for a while
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -153,12 +153,12 @@
 	_, first := x.Attempts()
 	ceiling(t, first, rate, burst)
 	t.Logf("%d reqs, %d served, longest time without one %v; p99 %v at the limiter that is taken over, %v at the others",
-		len(results), served, gap, p99(results, func(r fleet.Result) bool { return r.Limiter == 0 }),
-		p99(results, func(r fleet.Result) bool { return r.Limiter > 0 }))
+		len(results), served, gap, p99(results, func(r processharness.Result) bool { return r.Limiter == 0 }),
+		p99(results, func(r processharness.Result) bool { return r.Limiter > 0 }))
 }
 
 // p99 is the 99th percentile of the time to the answer.
-func p99(results []fleet.Result, of func(fleet.Result) bool) time.Duration {
+func p99(results []processharness.Result, of func(processharness.Result) bool) time.Duration {
 	var took []time.Duration
 	for _, r := range results {
 		if of(r) && r.Status == http.StatusOK {
@@ -175,7 +175,7 @@
 // ceiling holds the first attempts of customer 7 against its store: by the time they came to a
 // backend no more had come than it began with and gained since. A req's attempt may be under way
 // for a moment, so the store is given what it gains in that time.
-func ceiling(t *testing.T, seen []fleet.Seen, rate, burst float64) {
+func ceiling(t *testing.T, seen []processharness.Seen, rate, burst float64) {
 	t.Helper()
 	const customer, under = "0000000000000007", 0.15
 	level, last, once := burst, time.Time{}, map[string]bool{}
@@ -210,14 +210,14 @@
 				t.Parallel()
 				x := tier(t, 1, 2)
 				elder := startAll(t, x)[0]
-				load := x.Begin(150, func(n int) fleet.Req {
-					return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)}
+				load := x.Begin(150, func(n int) processharness.Req {
+					return processharness.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)}
 				})
 				time.Sleep(100 * time.Millisecond) // some sessions and reqs are open
 				heir := script(t, x, "heir:"+step+":"+how)
-				fleet.Until(t, "the step", func() bool { return heir.Log("at " + step) })
+				processharness.Until(t, "the step", func() bool { return heir.Log("at " + step) })
 				before := time.Now()
-				fleet.Until(t, "a process that takes clients", elder.Healthy)
+				processharness.Until(t, "a process that takes clients", elder.Healthy)
 				back := time.Since(before)
 				time.Sleep(700 * time.Millisecond) // any limit that still runs has passed
 				if !elder.Healthy() {
@@ -235,7 +235,7 @@
 					heir.Signal(syscall.SIGKILL)
 				}
 				next := x.Limiters[0].Start()
-				fleet.Until(t, "the good successor", next.Healthy)
+				processharness.Until(t, "the good successor", next.Healthy)
 				elder.Signal(syscall.SIGTERM)
 				if err := elder.Wait(t); err != nil {
 					t.Error(err)
@@ -246,7 +246,7 @@
 }
 
 // script starts a process that plays one side and fails at a step.
-func script(t *testing.T, x *fleet.Tier, role string) *fleet.Process {
+func script(t *testing.T, x *processharness.Tier, role string) *processharness.Process {
 	t.Helper()
 	env := x.Env
 	x.Env = []string{"LEMONGATE_TEST=" + role}
@@ -267,10 +267,10 @@
 			t.Parallel()
 			x := tier(t, 1, 2)
 			elder := script(t, x, "elder:"+c.step+":"+c.how)
-			fleet.Until(t, "the elder", func() bool { return elder.Log("ready") })
+			processharness.Until(t, "the elder", func() bool { return elder.Log("ready") })
 			heir := x.Limiters[0].Start()
 			if waits := c.how == "stop" && c.step != "transfer" && c.step != "taken" && c.step != "commit"; waits {
-				fleet.Until(t, "the step", func() bool { return elder.Log("at " + c.step) })
+				processharness.Until(t, "the step", func() bool { return elder.Log("at " + c.step) })
 				time.Sleep(800 * time.Millisecond)
 				if heir.Healthy() {
 					t.Error("takes clients beside an elder that may")
@@ -278,7 +278,9 @@
 				elder.Signal(syscall.SIGKILL)
 			}
 			heir.Await(t)
-			load := x.Begin(100, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)} })
+			load := x.Begin(100, func(n int) processharness.Req {
+				return processharness.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)}
+			})
 			time.Sleep(300 * time.Millisecond)
 			if served, _ := judge(t, x, load.End()); served < 20 {
 				t.Errorf("served %d", served)
@@ -302,14 +304,14 @@
 				x := tier(t, 1, 2)
 				elder := startAll(t, x)[0]
 				heir := x.Limiters[0].Start()
-				fleet.Until(t, "the takeover", func() bool { return heir.Log("takes over") || heir.Log("listening") })
+				processharness.Until(t, "the takeover", func() bool { return heir.Log("takes over") || heir.Log("listening") })
 				time.Sleep(after)
 				victim, other := elder, heir
 				if who == "heir" {
 					victim, other = heir, elder
 				}
 				victim.Signal(sig)
-				fleet.Until(t, "one that serves", func() bool {
+				processharness.Until(t, "one that serves", func() bool {
 					if sig == syscall.SIGSTOP && who == "elder" && !other.Healthy() {
 						victim.Signal(syscall.SIGKILL) // stopped before it gave anything away: the operator ends it
 					}
@@ -353,7 +355,7 @@
 		if err := heir.Wait(t); err != nil {
 			t.Error(err)
 		}
-		fleet.Until(t, "the old one serves again", elder.Healthy)
+		processharness.Until(t, "the old one serves again", elder.Healthy)
 	})
 	t.Run("SIGHUP in the middle", func(t *testing.T) {
 		t.Parallel()
@@ -382,7 +384,7 @@
 		heir := x.Limiters[0].Start()
 		heir.Await(t) // in its trial
 		third := x.Limiters[0].Start()
-		fleet.Until(t, "an answer to the third", func() bool { return elder.Log("another takeover is under way") || elder.Log("is handed") })
+		processharness.Until(t, "an answer to the third", func() bool { return elder.Log("another takeover is under way") || elder.Log("is handed") })
 		if third.Healthy() || !heir.Healthy() {
 			t.Error("the third takes clients")
 		}
@@ -403,7 +405,7 @@
 			c["settings"].(map[string]any)["tiers_of_service"] = []map[string]any{{"name": "free"}, {"name": "more", "refill": 3, "depth": 9}}
 		})
 		heir.Await(t)
-		fleet.Until(t, "rights of other settings are refused", func() bool { return heir.Log("of other settings") })
+		processharness.Until(t, "rights of other settings are refused", func() bool { return heir.Log("of other settings") })
 		elder.Signal(syscall.SIGTERM)
 		if err := elder.Wait(t); err != nil || !heir.Healthy() {
 			t.Error(err)
@@ -414,7 +416,7 @@
 		x := tier(t, 1, 1)
 		elder := startAll(t, x)[0]
 		x.Limiters[0].Start(func(c map[string]any) { c["listen"] = "127.0.0.1:1" })
-		fleet.Until(t, "it is turned away", func() bool { return elder.Log("listens elsewhere") })
+		processharness.Until(t, "it is turned away", func() bool { return elder.Log("listens elsewhere") })
 		if !elder.Healthy() {
 			t.Error("the one that runs does not serve on")
 		}
@@ -432,7 +434,7 @@
 		next.Await(t)
 		again := x.Limiters[0].Start()
 		again.Await(t)
-		fleet.Until(t, "the one that runs is found behind a file left over", func() bool { return again.Log("takes over") })
+		processharness.Until(t, "the one that runs is found behind a file left over", func() bool { return again.Log("takes over") })
 		next.Signal(syscall.SIGTERM)
 		next.Wait(t)
 		again.Signal(syscall.SIGTERM)
@@ -451,7 +453,7 @@
 		startAll(t, x)
 		next := x.Limiters[0].Start()
 		next.Await(t)
-		fleet.Until(t, "it takes over", func() bool { return next.Log("takes over") })
+		processharness.Until(t, "it takes over", func() bool { return next.Log("takes over") })
 	})
 }
 
@@ -460,7 +462,9 @@
 func TestSessionsOverTheSwitch(t *testing.T) {
 	x := tier(t, 1, 2)
 	elder := startAll(t, x)[0]
-	load := x.Begin(100, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)} })
+	load := x.Begin(100, func(n int) processharness.Req {
+		return processharness.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)}
+	})
 	const idle, half = 300, 100
 	ask := func(c net.Conn, id string) error {
 		_, err := fmt.Fprintf(c, "GET /read/%016x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nPlan: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n", 9, id)
@@ -498,7 +502,7 @@
 	heir := x.Limiters[0].Start()
 	heir.Await(t)
 	elder.Signal(syscall.SIGTERM)
-	fleet.Until(t, "the old one closes", func() bool { return elder.Log("phase closing") })
+	processharness.Until(t, "the old one closes", func() bool { return elder.Log("phase closing") })
 	for _, c := range halves {
 		fmt.Fprint(c, "an: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n")
 	}
@@ -528,8 +532,8 @@
 	for _, b := range x.Backends {
 		b.Delay(400 * time.Millisecond)
 	}
-	load := x.Begin(40, func(n int) fleet.Req {
-		return fleet.Req{Class: "post", Plan: "free", Customer: uint64(n % 5), Key: fmt.Sprintf("%032x", n/2), Body: 100}
+	load := x.Begin(40, func(n int) processharness.Req {
+		return processharness.Req{Class: "post", Plan: "free", Customer: uint64(n % 5), Key: fmt.Sprintf("%032x", n/2), Body: 100}
 	})
 	time.Sleep(300 * time.Millisecond)
 	heir := x.Limiters[0].Start()
@@ -583,14 +587,14 @@
 	if err := bad.Wait(t); err == nil || !elder.Healthy() {
 		t.Error("a bad configuration starts")
 	}
-	load := x.Begin(50, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: 1} })
+	load := x.Begin(50, func(n int) processharness.Req { return processharness.Req{Class: "read", Plan: "free", Customer: 1} })
 	x.Backends[0].Delay(300 * time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	results := load.End()
 	elder.Signal(syscall.SIGTERM)
 	late := x.Limiters[0].Start()
 	late.Await(t) // once the address is free
-	fleet.Until(t, "it serves", func() bool { return late.Log("phase serving") })
+	processharness.Until(t, "it serves", func() bool { return late.Log("phase serving") })
 	if late.Log("without the state") {
 		t.Error("it took over from one that ended")
 	}
@@ -602,7 +606,9 @@
 func TestConsoleUnderLoad(t *testing.T) {
 	x := tier(t, 1, 2)
 	p := startAll(t, x)[0]
-	load := x.Begin(200, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)} })
+	load := x.Begin(200, func(n int) processharness.Req {
+		return processharness.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)}
+	})
 	for i := range 100 {
 		c, err := net.Dial("tcp", p.Console)
 		if err != nil {
@@ -637,13 +643,13 @@
 func TestUnitsOnce(t *testing.T) {
 	const burst = 60
 	x := tier(t, 1, 2)
-	x.Plans = append(x.Plans, fleet.Plan{Name: "capped", Rate: 0.5, Burst: burst})
+	x.Plans = append(x.Plans, processharness.Plan{Name: "capped", Rate: 0.5, Burst: burst})
 	old := startAll(t, x)[0]
 	for _, b := range x.Backends {
 		b.Delay(30 * time.Millisecond) // so that several sessions are in use
 	}
 	begin := time.Now()
-	load := x.Begin(100, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "capped", Customer: 7} })
+	load := x.Begin(100, func(n int) processharness.Req { return processharness.Req{Class: "read", Plan: "capped", Customer: 7} })
 	time.Sleep(250 * time.Millisecond)
 	for range 2 {
 		next := x.Limiters[0].Start()
--- a/internal/lab/experiment/equivalence_test.go
+++ b/internal/experiment/equivalence_test.go
@@ -18,7 +18,7 @@
 
 	"lemongate/internal/core"
 	"lemongate/internal/golden"
-	"lemongate/internal/lab/sim"
+	"lemongate/internal/simulation"
 )
 
 // equivalenceSeed is the seed of the recorded runs.
@@ -43,12 +43,12 @@
 func TestSameDecisionsAsEarlierRelease(t *testing.T) {
 	type run struct {
 		name     string
-		scenario sim.Scenario
+		scenario simulation.Scenario
 		line     string
 	}
 	var runs []*run
 	for _, r := range recorded {
-		data, err := os.ReadFile(filepath.Join("../../../lab/experiments", r.name+".json"))
+		data, err := os.ReadFile(filepath.Join("../../experiments", r.name+".json"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 	for _, r := range runs {
 		wait.Go(func() {
 			d := newDigest()
-			sim.RunObserved(r.scenario, equivalenceSeed, d.observe)
+			simulation.RunObserved(r.scenario, equivalenceSeed, d.observe)
 			r.line = fmt.Sprintf("%s: %d events, %d effects, %016x", r.name, d.events, d.effects, d.hash.Sum64())
 		})
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -15,8 +15,8 @@
 	"strings"
 	"sync"
 
-	"lemongate/internal/lab/sim"
 	"lemongate/internal/schema"
+	"lemongate/internal/simulation"
 )
 
 // Schema is the JSON schema of an experiment.
@@ -27,21 +27,21 @@
 // An Experiment is a scenario, what goes wrong in each of its cases, and what
 // must hold.
 type Experiment struct {
-	Name  string       `json:"name"`
-	About string       `json:"about"`
-	Seeds int          `json:"seeds"`   // runs of each case, where the command line names none
-	Shift float64      `json:"shift_s"` // faults begin up to this much later, by the seed
-	Base  sim.Scenario `json:"scenario"`
-	Cases []Case       `json:"cases"`
-	All   []Bound      `json:"expect"` // of every case
+	Name  string              `json:"name"`
+	About string              `json:"about"`
+	Seeds int                 `json:"seeds"`   // runs of each case, where the command line names none
+	Shift float64             `json:"shift_s"` // faults begin up to this much later, by the seed
+	Base  simulation.Scenario `json:"scenario"`
+	Cases []Case              `json:"cases"`
+	All   []Bound             `json:"expect"` // of every case
 }
 
 // A Case is a run of the scenario with faults of its own.
 type Case struct {
-	Name   string          `json:"name"`
-	Faults []sim.Fault     `json:"faults"`
-	Change json.RawMessage `json:"change"` // fields of the scenario that differ
-	Expect []Bound         `json:"expect"`
+	Name   string             `json:"name"`
+	Faults []simulation.Fault `json:"faults"`
+	Change json.RawMessage    `json:"change"` // fields of the scenario that differ
+	Expect []Bound            `json:"expect"`
 }
 
 // A Bound is what a measure must keep to over all seeds: its mean, or each run.
@@ -61,7 +61,7 @@
 	if err := json.Unmarshal(data, &x); err != nil {
 		return nil, fmt.Errorf("bad JSON: %w", err)
 	}
-	known := measures(sim.Result{})
+	known := measures(simulation.Result{})
 	for i, c := range x.Cases {
 		sc, err := x.scenario(c)
 		if err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func checkFault(f sim.Fault, sc sim.Scenario) error {
+func checkFault(f simulation.Fault, sc simulation.Scenario) error {
 	for _, n := range f.Limiters {
 		if n >= sc.Limiters {
 			return fmt.Errorf("limiters: number %d of %d", n, sc.Limiters)
@@ -122,7 +122,7 @@
 }
 
 // scenario is what a case plays.
-func (x *Experiment) scenario(c Case) (sim.Scenario, error) {
+func (x *Experiment) scenario(c Case) (simulation.Scenario, error) {
 	sc := x.Base
 	sc.Plans = slices.Clone(sc.Plans)
 	if sc.Leases != nil {
@@ -139,7 +139,7 @@
 }
 
 // measures are the figures of a result by name.
-func measures(r sim.Result) map[string]float64 {
+func measures(r simulation.Result) map[string]float64 {
 	data, _ := json.Marshal(r) // plain numbers and texts
 	var all map[string]any
 	_ = json.Unmarshal(data, &all)
@@ -166,7 +166,7 @@
 }
 
 // Playable tells which fault of an experiment a player cannot play, by its own word on each.
-func (x *Experiment) Playable(plays func(sim.Fault) error) error {
+func (x *Experiment) Playable(plays func(simulation.Fault) error) error {
 	for i, c := range x.Cases {
 		for j, f := range slices.Concat(x.Base.Faults, c.Faults) {
 			if err := plays(f); err != nil {
@@ -178,12 +178,12 @@
 }
 
 // A Player plays a scenario once.
-type Player func(sc sim.Scenario, seed uint64) sim.Result
+type Player func(sc simulation.Scenario, seed uint64) simulation.Result
 
 // Run plays every case over the seeds from first to last in virtual time, and tells what
 // came of each. Runs go side by side; the outcome does not depend on how many at once.
 func (x *Experiment) Run(first, last uint64) []Outcome {
-	return x.RunOn(first, last, sim.Run, runtime.GOMAXPROCS(0))
+	return x.RunOn(first, last, simulation.Run, runtime.GOMAXPROCS(0))
 }
 
 // RunOn is Run by a player of one's own, so many at once.
@@ -192,7 +192,7 @@
 	for _, c := range x.Cases {
 		sc, _ := x.scenario(c) // read before, in Parse
 		n := int(last - first + 1)
-		results := make([]sim.Result, n)
+		results := make([]simulation.Result, n)
 		var wait sync.WaitGroup
 		slots := make(chan struct{}, atOnce)
 		for i := range n {
@@ -209,7 +209,7 @@
 }
 
 // shifted has the faults begin later by a part of Shift that the seed gives.
-func (x *Experiment) shifted(sc sim.Scenario, seed uint64) sim.Scenario {
+func (x *Experiment) shifted(sc simulation.Scenario, seed uint64) simulation.Scenario {
 	by := rand.New(rand.NewPCG(seed, 3)).Float64() * x.Shift
 	sc.Faults = slices.Clone(sc.Faults)
 	for i := range sc.Faults {
@@ -220,7 +220,7 @@
 	return sc
 }
 
-func sum(c Case, bounds []Bound, results []sim.Result, first uint64) Outcome {
+func sum(c Case, bounds []Bound, results []simulation.Result, first uint64) Outcome {
 	o := Outcome{
 		Case: c.Name, Runs: len(results), Mean: map[string]float64{}, Worst: map[string]float64{},
 		P99: map[string]float64{}, Least: map[string]float64{},
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 	"cases": [{"name": "whole", "expect": [{"measure": "beyond", "most": 100}]}]}`
 
 func TestFiles(t *testing.T) {
-	files, err := filepath.Glob("../../../lab/experiments/*.json")
+	files, err := filepath.Glob("../../experiments/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files: %v", len(files), err)
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/processharness/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet plays limiters as processes of their own, with stand-ins for all that they meet:
+// Package processharness plays limiters as processes of their own, with stand-ins for all that they meet:
 // discovery, backends, clients and the network between limiters. The stand-ins judge: what they
 // saw, by one clock, counts, and never a limiter's own word.
-package fleet
+package processharness
 
 import (
 	"bytes"
--- a/internal/lab/fleet/net.go
+++ b/internal/processharness/net.go
@@ -1,4 +1,4 @@
-package fleet
+package processharness
 
 import (
 	"math/rand/v2"
--- a/internal/lab/fleet/play.go
+++ b/internal/processharness/play.go
@@ -1,4 +1,4 @@
-package fleet
+package processharness
 
 import (
 	"encoding/json"
@@ -16,8 +16,8 @@
 	"syscall"
 	"time"
 
-	"lemongate/internal/lab/sim"
 	"lemongate/internal/lease"
+	"lemongate/internal/simulation"
 	"lemongate/internal/usage"
 )
 
@@ -31,10 +31,10 @@
 // A play is a scenario on processes.
 type play struct {
 	*Tier
-	sc     sim.Scenario
+	sc     simulation.Scenario
 	rng    *rand.Rand
 	begun  time.Time
-	result sim.Result
+	result simulation.Result
 
 	mu    sync.Mutex
 	procs []*Process // nil for one that is down
@@ -47,7 +47,7 @@
 type span struct{ from, to time.Time }
 
 // Plays tells what of a fault cannot be played on processes; nil for nothing.
-func Plays(f sim.Fault) error {
+func Plays(f simulation.Fault) error {
 	switch {
 	case f.Kind == "takeover" || f.Kind == "walk":
 		return fmt.Errorf("kind: no %ss on processes; see cmd/lemongate", f.Kind)
@@ -61,7 +61,7 @@
 
 // Play plays a scenario once. Clocks run at other rates from the start of a process on, so a clock
 // fault has to begin at 0.
-func Play(h Host, sc sim.Scenario, seed uint64, program ...string) sim.Result {
+func Play(h Host, sc simulation.Scenario, seed uint64, program ...string) simulation.Result {
 	useDir := h.TempDir()
 	if sc.Leases != nil {
 		program = append(slices.Clone(program), "--operator", operatorsFile(h, sc.Leases, useDir))
@@ -116,7 +116,7 @@
 const settlePeriods = 3
 
 // operatorsFile writes the operators' file of a scenario.
-func operatorsFile(h Host, l *sim.Leases, useDir string) string {
+func operatorsFile(h Host, l *simulation.Leases, useDir string) string {
 	path := filepath.Join(h.TempDir(), "operator.json")
 	file := map[string]any{"leases": map[string]any{"on": true, "tasks": l.Tasks, "length_ms": int(l.Length), "keepers": l.Keepers}}
 	if l.Period > 0 {
@@ -210,7 +210,7 @@
 }
 
 // faults plays a fault, again and again where it is to.
-func (p *play) faults(f sim.Fault) {
+func (p *play) faults(f simulation.Fault) {
 	at := p.begun.Add(time.Duration(f.At * float64(time.Second)))
 	for p.sleep(time.Until(at)) {
 		p.fault(f)
@@ -223,7 +223,7 @@
 }
 
 // fault plays a fault once, to its end.
-func (p *play) fault(f sim.Fault) {
+func (p *play) fault(f simulation.Fault) {
 	who, lasts := p.who(f), time.Duration(f.For*float64(time.Second))
 	each := func(do func(n int)) {
 		for _, n := range who {
@@ -274,7 +274,7 @@
 }
 
 // cutWays are the ways, from one limiter to another, that a fault cuts.
-func (p *play) cutWays(f sim.Fault, who []int) (list [][2]int) {
+func (p *play) cutWays(f simulation.Fault, who []int) (list [][2]int) {
 	group := map[int]int{}
 	for g, members := range f.Groups {
 		for _, n := range members {
@@ -337,7 +337,7 @@
 
 // who gives the limiters that a fault is for. Who holds a lease is asked of the limiters: it aims
 // the fault, and proves nothing.
-func (p *play) who(f sim.Fault) (list []int) {
+func (p *play) who(f simulation.Fault) (list []int) {
 	switch f.Who {
 	case "":
 		return f.Limiters
@@ -471,10 +471,10 @@
 
 // judgeStores plays the true stores by what came to the backends, in the order it came.
 func (p *play) judgeStores(units map[string]float64, customers []person, broken func(string, ...any)) {
-	quotas, ceilings := map[uint64]*sim.Store{}, map[uint64]*sim.Store{}
+	quotas, ceilings := map[uint64]*simulation.Store{}, map[uint64]*simulation.Store{}
 	for i, c := range customers {
 		plan := p.sc.Plans[c.plan]
-		q, l := sim.NewStore(plan.Rate, plan.Burst, 0), sim.NewStore(plan.CeilingRate, plan.CeilingBurst, 0)
+		q, l := simulation.NewStore(plan.Rate, plan.Burst, 0), simulation.NewStore(plan.CeilingRate, plan.CeilingBurst, 0)
 		quotas[uint64(i+1)], ceilings[uint64(i+1)] = &q, &l
 	}
 	r, n := &p.result, float64(max(len(customers), 1))
--- a/internal/lab/fleet/play_test.go
+++ b/internal/processharness/play_test.go
@@ -1,20 +1,20 @@
-package fleet
+package processharness
 
 import (
 	"testing"
 	"time"
 
-	"lemongate/internal/lab/sim"
+	"lemongate/internal/simulation"
 )
 
 // What cannot be played on processes is told before anything is started.
 func TestPlays(t *testing.T) {
 	for _, c := range []struct {
-		f  sim.Fault
+		f  simulation.Fault
 		ok bool
 	}{
-		{sim.Fault{Kind: "restart"}, true}, {sim.Fault{Kind: "clock", Rate: 1.01}, true}, {sim.Fault{Kind: "clock", At: 2, Rate: 1.01}, false},
-		{sim.Fault{Kind: "takeover"}, false}, {sim.Fault{Kind: "walk"}, false}, {sim.Fault{Kind: "silent"}, false}, {sim.Fault{Kind: "down", Zone: 1}, false},
+		{simulation.Fault{Kind: "restart"}, true}, {simulation.Fault{Kind: "clock", Rate: 1.01}, true}, {simulation.Fault{Kind: "clock", At: 2, Rate: 1.01}, false},
+		{simulation.Fault{Kind: "takeover"}, false}, {simulation.Fault{Kind: "walk"}, false}, {simulation.Fault{Kind: "silent"}, false}, {simulation.Fault{Kind: "down", Zone: 1}, false},
 	} {
 		if err := Plays(c.f); (err == nil) != c.ok {
 			t.Errorf("%+v: %v", c.f, err)
--- a/internal/lab/sim/result.go
+++ b/internal/simulation/result.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 // A Result is what came of a run. Units are a customer's, on average, unless
 // the name says worst or 99 (over the customers).
--- a/internal/lab/sim/sim.go
+++ b/internal/simulation/sim.go
@@ -1,11 +1,11 @@
-// Package sim plays a tier of limiters in virtual time: real reducers with the
+// Package simulation plays a tier of limiters in virtual time: real reducers with the
 // real Gateway, modelled clients and backends, and a network that loses, delays,
 // repeats, reorders and cuts datagrams by schedule. The same Scenario and seed
 // give the same run, event for event.
 //
 // It keeps the true stores of every customer itself, from what reaches the
 // backends, and checks the rules from outside of the limiters' belief.
-package sim
+package simulation
 
 import (
 	"container/heap"
--- a/internal/lab/sim/takeover.go
+++ b/internal/simulation/takeover.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"math"
