--- a/cmd/lemongate/crossrelease_test.go
+++ b/cmd/lemongate/crossrelease_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lemongate/internal/lab/fleet"
+	"lemongate/internal/processharness"
 )
 
 // previousReleaseVariable names a binary of an earlier release. The test is built with the tag
@@ -26,15 +26,15 @@
 		t.Fatalf("%s is not set", previousReleaseVariable)
 	}
 	x := tier(t, 3, 4)
-	x.Plans = append(x.Plans, fleet.Plan{Name: "capped", Rate: rate, Burst: burst, CeilRate: rate, Ceil: burst})
+	x.Plans = append(x.Plans, processharness.Plan{Name: "capped", Rate: rate, Burst: burst, CeilRate: rate, Ceil: burst})
 	current := x.Program[0]
 	x.Program[0] = previous
 	processes := startAll(t, x)
 	for _, b := range x.Backends {
 		b.Delay(15 * time.Millisecond)
 	}
-	load := x.Begin(500, func(n int) fleet.Req {
-		q := fleet.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), Spread: 3}
+	load := x.Begin(500, func(n int) processharness.Req {
+		q := processharness.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), Spread: 3}
 		switch n % 5 {
 		case 0, 1: // twice the ceiling, by all three
 			q.Plan, q.Customer = "capped", 7
@@ -54,7 +54,7 @@
 		}
 		successor := x.Limiters[0].Start()
 		successor.Await(t)
-		fleet.Until(t, "it takes over", func() bool { return successor.Log("takes over") })
+		processharness.Until(t, "it takes over", func() bool { return successor.Log("takes over") })
 		if successor.Log("without the state") || predecessor.Log("with no state") {
 			t.Errorf("restart %d: the state did not go over", i)
 		}
