--- /dev/null
+++ b/internal/core/collection.go
@@ -0,0 +1,331 @@
+package core
+
+import (
+	"encoding/json"
+	"time"
+
+	"lemongate/internal/usage"
+)
+
+// This file collects the tier's usage by periods and has a report of each written, where this limiter
+// holds the lease of TaskUsage. What is to outlive the lease holder is in the lease's payload, which
+// the acceptors keep; docs/design/leases.md says why no period counts twice.
+
+const (
+	// writeRetryDelay is the time after which a report that could not be written is retried.
+	writeRetryDelay = time.Second
+	// writeStuckLeases is how many lease durations a write may take; then the task is left to others.
+	writeStuckLeases = 4
+	// usageReplyFraction is the fraction of the messages that a limiter may receive that may be replies
+	// to usage queries.
+	usageReplyFraction = 0.2
+)
+
+// collectionPhase is a stage of the lease holder's work on one period.
+type collectionPhase uint8
+
+const (
+	collectionIdle       collectionPhase = iota // until the period is over
+	collectionOpening                           // sets the payload: the period is being collected
+	collectionQuerying                          // queries all limiters
+	collectionClaiming                          // sets the payload: the report is being written
+	collectionWriting                           // waits for the report to be written
+	collectionConfirming                        // sets the payload: the report is written
+)
+
+// collection is the lease holder's work on one period.
+type collection struct {
+	phase        collectionPhase
+	collector    *usage.Collector // of the period; nil while idle
+	token        uint64           // of the lease that all this is under; 0 for none
+	reportedUpTo []uint32         // by limiter: the last period of which a report with its usage is known
+	startedAt    time.Duration    // clock time at which the collection of the period began
+	nextAt       time.Duration    // clock time at which something is due
+	writeStuck   bool             // a write did not finish in time, and the lease was released for it
+}
+
+// periodStage is how far the report of a period is. The values are part of the payload.
+type periodStage uint8
+
+const (
+	periodOpened  periodStage = iota // limiters are queried: there is no report yet
+	periodWriting                    // there may be a report
+	periodWritten                    // there is a report
+)
+
+// usagePayload is what the acceptors keep of usage reports. Its encoding only grows.
+type usagePayload struct {
+	previous uint32 // period before this one; 0 for none
+	period   uint32 // 31 bits; 0 for none
+	stage    periodStage
+}
+
+// Layout of an encoded usagePayload: the stage in the lowest bits, the previous period in the highest.
+const (
+	payloadPeriodShift   = 2
+	payloadPreviousShift = 33
+	payloadStageMask     = 1<<payloadPeriodShift - 1
+	payloadPeriodMask    = 1<<(payloadPreviousShift-payloadPeriodShift) - 1
+)
+
+func (p usagePayload) encode() uint64 {
+	return uint64(p.previous)<<payloadPreviousShift | uint64(p.period)<<payloadPeriodShift | uint64(p.stage)
+}
+
+func decodeUsagePayload(payload uint64) usagePayload {
+	return usagePayload{
+		previous: uint32(payload >> payloadPreviousShift),
+		period:   uint32(payload>>payloadPeriodShift) & payloadPeriodMask,
+		stage:    periodStage(payload & payloadStageMask),
+	}
+}
+
+// usagePayload returns what the acceptors keep, as far as known here.
+func (m *Machine) usagePayload() usagePayload {
+	return decodeUsagePayload(m.leases.agent.Payload(TaskUsage))
+}
+
+// setUsageStage has the acceptors keep the stage of the period that is collected, and reports whether
+// a quorum of them does.
+func (m *Machine) setUsageStage(stage periodStage) bool {
+	collector := m.usage.collection.collector
+	payload := usagePayload{previous: collector.Previous, period: collector.Period, stage: stage}
+	return m.leases.agent.SetPayload(m.now, TaskUsage, payload.encode())
+}
+
+// runUsage does what is due where this limiter holds the lease, and returns the clock time at which it
+// is to run again, 0 for never.
+func (m *Machine) runUsage() (due time.Duration) {
+	if m.usage.recorder == nil {
+		return 0
+	}
+	c := &m.usage.collection
+	token, until, ok := m.leases.agent.Holds(m.now, TaskUsage)
+	if !ok {
+		c.phase = collectionIdle
+		c.collector = nil
+		c.token = 0
+		return 0
+	}
+	if token != c.token {
+		m.onUsageLeaseWon(token)
+	}
+	for {
+		before := c.phase
+		due = m.stepCollection(until)
+		if c.phase == before {
+			return due
+		}
+	}
+}
+
+// stepCollection does the work of one phase, under a lease that is held until a clock time. It returns
+// the clock time at which it is to run again if the phase stays, 0 for never.
+func (m *Machine) stepCollection(until time.Duration) (due time.Duration) {
+	switch m.usage.collection.phase {
+	case collectionIdle:
+		return m.startNextPeriod()
+	case collectionOpening:
+		m.openPeriod()
+	case collectionQuerying:
+		return m.queryUsage()
+	case collectionClaiming:
+		return m.claimPeriod(until)
+	case collectionWriting:
+		return m.checkWriteStuck()
+	case collectionConfirming:
+		m.confirmPeriod()
+	}
+	return 0
+}
+
+// onUsageLeaseWon starts from what the acceptors keep: a period that is not known to be written is
+// collected again, and its report says so if there may be one already.
+func (m *Machine) onUsageLeaseWon(token uint64) {
+	payload := m.usagePayload()
+	reported := payload.period
+	if payload.stage != periodWritten {
+		reported = payload.previous
+	}
+	c := &m.usage.collection
+	c.phase = collectionIdle
+	c.collector = nil
+	c.token = token
+	c.nextAt = m.now + m.config.UsagePeriod
+	c.reportedUpTo = make([]uint32, m.config.Settings.Limiters)
+	for i := range c.reportedUpTo {
+		c.reportedUpTo[i] = reported
+	}
+	if payload.period > 0 && payload.stage != periodWritten {
+		m.startCollection(payload.period, payload.previous, payload.stage == periodWriting)
+	}
+}
+
+// startNextPeriod starts to collect the period that is over: that of the wall clock, or the one after
+// the last if that is later.
+func (m *Machine) startNextPeriod() (due time.Duration) {
+	if m.now < m.usage.collection.nextAt {
+		return m.usage.collection.nextAt
+	}
+	last := m.usagePayload().period
+	current := uint32(m.wallClock() / uint64(m.config.UsagePeriod/time.Millisecond))
+	m.startCollection(max(last+1, current), last, false)
+	return 0
+}
+
+// startCollection starts to collect a period, of which there may be a report already if mayBeReported.
+func (m *Machine) startCollection(period, previous uint32, mayBeReported bool) {
+	c := &m.usage.collection
+	c.phase = collectionOpening
+	c.startedAt = m.now
+	c.nextAt = m.now
+	c.collector = usage.NewCollector(period, previous, c.reportedUpTo, mayBeReported, c.token, m.usageQueryInterval(), m.now)
+	// Without a payload no earlier lease holder is known of.
+	c.collector.KnowsAllReports = m.leases.agent.Payload(TaskUsage) > 0
+}
+
+// usageQueryInterval is the time between two queries, for the replies not to exceed their fraction.
+func (m *Machine) usageQueryInterval() time.Duration {
+	perSecond := m.config.Settings.PeerMessagesPerSecond
+	if perSecond <= 0 {
+		return time.Second
+	}
+	return time.Duration(float64(time.Second) / (perSecond * usageReplyFraction))
+}
+
+// openPeriod goes on to query the limiters once the acceptors keep that the period is collected.
+func (m *Machine) openPeriod() {
+	c := &m.usage.collection
+	stage := periodOpened
+	if c.collector.MayBeReported {
+		stage = periodWriting
+	}
+	if m.setUsageStage(stage) {
+		c.phase = collectionQuerying
+	}
+}
+
+// queryUsage queries the limiters that are due, this one included, and goes on once all have replied
+// or are missing. A limiter may have an earlier period that the acceptors no longer know of, as all of
+// them lost their memory: that one is collected first.
+func (m *Machine) queryUsage() (due time.Duration) {
+	c := &m.usage.collection
+	queries, due := c.collector.Tick(m.now)
+	for _, query := range queries {
+		m.sendUsageQuery(query)
+	}
+	if pending := c.collector.PendingPeriod(); pending > 0 {
+		m.startCollection(pending, 0, true)
+		return m.now
+	}
+	if c.collector.Complete() {
+		c.phase = collectionClaiming
+	}
+	return due
+}
+
+func (m *Machine) sendUsageQuery(query usage.Query) {
+	if int(query.To) != m.config.Settings.Self {
+		m.sendToPeer(int(query.To), query.Request.Append(nil))
+		return
+	}
+	if reply, ok := m.usage.recorder.HandleRequest(query.Request); ok {
+		m.usage.collection.collector.HandleMessage(query.To, reply)
+	}
+}
+
+// claimPeriod has the report written once the acceptors keep that there may be one.
+func (m *Machine) claimPeriod(until time.Duration) (due time.Duration) {
+	c := &m.usage.collection
+	if m.now < c.nextAt {
+		return c.nextAt
+	}
+	if !m.setUsageStage(periodWriting) {
+		return 0
+	}
+	c.phase = collectionWriting
+	c.nextAt = m.now + writeStuckLeases*m.config.Leases.Duration
+	m.emit(WriteUsage{Token: c.token, StartBefore: until, Report: m.usageReport()})
+	return 0
+}
+
+// usageReport returns the report of the period that was collected, a line of JSON.
+func (m *Machine) usageReport() []byte {
+	plans := make([]string, 0, len(m.config.Settings.Plans))
+	for _, plan := range m.config.Settings.Plans {
+		plans = append(plans, plan.Name)
+	}
+	report := m.usage.collection.collector.Report(plans)
+	report.Limiter = m.config.Settings.Self
+	report.At = time.UnixMilli(int64(m.wallClock())).UTC().Format(time.RFC3339Nano)
+	data, _ := json.Marshal(report) // strings and numbers alone
+	return append(data, '\n')
+}
+
+// checkWriteStuck leaves the task to other limiters if the report is not written in time.
+func (m *Machine) checkWriteStuck() (due time.Duration) {
+	c := &m.usage.collection
+	if m.now < c.nextAt {
+		return c.nextAt
+	}
+	c.writeStuck = true
+	c.phase = collectionIdle
+	m.logf("usage report not written in time, lease released for another limiter to write it")
+	m.setLeaseWanted(TaskUsage, false)
+	return 0
+}
+
+// onUsageWritten goes on once a report is written, or retries one that is not.
+func (m *Machine) onUsageWritten(ev UsageWritten) {
+	if m.leases.agent == nil {
+		return
+	}
+	c := &m.usage.collection
+	if c.writeStuck {
+		c.writeStuck = false
+		m.setLeaseWanted(TaskUsage, true)
+	}
+	if ev.Token != c.token || c.phase != collectionWriting {
+		return // the lease is another limiter's by now, which writes the period again
+	}
+	switch {
+	case ev.LeaseExpired:
+		m.usage.counts.Late++
+		m.recordLateAction(TaskUsage)
+		m.retryWriteAt(m.now)
+	case ev.Err != nil:
+		m.usage.counts.Failed++
+		m.logf("usage report could not be written, it is retried: %v", ev.Err)
+		m.retryWriteAt(m.now + writeRetryDelay)
+	default:
+		m.countWrittenReport()
+		c.phase = collectionConfirming
+	}
+	m.runLeases()
+}
+
+func (m *Machine) retryWriteAt(at time.Duration) {
+	m.usage.collection.phase = collectionClaiming
+	m.usage.collection.nextAt = at
+}
+
+func (m *Machine) countWrittenReport() {
+	collector := m.usage.collection.collector
+	m.usage.counts.Written++
+	if collector.MayBeReported {
+		m.usage.counts.Again++
+	}
+	m.usage.counts.Missing += uint64(collector.Missing())
+}
+
+// confirmPeriod ends the work on a period once the acceptors keep that its report is written.
+func (m *Machine) confirmPeriod() {
+	if !m.setUsageStage(periodWritten) {
+		return
+	}
+	c := &m.usage.collection
+	c.reportedUpTo = c.collector.Reported()
+	c.phase = collectionIdle
+	c.collector = nil
+	c.nextAt = c.startedAt + m.config.UsagePeriod
+}
--- /dev/null
+++ b/internal/core/endpoints.go
@@ -0,0 +1,105 @@
+package core
+
+import (
+	"maps"
+	"slices"
+
+	"lemongate/internal/admission"
+)
+
+// This file keeps the endpoint list, and closes connections to what should take no new requests.
+
+// Endpoint is a backend of the endpoint list and its address.
+type Endpoint struct {
+	admission.Backend
+	Addr string // host:port
+}
+
+// endpointList is the endpoint list and where it comes from.
+type endpointList struct {
+	byID       map[string]*Endpoint // live and draining backends, by ID
+	generation int64
+	discovery  string // address at which the list is watched
+}
+
+func newEndpointList(discovery string) endpointList {
+	return endpointList{byID: map[string]*Endpoint{}, discovery: discovery}
+}
+
+// onEndpointsUpdated applies a watch event. The first one makes a process that starts ready.
+func (m *Machine) onEndpointsUpdated(ev *EndpointsUpdated) {
+	m.applyEndpoints(ev)
+	if m.phase == Starting {
+		m.enterPhase(Serving)
+	}
+}
+
+// applyEndpoints updates the list. A backend that drains, was removed or restarted, or moved keeps no
+// connection that a new attempt could use. Removed ones are forgotten: backends are replaced under new
+// IDs, and never come back.
+func (m *Machine) applyEndpoints(ev *EndpointsUpdated) {
+	m.counters.Lists++
+	m.endpoints.generation = ev.Generation
+	list := &admission.EndpointList{Kind: ev.Kind}
+	for i := range ev.Endpoints {
+		list.Backends = append(list.Backends, ev.Endpoints[i].Backend)
+		m.applyEndpoint(&ev.Endpoints[i])
+	}
+	if ev.Kind == admission.ListComplete || ev.Kind == admission.ListCached {
+		m.removeUnlisted(ev.Endpoints)
+	}
+	m.decide(list)
+}
+
+// applyEndpoint updates one entry of the list.
+func (m *Machine) applyEndpoint(endpoint *Endpoint) {
+	old := m.endpoints.byID[endpoint.ID]
+	if old != nil && (endpoint.State != admission.Live || endpoint.StartedAt != old.StartedAt || endpoint.Addr != old.Addr) {
+		m.emit(CloseBackendConns{Backend: endpoint.ID})
+	}
+	if endpoint.State == admission.Removed {
+		delete(m.endpoints.byID, endpoint.ID)
+		return
+	}
+	kept := *endpoint
+	m.endpoints.byID[endpoint.ID] = &kept
+}
+
+// removeUnlisted removes the backends that a complete list does not name.
+func (m *Machine) removeUnlisted(listed []Endpoint) {
+	named := map[string]bool{}
+	for i := range listed {
+		named[listed[i].ID] = true
+	}
+	for _, id := range slices.Sorted(maps.Keys(m.endpoints.byID)) { // in the same order every time
+		if !named[id] {
+			delete(m.endpoints.byID, id)
+			m.emit(CloseBackendConns{Backend: id})
+		}
+	}
+}
+
+// liveBackends is how many backends take requests, as far as the list says.
+func (m *Machine) liveBackends() int {
+	live := 0
+	for _, endpoint := range m.endpoints.byID {
+		if endpoint.State == admission.Live {
+			live++
+		}
+	}
+	return live
+}
+
+// probeBackend sends a probe, unless the backend takes no requests or the successor probes.
+func (m *Machine) probeBackend(id string) {
+	endpoint := m.endpoints.byID[id]
+	if endpoint == nil || endpoint.State != admission.Live || m.hotRestart.stateSent {
+		return
+	}
+	m.counters.Probes++
+	m.emit(ProbeBackend{Backend: endpoint.ID, Addr: endpoint.Addr})
+}
+
+func (m *Machine) onProbeFinished(ev *ProbeFinished) {
+	m.decide(&admission.ProbeResult{Backend: ev.Backend, Result: ev.Result, Latency: ev.Latency, Report: ev.Report})
+}
--- /dev/null
+++ b/internal/core/endpoints_test.go
@@ -0,0 +1,53 @@
+package core
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"lemongate/internal/admission"
+)
+
+// A connection of before a drain, a removal, a restart or a move must carry no new request; a backend
+// that is merely listed again keeps its connections.
+func TestConnsOfChangedBackendsAreClosed(t *testing.T) {
+	for name, c := range map[string]struct {
+		kind   admission.ListKind
+		update []Endpoint
+		want   []CloseBackendConns
+	}{
+		"draining":  {admission.ListDelta, []Endpoint{newEndpoint("b1", "h:1", admission.Draining, 0)}, []CloseBackendConns{{"b1"}}},
+		"removed":   {admission.ListDelta, []Endpoint{newEndpoint("b1", "", admission.Removed, 0)}, []CloseBackendConns{{"b1"}}},
+		"restarted": {admission.ListDelta, []Endpoint{newEndpoint("b1", "h:1", admission.Live, time.Hour)}, []CloseBackendConns{{"b1"}}},
+		"moved":     {admission.ListDelta, []Endpoint{newEndpoint("b1", "h:3", admission.Live, 0)}, []CloseBackendConns{{"b1"}}},
+		"missing":   {admission.ListComplete, []Endpoint{newEndpoint("b2", "h:2", admission.Live, 0)}, []CloseBackendConns{{"b1"}}},
+		"unchanged": {admission.ListDelta, []Endpoint{newEndpoint("b1", "h:1", admission.Live, 0)}, nil},
+	} {
+		m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0), newEndpoint("b2", "h:2", admission.Live, 0))
+		got := effectsOf[CloseBackendConns](m.Step(time.Hour, &EndpointsUpdated{Kind: c.kind, Endpoints: c.update}))
+		if !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%s: %v, want %v", name, got, c.want)
+		}
+	}
+}
+
+// On most days backends are replaced under new IDs: removed ones are forgotten, whether they are listed
+// as removed or left out of a complete list.
+func TestRemovedBackendsAreForgotten(t *testing.T) {
+	m := newTestMachine(t)
+	for i := range 50 {
+		a, b := fmt.Sprint("a", i), fmt.Sprint("b", i)
+		m.Step(time.Hour, &EndpointsUpdated{Kind: admission.ListComplete, Endpoints: []Endpoint{
+			newEndpoint(a, "h:1", admission.Live, 0), newEndpoint(b, "h:2", admission.Live, 0),
+		}})
+		removal := &EndpointsUpdated{Kind: admission.ListDelta, Endpoints: []Endpoint{newEndpoint(a, "", admission.Removed, 0)}}
+		got := effectsOf[CloseBackendConns](m.Step(time.Hour, removal))
+		if len(got) != 1 || got[0].Backend != a {
+			t.Fatalf("closed the connections of %v", got)
+		}
+	}
+	if len(m.endpoints.byID) != 1 {
+		t.Errorf("%d backends kept", len(m.endpoints.byID))
+	}
+}
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -1,235 +1,215 @@
-// Package core holds all that lemongate remembers while it runs, and every
-// change of it: Step takes one event and tells which effects are to be
-// carried out. It does no I/O, reads no clock and starts no goroutine, and it
-// knows nothing of HTTP: whatever protocol stands in front of it puts its reqs
-// into Arrived events and its answers on the wire from Answer effects.
 package core
 
 import (
 	"time"
 
 	"lemongate/internal/admission"
+	"lemongate/internal/hotrestart"
 )
 
-// RequestID names a req. The front that took it in chooses it and never reuses it.
+// Event is something that happened outside: one of the types of this file.
+type Event interface{ event() }
+
+// RequestID identifies a request. The HTTP server that received it chooses it, never reuses it, and
+// gives greater ones to later requests.
 type RequestID = admission.RequestID
 
-// A Content is what a req carries or an answer brings. The reducer passes it on
-// unread.
+// AttemptID identifies an attempt of a request; its attempts are numbered from 0.
+type AttemptID struct {
+	Request RequestID
+	Number  int
+}
+
+// Content is what a request or a response carries, or a link or sockets. The core passes it on unread.
 type Content any
 
-// An Event is something that happened at an edge of the program.
-type Event interface{ event() }
+// Events of the HTTP server.
 
-// RequestReceived tells that a req has come in whole.
+// RequestReceived brings a complete, valid request. Its Respond follows, at once or by the deadline
+// that its Budget gives.
 type RequestReceived struct {
 	admission.Request
-	ReceivedAt   time.Duration // when its last byte came
-	CallID       string        // the client's own name for it; no two that are open share one
+	ReceivedAt   time.Duration // clock time at which its last byte came
+	CallID       string        // the client's own ID, empty for none; no two open requests may share one
 	Content      Content
-	Disconnected bool // its client had left by then
+	Disconnected bool // the client disconnected before the request was read
 }
 
-// ClientDisconnected tells that the client of a req has gone away.
+// ClientDisconnected notifies that the client of a request disconnected, or closed its sending side.
+// The request ends with a local reply and no further attempts. It may name any request.
 type ClientDisconnected struct{ Request RequestID }
 
-// RequestMalformed tells of a req that was turned away at the edge as no valid one.
+// RequestMalformed counts what was answered with 4xx as no valid request.
 type RequestMalformed struct{ Cause MalformedCause }
 
-// A MalformedCause says what was wrong with it.
+// MalformedCause says what is wrong with a request.
 type MalformedCause uint8
 
 const (
-	BadTarget  MalformedCause = iota // no such class or customer
-	BadMethod                        // not the class's method, or a body where it has none
-	BadID                            // X-Call-Id or Idempotency-Key missing, doubled or odd
-	BadPlan                          // no such plan
-	BadBudget                        // no number, or longer than anyone waits
-	BadQuota                         // units or set out of range or no numbers
-	BadFraming                       // where it ends is in doubt, or it did not come whole
-	OpenID                           // its X-Call-Id is that of a req that is open
+	// BadTarget means that there is no such class or customer.
+	BadTarget MalformedCause = iota
+	// BadMethod is not the method of the class, or has a body where that has none.
+	BadMethod
+	// BadID means that X-Call-Id or Idempotency-Key is missing, given twice or not well-formed.
+	BadID
+	// BadPlan means that there is no such plan.
+	BadPlan
+	// BadBudget is no number, or longer than any client waits.
+	BadBudget
+	// BadQuota means that the units or the limiter set are no numbers or out of range.
+	BadQuota
+	// BadFraming means that the end of the request is ambiguous or did not come.
+	BadFraming
+	// OpenID means that an open request has the same X-Call-Id.
+	OpenID
 	numCauses
 )
 
+// String returns the name that the counters use.
 func (c MalformedCause) String() string {
 	return [...]string{"target", "method", "id", "plan", "budget", "quota", "framing", "open_id"}[c]
 }
 
-// ClientConnClosed tells of a client session that the front closed by itself, for
-// want of a use or of room. Unread means that no req had come whole on it, or
-// half a one; Full that it was a newcomer's, which was told to come again.
-type ClientConnClosed struct{ Unread, Full bool }
+// ClientConnClosed counts a client connection that the server closed by itself, as it was idle or to
+// make room for others.
+type ClientConnClosed struct {
+	Unread bool // no complete request had come on it, or part of one
+	Full   bool // it was beyond the limit, and was answered with Retry-After
+}
+
+// ServerClosed notifies that the server has closed, as CloseServer requested. The process stops.
+type ServerClosed struct{}
 
-// AttemptFinished brings the outcome of a fetch. Reply counts with Done only.
+// Events of the HTTP client of the backends.
+
+// AttemptFinished brings the result of an attempt that StartAttempt started. One that was canceled
+// or has timed out has had its result; what comes later is dropped.
 type AttemptFinished struct {
 	Attempt         AttemptID
 	Result          admission.Result
-	Report          []float64
-	Response        Content
-	ResponseInvalid bool // an answer had begun that cannot be read, does not end or cannot be told whole
-	StartExpired    bool // with NotSent: the time before which it had to begin was over
-	StaleConns      int  // connections found unfit before a byte was written there
+	Report          []float64 // load report by the settings' fields, if any
+	Response        Content   // with Succeeded
+	ResponseInvalid bool      // a response had begun that cannot be read, does not end or cannot be passed on
+	StartExpired    bool      // with NotSent: StartBefore had passed
+	StaleConns      int       // connections that were found closed before a byte was written on them
 }
 
-// ProbeFinished brings the outcome of a probe.
+// ProbeFinished brings the result of a ProbeBackend.
 type ProbeFinished struct {
-	Backend string
+	Backend string // ID
 	Result  admission.Result
 	Latency time.Duration
-	Report  []float64
+	Report  []float64 // load report by the settings' fields, if any
 }
 
-// EndpointsUpdated brings news of the backends.
+// EndpointsUpdated is a watch event of discovery: a list of the backends or a change of it.
 type EndpointsUpdated struct {
 	Kind       admission.ListKind
 	Endpoints  []Endpoint
 	Generation int64 // of the list from now on
 }
 
-// An Endpoint is a backend of the list and where it listens.
-type Endpoint struct {
-	admission.Backend
-	Addr string
-}
+// Events of other limiters.
 
-// PeerMessageReceived brings a datagram. From is the sender's number, below 0 if unknown.
+// PeerMessageReceived brings a datagram, which may hold anything.
 type PeerMessageReceived struct {
-	From int
+	From int // number of the sender; below 0 if unknown
 	Data []byte
 }
 
-// TimerFired tells that the time a SetTimer effect named has come.
+// Events of the process.
+
+// TimerFired notifies that the clock time of the last SetTimer has come. One that comes early or late
+// does no harm.
 type TimerFired struct{}
 
-// ShutdownRequested tells that the program was asked to end.
+// ShutdownRequested notifies that the process is to end, by SIGTERM. A repeated one changes
+// nothing.
 type ShutdownRequested struct{}
 
-// ReloadRequested tells that the configuration is to be read again.
+// ReloadRequested notifies that the configuration is to be read again, by SIGHUP. ReloadConfig follows.
 type ReloadRequested struct{}
 
-// ConfigReloaded brings what a Reload read, or why it could not.
+// ConfigReloaded brings what ReloadConfig read, or why it could not.
 type ConfigReloaded struct {
-	Discovery string // where discovery is to be watched
+	Discovery string // address at which the endpoint list is to be watched
 	Err       error
 }
 
-// ServerClosed tells that the front has shut down, as CloseFront asked.
-type ServerClosed struct{}
-
-func (*RequestReceived) event()     {}
-func (*ClientDisconnected) event()  {}
-func (RequestMalformed) event()     {}
-func (*ClientConnClosed) event()    {}
-func (*AttemptFinished) event()     {}
-func (*ProbeFinished) event()       {}
-func (*EndpointsUpdated) event()    {}
-func (*PeerMessageReceived) event() {}
-func (TimerFired) event()           {}
-func (ReloadRequested) event()      {}
-func (*ConfigReloaded) event()      {}
-func (ShutdownRequested) event()    {}
-func (ServerClosed) event()         {}
-
-// An Effect is something an edge is to do, in the order given.
-type Effect interface{ effect() }
-
-// AttemptID names one attempt of a req.
-type AttemptID struct {
-	Request RequestID
-	Number  int
-}
-
-// StartAttempt sends a req to a backend. The program stops waiting after Wait.
-type StartAttempt struct {
-	Attempt AttemptID
-	Backend string
-	Addr    string
-	Timeout time.Duration
-	Content Content
-
-	// Of what is done under a lease: its token, for the backend. Zero without one.
-	Token uint64
-	// The instant from which on the req's first byte may not be written any longer, as a lease or
-	// the time in which backends drop repeats has ended. Zero for no bound.
-	StartBefore time.Duration
+// UsageWritten brings the result of a WriteUsage.
+type UsageWritten struct {
+	Token        uint64 // of the WriteUsage
+	LeaseExpired bool   // nothing was written, as StartBefore had passed
+	Err          error  // it could not be written; nil if it was
 }
 
-// CancelAttempt gives a fetch up: its connection is closed, its outcome no longer
-// wanted.
-type CancelAttempt struct{ Attempt AttemptID }
+// RestartSlotRequested notifies that an operator wants a restart slot for this limiter, or no longer.
+type RestartSlotRequested struct{ Wanted bool }
 
-// WithdrawAttempt ends a fetch of which no byte was written, as nobody wants its answer any
-// longer: its outcome is NotSent. One that has begun goes on.
-type WithdrawAttempt struct{ Attempt AttemptID }
-
-// An ResponseKind says how a req ended.
-type ResponseKind uint8
+// RestartSlotReleased notifies that, as an operator says, a limiter that restarts will not come back.
+type RestartSlotReleased struct {
+	Limiter int // number
+}
 
-const (
-	Served      ResponseKind = iota // with a backend's answer
-	Rejected                        // synthetic answer: not served, a new try does no harm
-	Failed                          // synthetic answer: not served, it may have run
-	DuplicateID                     // synthetic answer: turned away, its id is another's
-)
+// Events of the link to the other process of a hot restart. A predecessor and its successor send each
+// other what is meant for them.
 
-// Respond gives a req its one final answer.
-type Respond struct {
-	Request    RequestID
-	Kind       ResponseKind
-	RetryAfter time.Duration // with Refused; 0 for no advice
-	Response   Content       // with Served
+// SuccessorConnected notifies that a process connected as a successor. AcceptSuccessor or DenySuccessor
+// follows.
+type SuccessorConnected struct {
+	Link   Content
+	Reason string // why it is no successor of this process; empty if it is
 }
 
-// ProbeBackend asks a backend for its load.
-type ProbeBackend struct{ Backend, Addr string }
-
-// CloseBackendConns ends new sending to a backend that drains, is gone or has
-// started anew: no req's first byte may go out on a connection it has so far.
-type CloseBackendConns struct{ Backend string }
+// LinkMessageReceived brings a message of the protocol and what came with it.
+type LinkMessageReceived struct {
+	Kind    hotrestart.Kind
+	State   *HandoverState // with Transfer; nil if it could not be read
+	Sockets Content        // with Transfer
+}
 
-// SendToPeer sends a datagram to a limiter by its number, or to all (below 0).
-type SendToPeer struct {
-	Peer int
-	Data []byte
+// LinkClosed notifies that the other process has ended or closed the link, or that there is none.
+type LinkClosed struct {
+	Epoch uint32 // of a start of this limiter now
 }
 
-// SetTimer wants a Ticked event at a time, in place of the one set before.
-type SetTimer struct{ At time.Duration }
-
-// SetReady tells that the program may be taken in by clients, or no longer.
-type SetReady struct{ Ready bool }
-
-// DrainClientConns asks the front to close each client session between reqs.
-type DrainClientConns struct{}
-
-// CloseServer asks the front to accept nothing more, answer what it has taken
-// within the time given and tell so by FrontClosed.
-type CloseServer struct{ Within time.Duration }
-
-// ReloadConfig asks for the configuration to be read again and told by Reloaded.
-type ReloadConfig struct{}
-
-// WatchEndpoints has discovery watched at another address, at once.
-type WatchEndpoints struct{ Addr string }
-
-// Exit ends the program.
-type Exit struct{}
-
-// Log leaves a line for people.
-type Log struct{ Text string }
-
-func (StartAttempt) effect()      {}
-func (CancelAttempt) effect()     {}
-func (WithdrawAttempt) effect()   {}
-func (Respond) effect()           {}
-func (ProbeBackend) effect()      {}
-func (CloseBackendConns) effect() {}
-func (SendToPeer) effect()        {}
-func (SetTimer) effect()          {}
-func (SetReady) effect()          {}
-func (DrainClientConns) effect()  {}
-func (CloseServer) effect()       {}
-func (ReloadConfig) effect()      {}
-func (WatchEndpoints) effect()    {}
-func (Exit) effect()              {}
-func (Log) effect()               {}
+// PeerAttemptStarted notifies a successor that the predecessor started an attempt.
+type PeerAttemptStarted struct{ OpenAttempt }
+
+// PeerAttemptFinished notifies a successor that an attempt of the predecessor ended.
+type PeerAttemptFinished struct{ FinishedAttempt }
+
+// ForwardedRequestReceived brings a request of the predecessor. SendForwardedResponse follows.
+type ForwardedRequestReceived struct{ ForwardedRequest }
+
+// ForwardedRequestCanceled notifies that the client of such a request disconnected, or that the
+// predecessor has answered it.
+type ForwardedRequestCanceled struct{ Request RequestID }
+
+// ForwardedResponseReceived brings the successor's response to a request that was forwarded to it.
+type ForwardedResponseReceived struct{ Respond }
+
+func (*RequestReceived) event()           {}
+func (*ClientDisconnected) event()        {}
+func (RequestMalformed) event()           {}
+func (*ClientConnClosed) event()          {}
+func (ServerClosed) event()               {}
+func (*AttemptFinished) event()           {}
+func (*ProbeFinished) event()             {}
+func (*EndpointsUpdated) event()          {}
+func (*PeerMessageReceived) event()       {}
+func (TimerFired) event()                 {}
+func (ShutdownRequested) event()          {}
+func (ReloadRequested) event()            {}
+func (*ConfigReloaded) event()            {}
+func (UsageWritten) event()               {}
+func (RestartSlotRequested) event()       {}
+func (RestartSlotReleased) event()        {}
+func (*SuccessorConnected) event()        {}
+func (*LinkMessageReceived) event()       {}
+func (LinkClosed) event()                 {}
+func (*PeerAttemptStarted) event()        {}
+func (*PeerAttemptFinished) event()       {}
+func (*ForwardedRequestReceived) event()  {}
+func (ForwardedRequestCanceled) event()   {}
+func (*ForwardedResponseReceived) event() {}
--- /dev/null
+++ b/internal/core/fixtures_test.go
@@ -0,0 +1,71 @@
+package core
+
+import (
+	"flag"
+	"os"
+	"slices"
+	"testing"
+	"time"
+
+	"lemongate/internal/admission"
+)
+
+// TestMain fixes the seed of the model test, so that its verdict is the same every time.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
+	os.Exit(m.Run())
+}
+
+var testSettings = admission.Settings{
+	Limiters: 2, Zone: "a", ClockResolution: 2 * time.Millisecond,
+	Classes: []admission.Class{
+		{Name: "read", Idempotency: admission.Idempotent, LatencyObjective: 700 * time.Millisecond, Deadline: 2 * time.Second, Weight: 2},
+		{Name: "post", Idempotency: admission.IdempotentByKey, IdempotencyScope: admission.ScopeAll, IdempotencyWindow: 3 * time.Second,
+			LatencyObjective: time.Second, Deadline: 5 * time.Second, Weight: 3},
+		{Name: "once", Idempotency: admission.NonIdempotent, LatencyObjective: time.Second, Deadline: 3 * time.Second, Weight: 1},
+	},
+	Plans:       []admission.Plan{{Name: "small", Rate: 5, Burst: 20, WeightFactor: 1}},
+	MaxAttempts: 3, MayCancel: true, MayProbe: true, GossipEnabled: true, PeerMessagesPerSecond: 40,
+	MaxRetryAfter: time.Second, DrainGrace: 250 * time.Millisecond, LoadReportFields: []string{"util"},
+	SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second,
+}
+
+// settingsWithFreePlan are the test settings with a plan without a quota.
+func settingsWithFreePlan() admission.Settings {
+	settings := testSettings
+	settings.Plans = append(slices.Clone(settings.Plans), admission.Plan{Name: "free", WeightFactor: 1})
+	return settings
+}
+
+func newEndpoint(id, addr string, state admission.BackendState, startedAt time.Duration) Endpoint {
+	return Endpoint{admission.Backend{ID: id, Zone: "a", State: state, StartedAt: startedAt}, addr}
+}
+
+// newTestMachine returns a machine with the test settings that starts at one hour.
+func newTestMachine(t *testing.T, endpoints ...Endpoint) *Machine {
+	t.Helper()
+	m, _ := New(time.Hour, Config{Settings: testSettings, Seed: 1, KnownEndpoints: endpoints})
+	return m
+}
+
+// effectsOf picks the effects of one type.
+func effectsOf[E Effect](effects []Effect) (list []E) {
+	for _, e := range effects {
+		if e, ok := e.(E); ok {
+			list = append(list, e)
+		}
+	}
+	return list
+}
+
+// readRequest returns a request of class read.
+func readRequest(id RequestID, receivedAt, budget time.Duration) *RequestReceived {
+	return &RequestReceived{ReceivedAt: receivedAt, Request: admission.Request{
+		ID: id, Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: budget, FirstLimiter: 0, SetSize: 1,
+	}}
+}
--- a/internal/core/format_test.go
+++ b/internal/core/format_test.go
@@ -8,27 +8,27 @@
 	"lemongate/internal/golden"
 )
 
-// The counters and the view of planned restarts have the fields that scripts read of 0.8.0.
-func TestFiguresOfEarlierRelease(t *testing.T) {
-	var c Counters
-	(&golden.Filler{}).Fill(&c)
-	counters, err := json.Marshal(c)
+// The counters and the view of the rolling restart have the fields that scripts read of 0.8.0.
+func TestCountersOfEarlierRelease(t *testing.T) {
+	var counters Counters
+	(&golden.Filler{}).Fill(&counters)
+	data, err := json.Marshal(counters)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "counters.json", counters)
+	golden.Equal(t, "counters.json", data)
 	for pattern := range 2 {
-		var v RestartSlotView
-		(&golden.Filler{Pattern: pattern}).Fill(&v)
-		view, err := json.Marshal(v)
+		var view RestartSlotView
+		(&golden.Filler{Pattern: pattern}).Fill(&view)
+		data, err := json.Marshal(view)
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Equal(t, fmt.Sprintf("turn-%d.json", pattern), view)
+		golden.Equal(t, fmt.Sprintf("turn-%d.json", pattern), data)
 	}
 }
 
-// The phases are told by the names of 0.8.0.
+// The phases have the names of 0.8.0.
 func TestPhaseNamesOfEarlierRelease(t *testing.T) {
 	var names []byte
 	for phase := Starting; phase <= Stopped; phase++ {
--- /dev/null
+++ b/internal/core/forwarding.go
@@ -0,0 +1,62 @@
+package core
+
+import (
+	"time"
+
+	"lemongate/internal/admission"
+)
+
+// This file forwards requests between the two processes of a hot restart: the predecessor has the
+// clients, the successor admits.
+
+// forwardMargin is how much earlier the successor answers a forwarded request than its client needs it,
+// so that the response is with the predecessor before that one gives up.
+const forwardMargin = 20 * time.Millisecond
+
+// ForwardedRequest is a request that a predecessor forwards to its successor.
+type ForwardedRequest struct {
+	admission.Request // Budget is what is left of it
+	CallID            string
+	Content           Content
+}
+
+// forwardRequests forwards what is parked, and all that comes from now on. The client connections stay
+// here: with a successor that fails in its probation all requests on them would be lost.
+func (m *Machine) forwardRequests() {
+	m.hotRestart.forwarding = true
+	m.emit(SetAcceptingClients{Accepting: false})
+	m.emit(SetResourceShare{Fraction: sharedFraction})
+	for _, r := range m.hotRestart.parked {
+		m.forward(r)
+	}
+	m.hotRestart.parked = nil
+}
+
+// forward has the successor decide a request. Until its response it may have run, as far as known here.
+func (m *Machine) forward(r *request) {
+	if r.answered {
+		return
+	}
+	r.forwarded = true
+	r.mayHaveRun = true
+	forwarded := r.Request
+	forwarded.Budget = r.remainingBudget(m.now)
+	m.emit(ForwardRequest{ForwardedRequest{Request: forwarded, CallID: r.CallID, Content: r.Content}})
+}
+
+// onForwardedRequest accepts a request that the predecessor forwards, once this process admits.
+func (m *Machine) onForwardedRequest(ev *ForwardedRequestReceived) {
+	if m.phase < Serving {
+		return
+	}
+	received := &RequestReceived{ReceivedAt: m.now, Request: ev.Request, CallID: ev.CallID, Content: ev.Content}
+	m.acceptRequest(received, true)
+}
+
+// onForwardedResponse passes the successor's response on.
+func (m *Machine) onForwardedResponse(ev *ForwardedResponseReceived) {
+	r := m.requests.byID[ev.Request]
+	if r != nil && r.forwarded {
+		m.endRequest(ev.Request, ev.Respond)
+	}
+}
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -9,165 +9,190 @@
 	"lemongate/internal/lease"
 )
 
-// This file is the reducer's side of leases: tasks that one limiter of the tier does at a time.
+// This file holds the leases of this limiter, for tasks that one limiter of the tier does at a time,
+// and does the recovery attempts under theirs. See docs/design/leases.md.
 
-// TaskRecovery is the task of trying ejected backends: one limiter tries for all, and what it finds the
-// others hear as they hear of all that is seen of backends.
+// TaskRecovery is the task of making recovery attempts at ejected backends: one limiter makes them for
+// all, and what it observes reaches the others by gossip.
 const TaskRecovery = "trials"
 
-// leases is what a reducer has of them; the agent is nil where there are none, or where another
-// process of this limiter has them.
-type leases struct {
-	startedAt     time.Duration // when the wall clock stood at the settings' floor
-	agent         *lease.Agent
-	random        *rand.Rand // spreads the tries of many
-	due           time.Duration
-	recoveryUntil time.Duration // until when the Gateway was told that it may try
-	lastRequestAt time.Duration // when a req came in last
-	idle          bool          // none came for long: trials are left to others
+// idleLeases is how many lease durations without a request make a limiter idle.
+const idleLeases = 3
+
+// leaseState is the leases of this limiter.
+type leaseState struct {
+	agent         *lease.Agent  // nil where there are none, or another process of this limiter has them
+	startedAt     time.Duration // clock time at which the wall clock was at the settings' MinToken
+	random        *rand.Rand    // spreads the attempts of many limiters
+	dueAt         time.Duration // clock time of the timer in force; 0 for none
+	recoveryUntil time.Duration // clock time up to which the admission controller may make recovery attempts
+	lastRequestAt time.Duration // clock time
+	idle          bool          // no request came for long: recovery is left to other limiters
 }
 
-func (r *Machine) random() float64 { return r.leases.random.Float64() }
-
-// startLeases starts with nothing known of leases, and wants those of the tasks that are on.
-func (r *Machine) startLeases() {
-	if r.config.Leases == nil || r.settings.Limiters < 1 {
-		return
+// Holds returns the token of a task's lease if this limiter holds it at a clock time.
+func (m *Machine) Holds(now time.Duration, task string) (token uint64, ok bool) {
+	if m.leases.agent == nil {
+		return 0, false
 	}
-	s := *r.config.Leases
-	s.Self, s.Limiters, s.Epoch = r.settings.Self, r.settings.Limiters, r.config.Epoch
-	s.MinToken = r.wallClock() // not that of the process's start: tokens given since would be greater
-	r.leases.random = rand.New(rand.NewPCG(r.config.Seed, uint64(r.config.Epoch)))
-	r.leases.agent, r.leases.lastRequestAt, r.leases.idle = lease.NewAgent(s, r.now), r.now, false
-	for _, name := range s.Tasks {
-		r.sendLeaseMessages(r.leases.agent.SetWanted(r.now, name, true, r.random))
+	token, _, ok = m.leases.agent.Holds(now, task)
+	return token, ok
+}
+
+// Leases returns the state of each task's lease as seen here, nil where there are none.
+func (m *Machine) Leases() []lease.View {
+	if m.leases.agent == nil {
+		return nil
 	}
-	r.decide(admission.RecoveryLease{}) // not before the lease is held
-	r.runLeases()
+	return m.leases.agent.Views(m.now)
 }
 
-// wallClock is the wall clock in ms: what it was at the start, and what passed since.
-func (r *Machine) wallClock() uint64 {
-	return r.config.Leases.MinToken + uint64((r.now-r.leases.startedAt)/time.Millisecond)
+// startLeases starts with nothing known of leases, and competes for those of all tasks.
+func (m *Machine) startLeases() {
+	if m.config.Leases == nil || m.config.Settings.Limiters < 1 {
+		return
+	}
+	settings := *m.config.Leases
+	settings.Self = m.config.Settings.Self
+	settings.Limiters = m.config.Settings.Limiters
+	settings.Epoch = m.config.Epoch
+	settings.MinToken = m.wallClock() // beyond all tokens given since the process started
+	m.leases.random = rand.New(rand.NewPCG(m.config.Seed, uint64(m.config.Epoch)))
+	m.leases.agent = lease.NewAgent(settings, m.now)
+	m.leases.lastRequestAt = m.now
+	m.leases.idle = false
+	for _, task := range settings.Tasks {
+		m.setLeaseWanted(task, true)
+	}
+	m.decide(admission.RecoveryLease{}) // no recovery attempts until the lease is held
+	m.runLeases()
 }
 
-// releaseLeases gives all leases back: what this process did under them is over.
-func (r *Machine) releaseLeases() {
-	if r.leases.agent == nil {
+// releaseLeases releases all leases: what this process did under them is over.
+func (m *Machine) releaseLeases() {
+	if m.leases.agent == nil {
 		return
 	}
-	for _, name := range r.config.Leases.Tasks {
-		r.sendLeaseMessages(r.leases.agent.SetWanted(r.now, name, false, r.random))
+	for _, task := range m.config.Leases.Tasks {
+		m.setLeaseWanted(task, false)
 	}
-	r.hotRestart.leaseAcceptors = r.leases.agent.State() // it answers nobody from here on
-	r.leases.agent, r.leases.recoveryUntil = nil, 0
-	r.decide(admission.RecoveryLease{})
+	m.hotRestart.leaseAcceptors = m.leases.agent.State() // it replies to nobody from here on
+	m.leases.agent = nil
+	m.leases.recoveryUntil = 0
+	m.decide(admission.RecoveryLease{})
 }
 
-// sendLeaseMessages sends what is to be said of leases.
-func (r *Machine) sendLeaseMessages(out []lease.Envelope) {
-	for _, e := range out {
-		r.counters.PeerOut++
-		r.emit(SendToPeer{Peer: int(e.To), Data: e.Message.Append(nil)})
+// setLeaseWanted competes for the lease of a task, or releases it.
+func (m *Machine) setLeaseWanted(task string, wanted bool) {
+	m.sendLeaseMessages(m.leases.agent.SetWanted(m.now, task, wanted, m.random))
+}
+
+// random returns a number from 0 to below 1.
+func (m *Machine) random() float64 { return m.leases.random.Float64() }
+
+// wallClock returns the wall clock in milliseconds: what it was at the start, and the time since.
+func (m *Machine) wallClock() uint64 {
+	return m.config.Leases.MinToken + uint64((m.now-m.leases.startedAt)/time.Millisecond)
+}
+
+func (m *Machine) sendLeaseMessages(out []lease.Envelope) {
+	for _, envelope := range out {
+		m.sendToPeer(int(envelope.To), envelope.Message.Append(nil))
 	}
 }
 
 // onLeaseMessage takes a datagram about leases in.
-func (r *Machine) onLeaseMessage(ev *PeerMessageReceived) {
-	m, ok := lease.Parse(ev.Data)
-	if !ok || ev.From < 0 || ev.From >= r.settings.Limiters || ev.From == r.settings.Self {
-		r.counters.PeerBad++
+func (m *Machine) onLeaseMessage(ev *PeerMessageReceived) {
+	message, ok := lease.Parse(ev.Data)
+	if !ok || !m.isPeer(ev.From) {
+		m.counters.PeerBad++
 		return
 	}
-	r.counters.PeerIn++
-	if r.leases.agent != nil {
-		r.sendLeaseMessages(r.leases.agent.HandleMessage(r.now, lease.Limiter(ev.From), m, r.random))
-		r.runLeases()
+	m.counters.PeerIn++
+	if m.leases.agent == nil {
+		return
 	}
+	m.sendLeaseMessages(m.leases.agent.HandleMessage(m.now, lease.Limiter(ev.From), message, m.random))
+	m.runLeases()
 }
 
-// idleAfter is how many lengths without a req make a limiter idle.
-const idleAfter = 3
-
-// idleForRecovery leaves trials to others while no reqs come in here, as it is with reqs that backends
-// are tried. Trouble: one that nobody called held the lease, and backends that were back had
-// nothing from anyone.
-func (r *Machine) idleForRecovery() {
-	if !slices.Contains(r.config.Leases.Tasks, TaskRecovery) {
+// runLeases does what is due for leases and for the tasks under them.
+func (m *Machine) runLeases() {
+	if m.leases.agent == nil {
 		return
 	}
-	idle := r.now-r.leases.lastRequestAt > idleAfter*r.config.Leases.Duration
-	if idle == r.leases.idle {
+	m.updateIdle()
+	usageDue := m.runUsage()
+	slotsDue := m.runRestartSlots()
+	out, leaseDue := m.leases.agent.Tick(m.now, m.random)
+	m.sendLeaseMessages(out)
+	m.armLeaseTimer(earlier(leaseDue, earlier(usageDue, slotsDue)))
+	m.extendRecovery()
+}
+
+func (m *Machine) armLeaseTimer(dueAt time.Duration) {
+	if dueAt == 0 || dueAt == m.leases.dueAt {
 		return
 	}
-	r.leases.idle = idle
-	if idle {
-		r.leases.recoveryUntil = 0
-		r.decide(admission.RecoveryLease{})
-	}
-	r.sendLeaseMessages(r.leases.agent.SetWanted(r.now, TaskRecovery, !idle, r.random))
+	m.leases.dueAt = dueAt
+	m.timers.add(timer{at: dueAt, kind: leaseTimer})
 }
 
-// noteTraffic tells that a req came in.
-func (r *Machine) noteTraffic() {
-	if r.leases.agent == nil {
+// extendRecovery has the admission controller make recovery attempts for as long as the lease is held.
+func (m *Machine) extendRecovery() {
+	_, until, ok := m.leases.agent.Holds(m.now, TaskRecovery)
+	if !ok || until == m.leases.recoveryUntil {
 		return
 	}
-	if r.leases.lastRequestAt = r.now; r.leases.idle {
-		r.runLeases()
-	}
+	m.leases.recoveryUntil = until
+	m.decide(admission.RecoveryLease{Until: until})
 }
 
-// runLeases does what is due, and tells the Gateway until when it may try ejected backends.
-func (r *Machine) runLeases() {
-	a := r.leases.agent
-	if a == nil {
+// updateIdle leaves recovery to other limiters while no requests come in here: recovery attempts are
+// made with requests, so an idle lease holder would make none.
+func (m *Machine) updateIdle() {
+	if !slices.Contains(m.config.Leases.Tasks, TaskRecovery) {
 		return
 	}
-	r.idleForRecovery()
-	more := [...]time.Duration{r.runUsage(), r.runRestartSlots()}
-	out, due := a.Tick(r.now, r.random)
-	r.sendLeaseMessages(out)
-	for _, at := range more {
-		if at > 0 && (due == 0 || at < due) {
-			due = at
-		}
-	}
-	if due > 0 && due != r.leases.due {
-		r.leases.due = due
-		r.timers.add(timer{at: due, kind: leaseTimer})
+	idle := m.now-m.leases.lastRequestAt > idleLeases*m.config.Leases.Duration
+	if idle == m.leases.idle {
+		return
 	}
-	if _, until, ok := a.Holds(r.now, TaskRecovery); ok && until != r.leases.recoveryUntil {
-		r.leases.recoveryUntil = until
-		r.decide(admission.RecoveryLease{Until: until})
+	m.leases.idle = idle
+	if idle {
+		m.leases.recoveryUntil = 0
+		m.decide(admission.RecoveryLease{})
 	}
+	m.setLeaseWanted(TaskRecovery, !idle)
 }
 
-// recoveryLease gives the token of a trial and the instant from which on it must not begin; false
-// where the lease has ended meanwhile.
-func (r *Machine) recoveryLease() (token uint64, until time.Duration, ok bool) {
-	if r.leases.agent == nil {
-		return 0, 0, false
+// noteTraffic records that a request came in.
+func (m *Machine) noteTraffic() {
+	if m.leases.agent == nil {
+		return
 	}
-	if token, until, ok = r.leases.agent.Holds(r.now, TaskRecovery); !ok {
-		r.leases.agent.RecordLateAction(TaskRecovery)
+	m.leases.lastRequestAt = m.now
+	if m.leases.idle {
+		m.runLeases()
 	}
-	return token, until, ok
 }
 
-// Holds tells whether this limiter holds a task's lease at a time by its clock, and its token.
-func (r *Machine) Holds(now time.Duration, task string) (token uint64, ok bool) {
-	if r.leases.agent == nil {
-		return 0, false
+// recoveryLease returns the token of a recovery attempt and the clock time before which it must begin.
+// It fails if the lease has ended meanwhile.
+func (m *Machine) recoveryLease() (token uint64, until time.Duration, ok bool) {
+	if m.leases.agent == nil {
+		return 0, 0, false
 	}
-	token, _, ok = r.leases.agent.Holds(now, task)
-	return token, ok
+	token, until, ok = m.leases.agent.Holds(m.now, TaskRecovery)
+	if !ok {
+		m.recordLateAction(TaskRecovery)
+	}
+	return token, until, ok
 }
 
-// Leases tells how the tasks stand.
-func (r *Machine) Leases() []lease.View {
-	if r.leases.agent == nil {
-		return nil
+// recordLateAction counts an action under the lease of a task that was not begun, as the lease had ended.
+func (m *Machine) recordLateAction(task string) {
+	if m.leases.agent != nil {
+		m.leases.agent.RecordLateAction(task)
 	}
-	return r.leases.agent.Views(r.now)
 }
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -1,74 +1,105 @@
 package core
 
 import (
+	"slices"
 	"time"
 
 	"lemongate/internal/admission"
 	"lemongate/internal/lease"
 )
 
-// metricsInterval is how old the figures handed out may be while anything happens. Readers
-// allow half a second, and a walk over the backends for each event would cost more.
+// This file counts by request class and publishes metrics.
+
+// metricsInterval is how old published metrics may be while anything happens. Readers allow half a
+// second, and to publish at each event would cost a pass over the backends.
 const metricsInterval = 100 * time.Millisecond
 
-// ClassCounts counts how the reqs of one class ended.
+// ClassCounts counts how the requests of one class ended, from the start of the process.
 type ClassCounts struct {
-	Class                       string
-	Completed, Rejected, Failed uint64 // with a backend's answer, refused, failed
+	Class     string
+	Completed uint64 // with a backend's response
+	Rejected  uint64 // with a local reply: they may be sent again
+	Failed    uint64 // with a local reply: they may have run
 }
 
-// Metrics are what operators are shown. Counts are from the program's start.
+// Metrics are what operators see. Counts are from the start of the process.
 type Metrics struct {
-	Classes      []ClassCounts // in the order of the settings
-	Pending      int           // reqs taken and not answered
-	Members      int           // backends in the list, those that drain too
-	Unavailable  int           // of these, those that drain or that the Gateway leaves alone now
-	Leases       []lease.View
-	RestartSlots RestartSlotView
+	Classes      []ClassCounts   // in the order of the settings
+	Pending      int             // requests without a response
+	Members      int             // backends in the list, draining ones included
+	Unavailable  int             // of these, those that drain or are avoided by the admission controller
+	Leases       []lease.View    // by task
+	RestartSlots RestartSlotView // of the rolling restart
 }
 
-// PublishMetrics hands out the figures. They are the receiver's to keep.
+// PublishMetrics publishes metrics, which are the receiver's to keep.
 type PublishMetrics struct{ Metrics Metrics }
 
-func (PublishMetrics) effect() {}
+// metricsState is what is counted for metrics, and when they were published.
+type metricsState struct {
+	classes      []ClassCounts // in the order of the settings
+	publishedAt  time.Duration
+	timerPending bool // a timer is set to publish what changed since
+}
 
-// countResponse books how a req of a class ended.
-func (r *Machine) countResponse(class int, kind ResponseKind) {
-	if class < 0 {
-		return
+func newMetricsState(classes []admission.Class, now time.Duration) metricsState {
+	s := metricsState{publishedAt: now - metricsInterval}
+	for _, class := range classes {
+		s.classes = append(s.classes, ClassCounts{Class: class.Name})
+	}
+	return s
+}
+
+// countResponse counts how a request of a class, or of noClass, ended.
+func (m *Machine) countResponse(classIndex int, kind ResponseKind) {
+	class := &ClassCounts{} // dropped where there is no class
+	if classIndex != noClass {
+		class = &m.metrics.classes[classIndex]
 	}
-	switch l := &r.classCounts[class]; kind {
+	switch kind {
 	case Served:
-		l.Completed++
+		m.counters.Served++
+		class.Completed++
 	case Rejected:
-		l.Rejected++
+		m.counters.Refused++
+		class.Rejected++
 	case Failed:
-		l.Failed++
+		m.counters.Failed++
+		class.Failed++
 	}
 }
 
-// publishMetrics hands the figures out where they are wanted and old enough, and else sees to
-// it that the last change is told too. An idle program publishes nothing.
-func (r *Machine) publishMetrics() {
-	switch {
-	case !r.publishesMetrics:
-	case r.now < r.publishedAt+metricsInterval:
-		if !r.publishPending {
-			r.publishPending = true
-			r.timers.add(timer{at: r.publishedAt + metricsInterval, kind: metricsTimer})
-		}
-	default:
-		r.publishedAt, r.publishPending = r.now, false
-		r.emit(PublishMetrics{Metrics: r.metrics()})
+// publishMetrics publishes where metrics are wanted and the last ones are old enough, and otherwise
+// makes sure that the last change is published too. An idle program publishes nothing.
+func (m *Machine) publishMetrics() {
+	if !m.config.PublishesMetrics {
+		return
+	}
+	nextAt := m.metrics.publishedAt + metricsInterval
+	if m.now >= nextAt {
+		m.metrics.publishedAt = m.now
+		m.metrics.timerPending = false
+		m.emit(PublishMetrics{Metrics: m.currentMetrics()})
+		return
+	}
+	if !m.metrics.timerPending {
+		m.metrics.timerPending = true
+		m.timers.add(timer{at: nextAt, kind: metricsTimer})
 	}
 }
 
-func (r *Machine) metrics() Metrics {
-	f := Metrics{Classes: append([]ClassCounts(nil), r.classCounts...), Members: len(r.backends), Pending: r.pending, Leases: r.Leases(), RestartSlots: r.RestartSlots()}
-	for id, b := range r.backends {
-		if b.State != admission.Live || r.controller.AvoidsBackend(id) {
-			f.Unavailable++
+func (m *Machine) currentMetrics() Metrics {
+	metrics := Metrics{
+		Classes:      slices.Clone(m.metrics.classes),
+		Pending:      m.requests.pending,
+		Members:      len(m.endpoints.byID),
+		Leases:       m.Leases(),
+		RestartSlots: m.RestartSlots(),
+	}
+	for id, endpoint := range m.endpoints.byID {
+		if endpoint.State != admission.Live || m.admission.controller.AvoidsBackend(id) {
+			metrics.Unavailable++
 		}
 	}
-	return f
+	return metrics
 }
--- /dev/null
+++ b/internal/core/peers.go
@@ -0,0 +1,58 @@
+package core
+
+import (
+	"lemongate/internal/admission"
+	"lemongate/internal/gossip"
+	"lemongate/internal/lease"
+	"lemongate/internal/rollingrestart"
+	"lemongate/internal/usage"
+)
+
+// This file sends datagrams to other limiters, and hands those received to what they are about.
+
+// isLimiter reports whether a number is that of a limiter of the tier.
+func (m *Machine) isLimiter(number int) bool {
+	return number >= 0 && number < m.config.Settings.Limiters
+}
+
+// isPeer reports whether a number is that of another limiter of the tier.
+func (m *Machine) isPeer(number int) bool {
+	return m.isLimiter(number) && number != m.config.Settings.Self
+}
+
+// onPeerMessage hands a datagram to what it is about. It may hold anything: what is no message of a
+// peer is counted and dropped.
+func (m *Machine) onPeerMessage(ev *PeerMessageReceived) {
+	switch {
+	case lease.IsMessage(ev.Data):
+		m.onLeaseMessage(ev)
+	case usage.IsMessage(ev.Data):
+		m.onUsageMessage(ev)
+	case rollingrestart.IsMessage(ev.Data):
+		m.onSlotMessage(ev)
+	default:
+		m.onGossip(ev)
+	}
+}
+
+// onGossip hands a message about quotas and backends to the admission controller.
+func (m *Machine) onGossip(ev *PeerMessageReceived) {
+	if _, ok := gossip.Parse(ev.Data); !ok || !m.isLimiter(ev.From) {
+		m.counters.PeerBad++
+		return
+	}
+	m.counters.PeerIn++
+	m.decide(&admission.PeerMessage{From: ev.From, Data: ev.Data})
+}
+
+// sendGossip sends a message of the admission controller, unless a successor speaks for this limiter.
+func (m *Machine) sendGossip(action admission.SendToPeer) {
+	if !m.hotRestart.stateSent {
+		m.sendToPeer(action.Peer, action.Data)
+	}
+}
+
+func (m *Machine) sendToPeer(peer int, data []byte) {
+	m.counters.PeerOut++
+	m.emit(SendToPeer{Peer: peer, Data: data})
+}
--- /dev/null
+++ b/internal/core/requests.go
@@ -0,0 +1,256 @@
+package core
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"lemongate/internal/admission"
+)
+
+// This file gives each request exactly one response, by its deadline at the latest.
+
+// responseMargin is how long before its deadline a request is answered at the latest, so that the
+// response is with the client in time.
+const responseMargin = 10 * time.Millisecond
+
+// noClass is the class index of a request whose class is none of the settings'.
+const noClass = -1
+
+// request is a request that has no response yet or has an attempt in flight.
+type request struct {
+	*RequestReceived
+	classIndex      int // in the settings, or noClass
+	idempotency     admission.Idempotency
+	deadline        time.Duration // clock time by which it is answered
+	attempts        int           // started so far
+	openAttempts    int           // of these, in flight
+	mayHaveRun      bool          // at a backend
+	answered        bool          // or its client has disconnected
+	fromPredecessor bool          // the predecessor received it, and answers its client
+	forwarded       bool          // the successor decides it
+}
+
+// requestSet is all requests that are not over.
+type requestSet struct {
+	byID     map[RequestID]*request
+	byCallID map[string]RequestID // also of attempts adopted from a predecessor
+	pending  int                  // requests of this process's clients that have no response
+	lastID   RequestID            // the greatest that the server gave
+}
+
+func newRequestSet() requestSet {
+	return requestSet{byID: map[RequestID]*request{}, byCallID: map[string]RequestID{}}
+}
+
+// inOrder returns the requests in the order in which they came.
+func (s *requestSet) inOrder() []*request {
+	var list []*request
+	for _, id := range slices.Sorted(maps.Keys(s.byID)) {
+		list = append(list, s.byID[id])
+	}
+	return list
+}
+
+// remainingBudget is how long the client still waits, or for a forwarded request the predecessor.
+func (r *request) remainingBudget(now time.Duration) time.Duration {
+	return r.deadline + responseMargin - now
+}
+
+// mayBeRepeated reports whether the client does no harm if it sends the request again.
+func (r *request) mayBeRepeated() bool {
+	ran := r.openAttempts > 0 || r.mayHaveRun
+	return !ran || r.idempotency == admission.Idempotent
+}
+
+// onRequestReceived accepts a request, unless its client has disconnected already.
+func (m *Machine) onRequestReceived(ev *RequestReceived) {
+	m.requests.lastID = max(m.requests.lastID, ev.ID)
+	m.noteTraffic()
+	if ev.Disconnected {
+		m.counters.Received++
+		m.counters.Left++
+		m.emit(m.rejection(ev.ID))
+		return
+	}
+	m.acceptRequest(ev, false)
+}
+
+// acceptRequest records a request, arms its deadline and has it decided. One with the call ID of an
+// open request is rejected: backends and clients would take the response of one for the other's.
+func (m *Machine) acceptRequest(ev *RequestReceived, fromPredecessor bool) {
+	if !m.claimCallID(ev) {
+		m.counters.Malformed[OpenID]++
+		m.sendResponse(fromPredecessor, Respond{Request: ev.ID, Kind: DuplicateID})
+		return
+	}
+	r := m.newRequest(ev, fromPredecessor)
+	if !fromPredecessor {
+		m.counters.Received++
+		m.requests.pending++
+	}
+	m.requests.byID[r.ID] = r
+	m.timers.add(timer{at: r.deadline, kind: deadlineTimer, id: AttemptID{Request: r.ID}})
+	switch {
+	case m.hotRestart.forwarding:
+		m.forward(r)
+	case m.phase == TransferringState:
+		m.hotRestart.parked = append(m.hotRestart.parked, r)
+	default:
+		m.submit(r)
+	}
+}
+
+// claimCallID reserves the call ID of a request, if it has one; it fails if an open request has it.
+func (m *Machine) claimCallID(ev *RequestReceived) bool {
+	if ev.CallID == "" {
+		return true
+	}
+	if _, open := m.requests.byCallID[ev.CallID]; open {
+		return false
+	}
+	m.requests.byCallID[ev.CallID] = ev.ID
+	return true
+}
+
+func (m *Machine) newRequest(ev *RequestReceived, fromPredecessor bool) *request {
+	r := &request{
+		RequestReceived: ev,
+		classIndex:      noClass,
+		deadline:        min(ev.ReceivedAt, m.now) + ev.Budget - responseMargin,
+		fromPredecessor: fromPredecessor,
+	}
+	if m.phase >= Closing { // on a connection of before: no longer than there is a process to answer
+		r.deadline = min(r.deadline, m.exitBy-exitMargin)
+	}
+	if fromPredecessor {
+		r.deadline -= forwardMargin
+	}
+	for i, class := range m.config.Settings.Classes {
+		if class.Name == ev.Class {
+			r.classIndex = i
+			r.idempotency = class.Idempotency
+		}
+	}
+	return r
+}
+
+// submit has the admission controller decide a request. The budget is that of the client, by which it
+// may recognize retries.
+func (m *Machine) submit(r *request) {
+	submitted := r.Request
+	submitted.Budget = r.remainingBudget(m.now)
+	if r.fromPredecessor {
+		submitted.Budget += forwardMargin
+	}
+	m.decide(&submitted)
+}
+
+// onClientDisconnected ends a request whose client has disconnected: nothing more is forwarded for it.
+// It is answered all the same, as a client that closed only its sending side looks the same.
+func (m *Machine) onClientDisconnected(id RequestID) {
+	r := m.requests.byID[id]
+	if r == nil || r.answered {
+		return
+	}
+	if r.forwarded {
+		m.emit(CancelForwardedRequest{Request: id})
+	}
+	r.answered = true
+	if !r.fromPredecessor {
+		m.counters.Left++
+		m.requests.pending--
+		m.emit(m.localReply(r))
+	}
+	m.decide(&admission.RequestEnded{Request: id})
+	m.withdrawAttempts(r)
+	m.removeIfFinished(r)
+}
+
+// onDeadline answers a request at its deadline.
+func (m *Machine) onDeadline(id RequestID) {
+	r := m.requests.byID[id]
+	if r == nil || r.answered {
+		return
+	}
+	m.counters.Overdue++
+	m.endUnserved(r)
+}
+
+// endUnserved ends a request that has no response with a local reply.
+func (m *Machine) endUnserved(r *request) {
+	if r.forwarded {
+		m.emit(CancelForwardedRequest{Request: r.ID})
+	}
+	m.respond(r, m.localReply(r))
+	m.decide(&admission.RequestEnded{Request: r.ID})
+	m.removeIfFinished(r)
+}
+
+// endRequest answers a request as the admission controller or a successor decided, if it is open.
+func (m *Machine) endRequest(id RequestID, response Respond) {
+	r := m.requests.byID[id]
+	if r == nil {
+		return
+	}
+	m.respond(r, response)
+	m.removeIfFinished(r)
+}
+
+// localReply is the response to a request that ends without a backend's.
+func (m *Machine) localReply(r *request) Respond {
+	if r.mayBeRepeated() {
+		return m.rejection(r.ID)
+	}
+	return Respond{Request: r.ID, Kind: Failed}
+}
+
+// rejection is the response to a request that may be sent again.
+func (m *Machine) rejection(id RequestID) Respond {
+	return Respond{Request: id, Kind: Rejected, RetryAfter: m.config.Settings.MaxRetryAfter}
+}
+
+// respond gives a request its response, unless it has had it. The caller removes it if it is finished.
+func (m *Machine) respond(r *request, response Respond) {
+	if r.answered {
+		return
+	}
+	r.answered = true
+	response.Request = r.ID
+	m.sendResponse(r.fromPredecessor, response)
+	if r.fromPredecessor {
+		return // which counts it
+	}
+	m.requests.pending--
+	m.countResponse(r.classIndex, response.Kind)
+}
+
+// sendResponse sends a response to the process that has the client's connection.
+func (m *Machine) sendResponse(toPredecessor bool, response Respond) {
+	if toPredecessor {
+		m.emit(SendForwardedResponse{response})
+		return
+	}
+	m.emit(response)
+}
+
+// removeIfFinished forgets a request that is answered and has no attempt in flight.
+func (m *Machine) removeIfFinished(r *request) {
+	if !r.answered || r.openAttempts > 0 {
+		return
+	}
+	delete(m.requests.byID, r.ID)
+	delete(m.requests.byCallID, r.CallID)
+}
+
+// onClientConnClosed counts a client connection that the server closed by itself.
+func (m *Machine) onClientConnClosed(ev *ClientConnClosed) {
+	switch {
+	case ev.Full:
+		m.counters.Full++
+	case ev.Unread:
+		m.counters.ClosedUnread++
+	default:
+		m.counters.ClosedIdle++
+	}
+}
--- a/internal/core/restartslots.go
+++ b/internal/core/restartslots.go
@@ -8,177 +8,212 @@
 	"lemongate/internal/rollingrestart"
 )
 
-// This file is the reducer's side of planned restarts: turns that the holder of the task's lease gives.
+// This file does the rolling restart: a limiter restarts only with a restart slot, which the lease
+// holder of TaskRestarts grants. See docs/design/leases.md.
 
-// TaskRestarts is the task of giving turns at a planned restart.
+// TaskRestarts is the task of granting restart slots.
 const TaskRestarts = "restarts"
 
-// RestartSlots is what the operators set of it.
+// RestartSlots are the operators' settings of the rolling restart.
 type RestartSlots struct {
-	MaxConcurrent int           // limiters out at once
-	Duration      time.Duration // within which a restart has to begin
+	MaxConcurrent int           // limiters that restart at once
+	Duration      time.Duration // within which a restart has to begin once its slot is granted
 }
 
-// RestartSlotRequested tells that an operator wants this limiter to have a turn, or no longer.
-type RestartSlotRequested struct{ Wanted bool }
-
-// RestartSlotReleased tells that a limiter that is out will not come back.
-type RestartSlotReleased struct{ Limiter int }
-
-func (RestartSlotRequested) event() {}
-func (RestartSlotReleased) event()  {}
-
-// A RestartSlotView is how planned restarts stand, as seen here.
+// RestartSlotView is the state of the rolling restart as seen here.
 type RestartSlotView struct {
 	Enabled     bool          `json:"on"`
-	Wanted      bool          `json:"wants"`
-	Granted     bool          `json:"has"`           // the restart may begin, within For
-	ValidFor    time.Duration `json:"for"`           // ns
-	Reason      string        `json:"why,omitempty"` // a turn came to nothing
-	Restarting  []int         `json:"out"`           // limiters that are out, as far as known here
-	Coordinator int           `json:"holder"`        // who gives turns, as far as known here; -1 for nobody
+	Wanted      bool          `json:"wants"`         // an operator requested a slot for this limiter
+	Granted     bool          `json:"has"`           // the restart may begin, within ValidFor
+	ValidFor    time.Duration `json:"for"`           // nanoseconds
+	Reason      string        `json:"why,omitempty"` // why a slot that was granted is not used
+	Restarting  []int         `json:"out"`           // limiters that restart, as far as known here
+	Coordinator int           `json:"holder"`        // the lease holder, as far as known here; -1 for none
 }
 
-// restartSlots is what a reducer has of planned restarts.
-type restartSlots struct {
+// restartSlotState is this limiter as a requester of slots, and as the coordinator where it is.
+type restartSlotState struct {
 	enabled     bool
 	requester   rollingrestart.Requester
 	coordinator *rollingrestart.Coordinator // nil where this limiter does not hold the lease
 	token       uint64                      // of that lease
 }
 
-// sendSlotMessage sends a message, to this limiter itself too.
-func (r *Machine) sendSlotMessage(to lease.Limiter, m rollingrestart.Message) {
-	if int(to) == r.settings.Self {
-		r.handleSlotMessage(to, m)
+func newRestartSlotState(config Config) restartSlotState {
+	if config.Leases == nil || !slices.Contains(config.Leases.Tasks, TaskRestarts) {
+		return restartSlotState{}
+	}
+	return restartSlotState{enabled: true, requester: rollingrestart.NewRequester(config.Epoch)}
+}
+
+// RestartSlots returns the state of the rolling restart.
+func (m *Machine) RestartSlots() RestartSlotView {
+	view := RestartSlotView{Enabled: m.restartSlots.enabled, Restarting: []int{}, Coordinator: -1}
+	if !view.Enabled || m.leases.agent == nil {
+		return view
+	}
+	var until time.Duration
+	until, view.Granted, view.Wanted, view.Reason = m.restartSlots.requester.Slot(m.now)
+	if view.Granted {
+		view.ValidFor = until - m.now
+	}
+	restarting := rollingrestart.DecodePayload(m.leases.agent.Payload(TaskRestarts))
+	view.Restarting = append(view.Restarting, numbers(restarting)...)
+	if coordinator, known := m.leases.agent.Holder(TaskRestarts); known {
+		view.Coordinator = int(coordinator)
+	}
+	return view
+}
+
+// numbers converts limiters to the numbers that events and settings have.
+func numbers(limiters []rollingrestart.Limiter) []int {
+	var list []int
+	for _, limiter := range limiters {
+		list = append(list, int(limiter))
+	}
+	return list
+}
+
+// onRestartSlotRequested takes an operator's request in, or its withdrawal.
+func (m *Machine) onRestartSlotRequested(ev RestartSlotRequested) {
+	if !m.restartSlots.enabled {
 		return
 	}
-	r.sendDatagram(int(to), m.Append(nil))
+	_, _, wanted, _ := m.restartSlots.requester.Slot(m.now)
+	if wanted != ev.Wanted {
+		m.restartSlots.requester.SetWanted(ev.Wanted)
+	}
+	m.runLeases()
 }
 
-// onSlotMessage takes a datagram about turns in.
-func (r *Machine) onSlotMessage(ev *PeerMessageReceived) {
-	m, ok := rollingrestart.Parse(ev.Data)
-	if !ok || ev.From < 0 || ev.From >= r.settings.Limiters || ev.From == r.settings.Self {
-		r.counters.PeerBad++
+// onRestartSlotReleased has the coordinator free the slot of a limiter that will not come back.
+func (m *Machine) onRestartSlotReleased(ev RestartSlotReleased) {
+	if !m.restartSlots.enabled || m.leases.agent == nil {
 		return
 	}
-	r.counters.PeerIn++
-	if r.restartSlots.enabled && r.leases.agent != nil {
-		r.handleSlotMessage(lease.Limiter(ev.From), m)
-		r.runLeases()
+	coordinator, known := m.leases.agent.Holder(TaskRestarts)
+	if !known {
+		return
 	}
+	m.sendSlotMessage(coordinator, rollingrestart.Message{
+		Kind: rollingrestart.SlotRelease, Released: rollingrestart.Limiter(ev.Limiter),
+	})
+	m.runLeases()
 }
 
-func (r *Machine) handleSlotMessage(from lease.Limiter, m rollingrestart.Message) {
-	x := &r.restartSlots
-	switch m.Kind {
-	case rollingrestart.SlotRequest:
-		if x.coordinator != nil {
-			x.coordinator.HandleRequest(r.now, from, m.Nonce)
-		}
-	case rollingrestart.StatusReply:
-		if x.coordinator != nil {
-			x.coordinator.HandleReply(from, m)
-		}
-	case rollingrestart.SlotRelease:
-		if x.coordinator != nil {
-			x.coordinator.Release(m.Released)
-		}
-	case rollingrestart.SlotGrant:
-		x.requester.HandleGrant(r.now, m, r.config.Leases.ClockDrift, func(out []rollingrestart.Limiter) bool {
-			return r.controller.IsLastOwner(slices.Collect(sortedNumbers(out)))
-		})
-	case rollingrestart.StatusQuery:
-		r.sendSlotMessage(from, x.requester.HandleQuery(r.now, m, r.phase == Serving))
+// sendSlotMessage sends a message to a limiter, which may be this one.
+func (m *Machine) sendSlotMessage(to lease.Limiter, message rollingrestart.Message) {
+	if int(to) == m.config.Settings.Self {
+		m.handleSlotMessage(to, message)
+		return
 	}
+	m.sendToPeer(int(to), message.Append(nil))
 }
 
-func sortedNumbers(list []rollingrestart.Limiter) func(func(int) bool) {
-	return func(yield func(int) bool) {
-		for _, n := range list {
-			if !yield(int(n)) {
-				return
-			}
-		}
+// onSlotMessage takes a datagram about restart slots in.
+func (m *Machine) onSlotMessage(ev *PeerMessageReceived) {
+	message, ok := rollingrestart.Parse(ev.Data)
+	if !ok || !m.isPeer(ev.From) {
+		m.counters.PeerBad++
+		return
+	}
+	m.counters.PeerIn++
+	if m.restartSlots.enabled && m.leases.agent != nil {
+		m.handleSlotMessage(lease.Limiter(ev.From), message)
+		m.runLeases()
 	}
 }
 
-// runRestartSlots does what is due, and tells when it is to be called again; 0 for never.
-func (r *Machine) runRestartSlots() (due time.Duration) {
-	x, agent := &r.restartSlots, r.leases.agent
-	if !x.enabled {
-		return 0
+// handleSlotMessage takes a message in as the requester or the coordinator.
+func (m *Machine) handleSlotMessage(from lease.Limiter, message rollingrestart.Message) {
+	switch message.Kind {
+	case rollingrestart.SlotGrant:
+		m.restartSlots.requester.HandleGrant(m.now, message, m.config.Leases.ClockDrift, m.isLastOwner)
+	case rollingrestart.StatusQuery:
+		m.sendSlotMessage(from, m.restartSlots.requester.HandleQuery(m.now, message, m.phase == Serving))
+	default:
+		m.handleCoordinatorMessage(from, message)
 	}
-	soon := func(at time.Duration) {
-		if at > 0 && (due == 0 || at < due) {
-			due = at
-		}
+}
+
+func (m *Machine) handleCoordinatorMessage(from lease.Limiter, message rollingrestart.Message) {
+	coordinator := m.restartSlots.coordinator
+	if coordinator == nil {
+		return
 	}
-	token, _, holds := agent.Holds(r.now, TaskRestarts)
-	switch {
-	case !holds:
-		x.coordinator, x.token = nil, 0
-	case token != x.token:
-		x.coordinator = rollingrestart.NewCoordinator(token, agent.Payload(TaskRestarts), r.config.RestartSlots.MaxConcurrent, r.config.RestartSlots.Duration, r.now)
-		x.token = token
-	}
-	m, send, at := x.requester.Tick(r.now)
-	soon(at)
-	if who, known := agent.Holder(TaskRestarts); send && known {
-		r.sendSlotMessage(who, m)
-	}
-	if x.coordinator == nil {
-		return due
-	}
-	for range 2 { // what is to stand may stand at once
-		mark := x.coordinator.Payload()
-		out, at := x.coordinator.Tick(r.now, mark == 0 || agent.SetPayload(r.now, TaskRestarts, mark))
-		for _, e := range out {
-			r.sendSlotMessage(e.To, e.Message)
-		}
-		soon(at)
-		if x.coordinator.Payload() == mark {
-			break
-		}
+	switch message.Kind {
+	case rollingrestart.SlotRequest:
+		coordinator.HandleRequest(m.now, from, message.Nonce)
+	case rollingrestart.StatusReply:
+		coordinator.HandleReply(from, message)
+	case rollingrestart.SlotRelease:
+		coordinator.Release(message.Released)
 	}
-	return due
 }
 
-// requestSlot takes an operator's word.
-func (r *Machine) requestSlot(want bool) {
-	if r.restartSlots.enabled {
-		if _, _, wants, _ := r.restartSlots.requester.Slot(r.now); wants != want {
-			r.restartSlots.requester.SetWanted(want)
-		}
-		if r.leases.agent != nil {
-			r.runLeases()
-		}
+// isLastOwner reports whether this limiter is the last one that holds the quota of some customer, while
+// others restart.
+func (m *Machine) isLastOwner(restarting []rollingrestart.Limiter) bool {
+	return m.admission.controller.IsLastOwner(numbers(restarting))
+}
+
+// runRestartSlots does what is due, and returns the clock time at which it is to run again, 0 for never.
+func (m *Machine) runRestartSlots() (due time.Duration) {
+	if !m.restartSlots.enabled {
+		return 0
 	}
+	m.updateCoordinator()
+	requesterDue := m.runRequester()
+	return earlier(requesterDue, m.runCoordinator())
 }
 
-// releaseSlot has the place of a limiter freed by who holds the lease.
-func (r *Machine) releaseSlot(n int) {
-	if who, known := r.leases.agent.Holder(TaskRestarts); known && r.restartSlots.enabled {
-		r.sendSlotMessage(who, rollingrestart.Message{Kind: rollingrestart.SlotRelease, Released: rollingrestart.Limiter(n)})
-		r.runLeases()
+// updateCoordinator makes this limiter the coordinator while it holds the lease. It is made anew with
+// each lease, from what the acceptors keep.
+func (m *Machine) updateCoordinator() {
+	s := &m.restartSlots
+	token, _, holds := m.leases.agent.Holds(m.now, TaskRestarts)
+	if !holds {
+		s.coordinator = nil
+		s.token = 0
+		return
 	}
+	if token == s.token {
+		return
+	}
+	settings := m.config.RestartSlots
+	payload := m.leases.agent.Payload(TaskRestarts)
+	s.coordinator = rollingrestart.NewCoordinator(token, payload, settings.MaxConcurrent, settings.Duration, m.now)
+	s.token = token
 }
 
-// RestartSlots tells how planned restarts stand.
-func (r *Machine) RestartSlots() RestartSlotView {
-	v := RestartSlotView{Enabled: r.restartSlots.enabled, Restarting: []int{}, Coordinator: -1}
-	if !v.Enabled || r.leases.agent == nil {
-		return v
+// runRequester requests a slot of the coordinator, if one is wanted.
+func (m *Machine) runRequester() (due time.Duration) {
+	message, send, due := m.restartSlots.requester.Tick(m.now)
+	coordinator, known := m.leases.agent.Holder(TaskRestarts)
+	if send && known {
+		m.sendSlotMessage(coordinator, message)
 	}
-	var until time.Duration
-	until, v.Granted, v.Wanted, v.Reason = r.restartSlots.requester.Slot(r.now)
-	if v.Granted {
-		v.ValidFor = until - r.now
+	return due
+}
+
+// runCoordinator grants slots once the acceptors keep who restarts. It runs once more if that changes,
+// as they may keep it at once.
+func (m *Machine) runCoordinator() (due time.Duration) {
+	coordinator := m.restartSlots.coordinator
+	if coordinator == nil {
+		return 0
 	}
-	v.Restarting = append(v.Restarting, slices.Collect(sortedNumbers(rollingrestart.DecodePayload(r.leases.agent.Payload(TaskRestarts))))...)
-	if who, known := r.leases.agent.Holder(TaskRestarts); known {
-		v.Coordinator = int(who)
+	for range 2 {
+		payload := coordinator.Payload()
+		kept := payload == 0 || m.leases.agent.SetPayload(m.now, TaskRestarts, payload)
+		out, tickDue := coordinator.Tick(m.now, kept)
+		for _, envelope := range out {
+			m.sendSlotMessage(envelope.To, envelope.Message)
+		}
+		due = earlier(due, tickDue)
+		if coordinator.Payload() == payload {
+			break
+		}
 	}
-	return v
+	return due
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -2,51 +2,144 @@
 
 import (
 	"container/heap"
+	"math"
 	"time"
 )
 
-// A timer is something that falls due at a time.
+// This file holds the timers of all concerns. One SetTimer is in force: that of the earliest.
+
+// noTimer is the clock time of a timer that is not set.
+const noTimer time.Duration = math.MaxInt64
+
+// timer is something that is due at a clock time.
 type timer struct {
 	at   time.Duration
 	kind timerKind
-	id   AttemptID // for a deadline its Req, for a fetch all of it
+	id   AttemptID // of a deadlineTimer its request, of an attemptTimer all of it
 }
 
 type timerKind uint8
 
 const (
-	controllerTimer timerKind = iota // a Wake that the Gateway asked for
-	deadlineTimer                    // a req must have its answer
-	attemptTimer                     // a fetch is not waited for any longer
-	discoveryTimer                   // ready, even if discovery is silent
-	graceTimer                       // after SIGTERM: accept nothing more
-	leaseTimer                       // a lease has something due
-	hotRestartTimer                  // the takeover has something due
-	metricsTimer                     // figures changed since they were last published
+	controllerTimer timerKind = iota // the admission controller has something due
+	deadlineTimer                    // a request must have its response
+	attemptTimer                     // an attempt times out
+	discoveryTimer                   // ready, even if discovery brought no list
+	graceTimer                       // after SIGTERM: accept no more connections
+	leaseTimer                       // a lease or a task under one has something due
+	hotRestartTimer                  // the hot restart has something due
+	metricsTimer                     // metrics changed since they were last published
 )
 
-// timers is a heap, the earliest first.
-type timers []timer
+// timerQueue is all timers, also those that no longer mean anything.
+type timerQueue struct {
+	heap    timerHeap
+	armedAt time.Duration // clock time of the SetTimer in force; noTimer for none
+}
+
+func newTimerQueue() timerQueue { return timerQueue{armedAt: noTimer} }
+
+func (q *timerQueue) add(t timer) { heap.Push(&q.heap, t) }
+
+func (q *timerQueue) removeEarliest() { heap.Pop(&q.heap) }
+
+// nextTimer returns the earliest timer that still means something, and drops those before it. Most
+// timers do not live to their time, as requests are answered and attempts end long before; to be
+// woken for them would be half of all wake-ups.
+func (m *Machine) nextTimer() (t timer, ok bool) {
+	for len(m.timers.heap) > 0 {
+		t = m.timers.heap[0]
+		if m.timerValid(t) {
+			return t, true
+		}
+		m.timers.removeEarliest()
+	}
+	return timer{}, false
+}
+
+// timerValid reports whether a timer still means something.
+func (m *Machine) timerValid(t timer) bool {
+	switch t.kind {
+	case controllerTimer:
+		return t.at == m.admission.timerAt
+	case deadlineTimer:
+		r := m.requests.byID[t.id.Request]
+		return r != nil && !r.answered
+	case attemptTimer:
+		return m.attempts[t.id] != nil
+	case discoveryTimer:
+		return m.phase == Starting
+	case hotRestartTimer:
+		return t.at == m.hotRestart.timerAt
+	case leaseTimer:
+		return t.at == m.leases.dueAt && m.leases.agent != nil
+	}
+	return true
+}
+
+// runTimers does all that is due.
+func (m *Machine) runTimers() {
+	for {
+		t, ok := m.nextTimer()
+		if !ok || t.at > m.now {
+			return
+		}
+		m.timers.removeEarliest()
+		m.onTimer(t)
+	}
+}
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
-	last := len(*t) - 1
-	x := (*t)[last]
-	*t = (*t)[:last]
-	return x
+func (m *Machine) onTimer(t timer) {
+	switch t.kind {
+	case controllerTimer:
+		m.onControllerTimer()
+	case deadlineTimer:
+		m.onDeadline(t.id.Request)
+	case attemptTimer:
+		m.onAttemptTimeout(t.id)
+	case discoveryTimer:
+		m.enterPhase(Serving)
+	case graceTimer:
+		m.enterPhase(Closing)
+	case leaseTimer:
+		m.leases.dueAt = 0
+		m.runLeases()
+	case hotRestartTimer:
+		m.onHotRestartTimer()
+	case metricsTimer: // publishMetrics runs after all that is due
+		m.metrics.timerPending = false
+	}
 }
 
-func (t *timers) add(x timer) { heap.Push(t, x) }
+// armTimer sets a timer if the earliest one is not the one in force.
+func (m *Machine) armTimer() {
+	t, ok := m.nextTimer()
+	if !ok || t.at == m.timers.armedAt {
+		return
+	}
+	m.timers.armedAt = t.at
+	m.emit(SetTimer{At: t.at})
+}
 
-// earliest gives the first timer, if there is one.
-func (t timers) earliest() (timer, bool) {
-	if len(t) == 0 {
-		return timer{}, false
+// earlier returns the earlier of two clock times, of which 0 means never.
+func earlier(a, b time.Duration) time.Duration {
+	if a == 0 || b > 0 && b < a {
+		return b
 	}
-	return t[0], true
+	return a
 }
 
-func (t *timers) removeEarliest() { heap.Pop(t) }
+// timerHeap is a heap of timers, the earliest first.
+type timerHeap []timer
+
+// Len, Less, Swap, Push and Pop implement heap.Interface.
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	t := (*h)[last]
+	*h = (*h)[:last]
+	return t
+}
