--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -6,8 +6,7 @@
 	"lemongate/internal/hotrestart"
 )
 
-// Effect is something that the caller is to do, in the order given: one of the types of this file and
-// PublishMetrics.
+// Effect is something that the caller is to do, in the order given: one of the types of this file.
 type Effect interface{ effect() }
 
 // Effects on the HTTP server.
@@ -49,9 +48,9 @@
 // StartAttempt forwards a request to a backend. AttemptFinished follows, unless it is canceled.
 type StartAttempt struct {
 	Attempt AttemptID
-	Backend string // ID
-	Addr    string // host:port
-	Timeout time.Duration
+	Backend string        // ID
+	Addr    string        // host:port
+	Timeout time.Duration // from now; then CancelAttempt follows
 	Content Content
 
 	// Token is the fencing token of the lease that the attempt is made under; 0 for none.
@@ -109,6 +108,9 @@
 	Report      []byte // a line
 }
 
+// PublishMetrics publishes metrics, which are the receiver's to keep.
+type PublishMetrics struct{ Metrics Metrics }
+
 // Log writes a message to the log.
 type Log struct{ Text string }
 
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -97,7 +97,8 @@
 	m.applyHotRestart(m.hotRestart.protocol.MessageReceived(m.now, ev.Kind))
 }
 
-// onLinkClosed goes on without the other process, and ends the attempts that a predecessor had.
+// onLinkClosed goes on without the other process, and ends the attempts that a predecessor had, in no
+// particular order.
 func (m *Machine) onLinkClosed(ev LinkClosed) {
 	m.config.Epoch = ev.Epoch
 	m.applyHotRestart(m.hotRestart.protocol.LinkClosed(m.now))
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -11,8 +11,9 @@
 // requests (requests.go), attempts (attempts.go), the endpoint list (endpoints.go), the reload of the
 // configuration (reload.go), timers (timers.go), messages of other limiters (peers.go), the admission
 // controller, which makes the decisions (controller.go), leases (leases.go) and the tasks done under
-// them (usage.go, restartslots.go), hot restart (hotrestart.go, handover.go, forwarding.go), and what
-// is counted and published (counters.go, metrics.go). Events are in events.go, effects in effects.go.
+// them (usage.go, collection.go, restartslots.go), hot restart (hotrestart.go, handover.go,
+// forwarding.go), and what is counted and published (counters.go, metrics.go). Events are in
+// events.go, effects in effects.go.
 package core
 
 import (
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -32,9 +32,6 @@
 	RestartSlots RestartSlotView // of the rolling restart
 }
 
-// PublishMetrics publishes metrics, which are the receiver's to keep.
-type PublishMetrics struct{ Metrics Metrics }
-
 // metricsState is what is counted for metrics, and when they were published.
 type metricsState struct {
 	classes      []ClassCounts // in the order of the settings
