--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -161,7 +161,9 @@
 		m.recordUsage(&r.Request) // also once the state is sent: this process may admit again
 	}
 	if m.hotRestart.stateSent {
-		m.emit(ReportAttemptFinished{FinishedAttempt{Attempt: id, Backend: a.backend, Result: result, Latency: latency, Report: report}})
+		m.emit(ReportAttemptFinished{FinishedAttempt{
+			Attempt: id, Backend: a.backend, Result: result, Latency: latency, Report: report,
+		}})
 	}
 	m.decide(&admission.AttemptFinished{
 		Request: id.Request, Attempt: id.Number, Backend: a.backend, Result: result,
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -10,15 +10,18 @@
 // Phases follow one another, each with the effects it begins with.
 func TestPhases(t *testing.T) {
 	m := newTestMachine(t)
-	if got := effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout-1, TimerFired{})); len(got) != 0 || m.Phase() != Starting {
-		t.Errorf("ready before discovery brought a list: %v", got)
+	ready := effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout-1, TimerFired{}))
+	if len(ready) != 0 || m.Phase() != Starting {
+		t.Errorf("ready before discovery brought a list: %v", ready)
 	}
-	if got := effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout, TimerFired{})); len(got) != 1 || !got[0].Ready || m.Phase() != Serving {
-		t.Errorf("not ready though discovery brings no list: %v", got)
+	ready = effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout, TimerFired{}))
+	if len(ready) != 1 || !ready[0].Ready || m.Phase() != Serving {
+		t.Errorf("not ready though discovery brings no list: %v", ready)
 	}
 	at := time.Hour + 10*time.Second
 	got := m.Step(at, ShutdownRequested{})
-	if ready := effectsOf[SetReady](got); len(ready) != 1 || ready[0].Ready || len(effectsOf[DrainClientConns](got)) != 1 || m.Phase() != Draining {
+	ready = effectsOf[SetReady](got)
+	if len(ready) != 1 || ready[0].Ready || len(effectsOf[DrainClientConns](got)) != 1 || m.Phase() != Draining {
 		t.Errorf("the shutdown brought %+v", got)
 	}
 	if got := m.Step(at+acceptGrace-1, ShutdownRequested{}); len(effectsOf[CloseServer](got)) != 0 {
@@ -60,7 +63,8 @@
 	if got := m.Step(time.Hour+time.Millisecond, list); len(effectsOf[SetReady](got)) > 0 || m.Phase() != Draining {
 		t.Errorf("%v in phase %v", got, m.Phase())
 	}
-	started := effectsOf[StartAttempt](m.Step(time.Hour+2*time.Millisecond, readRequest(1, time.Hour+2*time.Millisecond, time.Second)))
+	receivedAt := time.Hour + 2*time.Millisecond
+	started := effectsOf[StartAttempt](m.Step(receivedAt, readRequest(1, receivedAt, time.Second)))
 	if len(started) != 1 {
 		t.Fatalf("%v", started)
 	}
@@ -76,8 +80,9 @@
 		t.Errorf("repeated: %v in phase %v", got, m.Phase())
 	}
 	finished := &AttemptFinished{Attempt: started[0].Attempt, Result: admission.Succeeded}
-	if got := effectsOf[Respond](m.Step(time.Hour+acceptGrace+2*time.Millisecond, finished)); len(got) != 1 || got[0].Kind != Served {
-		t.Errorf("answered %v", got)
+	responses := effectsOf[Respond](m.Step(time.Hour+acceptGrace+2*time.Millisecond, finished))
+	if len(responses) != 1 || responses[0].Kind != Served {
+		t.Errorf("answered %v", responses)
 	}
 }
 
--- a/internal/core/metrics_test.go
+++ b/internal/core/metrics_test.go
@@ -21,7 +21,8 @@
 		}
 		return nil
 	}
-	if got := last(m.Step(now, &EndpointsUpdated{Kind: admission.ListDelta})); got == nil || got.Members != 2 || got.Unavailable != 1 {
+	got := last(m.Step(now, &EndpointsUpdated{Kind: admission.ListDelta}))
+	if got == nil || got.Members != 2 || got.Unavailable != 1 {
 		t.Errorf("at first: %+v, %v", got, first)
 	}
 	started := effectsOf[StartAttempt](m.Step(now, readRequest(1, now, time.Second)))
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -173,7 +173,9 @@
 	if _, open := m.open[id.Request]; open && result == admission.Succeeded {
 		m.succeeded = id.Request
 	}
-	m.step(&AttemptFinished{Attempt: id, Result: result, Report: []float64{0.5}, ResponseInvalid: result == admission.ConnectionLost})
+	m.step(&AttemptFinished{
+		Attempt: id, Result: result, Report: []float64{0.5}, ResponseInvalid: result == admission.ConnectionLost,
+	})
 }
 
 // updateEndpoint lists a backend in any state.
@@ -233,7 +235,8 @@
 		m.checkDeadlines(t)
 		m.step(ServerClosed{})
 		if len(m.open) > 0 || len(m.machine.requests.byID) > len(m.inFlight) || m.machine.Phase() != Stopped || !m.exited {
-			t.Fatalf("left at the end: %d requests without a response, %d kept, phase %v", len(m.open), len(m.machine.requests.byID), m.machine.Phase())
+			t.Fatalf("left at the end: %d requests without a response, %d kept, phase %v",
+				len(m.open), len(m.machine.requests.byID), m.machine.Phase())
 		}
 	})
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -37,7 +37,8 @@
 
 // onGossip hands a message about quotas and backends to the admission controller.
 func (m *Machine) onGossip(ev *PeerMessageReceived) {
-	if _, ok := gossip.Parse(ev.Data); !ok || !m.isLimiter(ev.From) {
+	_, ok := gossip.Parse(ev.Data)
+	if !ok || !m.isLimiter(ev.From) {
 		m.counters.PeerBad++
 		return
 	}
--- a/internal/core/reload_test.go
+++ b/internal/core/reload_test.go
@@ -20,7 +20,8 @@
 		t.Errorf("requested three times: read %d, %d, %d times", a, b, c)
 	}
 	got := m.Step(time.Hour, &ConfigReloaded{Discovery: "new:1"})
-	if watch := effectsOf[WatchEndpoints](got); len(watch) != 1 || watch[0].Addr != "new:1" || len(effectsOf[ReloadConfig](got)) != 1 {
+	watched := effectsOf[WatchEndpoints](got)
+	if len(watched) != 1 || watched[0].Addr != "new:1" || len(effectsOf[ReloadConfig](got)) != 1 {
 		t.Errorf("%+v, want the new address watched and the file read once more", got)
 	}
 	m.Step(time.Hour, ShutdownRequested{})
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -59,15 +59,18 @@
 		return m.Step(time.Hour, ev)
 	}
 	send(1)
-	if got := send(2); len(got) != 1 || got[0] != (Respond{Request: 2, Kind: DuplicateID}) || len(m.requests.byID) != 1 {
-		t.Errorf("the second brought %+v", got)
+	second := send(2)
+	if len(second) != 1 || second[0] != (Respond{Request: 2, Kind: DuplicateID}) || len(m.requests.byID) != 1 {
+		t.Errorf("the second brought %+v", second)
 	}
 	finished := &AttemptFinished{Attempt: AttemptID{1, 0}, Result: admission.Succeeded}
-	if got := effectsOf[Respond](m.Step(time.Hour, finished)); len(got) != 1 || got[0].Kind != Served {
-		t.Errorf("the first ended with %+v", got)
+	first := effectsOf[Respond](m.Step(time.Hour, finished))
+	if len(first) != 1 || first[0].Kind != Served {
+		t.Errorf("the first ended with %+v", first)
 	}
-	if got := effectsOf[StartAttempt](send(3)); len(got) != 1 || m.Counters().Malformed[OpenID] != 1 || len(m.requests.byCallID) != 1 {
-		t.Errorf("the third brought %+v", got)
+	third := effectsOf[StartAttempt](send(3))
+	if len(third) != 1 || m.Counters().Malformed[OpenID] != 1 || len(m.requests.byCallID) != 1 {
+		t.Errorf("the third brought %+v", third)
 	}
 }
 
