--- a/internal/checksum/checksum.go
+++ b/internal/checksum/checksum.go
@@ -1,5 +1,5 @@
-// Package checksum ends datagrams with a check against noise: what is none of ours must not be taken for
-// one. It is no guard against who means harm.
+// Package checksum ends datagrams with a checksum, so that noise and datagrams of other programs are
+// not taken for messages of a limiter. It is no protection against forged messages.
 package checksum
 
 import (
@@ -7,13 +7,13 @@
 	"hash/fnv"
 )
 
-// Size is how many bytes a seal takes.
+// Size is the size of a checksum in bytes.
 const Size = 4
 
-// Append adds the seal of data.
+// Append appends the checksum of all of data to data.
 func Append(data []byte) []byte { return binary.BigEndian.AppendUint32(data, sum(data)) }
 
-// Verify gives data without its seal, and tells whether that fits.
+// Verify returns data without the checksum at its end, and reports whether that checksum is right.
 func Verify(data []byte) ([]byte, bool) {
 	n := len(data) - Size
 	if n < 0 {
@@ -22,8 +22,9 @@
 	return data[:n], binary.BigEndian.Uint32(data[n:]) == sum(data[:n])
 }
 
+// sum is the FNV-1a hash of data.
 func sum(data []byte) uint32 {
-	h := fnv.New32a()
-	h.Write(data)
-	return h.Sum32()
+	hash := fnv.New32a()
+	_, _ = hash.Write(data) // never fails
+	return hash.Sum32()
 }
