--- a/internal/hotrestart/machine_test.go
+++ b/internal/hotrestart/machine_test.go
@@ -3,6 +3,7 @@
 import (
 	"flag"
 	"os"
+	"slices"
 	"testing"
 	"time"
 
@@ -22,67 +23,65 @@
 	os.Exit(m.Run())
 }
 
-// A side is one process as the world sees it.
+// side is one process, as the world sees it.
 type side struct {
 	*Machine
-	in      []Kind // sent to it and not read
-	ended   bool   // the other end of its stream is closed, behind what is in in
-	hung    bool   // it closed its own
-	linked  bool
-	dead    bool
-	stopped bool
-	quit    bool
-	admits  bool // as its effects said
-	last    time.Duration
+	inbox        []Kind // sent to it and not yet read
+	remoteClosed bool   // the other end of its link is closed, behind what is in inbox
+	closed       bool   // it has closed its own end
+	linked       bool
+	dead         bool
+	stopped      bool
+	quit         bool
+	admits       bool // by its effects
 }
 
-// A world is two processes and the stream between them.
+// world is two processes and the link between them.
 type world struct {
-	t       *rapid.T
-	now     time.Duration
-	elder   *side
-	heir    *side
-	none    time.Duration // since when nobody that runs admits
-	renewed bool
+	t           *rapid.T
+	now         time.Duration
+	predecessor *side
+	successor   *side
 }
 
-func (w *world) other(s *side) *side {
-	if s == w.elder {
-		return w.heir
+func (w *world) peer(s *side) *side {
+	if s == w.predecessor {
+		return w.successor
 	}
-	return w.elder
+	return w.predecessor
 }
 
-func (w *world) do(s *side, effects []Effect) {
+// carryOut carries out effects of one side, and fails if both admit.
+func (w *world) carryOut(s *side, effects []Effect) {
 	for _, e := range append([]Effect(nil), effects...) {
-		o := w.other(s)
+		peer := w.peer(s)
 		switch e := e.(type) {
 		case Send:
-			if s.linked && !o.hung && !o.dead {
-				o.in = append(o.in, e.Kind)
+			if s.linked && !peer.closed && !peer.dead {
+				peer.inbox = append(peer.inbox, e.Kind)
 			}
 		case StopAdmitting, ForwardRequests:
 			s.admits = false
 		case ResumeAdmitting, StartAdmitting:
 			s.admits = true
 		case StartFresh:
-			// The address must be free: another process that lives holds it.
-			s.admits = w.other(s).dead || w.other(s).quit
+			// A process that lives has the address: it must be free.
+			s.admits = peer.dead || peer.quit
 			s.quit = !s.admits
 		case Finish:
 			s.quit = true
 		case KillPeer:
-			w.kill(o)
+			w.kill(peer)
 		case CloseLink:
-			s.hung, o.ended = true, true
+			s.closed, peer.remoteClosed = true, true
 		case ConnectPredecessor:
-			w.link()
+			w.connect()
 		case Abort:
 			s.quit = true
 		}
 	}
-	if w.elder.admits && w.heir.admits && !w.elder.dead && !w.heir.dead {
-		w.t.Fatalf("both admit: elder %v, heir %v", w.elder.phase, w.heir.phase)
+	if w.predecessor.admits && w.successor.admits && !w.predecessor.dead && !w.successor.dead {
+		w.t.Fatalf("both admit: predecessor %v, successor %v", w.predecessor.phase, w.successor.phase)
 	}
 }
 
@@ -90,151 +89,151 @@
 func (w *world) kill(s *side) {
 	if !s.dead {
 		s.dead, s.admits, s.stopped = true, false, false
-		w.other(s).ended = true
+		w.peer(s).remoteClosed = true
 	}
 }
 
-// link connects the heir to the elder, if that one can be reached.
-func (w *world) link() {
-	for _, s := range []*side{w.elder, w.heir} {
-		s.in, s.ended, s.hung, s.linked = nil, false, false, true
+// connect connects the successor to the predecessor, if that one can be reached.
+func (w *world) connect() {
+	for _, s := range []*side{w.predecessor, w.successor} {
+		s.inbox, s.remoteClosed, s.closed, s.linked = nil, false, false, true
 	}
-	if w.elder.dead || w.elder.quit {
-		w.heir.ended = true
+	if w.predecessor.dead || w.predecessor.quit {
+		w.successor.remoteClosed = true
 		return
 	}
-	w.elder.in = append(w.elder.in, Hello)
+	w.predecessor.inbox = append(w.predecessor.inbox, Hello)
 }
 
-// read has a process take one thing in.
+// read has a process take in one message, or the end of the link.
 func (w *world) read(s *side) {
-	if s.dead || s.stopped || s.hung || !s.linked {
+	if s.dead || s.stopped || s.closed || !s.linked {
 		return
 	}
-	if len(s.in) > 0 {
-		k := s.in[0]
-		s.in = s.in[1:]
+	if len(s.inbox) > 0 {
+		k := s.inbox[0]
+		s.inbox = s.inbox[1:]
 		if k == Hello {
 			effects, ok := s.PeerConnected(w.now)
-			if w.do(s, effects); !ok {
-				w.do(s, []Effect{Send{Deny}, CloseLink{}})
+			if w.carryOut(s, effects); !ok {
+				w.carryOut(s, []Effect{Send{Deny}, CloseLink{}})
 			}
 			return
 		}
-		w.do(s, s.MessageReceived(w.now, k))
-	} else if s.ended {
-		s.hung = true
-		w.do(s, s.LinkClosed(w.now))
+		w.carryOut(s, s.MessageReceived(w.now, k))
+	} else if s.remoteClosed {
+		s.closed = true
+		w.carryOut(s, s.LinkClosed(w.now))
 	}
 }
 
 func (w *world) tick(s *side) {
 	if !s.dead && !s.stopped {
 		if at, ok := s.NextDeadline(); ok && at <= w.now {
-			w.do(s, s.Tick(w.now))
+			w.carryOut(s, s.Tick(w.now))
 		}
 	}
 }
 
-// Whatever crashes, stops, is late or told to end, and in whatever order: never two
-// processes admit, and once all that runs is left to itself one does, unless it was told
-// to end or nothing is left.
-func TestNeverTwoAdmit(t *testing.T) {
+// Whatever crashes, stops, is late or is requested to shut down, and in whatever order: two processes
+// never admit at once. Once what runs is left to itself one does admit, unless a shutdown was
+// requested or no process is left.
+func TestAtMostOneAdmits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := DefaultLimits()
-		w := &world{t: t, elder: &side{Machine: New(l, false, 0), admits: true}, heir: &side{Machine: New(l, true, 0)}}
-		w.link()
-		told := false
+		limits := DefaultLimits()
+		w := &world{t: t, predecessor: &side{Machine: New(limits, false, 0), admits: true}, successor: &side{Machine: New(limits, true, 0)}}
+		w.connect()
+		shutdownRequested := false
 		pick := func() *side {
-			if rapid.Bool().Draw(t, "elder") {
-				return w.elder
+			if rapid.Bool().Draw(t, "predecessor") {
+				return w.predecessor
 			}
-			return w.heir
+			return w.successor
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"read": func(t *rapid.T) { w.read(pick()) },
-			"readAll": func(t *rapid.T) {
+			"read all": func(t *rapid.T) {
 				for range 12 {
-					w.read(w.elder)
-					w.read(w.heir)
+					w.read(w.predecessor)
+					w.read(w.successor)
 				}
 			},
-			"pass": func(t *rapid.T) {
+			"pass time": func(t *rapid.T) {
 				w.now += time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * time.Millisecond
 				w.tick(pick())
 			},
-			"beat": func(t *rapid.T) {
+			"exchange heartbeats": func(t *rapid.T) {
 				for range 5 {
 					w.now += 10 * time.Millisecond
-					w.tick(w.heir)
-					w.read(w.elder)
-					w.tick(w.elder)
+					w.tick(w.successor)
+					w.read(w.predecessor)
+					w.tick(w.predecessor)
 				}
 			},
-			"stop": func(t *rapid.T) { s := pick(); s.stopped = !s.dead },
-			"go":   func(t *rapid.T) { pick().stopped = false },
+			"stop":  func(t *rapid.T) { s := pick(); s.stopped = !s.dead },
+			"go on": func(t *rapid.T) { pick().stopped = false },
 			"kill": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "sure") == 0 {
 					w.kill(pick())
 				}
 			},
-			"tell": func(t *rapid.T) {
+			"terminate": func(t *rapid.T) {
 				if s := pick(); !s.dead && !s.stopped && rapid.IntRange(0, 5).Draw(t, "sure") == 0 {
-					told = true
+					shutdownRequested = true
 					effects, _ := s.ShutdownRequested(w.now)
-					w.do(s, effects)
+					w.carryOut(s, effects)
 				}
 			},
 		})
-		// Left to itself: stopped ones stay stopped, as an operator may leave them.
+		// Left to itself: stopped processes stay stopped, as an operator may leave them.
 		for range 3000 {
 			w.now += 10 * time.Millisecond
-			for _, s := range []*side{w.elder, w.heir} {
+			for _, s := range []*side{w.predecessor, w.successor} {
 				for range 5 {
 					w.read(s)
 				}
 				w.tick(s)
 			}
 		}
-		if told || w.elder.admits != w.heir.admits {
+		if shutdownRequested || w.predecessor.admits != w.successor.admits {
 			return
 		}
 		left := func(s *side) bool { return !s.dead && !s.quit && !s.stopped }
-		if left(w.elder) || left(w.heir) && w.elder.dead {
-			t.Fatalf("nobody admits: elder %v %+v, heir %v %+v", w.elder.phase, w.elder, w.heir.phase, w.heir)
+		if left(w.predecessor) || left(w.successor) && w.predecessor.dead {
+			t.Fatalf("no process admits: predecessor %v %+v, successor %v %+v", w.predecessor.phase, w.predecessor, w.successor.phase, w.successor)
 		}
 	})
 }
 
-// With nothing in the way each side goes through its phases, and the heir admits for good.
-func TestTakeover(t *testing.T) {
-	l := DefaultLimits()
-	e, h := New(l, false, 0), New(l, true, 0)
-	if _, ok := e.PeerConnected(0); !ok || !e.Admits() || h.Admits() {
+// With nothing in the way each side goes through its phases, and the successor admits for good.
+func TestHotRestart(t *testing.T) {
+	limits := DefaultLimits()
+	predecessor, successor := New(limits, false, 0), New(limits, true, 0)
+	if _, ok := predecessor.PeerConnected(0); !ok || !predecessor.Admits() || successor.Admits() {
 		t.Fatal("not offered")
 	}
-	if _, again := e.PeerConnected(0); again {
-		t.Error("a third process is offered a takeover as well")
+	if _, again := predecessor.PeerConnected(0); again {
+		t.Error("a third process is offered a hot restart as well")
 	}
-	h.MessageReceived(0, Offer)
-	if effects := e.MessageReceived(0, Prepared); len(effects) != 2 || effects[0] != (StopAdmitting{}) || effects[1] != (Send{Transfer}) {
-		t.Errorf("what is admitted behind the state is counted by nobody: %v", effects)
+	successor.MessageReceived(0, Offer)
+	if effects := predecessor.MessageReceived(0, Prepared); !slices.Equal(effects, []Effect{StopAdmitting{}, Send{Transfer}}) {
+		t.Errorf("what is admitted after the state is counted by no process: %v", effects)
 	}
-	h.MessageReceived(0, Transfer)
-	if e.Admits() || h.Admits() {
-		t.Error("somebody admits while the state is on its way")
+	successor.MessageReceived(0, Transfer)
+	if predecessor.Admits() || successor.Admits() {
+		t.Error("a process admits while the state is in transit")
 	}
-	if effects := e.MessageReceived(0, Adopted); len(effects) != 2 || effects[0] != (Send{Commit}) || effects[1] != (ForwardRequests{}) {
-		t.Errorf("what comes from now on is decided by nobody: %v", effects)
+	if effects := predecessor.MessageReceived(0, Adopted); !slices.Equal(effects, []Effect{Send{Commit}, ForwardRequests{}}) {
+		t.Errorf("requests from now on are decided by no process: %v", effects)
 	}
-	h.MessageReceived(0, Commit)
-	if e.Admits() || !h.Admits() || e.Phase() != Probation || h.Phase() != Serving {
-		t.Errorf("%v, %v", e.Phase(), h.Phase())
+	successor.MessageReceived(0, Commit)
+	if predecessor.Admits() || !successor.Admits() || predecessor.Phase() != Probation || successor.Phase() != Serving {
+		t.Errorf("%v, %v", predecessor.Phase(), successor.Phase())
 	}
-	if effects, alone := e.ShutdownRequested(0); alone || len(effects) != 2 || effects[0] != (Send{Final}) || effects[1] != (Finish{}) {
-		t.Errorf("told to end: %v", effects)
+	if effects, alone := predecessor.ShutdownRequested(0); alone || !slices.Equal(effects, []Effect{Send{Final}, Finish{}}) {
+		t.Errorf("shutdown requested: %v", effects)
 	}
-	if effects := h.MessageReceived(0, Final); len(effects) != 1 || effects[0] != (RunAlone{}) || h.Phase() != Alone {
-		t.Errorf("%v, %v", effects, h.Phase())
+	if effects := successor.MessageReceived(0, Final); !slices.Equal(effects, []Effect{RunAlone{}}) || successor.Phase() != Alone {
+		t.Errorf("%v, %v", effects, successor.Phase())
 	}
 }
--- /dev/null
+++ b/internal/hotrestart/predecessor.go
@@ -0,0 +1,123 @@
+package hotrestart
+
+import "time"
+
+// predecessorState is what the predecessor remembers of its successor during probation.
+type predecessorState struct {
+	lastHeartbeatAt time.Duration
+	checkedAt       time.Duration // when heartbeats were last looked at
+	longestSilence  time.Duration
+}
+
+// PeerConnected takes in that a successor has sent Hello. It reports whether that process is the other
+// side from now on; it is not while another hot restart is in progress or this process shuts down.
+func (m *Machine) PeerConnected(now time.Duration) (effects []Effect, ok bool) {
+	if m.phase != Alone || m.shutdownRequested {
+		return nil, false
+	}
+	m.enter(Offered, now+m.limits.PrepareTimeout)
+	m.emit(Send{Offer})
+	return m.takeEffects(), true
+}
+
+// onPrepared transfers the state to a successor that is prepared.
+func (m *Machine) onPrepared(now time.Duration) {
+	if m.phase != Offered {
+		return
+	}
+	m.enter(Transferring, now+m.limits.TransferTimeout)
+	m.emit(StopAdmitting{}, Send{Transfer})
+}
+
+// onAdopted lets a successor that has the state admit, and begins probation.
+func (m *Machine) onAdopted(now time.Duration) {
+	if m.phase != Transferring {
+		return
+	}
+	m.enter(Probation, now+m.limits.ProbationDuration)
+	m.predecessor = predecessorState{lastHeartbeatAt: now, checkedAt: now}
+	m.emit(Send{Commit}, ForwardRequests{})
+	if m.shutdownRequested {
+		m.commit()
+	}
+}
+
+func (m *Machine) onHeartbeat(now time.Duration) {
+	if m.phase != Probation {
+		return
+	}
+	p := &m.predecessor
+	p.longestSilence = max(p.longestSilence, now-p.lastHeartbeatAt)
+	p.lastHeartbeatAt = now
+}
+
+// onSuccessorLost admits again after the end of the link.
+func (m *Machine) onSuccessorLost() {
+	switch m.phase {
+	case Transferring:
+		m.emit(ResumeAdmitting{})
+	case Probation:
+		m.emit(ResumeAdmitting{NewEpoch: true})
+	}
+	m.enter(Alone, 0)
+}
+
+// shutDownPredecessor reports whether the process shuts down as one that is alone. During a transfer
+// it does what is due later: it commits with Adopted, or the owner shuts it down when it admits again.
+func (m *Machine) shutDownPredecessor() (alone bool) {
+	switch m.phase {
+	case Offered:
+		m.withdraw()
+		return true
+	case Probation:
+		if !m.killing {
+			m.commit()
+		}
+	}
+	return false
+}
+
+func (m *Machine) tickPredecessor(now time.Duration, due bool) {
+	switch m.phase {
+	case Offered:
+		if due {
+			m.withdraw()
+		}
+	case Transferring:
+		if due {
+			m.withdraw()
+			m.emit(ResumeAdmitting{})
+		}
+	case Probation:
+		m.checkHeartbeat(now, due)
+	}
+}
+
+// checkHeartbeat kills a successor that is silent for too long, and commits after probation. If this
+// process itself did not run for a while, heartbeats may be unread, and the silence counts from now.
+func (m *Machine) checkHeartbeat(now time.Duration, due bool) {
+	p := &m.predecessor
+	if now-p.checkedAt > m.limits.HeartbeatTimeout/2 {
+		p.lastHeartbeatAt = max(p.lastHeartbeatAt, now)
+	}
+	p.checkedAt = now
+	switch {
+	case now-p.lastHeartbeatAt > m.limits.HeartbeatTimeout:
+		m.kill()
+	case due:
+		m.commit()
+	}
+}
+
+// commit leaves admitting to the successor for good.
+func (m *Machine) commit() {
+	m.enter(Committed, 0)
+	m.emit(Send{Final}, Finish{})
+}
+
+// withdraw ends a hot restart before the commit. The successor reads it before the end of the link,
+// which it would otherwise take for the death of this process.
+func (m *Machine) withdraw() {
+	m.enter(Alone, 0)
+	m.emit(Send{Withdraw}, CloseLink{})
+}
--- /dev/null
+++ b/internal/hotrestart/successor.go
@@ -0,0 +1,127 @@
+package hotrestart
+
+import "time"
+
+// successorState is what the successor remembers.
+type successorState struct {
+	attempts        int           // hot restarts begun
+	nextHeartbeatAt time.Duration // while serving
+}
+
+// greet begins a hot restart: Hello goes with the connection.
+func (m *Machine) greet(now time.Duration) {
+	m.successor.attempts++
+	m.enter(Greeting, now+m.limits.HelloTimeout)
+}
+
+// onOffer reports that this process is prepared. From here on it sets no deadline: the predecessor
+// does, and one that hangs may still admit.
+func (m *Machine) onOffer() {
+	if m.phase != Greeting {
+		return
+	}
+	m.enter(Receiving, 0)
+	m.emit(Send{Prepared})
+}
+
+func (m *Machine) onDeny() {
+	if m.phase != Greeting {
+		return
+	}
+	m.emit(CloseLink{})
+	m.startFresh()
+}
+
+// onTransfer acknowledges the state.
+func (m *Machine) onTransfer(now time.Duration) {
+	if m.phase != Receiving {
+		return
+	}
+	m.enter(Adopting, now+m.limits.CommitTimeout)
+	m.emit(Send{Adopted})
+}
+
+// onCommit starts to admit, with the first heartbeat.
+func (m *Machine) onCommit(now time.Duration) {
+	if m.phase != Adopting {
+		return
+	}
+	m.enter(Serving, 0)
+	m.emit(StartAdmitting{})
+	m.successor.nextHeartbeatAt = now
+	m.sendHeartbeat(now)
+}
+
+// onWithdraw begins the hot restart again, up to a number of attempts.
+func (m *Machine) onWithdraw(now time.Duration) {
+	if m.phase != Receiving && m.phase != Adopting {
+		return
+	}
+	if m.successor.attempts >= m.limits.MaxAttempts {
+		m.abandon("the predecessor withdrew each time, see its log")
+		return
+	}
+	m.emit(CloseLink{}, ConnectPredecessor{})
+	m.greet(now)
+}
+
+func (m *Machine) onFinal() {
+	if m.phase != Serving {
+		return
+	}
+	m.enter(Alone, 0)
+	m.emit(RunAlone{})
+}
+
+// onPredecessorLost goes on without the predecessor after the end of the link: by its state if that
+// has come completely.
+func (m *Machine) onPredecessorLost() {
+	switch m.phase {
+	case Greeting, Receiving:
+		m.startFresh()
+		return
+	case Adopting:
+		m.emit(StartAdmitting{}, RunAlone{})
+	case Serving:
+		m.emit(RunAlone{})
+	}
+	m.enter(Alone, 0)
+}
+
+func (m *Machine) tickSuccessor(now time.Duration, due bool) {
+	switch m.phase {
+	case Greeting:
+		if due {
+			m.emit(CloseLink{})
+			m.startFresh()
+		}
+	case Adopting:
+		if due { // no process admits, and the predecessor might when it continues
+			m.kill()
+		}
+	case Serving:
+		m.sendHeartbeat(now)
+	}
+}
+
+// sendHeartbeat sends a heartbeat if one is due.
+func (m *Machine) sendHeartbeat(now time.Duration) {
+	if now < m.successor.nextHeartbeatAt {
+		return
+	}
+	m.successor.nextHeartbeatAt = now + m.limits.HeartbeatInterval
+	m.emit(Send{Heartbeat})
+}
+
+// startFresh starts without a predecessor's state. One that lives has the address for a while yet, and
+// so may one that dies, as its sockets are closed one after the other.
+func (m *Machine) startFresh() {
+	m.enter(Alone, 0)
+	m.emit(StartFresh{Wait: true})
+}
+
+// abandon ends this process, which never admitted.
+func (m *Machine) abandon(reason string) {
+	m.enter(Abandoned, 0)
+	m.emit(CloseLink{}, Abort{Reason: reason})
+}
