--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -1,81 +1,69 @@
 package lease
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-// Settings are what a limiter is told of leases.
+// Settings are the settings of an Agent.
 type Settings struct {
 	Tasks         []string
-	AcceptorCount int           // of each task, at most as many as there are limiters
+	AcceptorCount int           // acceptors per task, at most as many as there are limiters
 	Duration      time.Duration // of a lease
-	ClockDrift    float64       // most that a clock's rate is off, as a part
+	ClockDrift    float64       // the most by which a clock's rate is off, as a fraction
 
-	Self, Limiters int
-	Epoch          uint32 // grows with each start of the process
+	Self, Limiters int    // this limiter, and how many there are
+	Epoch          uint32 // greater with each start of the process
 	MinToken       uint64 // the wall clock at the start, in ms
 }
 
-// Counts count what became of a task's lease here.
-type Counts struct {
-	Won             uint64 `json:"won"`
-	Renewed         uint64 `json:"renewed"`
-	Lost            uint64 `json:"lost"`    // it ran out
-	Released        uint64 `json:"given"`   // given back
-	RejectedLate    uint64 `json:"refused"` // acts that came too late
-	InvalidMessages uint64 `json:"bad"`     // messages that did not belong
-	Waited          uint64 `json:"waited"`  // asked as a keeper that still kept out after its start
-}
-
-// A View is how a task stands, as seen here.
-type View struct {
-	Task         string        `json:"task"`
-	Acceptors    []Limiter     `json:"keepers"`
-	IsAcceptor   bool          `json:"keeps"`  // this limiter takes part as a keeper
-	Phase        string        `json:"phase"`  // of its own try
-	Holder       int           `json:"holder"` // as last told here; -1 for none
-	Holds        bool          `json:"holds"`
-	Token        uint64        `json:"token"` // of this limiter's lease
-	ValidFor     time.Duration `json:"for"`   // that it may still act
-	HighestToken uint64        `json:"known"` // the greatest token heard of
-	Payload      uint64        `json:"mark"`  // the greatest mark heard of
-	Counts       Counts        `json:"counts"`
-}
-
-// An Agent has all tasks of one limiter. It is not safe for concurrent use.
+// Agent takes part for one limiter in the agreement on all tasks, as acceptor and as proposer. It is not
+// safe for concurrent use. Where a method takes chance, that returns a random number from 0 to 1.
 type Agent struct {
 	self  Limiter
 	tasks []*task
 }
 
+// task is one task of an Agent.
 type task struct {
-	name     string
-	config   Config
-	acceptor *Acceptor // nil where this limiter keeps it not
-	proposer Proposer
-	until    time.Duration
-	counts   Counts
+	name         string
+	config       Config
+	acceptor     *Acceptor // nil if this limiter is no acceptor of the task
+	proposer     Proposer
+	countedUntil time.Duration // until when the lease is held that counts has last; 0 for none
+	counts       Counts
 }
 
-// NewAgent starts with nothing known, at a time.
+// NewAgent returns an agent that starts now and knows of no lease.
 func NewAgent(s Settings, now time.Duration) *Agent {
 	a := &Agent{self: Limiter(s.Self)}
 	for _, name := range s.Tasks {
-		hash := TaskID(name)
-		c := Config{
-			Task: hash, Self: a.self, Epoch: s.Epoch, Acceptors: AcceptorsOf(hash, max(s.Limiters, 1), s.AcceptorCount), Candidates: s.Limiters,
-			Duration: s.Duration, ClockDrift: s.ClockDrift, MinToken: s.MinToken,
-		}
-		t := &task{name: name, config: c, proposer: NewProposer(c)}
-		for _, k := range c.Acceptors {
-			if k == a.self {
-				keeper := NewAcceptor(c, now)
-				t.acceptor = &keeper
-			}
-		}
-		a.tasks = append(a.tasks, t)
+		a.tasks = append(a.tasks, newTask(s, name, now))
 	}
 	return a
 }
 
+func newTask(s Settings, name string, now time.Duration) *task {
+	id := TaskID(name)
+	c := Config{
+		Task:       id,
+		Self:       Limiter(s.Self),
+		Epoch:      s.Epoch,
+		Acceptors:  AcceptorsOf(id, max(s.Limiters, 1), s.AcceptorCount),
+		Candidates: s.Limiters,
+		Duration:   s.Duration,
+		ClockDrift: s.ClockDrift,
+		MinToken:   s.MinToken,
+	}
+	t := &task{name: name, config: c, proposer: NewProposer(c)}
+	if slices.Contains(c.Acceptors, c.Self) {
+		acceptor := NewAcceptor(c, now)
+		t.acceptor = &acceptor
+	}
+	return t
+}
+
+// task returns a task by its name, nil for none.
 func (a *Agent) task(name string) *task {
 	for _, t := range a.tasks {
 		if t.name == name {
@@ -85,20 +73,32 @@
 	return nil
 }
 
-// SetWanted sets whether a task's lease is wanted.
-func (a *Agent) SetWanted(now time.Duration, name string, is bool, chance func() float64) []Envelope {
+// taskByID returns a task by its ID in messages, nil for none.
+func (a *Agent) taskByID(id uint32) *task {
+	for _, t := range a.tasks {
+		if t.config.Task == id {
+			return t
+		}
+	}
+	return nil
+}
+
+// SetWanted sets whether a task's lease is wanted; one that is held and no longer wanted is released. It
+// returns what is to be sent.
+func (a *Agent) SetWanted(now time.Duration, name string, wanted bool, chance func() float64) []Envelope {
 	t := a.task(name)
 	if t == nil {
 		return nil
 	}
-	if _, _, held := t.proposer.Holds(now); held && !is {
+	if _, _, held := t.proposer.Holds(now); held && !wanted {
 		t.counts.Released++
-		t.until = 0
+		t.countedUntil = 0
 	}
-	return a.deliverLocal(now, t.proposer.SetWanted(now, is, chance()), chance)
+	return a.deliverLocal(now, t.proposer.SetWanted(now, wanted, chance()), chance)
 }
 
-// Holds gives a task's token and the instant from which on nothing may be begun under it.
+// Holds reports whether this limiter holds a task's lease, with its fencing token and the time from
+// which on nothing may be begun under it.
 func (a *Agent) Holds(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	if t := a.task(name); t != nil {
 		return t.proposer.Holds(now)
@@ -106,17 +106,15 @@
 	return 0, 0, false
 }
 
-// Holder gives who holds a task's lease, as far as this limiter was told of late: one that renewed it
-// since may have lost it by now.
-func (a *Agent) Holder(name string) (who Limiter, known bool) {
-	t := a.task(name)
-	if t == nil {
-		return 0, false
+// Holder returns the holder of a task's lease as last learned here; it may have lost the lease since.
+func (a *Agent) Holder(name string) (holder Limiter, known bool) {
+	if t := a.task(name); t != nil {
+		return t.proposer.holder, t.proposer.holderKnown
 	}
-	return t.proposer.holder, t.proposer.holds
+	return 0, false
 }
 
-// Payload gives the greatest mark of a task that is known here; see Contender.Mark.
+// Payload returns the greatest payload of a task that is known here; see Proposer.Payload.
 func (a *Agent) Payload(name string) uint64 {
 	if t := a.task(name); t != nil {
 		return t.proposer.Payload()
@@ -124,85 +122,48 @@
 	return 0
 }
 
-// SetPayload has the holder of a task set a mark, and tells whether it stands; see Contender.SetMark.
-func (a *Agent) SetPayload(now time.Duration, name string, mark uint64) bool {
+// SetPayload sets the payload of a task whose lease is held here, and reports whether a quorum has
+// accepted it; see Proposer.SetPayload.
+func (a *Agent) SetPayload(now time.Duration, name string, payload uint64) bool {
 	t := a.task(name)
-	return t != nil && t.proposer.SetPayload(now, mark)
+	return t != nil && t.proposer.SetPayload(now, payload)
 }
 
-// RecordLateAction books an act that came after its lease's end, and was not begun.
+// RecordLateAction counts an action that was not begun as the lease had ended.
 func (a *Agent) RecordLateAction(name string) {
 	if t := a.task(name); t != nil {
 		t.counts.RejectedLate++
 	}
 }
 
-// HandleMessage takes a message of another limiter in.
+// HandleMessage takes in a message of another limiter, and returns what is to be sent.
 func (a *Agent) HandleMessage(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
-	for _, t := range a.tasks {
-		if t.config.Task == m.Task {
-			return a.deliverLocal(now, a.deliver(t, now, from, m, chance), chance)
-		}
-	}
-	return nil
-}
-
-func (a *Agent) deliver(t *task, now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
-	if m.Kind == Prepare || m.Kind == Propose {
-		if m.Ballot.By != from || t.acceptor == nil { // another's ballot, or a list of keepers that is not ours
-			t.counts.InvalidMessages++
-			return nil
-		}
-	}
-	out := t.proposer.HandleMessage(now, from, m, chance())
-	if t.acceptor != nil {
-		if answer, ok := t.acceptor.HandleMessage(now, from, m); ok {
-			out = append(out, Envelope{from, answer})
-		} else if m.Kind == Prepare || m.Kind == Propose {
-			t.counts.Waited++
-		}
-	}
-	t.recordChange(now)
-	return out
-}
-
-// recordChange counts what changed.
-func (t *task) recordChange(now time.Duration) {
-	_, until, ok := t.proposer.Holds(now)
-	switch {
-	case !ok && t.until > 0:
-		t.counts.Lost++
-		t.until = 0
-	case ok && t.until == 0:
-		t.counts.Won++
-		t.until = until
-	case ok && until > t.until:
-		t.counts.Renewed++
-		t.until = until
+	t := a.taskByID(m.Task)
+	if t == nil {
+		return nil
 	}
+	return a.deliverLocal(now, t.deliver(now, from, m, chance), chance)
 }
 
-// Tick does what is due, and tells when it wants to be called again; 0 for never.
+// Tick does what is due, and returns what is to be sent and when it has to be called again; 0 for never.
 func (a *Agent) Tick(now time.Duration, chance func() float64) (out []Envelope, due time.Duration) {
 	for _, t := range a.tasks {
-		sent, at := t.proposer.Tick(now, chance())
-		t.recordChange(now)
-		if t.acceptor != nil {
-			more, again := t.acceptor.Tick(now)
-			sent = append(sent, more...)
-			if again > 0 && (at == 0 || again < at) {
-				at = again
-			}
-		}
+		sent, next := t.tick(now, chance)
 		out = append(out, a.deliverLocal(now, sent, chance)...)
-		if at > 0 && (due == 0 || at < due) {
-			due = at
-		}
+		due = earliest(due, next)
 	}
 	return out, due
 }
 
-// deliverLocal takes in at once what this limiter says to itself, and gives what is for others.
+// earliest returns the earlier of two times, of which 0 is never.
+func earliest(a, b time.Duration) time.Duration {
+	if a == 0 || b == 0 {
+		return max(a, b)
+	}
+	return min(a, b)
+}
+
+// deliverLocal delivers messages of this limiter to itself at once, and returns those to others.
 func (a *Agent) deliverLocal(now time.Duration, out []Envelope, chance func() float64) (others []Envelope) {
 	for len(out) > 0 {
 		e := out[0]
@@ -211,72 +172,78 @@
 			others = append(others, e)
 			continue
 		}
-		for _, t := range a.tasks {
-			if t.config.Task == e.Message.Task {
-				out = append(out, a.deliver(t, now, a.self, e.Message, chance)...)
-			}
+		if t := a.taskByID(e.Message.Task); t != nil {
+			out = append(out, t.deliver(now, a.self, e.Message, chance)...)
 		}
 	}
 	return others
 }
 
-// A AcceptorState is what a keeper remembers, on its way to another process of its limiter.
-type AcceptorState struct {
-	Task             uint32        `json:"Task"`
-	StartedAt        time.Duration `json:"Born"` // by the clock that both go by
-	Promised         Ballot        `json:"Promised"`
-	Accepted         Ballot        `json:"Under"` // of the lease that it has noted, until Until
-	Incarnation      uint32        `json:"Life"`
-	Token            uint64        `json:"Token"`
-	Until            time.Duration `json:"Until"`
-	HighestToken     uint64        `json:"Known"`
-	Payload          uint64        `json:"Mark"`
-	Replied          []Limiter     `json:"Told"`
-	RepliedAcceptors []Limiter     `json:"Sure"`
+// deliver hands a message to the proposer and to the acceptor. A proposal with the ballot of another
+// limiter, or from a limiter with another list of acceptors, is ignored.
+func (t *task) deliver(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
+	isProposal := m.Kind == Prepare || m.Kind == Propose
+	if isProposal && (m.Ballot.By != from || t.acceptor == nil) {
+		t.counts.InvalidMessages++
+		return nil
+	}
+	out := t.proposer.HandleMessage(now, from, m, chance())
+	if t.acceptor != nil {
+		reply, ok := t.acceptor.HandleMessage(now, from, m)
+		switch {
+		case ok:
+			out = append(out, Envelope{from, reply})
+		case isProposal:
+			t.counts.Waited++
+		}
+	}
+	t.recordChange(now)
+	return out
 }
 
-// State packs what this limiter's keepers remember. The agent must answer nobody after it: whoever
-// inherits goes on where it stands.
-func (a *Agent) State() (list []AcceptorState) {
-	for _, t := range a.tasks {
-		if k := t.acceptor; k != nil {
-			list = append(list, AcceptorState{
-				Task: k.Task, StartedAt: k.startedAt, Promised: k.promised, Accepted: k.accepted.ballot, Incarnation: k.accepted.incarnation,
-				Token: k.accepted.token, Until: k.accepted.until, HighestToken: k.highestToken, Payload: k.payload, Replied: k.replied, RepliedAcceptors: k.repliedAcceptors,
-			})
-		}
+func (t *task) tick(now time.Duration, chance func() float64) (out []Envelope, due time.Duration) {
+	out, due = t.proposer.Tick(now, chance())
+	t.recordChange(now)
+	if t.acceptor == nil {
+		return out, due
 	}
-	return list
+	queries, next := t.acceptor.Tick(now)
+	return append(out, queries...), earliest(due, next)
 }
 
-// Restore has the keepers go on with what those of another process of this limiter remembered. It is
-// lost if that process ever answers again: then it starts empty.
-func (a *Agent) Restore(list []AcceptorState) {
-	for _, x := range list {
-		for _, t := range a.tasks {
-			if k := t.acceptor; k != nil && k.Task == x.Task {
-				k.startedAt, k.promised, k.highestToken, k.payload = x.StartedAt, x.Promised, max(k.highestToken, x.HighestToken), max(k.payload, x.Payload)
-				k.accepted = accepted{ballot: x.Accepted, holder: x.Accepted.By, incarnation: x.Incarnation, token: x.Token, until: x.Until}
-				k.replied, k.repliedAcceptors = x.Replied, x.RepliedAcceptors
-			}
-		}
+// recordChange counts what has become of the lease.
+func (t *task) recordChange(now time.Duration) {
+	_, until, held := t.proposer.Holds(now)
+	switch {
+	case !held && t.countedUntil > 0:
+		t.counts.Lost++
+		t.countedUntil = 0
+	case held && t.countedUntil == 0:
+		t.counts.Won++
+		t.countedUntil = until
+	case held && until > t.countedUntil:
+		t.counts.Renewed++
+		t.countedUntil = until
 	}
 }
 
-// Views tell how all tasks stand.
-func (a *Agent) Views(now time.Duration) (list []View) {
+// State returns what this limiter's acceptors remember, for another process of this limiter. The agent
+// must not be used after it: the acceptors go on there.
+func (a *Agent) State() (list []AcceptorState) {
 	for _, t := range a.tasks {
-		v := View{
-			Task: t.name, Acceptors: t.config.Acceptors, IsAcceptor: t.acceptor != nil && t.acceptor.Active(now), Phase: t.proposer.Phase().String(),
-			Holder: -1, HighestToken: t.proposer.highestToken, Payload: t.proposer.payload, Counts: t.counts,
-		}
-		if t.proposer.holds {
-			v.Holder = int(t.proposer.holder)
-		}
-		if token, until, ok := t.proposer.Holds(now); ok {
-			v.Holds, v.Token, v.ValidFor = true, token, until-now
+		if t.acceptor != nil {
+			list = append(list, t.acceptor.state())
 		}
-		list = append(list, v)
 	}
 	return list
 }
+
+// Restore has the acceptors go on from what those of another process of this limiter remembered. If
+// that process ever votes again, it has to start with empty acceptors.
+func (a *Agent) Restore(list []AcceptorState) {
+	for _, s := range list {
+		if t := a.taskByID(s.Task); t != nil && t.acceptor != nil {
+			t.acceptor.restore(s)
+		}
+	}
+}
--- a/internal/lease/format_test.go
+++ b/internal/lease/format_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 
+	jsoniter "github.com/json-iterator/go"
+
 	"lemongate/internal/golden"
 )
 
@@ -34,7 +36,10 @@
 	}
 }
 
-// What operators are shown of leases has the fields that scripts read.
+// viewCodec writes views as internal/admin does.
+var viewCodec = jsoniter.ConfigDefault
+
+// The view of a lease has the fields that scripts read.
 func TestViewOfEarlierRelease(t *testing.T) {
 	for pattern := range 2 {
 		var v View
@@ -47,7 +52,7 @@
 	}
 }
 
-// The phases of a contender are told by the names of 0.8.0.
+// The phases of a proposer have the names that they had in 0.8.0.
 func TestPhaseNamesOfEarlierRelease(t *testing.T) {
 	var names []byte
 	for phase := Idle; phase <= Proposing; phase++ {
--- /dev/null
+++ b/internal/lease/proposer.go
@@ -0,0 +1,332 @@
+package lease
+
+import (
+	"slices"
+	"time"
+)
+
+// Times of a proposer, in lease durations.
+const (
+	renewAfter      = 0.4  // from the start of the attempt that got or renewed the lease
+	attemptTimeout  = 0.1  // of an attempt at all acceptors
+	probeTimeout    = 0.05 // of a question to one acceptor, before that
+	payloadInterval = 0.02 // at least, between two attempts that carry new payloads
+	minBackoff      = 0.05 // after a failed attempt; doubled with each further one
+	maxBackoff      = 0.5
+	maxDoublings    = 4
+)
+
+// fewCandidates is how many candidates attempt without a longer backoff. More of them together send as
+// much as these.
+const fewCandidates = 8
+
+// Phase is a stage of a proposer.
+type Phase uint8
+
+// The phases.
+const (
+	Idle      Phase = iota // the lease is not wanted
+	Waiting                // until the next attempt
+	Preparing              // waits for promises
+	Proposing              // waits for accepts
+	numPhases
+)
+
+// String returns the name of a phase, as operators have seen it since 0.8.0.
+func (p Phase) String() string {
+	return [numPhases]string{Idle: "idle", Waiting: "waiting", Preparing: "preparing", Proposing: "proposing"}[p]
+}
+
+// Proposer gets and renews the lease of one task for its limiter. It is not safe for concurrent use;
+// see NewProposer.
+type Proposer struct {
+	Config
+	phase    Phase
+	wanted   bool
+	nextAt   time.Duration // of the next attempt, or of the timeout of the current one
+	failures int           // attempts in a row that failed
+
+	// The current attempt.
+	ballot          Ballot
+	startedAt       time.Duration
+	votes           []Limiter // acceptors that promised, or accepted, the ballot
+	rejections      []Limiter // acceptors that did not
+	probing         bool      // only one acceptor was asked so far
+	probeUnanswered bool      // the last probe had no reply
+	proposedToken   uint64
+	proposedPayload uint64
+
+	// What is known of the tier.
+	round        uint32  // the greatest
+	highestToken uint64  // the greatest
+	payload      uint64  // the greatest
+	holder       Limiter // as last learned, if holderKnown
+	holderKnown  bool
+
+	// The lease of this limiter.
+	token           uint64 // 0 for none
+	acceptedBallot  Ballot // that got or renewed it last
+	acceptedPayload uint64 // the greatest that a quorum has accepted from this proposer
+	until           time.Duration
+}
+
+// NewProposer returns a proposer that does not want the lease.
+func NewProposer(c Config) Proposer { return Proposer{Config: c, highestToken: c.MinToken} }
+
+// Phase returns the current phase.
+func (p *Proposer) Phase() Phase { return p.phase }
+
+// Holds reports whether this limiter holds the lease, with the fencing token of the lease and the time
+// from which on nothing may be begun under it.
+func (p *Proposer) Holds(now time.Duration) (token uint64, until time.Duration, ok bool) {
+	return p.token, p.until, p.token > 0 && now < p.until
+}
+
+// Payload returns the greatest payload known. A lease holder knows every payload that was set: a quorum
+// has accepted it, and any quorum of promises reports it.
+func (p *Proposer) Payload() uint64 { return p.payload }
+
+// SetPayload sets a greater payload. It reports whether a quorum has accepted it under this lease, so
+// that every later lease holder knows it; until then the call has to be repeated.
+func (p *Proposer) SetPayload(now time.Duration, payload uint64) bool {
+	if _, _, held := p.Holds(now); !held {
+		return false
+	}
+	if p.acceptedPayload >= payload {
+		return true
+	}
+	p.payload = max(p.payload, payload)
+	if p.phase == Waiting {
+		earliest := max(now, p.startedAt+p.durationFraction(payloadInterval))
+		p.nextAt = min(p.nextAt, earliest)
+	}
+	return false
+}
+
+// SetWanted sets whether the lease is wanted. One that is held and no longer wanted is released. Chance,
+// 0 to 1, spreads the first attempts of many candidates.
+func (p *Proposer) SetWanted(now time.Duration, wanted bool, chance float64) []Envelope {
+	if p.wanted == wanted {
+		return nil
+	}
+	p.wanted = wanted
+	if !wanted {
+		return p.release(now)
+	}
+	p.phase, p.failures = Waiting, 0
+	p.nextAt = now + p.durationFraction((p.crowding()-1)*maxBackoff*chance)
+	return nil
+}
+
+func (p *Proposer) release(now time.Duration) (out []Envelope) {
+	if _, _, held := p.Holds(now); held {
+		out = p.broadcast(Message{Kind: Release, Ballot: p.acceptedBallot})
+	}
+	p.phase, p.token, p.until = Idle, 0, 0
+	return out
+}
+
+// Tick does what is due, and returns when it has to be called again; 0 for never. Chance, 0 to 1,
+// spreads the attempts of many candidates.
+func (p *Proposer) Tick(now time.Duration, chance float64) (out []Envelope, due time.Duration) {
+	if p.token > 0 && now >= p.until {
+		p.token, p.until = 0, 0
+	}
+	if p.phase == Idle {
+		return nil, 0
+	}
+	if now >= p.nextAt {
+		out = p.advance(now, chance)
+	}
+	due = p.nextAt
+	if p.token > 0 {
+		due = min(due, p.until)
+	}
+	return out, due
+}
+
+// advance begins an attempt, or ends what has timed out.
+func (p *Proposer) advance(now time.Duration, chance float64) []Envelope {
+	switch {
+	case p.phase == Waiting:
+		return p.startAttempt(now)
+	case p.probing:
+		p.probeUnanswered = true
+		return p.prepareAll(now)
+	}
+	p.backOff(now, chance)
+	return nil
+}
+
+// startAttempt begins an attempt with a new ballot. A proposer without a lease probes one acceptor
+// first, its own if there is one: mostly another limiter holds the lease, and all acceptors would
+// report just that.
+func (p *Proposer) startAttempt(now time.Duration) []Envelope {
+	p.round++
+	p.ballot = Ballot{Round: p.round, Epoch: p.Epoch, By: p.Self}
+	p.phase, p.startedAt = Preparing, now
+	p.votes, p.rejections = nil, nil
+	if p.token > 0 || p.probeUnanswered {
+		return p.prepareAll(now)
+	}
+	p.probing = true
+	p.nextAt = now + p.durationFraction(probeTimeout)
+	return []Envelope{{p.probedAcceptor(), p.message(Message{Kind: Prepare, Ballot: p.ballot})}}
+}
+
+// probedAcceptor is the acceptor that this attempt probes: another one each time, if not its own.
+func (p *Proposer) probedAcceptor() Limiter {
+	if slices.Contains(p.Acceptors, p.Self) {
+		return p.Self
+	}
+	return p.Acceptors[(int(p.round)+int(p.Self))%len(p.Acceptors)]
+}
+
+// prepareAll sends Prepare to all acceptors that have not promised yet.
+func (p *Proposer) prepareAll(now time.Duration) []Envelope {
+	p.probing = false
+	p.nextAt = now + p.durationFraction(attemptTimeout)
+	out := p.broadcast(Message{Kind: Prepare, Ballot: p.ballot})
+	return slices.DeleteFunc(out, func(e Envelope) bool { return slices.Contains(p.votes, e.To) })
+}
+
+// message completes a message with what all messages have.
+func (p *Proposer) message(m Message) Message {
+	m.Task, m.HighestToken = p.Task, p.highestToken
+	return m
+}
+
+func (p *Proposer) broadcast(m Message) (out []Envelope) {
+	m = p.message(m)
+	for _, to := range p.Acceptors {
+		out = append(out, Envelope{to, m})
+	}
+	return out
+}
+
+// backOff ends an attempt that failed, and puts off the next one. A lease holder attempts again soon.
+func (p *Proposer) backOff(now time.Duration, chance float64) {
+	doublings := min(p.failures, maxDoublings)
+	wait := min(minBackoff*float64(int(1)<<doublings), maxBackoff) * p.crowding()
+	if p.token > 0 {
+		wait = minBackoff
+	}
+	p.failures++
+	p.phase = Waiting
+	p.nextAt = now + p.durationFraction(wait*(0.5+chance))
+}
+
+// crowding is the factor by which each candidate waits longer, so that all together attempt no more
+// often than a few.
+func (p *Proposer) crowding() float64 { return max(float64(p.Candidates)/fewCandidates, 1) }
+
+// HandleMessage takes in the reply of an acceptor, and returns what is to be sent. Chance, 0 to 1,
+// spreads the attempts of many candidates.
+func (p *Proposer) HandleMessage(now time.Duration, from Limiter, m Message, chance float64) []Envelope {
+	p.highestToken = max(p.highestToken, m.HighestToken, m.Token)
+	p.round = max(p.round, m.Ballot.Round)
+	if m.Ballot == p.ballot || m.Kind == Reject {
+		p.probeUnanswered = false
+	}
+	if !p.isAttempting(now) || !slices.Contains(p.Acceptors, from) {
+		return nil
+	}
+	if m.Kind == Reject && m.Ballot.Compare(p.ballot) > 0 {
+		p.onReject(now, from, chance)
+		return nil
+	}
+	if m.Ballot != p.ballot || slices.Contains(p.votes, from) {
+		return nil
+	}
+	switch {
+	case m.Kind == Promise && p.phase == Preparing:
+		return p.onPromise(now, from, m, chance)
+	case m.Kind == Accept && p.phase == Proposing:
+		p.onAccept(now, from, chance)
+	}
+	return nil
+}
+
+// isAttempting reports whether replies count. They do not after the timeout, as after a stall:
+// acceptors that start rely on it, see recoveryQueryAfter.
+func (p *Proposer) isAttempting(now time.Duration) bool {
+	return (p.phase == Preparing || p.phase == Proposing) && now < p.nextAt
+}
+
+func (p *Proposer) onReject(now time.Duration, from Limiter, chance float64) {
+	if p.recordRejection(from) {
+		p.backOff(now, chance)
+	}
+}
+
+// recordRejection records an acceptor that did not vote for the ballot, and reports whether too few are
+// left. One alone does not end an attempt: the lease that it reports may never have had a quorum, or
+// may have been released.
+func (p *Proposer) recordRejection(from Limiter) bool {
+	if !slices.Contains(p.rejections, from) {
+		p.rejections = append(p.rejections, from)
+	}
+	return p.probing || len(p.Acceptors)-len(p.rejections) < p.Quorum()
+}
+
+// onPromise counts a promise, and proposes once a quorum has promised.
+func (p *Proposer) onPromise(now time.Duration, from Limiter, m Message, chance float64) []Envelope {
+	p.payload = max(p.payload, m.Payload)
+	if p.reportsOtherLease(m) {
+		if p.recordRejection(from) {
+			p.waitForHolder(now, m.Holder, chance)
+		}
+		return nil
+	}
+	p.votes = append(p.votes, from)
+	if len(p.votes) >= p.Quorum() {
+		return p.propose(now)
+	}
+	if p.probing {
+		return p.prepareAll(now)
+	}
+	return nil
+}
+
+// reportsOtherLease reports whether a promise is none, as it reports a valid lease of another limiter
+// or of an earlier incarnation of this one.
+func (p *Proposer) reportsOtherLease(m Message) bool {
+	return m.HasLease && (m.Holder != p.Self || m.Incarnation != p.Epoch)
+}
+
+// waitForHolder ends an attempt, as another limiter holds the lease.
+func (p *Proposer) waitForHolder(now time.Duration, holder Limiter, chance float64) {
+	p.holder, p.holderKnown = holder, true
+	p.phase, p.failures = Waiting, 0
+	p.nextAt = now + p.durationFraction(maxBackoff*p.crowding()*(0.5+chance))
+}
+
+// propose asks all acceptors to accept the ballot, with the token of the lease held or with a token
+// that is greater than all that the quorum knows.
+func (p *Proposer) propose(now time.Duration) []Envelope {
+	p.phase, p.votes, p.rejections = Proposing, nil, nil
+	p.proposedToken = p.highestToken + 1
+	if token, _, held := p.Holds(now); held {
+		p.proposedToken = token
+	}
+	p.proposedPayload = p.payload
+	return p.broadcast(Message{Kind: Propose, Ballot: p.ballot, Token: p.proposedToken, Payload: p.proposedPayload})
+}
+
+// onAccept counts an accept. With a quorum the lease is held, from the start of the attempt on.
+func (p *Proposer) onAccept(now time.Duration, from Limiter, chance float64) {
+	p.votes = append(p.votes, from)
+	if len(p.votes) < p.Quorum() {
+		return
+	}
+	until := p.startedAt + p.HoldDuration()
+	if now >= until {
+		p.backOff(now, chance)
+		return
+	}
+	p.token, p.until = p.proposedToken, until
+	p.acceptedBallot, p.acceptedPayload = p.ballot, p.proposedPayload
+	p.holder, p.holderKnown = p.Self, true
+	p.phase, p.failures = Waiting, 0
+	p.nextAt = p.startedAt + p.durationFraction(renewAfter)
+}
--- /dev/null
+++ b/internal/lease/tier_test.go
@@ -0,0 +1,265 @@
+package lease
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// leaseDuration is the lease duration of all tests.
+const leaseDuration = time.Second
+
+// simulatedLimiter is a limiter of a simulated tier.
+type simulatedLimiter struct {
+	config      Config
+	acceptor    *Acceptor // nil if it is none
+	proposer    Proposer
+	dead        bool
+	stalled     bool
+	clockRate   float64
+	clockOffset time.Duration
+	inbox       []receivedMessage // while it is stalled
+}
+
+type receivedMessage struct {
+	from    Limiter
+	message Message
+}
+
+// simulatedTier has limiters, clocks and a network, and checks from outside who holds the lease.
+type simulatedTier struct {
+	fail      func(format string, args ...any)
+	random    *rand.Rand
+	now       time.Duration
+	limiters  []*simulatedLimiter
+	inTransit []sentMessage
+	acceptors []Limiter
+	epoch     uint32
+	drift     float64 // that clocks are assumed to have
+	minToken  uint64  // in place of the wall clock; 0 for that
+
+	loss, duplication float64 // fractions of messages
+	maxDelay          time.Duration
+	cut               map[[2]int]bool // links from one limiter to another
+
+	holder       int // the last lease holder; -1 for none so far
+	token        uint64
+	wins         int
+	heldAt       time.Duration // when the lease was held last
+	longestFree  time.Duration // without a lease holder
+	messagesSent int
+
+	setsPayloads     bool   // lease holders do
+	payload          uint64 // the greatest that a quorum has accepted
+	timeoutRecovered bool   // see recoversByTimeout
+}
+
+type sentMessage struct {
+	at       time.Duration
+	from, to int
+	message  Message
+}
+
+func newTier(fail func(string, ...any), seed uint64, limiters, acceptors int) *simulatedTier {
+	tier := &simulatedTier{
+		fail: fail, random: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, epoch: 100, drift: 0.01, holder: -1,
+		cut: map[[2]int]bool{}, maxDelay: 20 * time.Millisecond, heldAt: time.Hour,
+	}
+	for i := range acceptors {
+		tier.acceptors = append(tier.acceptors, Limiter(i))
+	}
+	for range limiters {
+		tier.limiters = append(tier.limiters, &simulatedLimiter{clockRate: 1})
+	}
+	for i := range limiters {
+		tier.start(i)
+	}
+	return tier
+}
+
+// start starts a limiter, empty.
+func (tier *simulatedTier) start(i int) {
+	tier.epoch++
+	n := tier.limiters[i]
+	n.dead, n.stalled, n.inbox = false, false, nil
+	n.config = Config{
+		Task: 7, Self: Limiter(i), Epoch: tier.epoch, Acceptors: tier.acceptors, Duration: leaseDuration, ClockDrift: tier.drift,
+		MinToken: uint64(tier.now / time.Millisecond), Candidates: len(tier.limiters),
+	}
+	if tier.minToken > 0 {
+		n.config.MinToken = tier.minToken
+	}
+	n.acceptor = nil
+	if i < len(tier.acceptors) {
+		acceptor := NewAcceptor(n.config, tier.clock(n))
+		n.acceptor = &acceptor
+	}
+	n.proposer = NewProposer(n.config)
+}
+
+func (tier *simulatedTier) clock(n *simulatedLimiter) time.Duration {
+	return n.clockOffset + time.Duration(float64(tier.now)*n.clockRate)
+}
+
+func (tier *simulatedTier) setRate(n *simulatedLimiter, rate float64) {
+	before := tier.clock(n)
+	n.clockRate = rate
+	n.clockOffset += before - tier.clock(n)
+}
+
+func (tier *simulatedTier) send(from int, out []Envelope) {
+	for _, e := range out {
+		tier.messagesSent++
+		copies := 1
+		if tier.random.Float64() < tier.duplication {
+			copies = 2
+		}
+		if from != int(e.To) && (tier.random.Float64() < tier.loss || tier.cut[[2]int{from, int(e.To)}]) {
+			copies = 0
+		}
+		for range copies {
+			delay := time.Duration(0)
+			if from != int(e.To) {
+				delay = time.Duration(tier.random.Int64N(int64(tier.maxDelay))) + time.Millisecond
+			}
+			tier.inTransit = append(tier.inTransit, sentMessage{tier.now + delay, from, int(e.To), e.Message})
+		}
+	}
+}
+
+func (tier *simulatedTier) receive(i int, from Limiter, m Message) {
+	n := tier.limiters[i]
+	switch {
+	case n.dead:
+		return
+	case n.stalled:
+		n.inbox = append(n.inbox, receivedMessage{from, m})
+		return
+	}
+	now := tier.clock(n)
+	tier.send(i, n.proposer.HandleMessage(now, from, m, tier.random.Float64()))
+	if n.acceptor != nil {
+		if reply, ok := n.acceptor.HandleMessage(now, from, m); ok {
+			tier.send(i, []Envelope{{from, reply}})
+		}
+	}
+}
+
+func (tier *simulatedTier) tick(i int) {
+	n := tier.limiters[i]
+	if n.dead || n.stalled {
+		return
+	}
+	out, _ := n.proposer.Tick(tier.clock(n), tier.random.Float64())
+	tier.send(i, out)
+	if n.acceptor != nil {
+		out, _ := n.acceptor.Tick(tier.clock(n))
+		tier.send(i, out)
+	}
+}
+
+func (tier *simulatedTier) resume(i int) {
+	n := tier.limiters[i]
+	n.stalled = false
+	inbox := n.inbox
+	n.inbox = nil
+	for _, a := range inbox {
+		tier.receive(i, a.from, a.message)
+	}
+}
+
+// pass lets time pass in steps, and checks after each who holds the lease.
+func (tier *simulatedTier) pass(d time.Duration) {
+	for end := tier.now + d; tier.now < end; {
+		tier.now += 2 * time.Millisecond
+		slices.SortStableFunc(tier.inTransit, func(a, b sentMessage) int { return int(a.at - b.at) })
+		for len(tier.inTransit) > 0 && tier.inTransit[0].at <= tier.now {
+			f := tier.inTransit[0]
+			tier.inTransit = tier.inTransit[1:]
+			tier.receive(f.to, Limiter(f.from), f.message)
+		}
+		for i := range tier.limiters {
+			tier.tick(i)
+		}
+		tier.check()
+	}
+}
+
+// check looks at each limiter, at stalled ones too, by its own clock: at most one may hold the lease,
+// tokens grow, and each holder knows every payload that was set.
+func (tier *simulatedTier) check() {
+	holder := -1
+	for i, n := range tier.limiters {
+		token, _, ok := n.proposer.Holds(tier.clock(n))
+		if n.dead || !ok {
+			continue
+		}
+		if holder >= 0 {
+			tier.fail("%v: limiters %d and %d both hold the lease", tier.now-time.Hour, holder, i)
+		}
+		holder = i
+		tier.checkToken(i, token)
+		if token > tier.token {
+			tier.wins++
+		}
+		tier.token = token
+		tier.checkPayload(i)
+	}
+	if holder >= 0 {
+		tier.holder = holder
+		tier.longestFree = max(tier.longestFree, tier.now-tier.heldAt)
+		tier.heldAt = tier.now
+	}
+}
+
+func (tier *simulatedTier) checkToken(holder int, token uint64) {
+	repeated := token == tier.token && tier.holder != holder && tier.holder >= 0
+	if token > tier.token || token == tier.token && !repeated {
+		return
+	}
+	if !tier.setsPayloads || !tier.recoversByTimeout() {
+		tier.fail("%v: limiter %d has token %d after %d", tier.now-time.Hour, holder, token, tier.token)
+	}
+}
+
+// checkPayload checks what a lease holder knows, and sets the next payload.
+func (tier *simulatedTier) checkPayload(holder int) {
+	n := tier.limiters[holder]
+	if !tier.setsPayloads || n.stalled || tier.recoversByTimeout() {
+		return
+	}
+	if payload := n.proposer.Payload(); payload < tier.payload {
+		tier.fail("%v: limiter %d holds the lease and knows payload %d, where %d was set", tier.now-time.Hour, holder, payload, tier.payload)
+	}
+	if n.proposer.SetPayload(tier.clock(n), tier.payload+1) {
+		tier.payload++
+	}
+}
+
+func (tier *simulatedTier) want(i int, is bool) {
+	if n := tier.limiters[i]; !n.dead && !n.stalled {
+		tier.send(i, n.proposer.SetWanted(tier.clock(n), is, tier.random.Float64()))
+	}
+}
+
+// recoversByTimeout reports whether an acceptor is, or has been, active by recoveryTimeout alone: then
+// tokens and payloads may be lost, and wall clocks are all there is.
+func (tier *simulatedTier) recoversByTimeout() bool {
+	for _, i := range tier.acceptors {
+		n := tier.limiters[i]
+		if n.acceptor.Active(tier.clock(n)) && !n.acceptor.hasRecovered() {
+			tier.timeoutRecovered = true
+		}
+	}
+	return tier.timeoutRecovered
+}
+
+// allActive reports whether no acceptor is empty.
+func (tier *simulatedTier) allActive() bool {
+	for _, i := range tier.acceptors {
+		if n := tier.limiters[i]; !n.acceptor.Active(tier.clock(n)) {
+			return false
+		}
+	}
+	return true
+}
