--- a/internal/hotrestart/phase.go
+++ b/internal/hotrestart/phase.go
@@ -3,7 +3,7 @@
 // Phase is a stage of a hot restart, as one side sees it.
 type Phase uint8
 
-// The phases. A process is the successor until it serves alone, and may then be a predecessor in turn.
+// The phases. A process is the successor until it serves alone, and may then be a predecessor later.
 const (
 	Alone        Phase = iota // either side: admits; knows of no other process
 	Offered                   // predecessor: admits; waits for the successor to be prepared
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -51,7 +51,7 @@
 	startedAt       time.Duration
 	votes           []Limiter // acceptors that promised, or accepted, the ballot
 	rejections      []Limiter // acceptors that did not
-	probing         bool      // only one acceptor was asked so far
+	probing         bool      // Prepare went to one acceptor only so far
 	probeUnanswered bool      // the last probe had no reply
 	proposedToken   uint64
 	proposedPayload uint64
@@ -301,7 +301,7 @@
 	p.nextAt = now + p.durationFraction(maxBackoff*p.crowding()*(0.5+chance))
 }
 
-// propose asks all acceptors to accept the ballot, with the token of the lease held or with a token
+// propose sends all acceptors the ballot to accept, with the token of the lease held or with a token
 // that is greater than all that the quorum knows.
 func (p *Proposer) propose(now time.Duration) []Envelope {
 	p.phase, p.votes, p.rejections = Proposing, nil, nil
--- a/internal/lease/states_test.go
+++ b/internal/lease/states_test.go
@@ -85,7 +85,7 @@
 type explorer struct {
 	t      *testing.T
 	bounds bounds
-	others []Limiter // acceptors that an acceptor has heard from, as far as its quorum needs them
+	others []Limiter // acceptors that have replied to an acceptor, as far as its quorum needs them
 
 	seen     map[uint64]bool // by hash
 	queue    []*state
--- /dev/null
+++ b/internal/rollingrestart/payload.go
@@ -0,0 +1,35 @@
+package rollingrestart
+
+// The payload of the lease, 64 bits: a field for each slot, and above them a sequence number, so that
+// payloads only grow. A field is zero for a free slot, else the number of the limiter plus one.
+const (
+	// MaxSlots is how many slots there can be.
+	MaxSlots = 4
+	// MaxLimiters is how many limiters a tier can have, so that their numbers fit into a slot's field.
+	MaxLimiters = slotMask - 1
+
+	slotBits      = 9
+	slotMask      = 1<<slotBits - 1
+	sequenceShift = MaxSlots * slotBits
+)
+
+// DecodePayload returns the limiters that are restarting by a payload.
+func DecodePayload(payload uint64) (restarting []Limiter) {
+	for slot := range MaxSlots {
+		field := payload >> (slot * slotBits) & slotMask
+		if field > 0 {
+			restarting = append(restarting, Limiter(field-1))
+		}
+	}
+	return restarting
+}
+
+// nextPayload returns the payload that follows one, with other limiters restarting.
+func nextPayload(payload uint64, restarting []Limiter) uint64 {
+	sequence := payload>>sequenceShift + 1
+	next := sequence << sequenceShift
+	for slot, n := range restarting {
+		next |= (uint64(n) + 1) << (slot * slotBits)
+	}
+	return next
+}
--- a/internal/rollingrestart/rollingrestart_test.go
+++ b/internal/rollingrestart/rollingrestart_test.go
@@ -2,146 +2,201 @@
 
 import (
 	"math/rand/v2"
+	"reflect"
 	"slices"
 	"testing"
 	"time"
 )
 
-// A message goes over as it is, and noise is none.
+// A message comes through unchanged, and noise is not taken for one.
 func FuzzParse(f *testing.F) {
 	m := Message{Kind: SlotGrant, Nonce: 1 << 31, Token: 1 << 60, ValidFor: 30 * time.Second, HasSlot: true, Released: 299, Restarting: []Limiter{0, 298}}
-	whole := m.Append(nil)
-	if got, ok := Parse(whole); !ok || got.ValidFor != m.ValidFor || !slices.Equal(got.Restarting, m.Restarting) || got.Released != 299 || !got.HasSlot || got.Serving {
+	datagram := m.Append(nil)
+	if got, ok := Parse(datagram); !ok || !reflect.DeepEqual(got, m) {
 		f.Fatalf("%+v, %v", got, ok)
 	}
-	for i := range whole {
-		bad := slices.Clone(whole)
-		if bad[i]++; IsMessage(bad) {
-			if _, ok := Parse(bad); ok {
-				f.Errorf("a wrong byte %d is not seen", i)
+	for i := range datagram {
+		changed := slices.Clone(datagram)
+		if changed[i]++; IsMessage(changed) {
+			if _, ok := Parse(changed); ok {
+				f.Errorf("a wrong byte %d is not noticed", i)
 			}
 		}
 	}
-	f.Add(whole)
+	f.Add(datagram)
 	f.Add(Message{Kind: SlotRequest}.Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if m, ok := Parse(data); ok && !slices.Equal(m.Append(nil), data) {
-			t.Error("two forms of one message")
+			t.Error("two datagrams of one message")
 		}
 	})
 }
 
-// Who is out goes through marks, which only grow.
-func TestSlots(t *testing.T) {
-	mark := uint64(0)
-	for _, out := range [][]Limiter{{5}, {5, 0, 510}, {1, 2, 3, 4}, nil, {MaxLimiters}} {
-		was := mark
-		if mark = nextPayload(mark, out); mark <= was || !slices.Equal(DecodePayload(mark), out) {
-			t.Errorf("%v: mark %x after %x, %v", out, mark, was, DecodePayload(mark))
+// The limiters that are restarting come through a payload, and payloads only grow.
+func TestPayload(t *testing.T) {
+	payload := uint64(0)
+	for _, restarting := range [][]Limiter{{5}, {5, 0, 510}, {1, 2, 3, 4}, nil, {MaxLimiters}} {
+		before := payload
+		payload = nextPayload(payload, restarting)
+		if payload <= before || !slices.Equal(DecodePayload(payload), restarting) {
+			t.Errorf("%v: payload %x after %x, %v", restarting, payload, before, DecodePayload(payload))
 		}
 	}
 }
 
-// Random days: holders come and go with what the mark says, messages are lost, late and twice,
-// limiters die in their turn and are back. Never more than so many have a turn or are out by one.
-func TestNeverMoreThanMost(t *testing.T) {
-	const limiters, most, turn = 6, 2, 3 * time.Second
-	granted := 0
-	for seed := range uint64(300) {
-		rng := rand.New(rand.NewPCG(seed, 5))
-		type flying struct {
-			at       time.Duration
-			from, to Limiter
-			m        Message
+// A simulated tier of 60 s: coordinators change and go on from the payload, messages are lost, late and
+// duplicated, limiters restart or die while they have a slot.
+const (
+	simulatedLimiters  = 6
+	simulatedSlots     = 2
+	simulatedSlotTime  = 3 * time.Second
+	coordinatorAddress = 9
+)
+
+type simulation struct {
+	random      *rand.Rand
+	now         time.Duration
+	inTransit   []sentMessage
+	requesters  []Requester
+	downUntil   []time.Duration // by limiter; 0 for up
+	epoch       uint32
+	coordinator *Coordinator
+	token       uint64
+	payload     uint64 // that a quorum has accepted
+	granted     int    // steps of limiters that had a slot or were down
+}
+
+type sentMessage struct {
+	at       time.Duration
+	from, to Limiter
+	message  Message
+}
+
+func newSimulation(seed uint64) *simulation {
+	s := &simulation{
+		random: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, epoch: 100, token: 1,
+		payload:    uint64(1) << sequenceShift, // not the first coordinator
+		requesters: make([]Requester, simulatedLimiters), downUntil: make([]time.Duration, simulatedLimiters),
+	}
+	for i := range s.requesters {
+		s.requesters[i] = NewRequester(s.epoch)
+	}
+	s.newCoordinator()
+	return s
+}
+
+func (s *simulation) newCoordinator() {
+	s.coordinator = NewCoordinator(s.token, s.payload, simulatedSlots, simulatedSlotTime, s.now)
+}
+
+func (s *simulation) send(from, to Limiter, m Message) {
+	for range 1 + s.random.IntN(2)*s.random.IntN(2) {
+		if s.random.Float64() < 0.2 {
+			continue
 		}
-		var way []flying
-		now, mark, life := time.Hour, uint64(1)<<seqAt, uint32(100) // in the middle of a day
-		seekers := make([]Requester, limiters)
-		away := make([]time.Duration, limiters) // out until then; 0 for up
-		for i := range seekers {
-			seekers[i] = NewRequester(life)
+		delay := time.Duration(s.random.Int64N(int64(60 * time.Millisecond)))
+		if s.random.IntN(10) == 0 {
+			delay = time.Duration(s.random.Int64N(int64(simulatedSlotTime)))
 		}
-		holder := NewCoordinator(1, mark, most, turn, now)
-		token := uint64(1)
-		send := func(from, to Limiter, m Message) {
-			for range 1 + rng.IntN(2)*rng.IntN(2) {
-				if rng.Float64() < 0.2 {
-					continue
-				}
-				late := time.Duration(rng.Int64N(int64(60 * time.Millisecond)))
-				if rng.IntN(10) == 0 {
-					late = time.Duration(rng.Int64N(int64(turn)))
-				}
-				way = append(way, flying{now + late, from, to, m})
-			}
+		s.inTransit = append(s.inTransit, sentMessage{s.now + delay, from, to, m})
+	}
+}
+
+func (s *simulation) deliver() {
+	for i := 0; i < len(s.inTransit); i++ {
+		m := s.inTransit[i]
+		if m.at > s.now {
+			continue
 		}
-		for end := now + 60*time.Second; now < end; now += 20 * time.Millisecond {
-			for i := 0; i < len(way); i++ {
-				f := way[i]
-				if f.at > now {
-					continue
-				}
-				way = slices.Delete(way, i, i+1)
-				i--
-				switch {
-				case f.m.Kind == SlotRequest:
-					holder.HandleRequest(now, f.from, f.m.Nonce)
-				case f.m.Kind == StatusReply:
-					holder.HandleReply(f.from, f.m)
-				case away[f.to] > 0:
-				case f.m.Kind == SlotGrant:
-					seekers[f.to].HandleGrant(now, f.m, 0.01, func(out []Limiter) bool { return rng.IntN(5) == 0 })
-				case f.m.Kind == StatusQuery:
-					send(f.to, f.from, seekers[f.to].HandleQuery(now, f.m, true))
-				}
-			}
-			if rng.IntN(150) == 0 { // another holder, that knows what stood
-				token++
-				holder = NewCoordinator(token, mark, most, turn, now)
-			}
-			stands := holder.Payload() == mark
-			if !stands && rng.IntN(3) == 0 {
-				mark, stands = holder.Payload(), true
-			}
-			out, _ := holder.Tick(now, stands)
-			for _, e := range out {
-				send(9, e.To, e.Message)
-			}
-			busy := 0
-			for i := range seekers {
-				s := &seekers[i]
-				if away[i] > 0 {
-					if busy++; now >= away[i] { // back, with nothing
-						life++
-						seekers[i], away[i] = NewRequester(life<<8), 0
-						busy--
-					}
-					continue
-				}
-				_, has, wants, _ := s.Slot(now)
-				switch {
-				case has && rng.IntN(40) == 0:
-					away[i] = now + time.Duration(rng.Int64N(int64(2*turn)))
-				case has && rng.IntN(100) == 0:
-					s.SetWanted(false)
-				case !wants && rng.IntN(30) == 0:
-					s.SetWanted(true)
-				}
-				if m, is, _ := s.Tick(now); is {
-					send(Limiter(i), 0, m)
-				}
-				if _, has, _, _ := s.Slot(now); has || away[i] > 0 {
-					busy++
-					granted++
+		s.inTransit = slices.Delete(s.inTransit, i, i+1)
+		i--
+		s.receive(m)
+	}
+}
+
+func (s *simulation) receive(m sentMessage) {
+	switch {
+	case m.message.Kind == SlotRequest:
+		s.coordinator.HandleRequest(s.now, m.from, m.message.Nonce)
+	case m.message.Kind == StatusReply:
+		s.coordinator.HandleReply(m.from, m.message)
+	case s.downUntil[m.to] > 0:
+	case m.message.Kind == SlotGrant:
+		isLast := func([]Limiter) bool { return s.random.IntN(5) == 0 }
+		s.requesters[m.to].HandleGrant(s.now, m.message, 0.01, isLast)
+	case m.message.Kind == StatusQuery:
+		s.send(m.to, m.from, s.requesters[m.to].HandleQuery(s.now, m.message, true))
+	}
+}
+
+func (s *simulation) tickCoordinator() {
+	if s.random.IntN(150) == 0 {
+		s.token++
+		s.newCoordinator()
+	}
+	accepted := s.coordinator.Payload() == s.payload
+	if !accepted && s.random.IntN(3) == 0 {
+		s.payload, accepted = s.coordinator.Payload(), true
+	}
+	out, _ := s.coordinator.Tick(s.now, accepted)
+	for _, e := range out {
+		s.send(coordinatorAddress, e.To, e.Message)
+	}
+}
+
+// tickLimiter plays one limiter, and reports whether it has a slot or is down.
+func (s *simulation) tickLimiter(i int) bool {
+	if s.downUntil[i] > 0 {
+		if s.now < s.downUntil[i] {
+			return true
+		}
+		s.epoch++ // it is back, with nothing
+		s.requesters[i], s.downUntil[i] = NewRequester(s.epoch<<8), 0
+		return false
+	}
+	r := &s.requesters[i]
+	_, granted, wanted, _ := r.Slot(s.now)
+	switch {
+	case granted && s.random.IntN(40) == 0:
+		s.downUntil[i] = s.now + time.Duration(s.random.Int64N(int64(2*simulatedSlotTime)))
+	case granted && s.random.IntN(100) == 0:
+		r.SetWanted(false)
+	case !wanted && s.random.IntN(30) == 0:
+		r.SetWanted(true)
+	}
+	if m, send, _ := r.Tick(s.now); send {
+		s.send(Limiter(i), 0, m)
+	}
+	_, granted, _, _ = r.Slot(s.now)
+	if granted || s.downUntil[i] > 0 {
+		s.granted++
+		return true
+	}
+	return false
+}
+
+// Never more limiters than there are slots have one or are down by one.
+func TestNeverMoreThanMaxConcurrent(t *testing.T) {
+	granted := 0
+	for seed := range uint64(300) {
+		s := newSimulation(seed)
+		for end := s.now + 60*time.Second; s.now < end; s.now += 20 * time.Millisecond {
+			s.deliver()
+			s.tickCoordinator()
+			restarting := 0
+			for i := range s.requesters {
+				if s.tickLimiter(i) {
+					restarting++
 				}
 			}
-			if busy > most {
-				t.Fatalf("seed %d, %v: %d have a turn or are out", seed, now-time.Hour, busy)
+			if restarting > simulatedSlots {
+				t.Fatalf("seed %d, %v: %d limiters have a slot or are down", seed, s.now-time.Hour, restarting)
 			}
 		}
+		granted += s.granted
 	}
 	if granted < 100_000 {
-		t.Errorf("turns were seen just %d times", granted)
+		t.Errorf("slots were seen only %d times", granted)
 	}
-	t.Logf("turns seen %d times", granted)
+	t.Logf("slots seen %d times", granted)
 }
