--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -6,213 +6,235 @@
 	"time"
 )
 
-// Pace of a holder's asks. All together they are one each gap, whatever the size of the tier.
 const (
-	queryRetryAfter = 400 * time.Millisecond // without an answer: the ask or the answer is lost
-	maxUnanswered   = 12                     // asks in a row without an answer: the limiter is missing
+	// queryRetryAfter is after how long a query without a reply is sent again.
+	queryRetryAfter = 400 * time.Millisecond
+	// maxUnanswered is how many queries in a row without a reply make a limiter missing.
+	maxUnanswered = 12
 )
 
-// A Collector collects one period from all limiters, for the holder of the lease.
+// Collector collects the usage of one period from all limiters, for the lease holder. It is not safe
+// for concurrent use; see NewCollector.
 type Collector struct {
 	Period          uint32
-	Previous        uint32 // the period before this one; 0 where nobody knows
-	MayBeReported   bool   // an earlier holder may have written it
-	KnowsAllReports bool   // the holder knows of all lines before
-	Token           uint64
+	Previous        uint32 // the period before; 0 if unknown
+	MayBeReported   bool   // an earlier lease holder may have written a report of it
+	KnowsAllReports bool   // the lease holder knows of all reports before
+	Token           uint64 // fencing token of the lease holder
 
-	reportedUpTo  []uint32 // by limiter: the last period of which a line with its use is known
+	reportedUpTo  []uint32 // by limiter: the last period whose usage is in a report
 	queryInterval time.Duration
-	nextQueryAt   time.Duration // no ask before
-	sources       []source
-	pendingPeriod uint32 // the greatest period of which a limiter cannot tell whether there is a line
-	incomplete    int    // sources that are neither whole nor missing
-	nextSource    int
+	nextQueryAt   time.Duration // no query before
+	sources       []source      // by limiter
+	nextSource    int           // index of the source to query next
+	incomplete    int           // sources that are neither complete nor missing
+	pendingPeriod uint32        // see PendingPeriod
 }
 
-// A source is a limiter that is asked.
+// source is what has come from one limiter.
 type source struct {
-	heard       bool
 	complete    bool
 	missing     bool
+	hasPage     bool // incarnation, firstPeriod and pages are known
 	incarnation uint32
 	firstPeriod uint32
-	nextPage    uint16 // the next one
+	nextPage    uint16
 	pages       uint16
-	queriedAt   time.Duration
-	unanswered  int // asks in a row without an answer
+	queriedAt   time.Duration // without a reply since; 0 for none
+	unanswered  int           // queries in a row without a reply
 	entries     []Entry
 }
 
-// An Query is a Pull and whom it goes to.
+// isDone reports whether nothing more is expected of a limiter.
+func (s *source) isDone() bool { return s.complete || s.missing }
+
+// Query is a request with its receiver.
 type Query struct {
 	To      Limiter
 	Request PageRequest
 }
 
-// NewCollector starts to collect a period. Done is for each limiter the last period of which a line with
-// its use is known; asks go out a gap apart.
-func NewCollector(period, after uint32, done []uint32, again bool, token uint64, gap, now time.Duration) *Collector {
+// NewCollector returns a collector of a period, under a lease with the given token. ReportedUpTo is, by
+// limiter, the last period whose usage is known to be in a report. Queries are sent queryInterval apart,
+// whatever the size of the tier. See Collector for the other arguments.
+func NewCollector(
+	period, previous uint32, reportedUpTo []uint32, mayBeReported bool, token uint64, queryInterval, now time.Duration,
+) *Collector {
 	return &Collector{
-		Period: period, Previous: after, MayBeReported: again, Token: token, reportedUpTo: done, queryInterval: gap, nextQueryAt: now,
-		sources: make([]source, len(done)), incomplete: len(done),
+		Period:        period,
+		Previous:      previous,
+		MayBeReported: mayBeReported,
+		Token:         token,
+		reportedUpTo:  reportedUpTo,
+		queryInterval: queryInterval,
+		nextQueryAt:   now,
+		sources:       make([]source, len(reportedUpTo)),
+		incomplete:    len(reportedUpTo),
 	}
 }
 
-// Reported tells, once a line with what was collected is written, the last period of each limiter of
-// which there is one.
-func (g *Collector) Reported() []uint32 {
-	done := slices.Clone(g.reportedUpTo)
-	for n := range g.sources {
-		if g.sources[n].complete {
-			done[n] = g.Period
+// Reported returns, by limiter, the last period whose usage is in a report once that of this period is
+// written.
+func (c *Collector) Reported() []uint32 {
+	reported := slices.Clone(c.reportedUpTo)
+	for n := range c.sources {
+		if c.sources[n].complete {
+			reported[n] = c.Period
 		}
 	}
-	return done
+	return reported
 }
 
-// Complete tells whether each limiter was heard to the end or is missing.
-func (g *Collector) Complete() bool { return g.incomplete == 0 }
+// Complete reports whether the usage of each limiter is complete, or the limiter is missing.
+func (c *Collector) Complete() bool { return c.incomplete == 0 }
 
-// Missing is how many limiters are in no line of this period.
-func (g *Collector) Missing() (n int) {
-	for i := range g.sources {
-		if g.sources[i].missing {
-			n++
+// Missing returns how many limiters are missing.
+func (c *Collector) Missing() (count int) {
+	for i := range c.sources {
+		if c.sources[i].missing {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Tick gives the ask that is due, and tells when it wants to be called again; 0 for never.
-func (g *Collector) Tick(now time.Duration) (out []Query, due time.Duration) {
-	if g.Complete() {
+// PendingPeriod returns the greatest period that some limiter has closed and of which this lease holder,
+// who knows of no reports before, cannot say whether there is a report; 0 for none. It has to be
+// reported, again, before this one.
+func (c *Collector) PendingPeriod() uint32 { return c.pendingPeriod }
+
+// Tick returns the query that is due, and when it has to be called again; 0 for never.
+func (c *Collector) Tick(now time.Duration) (out []Query, due time.Duration) {
+	if c.Complete() {
 		return nil, 0
 	}
-	if now < g.nextQueryAt {
-		return nil, g.nextQueryAt
+	if now < c.nextQueryAt {
+		return nil, c.nextQueryAt
 	}
 	due = now + queryRetryAfter
-	for range g.sources {
-		n := g.nextSource
-		g.nextSource = (g.nextSource + 1) % len(g.sources)
-		s := &g.sources[n]
-		if s.complete || s.missing {
-			continue
-		}
-		if s.queriedAt > 0 && now < s.queriedAt+queryRetryAfter {
+	for range c.sources {
+		n := c.nextSource
+		c.nextSource = (n + 1) % len(c.sources)
+		s := &c.sources[n]
+		switch {
+		case s.isDone():
+		case s.queriedAt > 0 && now < s.queriedAt+queryRetryAfter:
 			due = min(due, s.queriedAt+queryRetryAfter)
-			continue
-		}
-		if s.unanswered >= maxUnanswered {
-			s.missing = true
-			g.incomplete--
-			continue
+		case s.unanswered >= maxUnanswered:
+			c.setMissing(s)
+		default:
+			c.nextQueryAt = now + c.queryInterval
+			return []Query{c.query(n, now)}, c.nextQueryAt
 		}
-		s.queriedAt, s.unanswered, g.nextQueryAt = now, s.unanswered+1, now+g.queryInterval
-		out = []Query{{Limiter(n), PageRequest{Period: g.Period, Page: s.nextPage, ReportedUpTo: g.reportedUpTo[n], Token: g.Token, KnowsAllReports: g.KnowsAllReports, MayBeReported: g.MayBeReported}}}
-		return out, g.nextQueryAt
 	}
-	if g.Complete() {
+	if c.Complete() {
 		return nil, 0
 	}
 	return nil, due
 }
 
-// PendingPeriod gives the greatest period that a limiter has closed and that this holder, who was told of no
-// lines before, does not know of; 0 for none. It has to be written, again, before this one.
-func (g *Collector) PendingPeriod() uint32 { return g.pendingPeriod }
+// query returns the next query to a limiter.
+func (c *Collector) query(n int, now time.Duration) Query {
+	s := &c.sources[n]
+	s.queriedAt = now
+	s.unanswered++
+	return Query{Limiter(n), PageRequest{
+		Period:          c.Period,
+		Page:            s.nextPage,
+		ReportedUpTo:    c.reportedUpTo[n],
+		Token:           c.Token,
+		KnowsAllReports: c.KnowsAllReports,
+		MayBeReported:   c.MayBeReported,
+	}}
+}
 
-// HandleMessage takes an answer in, and tells whether it is one.
-func (g *Collector) HandleMessage(from Limiter, data []byte) bool {
-	if o, ok := ParsePendingReport(data); ok {
-		switch {
-		case g.KnowsAllReports || int(from) >= len(g.sources): // a late one
-		case !g.MayBeReported && o.Period < g.Period:
-			g.pendingPeriod = max(g.pendingPeriod, o.Period)
-		case !g.sources[from].complete && !g.sources[from].missing: // of what it has nobody knows more
-			g.sources[from].missing = true
-			g.incomplete--
-		}
+func (c *Collector) setMissing(s *source) {
+	s.missing = true
+	c.incomplete--
+}
+
+// HandleMessage takes in a datagram, and reports whether it is a reply to a query.
+func (c *Collector) HandleMessage(from Limiter, data []byte) bool {
+	if pending, ok := ParsePendingReport(data); ok {
+		c.onPendingReport(from, pending)
 		return true
 	}
-	p, ok := ParsePage(data)
+	page, ok := ParsePage(data)
 	if ok {
-		g.page(from, p)
+		c.onPage(from, page)
 	}
 	return ok
 }
 
-func (g *Collector) page(from Limiter, p Page) {
-	if int(from) >= len(g.sources) || p.Period != g.Period {
+// onPendingReport takes in that a limiter has closed another period. If that one cannot be reported
+// before this one, the limiter's usage of this period is out of reach.
+func (c *Collector) onPendingReport(from Limiter, pending PendingReport) {
+	if c.KnowsAllReports || int(from) >= len(c.sources) {
+		return // a late one
+	}
+	if !c.MayBeReported && pending.Period < c.Period {
+		c.pendingPeriod = max(c.pendingPeriod, pending.Period)
 		return
 	}
-	s := &g.sources[from]
-	if s.complete || s.missing {
+	if s := &c.sources[from]; !s.isDone() {
+		c.setMissing(s)
+	}
+}
+
+// onPage takes in the next page of a limiter. Pages of an earlier incarnation are dropped: it died
+// before the last one.
+func (c *Collector) onPage(from Limiter, p Page) {
+	if int(from) >= len(c.sources) || p.Period != c.Period {
 		return
 	}
-	if s.heard && s.incarnation != p.Incarnation { // it died in between: what it told is not all, nor ever will be
+	s := &c.sources[from]
+	if s.isDone() {
+		return
+	}
+	if s.hasPage && s.incarnation != p.Incarnation {
 		*s = source{unanswered: s.unanswered}
 	}
 	if p.Page != s.nextPage {
 		return
 	}
-	s.heard, s.incarnation, s.firstPeriod, s.pages = true, p.Incarnation, p.FirstPeriod, p.Pages
+	s.hasPage, s.incarnation, s.firstPeriod, s.pages = true, p.Incarnation, p.FirstPeriod, p.Pages
 	s.entries = append(s.entries, unpack(p.Entries)...)
-	s.nextPage, s.unanswered, s.queriedAt = s.nextPage+1, 0, 0
+	s.nextPage++
+	s.unanswered, s.queriedAt = 0, 0
 	if s.nextPage == s.pages {
 		s.complete = true
-		g.incomplete--
+		c.incomplete--
 	}
 }
 
-// A Report is a period's use, as it is written.
-type Report struct {
-	Period    uint32            `json:"period"`
-	Previous  uint32            `json:"after"` // the period before; 0 where nobody knows
-	Token     uint64            `json:"token"`
-	Limiter   int               `json:"limiter"`         // that wrote it
-	At        string            `json:"at"`              // by that one's wall clock
-	MayRepeat bool              `json:"again,omitempty"` // it counts only where no other line has this period
-	Missing   []int             `json:"missing,omitempty"`
-	Restarted []int             `json:"anew,omitempty"`  // limiters that started since the line before: what they used before that and did not tell is lost
-	Since     map[string]uint32 `json:"since,omitempty"` // limiters whose use is that of earlier periods too, and the first of these
-	Usage     []CustomerUsage   `json:"use"`
-}
-
-// CustomerUsage is what a customer used.
-type CustomerUsage struct {
-	Customer string  `json:"customer"`
-	Plan     string  `json:"plan"`
-	Units    float64 `json:"units"`
-}
-
-// Report gives what was collected. Plans are the names by number.
-func (g *Collector) Report(plans []string) Report {
-	l := Report{Period: g.Period, Previous: g.Previous, Token: g.Token, MayRepeat: g.MayBeReported, Usage: []CustomerUsage{}}
-	var all []Entry
-	for n := range g.sources {
-		s := &g.sources[n]
+// Report returns the report of what was collected. Plans are the names of plans by their numbers. The
+// caller adds who wrote it, and when.
+func (c *Collector) Report(plans []string) Report {
+	r := Report{Period: c.Period, Previous: c.Previous, Token: c.Token, MayRepeat: c.MayBeReported}
+	var entries []Entry
+	for n := range c.sources {
+		s := &c.sources[n]
 		if !s.complete {
-			l.Missing = append(l.Missing, n)
+			r.Missing = append(r.Missing, n)
 			continue
 		}
-		switch {
-		case s.firstPeriod == 0:
-			l.Restarted = append(l.Restarted, n)
-		case s.firstPeriod != g.Period && s.firstPeriod != g.Previous+1:
-			if l.Since == nil {
-				l.Since = map[string]uint32{}
-			}
-			l.Since[strconv.Itoa(n)] = s.firstPeriod
-		}
-		all = append(all, s.entries...)
+		c.addFirstPeriod(&r, n, s.firstPeriod)
+		entries = append(entries, s.entries...)
 	}
-	for _, e := range total(slices.Clone(all)) {
-		u := CustomerUsage{Customer: e.Customer, Units: float64(e.Units) / UnitParts}
-		if int(e.Plan) < len(plans) {
-			u.Plan = plans[e.Plan]
+	r.Usage = customerUsage(total(entries), plans)
+	return r
+}
+
+// addFirstPeriod notes in a report if a limiter's usage does not begin where the report before ended.
+func (c *Collector) addFirstPeriod(r *Report, limiter int, firstPeriod uint32) {
+	switch firstPeriod {
+	case 0:
+		r.Restarted = append(r.Restarted, limiter)
+	case c.Period, c.Previous + 1:
+	default:
+		if r.Since == nil {
+			r.Since = map[string]uint32{}
 		}
-		l.Usage = append(l.Usage, u)
+		r.Since[strconv.Itoa(limiter)] = firstPeriod
 	}
-	return l
 }
--- a/internal/usage/format_test.go
+++ b/internal/usage/format_test.go
@@ -15,15 +15,15 @@
 // Datagrams that 0.8.0 packed are read as what they were packed from, and packed to the same bytes.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var b strings.Builder
-	var pulls []PageRequest
+	var requests []PageRequest
 	for pattern := range 2 {
 		var p PageRequest
 		(&golden.Filler{Pattern: pattern}).Fill(&p)
-		pulls = append(pulls, p)
+		requests = append(requests, p)
 		fmt.Fprintf(&b, "%x\n", p.Append(nil))
 	}
-	owes := PendingReport{Period: 305419896}
-	fmt.Fprintf(&b, "%x\n", owes.Append(nil))
+	pending := PendingReport{Period: 305419896}
+	fmt.Fprintf(&b, "%x\n", pending.Append(nil))
 	entries := []Entry{
 		{Key{"0123456789abcdef", 7}, 123456789}, {Key{"0123456789ABCDEF", 8}, 1}, {Key{"", 9}, 300}, {Key{"some customer", 250}, 1 << 40},
 	}
@@ -40,13 +40,13 @@
 		}
 		packed = append(packed, data)
 	}
-	for i, want := range pulls {
+	for i, want := range requests {
 		if got, ok := ParsePageRequest(packed[i]); !ok || got != want {
 			t.Errorf("read as %+v, want %+v", got, want)
 		}
 	}
-	if got, ok := ParsePendingReport(packed[2]); !ok || got != owes {
-		t.Errorf("read as %+v, want %+v", got, owes)
+	if got, ok := ParsePendingReport(packed[2]); !ok || got != pending {
+		t.Errorf("read as %+v, want %+v", got, pending)
 	}
 	got, ok := ParsePage(packed[3])
 	if !ok || !reflect.DeepEqual(got, page) || !reflect.DeepEqual(unpack(got.Entries), entries) {
@@ -54,18 +54,17 @@
 	}
 }
 
-// A line of the file of use that 0.8.0 wrote is read as what it was written from, and written as
-// then; so is what a program reads of lines that were joined.
+// A line that 0.8.0 wrote to a file is read as the report that it was written from, and written as then.
 func TestLineOfEarlierRelease(t *testing.T) {
-	var line Report
-	(&golden.Filler{}).Fill(&line)
-	data, err := json.Marshal(line)
+	var report Report
+	(&golden.Filler{}).Fill(&report)
+	data, err := json.Marshal(report)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "line.json", append(data, '\n'))
-	lines, bad, err := ReadReports(bytes.NewReader(golden.Read(t, "line.json")))
-	if err != nil || len(bad) > 0 || len(lines) != 1 || !reflect.DeepEqual(lines[0], line) {
-		t.Errorf("read as %+v, %v, %v", lines, bad, err)
+	reports, badLines, err := ReadReports(bytes.NewReader(golden.Read(t, "line.json")))
+	if err != nil || len(badLines) > 0 || len(reports) != 1 || !reflect.DeepEqual(reports[0], report) {
+		t.Errorf("read as %+v, %v, %v", reports, badLines, err)
 	}
 }
--- /dev/null
+++ b/internal/usage/message.go
@@ -0,0 +1,150 @@
+package usage
+
+import (
+	"encoding/binary"
+
+	"lemongate/internal/checksum"
+)
+
+// Limiter is the number of one limiter of the tier.
+type Limiter = uint16
+
+// PageRequest requests a page of a limiter's usage in a period.
+type PageRequest struct {
+	Period          uint32
+	Page            uint16
+	ReportedUpTo    uint32 // the limiter's usage up to this period is in a report
+	Token           uint64 // fencing token of the lease holder
+	KnowsAllReports bool   // a closed period beyond ReportedUpTo is in no report, and becomes part of this one
+	MayBeReported   bool   // there may be a report of the period: a limiter that has not closed it leaves it open
+}
+
+// PendingReport is the reply of a limiter that has closed another period, to a lease holder that does
+// not know whether there is a report of it.
+type PendingReport struct{ Period uint32 }
+
+// Page is a page of a limiter's usage in a period, in reply to a PageRequest.
+type Page struct {
+	Period      uint32
+	Incarnation uint32 // of the limiter
+	FirstPeriod uint32 // the first period that is included; 0 if it is the first one of the incarnation
+	Page        uint16
+	Pages       uint16 // how many there are
+	Entries     []byte // packed
+}
+
+// A datagram, big-endian: magic, its kind, the fields in their order, a checksum. The first byte is no
+// version of the limiters' other messages.
+const (
+	magic            = 'U'
+	kindBytes        = 2   // magic and kind
+	pageRequestBytes = 19  // of the fields: 4, 2, 4, 8, and 1 for flags
+	pageHeaderBytes  = 16  // of the fields before Entries: 4, 4, 4, 2 and 2
+	maxSize          = 256 // of a datagram, in bytes
+	maxPageBytes     = maxSize - kindBytes - pageHeaderBytes - checksum.Size
+
+	flagKnowsAllReports = 1 << 0
+	flagMayBeReported   = 1 << 1
+	allFlags            = flagKnowsAllReports | flagMayBeReported
+)
+
+const (
+	kindPageRequest byte = iota
+	kindPage
+	kindPendingReport
+)
+
+// IsMessage reports whether a datagram is a message of this package.
+func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == magic }
+
+// fields returns what a datagram of some kind has between its kind and its checksum.
+func fields(data []byte, kind byte) ([]byte, bool) {
+	if len(data) < kindBytes+checksum.Size || len(data) > maxSize || data[0] != magic || data[1] != kind {
+		return nil, false
+	}
+	data, ok := checksum.Verify(data)
+	return data[kindBytes:], ok
+}
+
+// Append appends the datagram of a request to data, which must be empty.
+func (p PageRequest) Append(data []byte) []byte {
+	flags := byte(0)
+	if p.KnowsAllReports {
+		flags |= flagKnowsAllReports
+	}
+	if p.MayBeReported {
+		flags |= flagMayBeReported
+	}
+	order := binary.BigEndian
+	data = append(data, magic, kindPageRequest)
+	data = order.AppendUint32(data, p.Period)
+	data = order.AppendUint16(data, p.Page)
+	data = order.AppendUint32(data, p.ReportedUpTo)
+	data = order.AppendUint64(data, p.Token)
+	data = append(data, flags)
+	return checksum.Append(data)
+}
+
+// ParsePageRequest reads a datagram, and reports whether it is a PageRequest.
+func ParsePageRequest(data []byte) (p PageRequest, ok bool) {
+	data, ok = fields(data, kindPageRequest)
+	if !ok || len(data) != pageRequestBytes || data[18] > allFlags {
+		return p, false
+	}
+	order := binary.BigEndian
+	return PageRequest{
+		Period:          order.Uint32(data),
+		Page:            order.Uint16(data[4:]),
+		ReportedUpTo:    order.Uint32(data[6:]),
+		Token:           order.Uint64(data[10:]),
+		KnowsAllReports: data[18]&flagKnowsAllReports != 0,
+		MayBeReported:   data[18]&flagMayBeReported != 0,
+	}, true
+}
+
+// Append appends the datagram of a reply to data, which must be empty.
+func (p PendingReport) Append(data []byte) []byte {
+	data = append(data, magic, kindPendingReport)
+	data = binary.BigEndian.AppendUint32(data, p.Period)
+	return checksum.Append(data)
+}
+
+// ParsePendingReport reads a datagram, and reports whether it is a PendingReport.
+func ParsePendingReport(data []byte) (p PendingReport, ok bool) {
+	data, ok = fields(data, kindPendingReport)
+	if !ok || len(data) != 4 {
+		return p, false
+	}
+	return PendingReport{Period: binary.BigEndian.Uint32(data)}, true
+}
+
+// Append appends the datagram of a page to data, which must be empty.
+func (p Page) Append(data []byte) []byte {
+	order := binary.BigEndian
+	data = append(data, magic, kindPage)
+	data = order.AppendUint32(data, p.Period)
+	data = order.AppendUint32(data, p.Incarnation)
+	data = order.AppendUint32(data, p.FirstPeriod)
+	data = order.AppendUint16(data, p.Page)
+	data = order.AppendUint16(data, p.Pages)
+	data = append(data, p.Entries...)
+	return checksum.Append(data)
+}
+
+// ParsePage reads a datagram, and reports whether it is a Page with complete entries.
+func ParsePage(data []byte) (p Page, ok bool) {
+	data, ok = fields(data, kindPage)
+	if !ok || len(data) < pageHeaderBytes {
+		return p, false
+	}
+	order := binary.BigEndian
+	p = Page{
+		Period:      order.Uint32(data),
+		Incarnation: order.Uint32(data[4:]),
+		FirstPeriod: order.Uint32(data[8:]),
+		Page:        order.Uint16(data[12:]),
+		Pages:       order.Uint16(data[14:]),
+		Entries:     data[pageHeaderBytes:],
+	}
+	return p, p.Page < p.Pages && isPacked(p.Entries)
+}
--- a/internal/usage/recorder.go
+++ b/internal/usage/recorder.go
@@ -1,155 +1,138 @@
-// Package usage adds up what all limiters of a tier sent on, per customer and plan: a period
-// after another, each in one line, written by whoever holds the task's lease. It does no I/O, reads
-// no clock and starts no goroutine. docs/design/leases.md has what it promises.
+// Package usage accounts for what all limiters of a tier forwarded, per customer and plan: one period
+// after another, each in one report, written by whoever holds the lease of the task. It does no I/O,
+// reads no clock and starts no goroutine.
 //
-// Each limiter keeps a Book. The holder asks all of them, a page at a time (Gather); the first ask
-// for a period closes it there, so that each unit is in one period of each limiter, and what was
-// closed is kept until a line with it is known to be written, or goes into the next period.
+// Each limiter has a Recorder. The lease holder collects from all of them, a page at a time, with a
+// Collector. The first request for a period closes it at a limiter, so that each unit is in one period of
+// its limiter, whatever the clocks. A closed period is kept until a report that includes it is known to
+// be written; otherwise it becomes part of the next period.
+//
+// docs/design/leases.md says what is promised, and why it holds.
 package usage
 
-import (
-	"cmp"
-	"math"
-	"slices"
-)
-
-// Limiter is the number of one limiter of the tier.
-type Limiter = uint16
-
-// UnitParts is how many parts of a unit are counted.
-const UnitParts = 1000
-
-// maxCustomers bounds a book: what further customers use is under the name Others.
+// maxCustomers bounds a recorder: the usage of further customers is that of OverflowCustomer.
 const maxCustomers = 1 << 16
 
-// OverflowCustomer stands for the customers that a full book has no room for.
-const OverflowCustomer = ""
-
-// A Key is a customer on a plan.
-type Key struct {
-	Customer string `json:"Customer"`
-	Plan     uint8  `json:"Plan"`
-}
-
-// An Entry is what one customer used.
-type Entry struct {
-	Key
-	Units uint64 `json:"Units"` // in parts
-}
-
-// A Recorder has what one limiter sent on. It is not safe for concurrent use.
+// Recorder records what one limiter forwarded. It is not safe for concurrent use; see NewRecorder.
 type Recorder struct {
 	incarnation uint32
-	open        map[Key]uint64
-	closed      *closedPeriod // not known to be written; nil for none
-	last        uint32        // period closed last; 0 for none in this life
-	token       uint64        // the greatest that asked
+	open        map[Key]uint64 // in parts of a unit
+	closed      *closedPeriod  // not known to be reported; nil for none
+	lastClosed  uint32         // the last period closed by this incarnation; 0 for none
+	token       uint64         // the greatest fencing token of a request
 }
 
-// closedPeriod is a period that is over, and what came between the one before and it.
+// closedPeriod is the usage of a period that is over, and of what lies between the one before and it.
 type closedPeriod struct {
 	Period      uint32   `json:"Period"`
-	FirstPeriod uint32   `json:"From"` // the first period that it covers; 0 for the start of the life
+	FirstPeriod uint32   `json:"From"` // that is included; 0 if it is the first one of the incarnation
 	Pages       [][]byte `json:"Pages"`
 }
 
-// NewRecorder returns an empty one. A life is told apart from others of its limiter.
-func NewRecorder(life uint32) *Recorder { return &Recorder{incarnation: life, open: map[Key]uint64{}} }
+// NewRecorder returns an empty recorder. The incarnation differs from those of other processes of its
+// limiter.
+func NewRecorder(incarnation uint32) *Recorder {
+	return &Recorder{incarnation: incarnation, open: map[Key]uint64{}}
+}
 
-// Add books what a customer used.
-func (b *Recorder) Add(k Key, units float64) {
+// Add records usage. Units that are not positive do not count.
+func (r *Recorder) Add(k Key, units float64) {
 	if units <= 0 {
 		return
 	}
-	if _, has := b.open[k]; !has && (len(b.open) >= maxCustomers || len(k.Customer) > maxNameBytes) {
+	_, known := r.open[k]
+	if !known && (len(r.open) >= maxCustomers || len(k.Customer) > maxNameBytes) {
 		k.Customer = OverflowCustomer
 	}
-	b.open[k] += parts(units)
+	r.open[k] += parts(units)
 }
 
-func parts(units float64) uint64 { return uint64(math.Round(units * UnitParts)) }
-
-// HandleRequest gives the answer to an ask: a page, or what is owed before there can be one. It is false where
-// there is neither: the ask is of a former holder, or of a period that was written long ago.
-func (b *Recorder) HandleRequest(p PageRequest) (answer []byte, ok bool) {
-	if p.Token < b.token {
+// HandleRequest returns the reply to a request: a page, or a pending report that comes first. It is
+// false for a request of a former lease holder, or for a period that was reported long ago.
+func (r *Recorder) HandleRequest(p PageRequest) (reply []byte, ok bool) {
+	if p.Token < r.token {
 		return nil, false
 	}
-	b.token = p.Token
-	if b.closed != nil && b.closed.Period <= p.ReportedUpTo {
-		b.closed = nil
+	r.token = p.Token
+	if r.closed != nil && r.closed.Period <= p.ReportedUpTo {
+		r.closed = nil
 	}
-	if p.Period > b.last {
-		if b.closed != nil && !p.KnowsAllReports {
-			return PendingReport{b.closed.Period}.Append(nil), true
-		}
-		if p.MayBeReported { // what is open is of a later one: in this line it would count only if no other has the period
-			return Page{Period: p.Period, Incarnation: b.incarnation, FirstPeriod: p.Period, Pages: 1}.Append(nil), true
+	if p.Period > r.lastClosed {
+		switch {
+		case r.closed != nil && !p.KnowsAllReports:
+			return PendingReport{r.closed.Period}.Append(nil), true
+		case p.MayBeReported:
+			return r.emptyPage(p), true
 		}
-		b.close(p.Period)
+		r.closePeriod(p.Period)
 	}
-	c := b.closed
+	return r.reply(p)
+}
+
+// emptyPage is the reply where the period may be reported without this limiter's open usage: a repeated
+// report counts only where there is no other one, so that usage stays in a later period.
+func (r *Recorder) emptyPage(p PageRequest) []byte {
+	return Page{Period: p.Period, Incarnation: r.incarnation, FirstPeriod: p.Period, Pages: 1}.Append(nil)
+}
+
+// reply returns the page of the closed period that was requested.
+func (r *Recorder) reply(p PageRequest) (reply []byte, ok bool) {
+	c := r.closed
 	if c != nil && c.Period > p.Period {
 		return PendingReport{c.Period}.Append(nil), true
 	}
 	if c == nil || c.Period != p.Period {
 		return nil, false
 	}
-	if int(p.Page) >= len(c.Pages) { // it was told of more by an earlier life, and sees so by this page
-		p.Page = 0
+	if int(p.Page) >= len(c.Pages) {
+		p.Page = 0 // the collector goes on from an earlier incarnation, and finds out by this page
 	}
 	return Page{
-		Period: p.Period, Incarnation: b.incarnation, FirstPeriod: c.FirstPeriod, Page: p.Page, Pages: uint16(len(c.Pages)), Entries: c.Pages[p.Page],
+		Period:      p.Period,
+		Incarnation: r.incarnation,
+		FirstPeriod: c.FirstPeriod,
+		Page:        p.Page,
+		Pages:       uint16(len(c.Pages)),
+		Entries:     c.Pages[p.Page],
 	}.Append(nil), true
 }
 
-// close ends the open period. One that was closed before and is in no line goes along: nothing is
-// left out, and the page tells.
-func (b *Recorder) close(period uint32) {
-	c := closedPeriod{Period: period, FirstPeriod: b.last + 1}
-	if b.last == 0 {
-		c.FirstPeriod = 0
-	}
-	entries := make([]Entry, 0, len(b.open))
-	for k, units := range b.open {
-		entries = append(entries, Entry{k, units})
-	}
-	if b.closed != nil {
-		c.FirstPeriod = b.closed.FirstPeriod
-		for _, page := range b.closed.Pages {
+// closePeriod closes the open period. One that was closed before and is in no report is included, and
+// FirstPeriod says so.
+func (r *Recorder) closePeriod(period uint32) {
+	c := closedPeriod{Period: period}
+	if r.lastClosed > 0 {
+		c.FirstPeriod = r.lastClosed + 1
+	}
+	entries := r.openEntries()
+	if r.closed != nil {
+		c.FirstPeriod = r.closed.FirstPeriod
+		for _, page := range r.closed.Pages {
 			entries = append(entries, unpack(page)...)
 		}
 	}
 	c.Pages = pack(total(entries))
-	b.closed, b.last = &c, period
-	clear(b.open)
+	r.closed, r.lastClosed = &c, period
+	clear(r.open)
 }
 
-// total adds up entries of the same key, and sorts them.
-func total(entries []Entry) (list []Entry) {
-	slices.SortFunc(entries, func(a, b Entry) int { return a.compare(b.Key) })
-	for _, e := range entries {
-		if n := len(list); n > 0 && list[n-1].Key == e.Key {
-			list[n-1].Units += e.Units
-		} else {
-			list = append(list, e)
-		}
+// openEntries returns the usage of the open period, in no order.
+func (r *Recorder) openEntries() []Entry {
+	entries := make([]Entry, 0, len(r.open))
+	for k, units := range r.open {
+		entries = append(entries, Entry{k, units})
 	}
-	return list
-}
-
-func (k Key) compare(o Key) int {
-	return cmp.Or(cmp.Compare(k.Customer, o.Customer), cmp.Compare(k.Plan, o.Plan))
+	return entries
 }
 
-// UnreportedUnits gives the units that are in no line yet, as far as periods up to one are in lines.
-func (b *Recorder) UnreportedUnits(written uint32) float64 {
+// UnreportedUnits returns the units that are in no report, if periods up to reportedUpTo are reported.
+func (r *Recorder) UnreportedUnits(reportedUpTo uint32) float64 {
 	var sum uint64
-	for _, units := range b.open {
+	for _, units := range r.open {
 		sum += units
 	}
-	if b.closed != nil && b.closed.Period > written {
-		for _, page := range b.closed.Pages {
+	if r.closed != nil && r.closed.Period > reportedUpTo {
+		for _, page := range r.closed.Pages {
 			for _, e := range unpack(page) {
 				sum += e.Units
 			}
@@ -158,42 +141,41 @@
 	return float64(sum) / UnitParts
 }
 
-// Reset tells that another process of the limiter stood in for this one and died: what it booked is
-// lost, as with a start.
-func (b *Recorder) Reset(life uint32) { b.incarnation, b.last, b.closed = life, 0, nil }
+// Reset begins a new incarnation, after another process of the limiter recorded in place of this one
+// and died: what it recorded is lost, as with a start.
+func (r *Recorder) Reset(incarnation uint32) {
+	r.incarnation, r.lastClosed, r.closed = incarnation, 0, nil
+}
 
-// A RecorderState is a book on its way to another process of the same limiter.
+// RecorderState is what a recorder remembers, for another process of the same limiter.
 type RecorderState struct {
 	Incarnation uint32        `json:"Life"`
-	Last        uint32        `json:"Last"`
+	Last        uint32        `json:"Last"` // period closed last
 	Token       uint64        `json:"Token"`
 	Open        []Entry       `json:"Open"`
 	Closed      *closedPeriod `json:"Closed"`
 }
 
-// State packs the book.
-func (b *Recorder) State() *RecorderState {
-	x := &RecorderState{Incarnation: b.incarnation, Last: b.last, Token: b.token, Closed: b.closed}
-	for k, units := range b.open {
-		x.Open = append(x.Open, Entry{k, units})
-	}
-	x.Open = total(x.Open)
-	return x
+// State returns what the recorder remembers.
+func (r *Recorder) State() *RecorderState {
+	s := &RecorderState{Incarnation: r.incarnation, Last: r.lastClosed, Token: r.token, Closed: r.closed}
+	s.Open = total(r.openEntries())
+	return s
 }
 
-// Add books what was used while the legacy is on its way.
-func (x *RecorderState) Add(k Key, units float64) {
-	x.Open = append(x.Open, Entry{k, parts(max(units, 0))})
+// Add records usage while the state is in transit.
+func (s *RecorderState) Add(k Key, units float64) {
+	s.Open = append(s.Open, Entry{k, parts(max(units, 0))})
 }
 
-// Restore goes on with the book of another process of the same limiter, and adds to it what this
-// one has.
-func (b *Recorder) Restore(x *RecorderState) {
-	if x == nil {
+// Restore goes on from the state of another process of the same limiter, nil for none, and adds the open
+// usage of this one.
+func (r *Recorder) Restore(s *RecorderState) {
+	if s == nil {
 		return
 	}
-	b.incarnation, b.last, b.token, b.closed = x.Incarnation, x.Last, x.Token, x.Closed
-	for _, e := range x.Open {
-		b.open[e.Key] += e.Units
+	r.incarnation, r.lastClosed, r.token, r.closed = s.Incarnation, s.Last, s.Token, s.Closed
+	for _, e := range s.Open {
+		r.open[e.Key] += e.Units
 	}
 }
--- a/internal/usage/summary.go
+++ b/internal/usage/summary.go
@@ -1,110 +1,138 @@
 package usage
 
 import (
-	"bufio"
-	"bytes"
 	"cmp"
-	"encoding/json"
 	"fmt"
-	"io"
 	"math"
 	"slices"
+	"strconv"
 )
 
-// maxLine is the longest line that is read.
-const maxLine = 64 << 20
+// Summary is the usage of a tier by all its reports.
+type Summary struct {
+	Reports []Report        // those that count, one for each period, in order
+	Usage   []CustomerUsage // in all of them
+	Faults  []string        // what is missing, in doubt or repeated, a line each
+}
+
+// Merge merges the reports of all files. Of the reports of a period the one counts that is no repetition,
+// of several the one with the least token; a second one that is no repetition is a fault.
+func Merge(reports []Report) Summary {
+	var s Summary
+	s.addReports(reports)
+	for i := range s.Reports {
+		s.checkPrevious(i)
+		s.checkMissing(i)
+		s.checkRestarted(i)
+	}
+	s.Usage = sumUsage(s.Reports)
+	return s
+}
 
-// ReadReports takes the lines of a file. One that is torn or no line is told by its number, and left out.
-func ReadReports(r io.Reader) (lines []Report, bad []int, err error) {
-	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, maxLine)
-	for n := 1; scan.Scan(); n++ {
-		if len(bytes.TrimSpace(scan.Bytes())) == 0 {
+func (s *Summary) fault(format string, args ...any) {
+	s.Faults = append(s.Faults, fmt.Sprintf(format, args...))
+}
+
+// addReports adds the reports that count.
+func (s *Summary) addReports(reports []Report) {
+	reports = slices.Clone(reports)
+	slices.SortStableFunc(reports, compareReports)
+	for _, r := range reports {
+		last := len(s.Reports) - 1
+		if last < 0 || s.Reports[last].Period != r.Period {
+			s.Reports = append(s.Reports, r)
 			continue
 		}
-		var l Report
-		if json.Unmarshal(scan.Bytes(), &l) != nil || l.Period == 0 || l.Token == 0 {
-			bad = append(bad, n)
-			continue
+		if !r.MayRepeat {
+			s.fault("period %d: twice, under tokens %d and %d", r.Period, s.Reports[last].Token, r.Token)
 		}
-		lines = append(lines, l)
 	}
-	if err := scan.Err(); err != nil {
-		return lines, bad, fmt.Errorf("lines: %w", err)
+}
+
+// compareReports orders reports by period. Of a period the one that counts comes first.
+func compareReports(a, b Report) int {
+	return cmp.Or(
+		cmp.Compare(a.Period, b.Period),
+		compareBool(a.MayRepeat, b.MayRepeat),
+		cmp.Compare(a.Token, b.Token),
+	)
+}
+
+// compareBool orders false before true.
+func compareBool(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return 1
 	}
-	return lines, bad, nil
+	return -1
 }
 
-// A Summary is what the lines of a fleet say together.
-type Summary struct {
-	Reports []Report        // that count, one a period, in order
-	Usage   []CustomerUsage // of all of them
-	Faults  []string        // what is missing, in doubt or twice, a line each
+// checkPrevious checks that no report is missing before one.
+func (s *Summary) checkPrevious(index int) {
+	if index == 0 {
+		return
+	}
+	r, before := s.Reports[index], s.Reports[index-1]
+	switch r.Previous {
+	case 0:
+		s.fault("before period %d: not known whether lines are missing", r.Period)
+	case before.Period:
+	default:
+		s.fault("between periods %d and %d: a line is missing, as %d comes after %d", before.Period, r.Period, r.Period, r.Previous)
+	}
 }
 
-// Merge joins lines of all files. Of a period the line counts that is not written again, and of several
-// the one with the least token; a second that does not say so is a fault.
-func Merge(lines []Report) Summary {
-	lines = slices.Clone(lines)
-	slices.SortStableFunc(lines, func(a, b Report) int {
-		again := func(l Report) int {
-			if l.MayRepeat {
-				return 1
-			}
-			return 0
+// checkMissing checks that the usage of limiters that are missing is in a later report.
+func (s *Summary) checkMissing(index int) {
+	r := s.Reports[index]
+	for _, limiter := range r.Missing {
+		if !reportedLater(s.Reports[index+1:], limiter, r.Period) {
+			s.fault("period %d: limiter %d is missing", r.Period, limiter)
 		}
-		return cmp.Or(cmp.Compare(a.Period, b.Period), cmp.Compare(again(a), again(b)), cmp.Compare(a.Token, b.Token))
-	})
-	var s Summary
-	fault := func(format string, args ...any) { s.Faults = append(s.Faults, fmt.Sprintf(format, args...)) }
-	for _, l := range lines {
-		if n := len(s.Reports); n > 0 && s.Reports[n-1].Period == l.Period {
-			if !l.MayRepeat {
-				fault("period %d: twice, under tokens %d and %d", l.Period, s.Reports[n-1].Token, l.Token)
-			}
-			continue
-		}
-		s.Reports = append(s.Reports, l)
 	}
-	units := map[[2]string]float64{}
-	for i, l := range s.Reports {
-		for _, u := range l.Usage {
-			units[[2]string{u.Customer, u.Plan}] += u.Units
-		}
-		switch {
-		case i > 0 && l.Previous != s.Reports[i-1].Period && l.Previous > 0:
-			fault("between periods %d and %d: a line is missing, as %d comes after %d", s.Reports[i-1].Period, l.Period, l.Period, l.Previous)
-		case i > 0 && l.Previous == 0:
-			fault("before period %d: not known whether lines are missing", l.Period)
-		}
-		for _, k := range l.Missing {
-			if !reportedLater(s.Reports[i+1:], k, l.Period) {
-				fault("period %d: limiter %d is missing", l.Period, k)
-			}
-		}
-		for _, k := range l.Restarted {
-			if i > 0 {
-				fault("period %d: limiter %d started anew, what it had not told before is lost", l.Period, k)
-			}
-		}
+}
+
+// checkRestarted notes the limiters that lost usage as they restarted.
+func (s *Summary) checkRestarted(index int) {
+	if index == 0 {
+		return
 	}
-	for k, n := range units {
-		s.Usage = append(s.Usage, CustomerUsage{Customer: k[0], Plan: k[1], Units: math.Round(n*UnitParts) / UnitParts})
+	r := s.Reports[index]
+	for _, limiter := range r.Restarted {
+		s.fault("period %d: limiter %d started anew, what it had not reported before is lost", r.Period, limiter)
 	}
-	slices.SortFunc(s.Usage, func(a, b CustomerUsage) int {
-		return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(a.Plan, b.Plan))
-	})
-	return s
 }
 
-// reportedLater tells whether a limiter's use of a period is in a later line.
-func reportedLater(lines []Report, limiter int, period uint32) bool {
-	for _, l := range lines {
-		if slices.Contains(l.Missing, limiter) {
+// reportedLater reports whether the usage of a limiter in a period is in the next report that has the
+// limiter.
+func reportedLater(reports []Report, limiter int, period uint32) bool {
+	for _, r := range reports {
+		if slices.Contains(r.Missing, limiter) {
 			continue
 		}
-		since, ok := l.Since[fmt.Sprint(limiter)]
+		since, ok := r.Since[strconv.Itoa(limiter)]
 		return ok && since <= period
 	}
 	return false
 }
+
+// sumUsage adds up the usage in reports, by customer and plan.
+func sumUsage(reports []Report) (list []CustomerUsage) {
+	type key struct{ customer, plan string }
+	units := map[key]float64{}
+	for _, r := range reports {
+		for _, u := range r.Usage {
+			units[key{u.Customer, u.Plan}] += u.Units
+		}
+	}
+	for k, sum := range units {
+		rounded := math.Round(sum*UnitParts) / UnitParts
+		list = append(list, CustomerUsage{Customer: k.customer, Plan: k.plan, Units: rounded})
+	}
+	slices.SortFunc(list, func(a, b CustomerUsage) int {
+		return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(a.Plan, b.Plan))
+	})
+	return list
+}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -10,156 +10,166 @@
 	"time"
 )
 
-// Messages go over as they are, and noise is none.
+// Messages come through unchanged, and noise is not taken for one.
 func FuzzMessages(f *testing.F) {
-	b := NewRecorder(7)
-	b.Add(Key{"00000000000000ff", 2}, 1.5)
-	b.Add(Key{"a name that is no number", 0}, 1e6)
-	page, ok := b.HandleRequest(PageRequest{Period: 3, Token: 9})
-	if p, is := ParsePage(page); !ok || !is || p.Incarnation != 7 || p.Pages != 1 || len(unpack(p.Entries)) != 2 || len(page) > maxSize {
-		f.Fatalf("%+v, %v, %d bytes", p, is, len(page))
-	}
-	for _, data := range [][]byte{page, PageRequest{1 << 31, 7, 1<<31 - 1, 1 << 60, true, true}.Append(nil), PendingReport{12}.Append(nil)} {
+	r := NewRecorder(7)
+	r.Add(Key{"00000000000000ff", 2}, 1.5)
+	r.Add(Key{"a name that is no number", 0}, 1e6)
+	page, ok := r.HandleRequest(PageRequest{Period: 3, Token: 9})
+	if p, isPage := ParsePage(page); !ok || !isPage || p.Incarnation != 7 || p.Pages != 1 || len(unpack(p.Entries)) != 2 || len(page) > maxSize {
+		f.Fatalf("%+v, %v, %d bytes", p, isPage, len(page))
+	}
+	for _, data := range [][]byte{page, PageRequest{Period: 1 << 31, Page: 7, ReportedUpTo: 1<<31 - 1, Token: 1 << 60, KnowsAllReports: true, MayBeReported: true}.Append(nil), PendingReport{12}.Append(nil)} {
 		f.Add(data)
 		for i := range data {
-			bad := slices.Clone(data)
-			bad[i]++
-			_, pull := ParsePageRequest(bad)
-			_, page := ParsePage(bad)
-			_, owes := ParsePendingReport(bad)
-			if pull || page || owes {
-				f.Errorf("a wrong byte %d is not seen", i)
+			changed := slices.Clone(data)
+			changed[i]++
+			_, isRequest := ParsePageRequest(changed)
+			_, isPage := ParsePage(changed)
+			_, isPending := ParsePendingReport(changed)
+			if isRequest || isPage || isPending {
+				f.Errorf("a wrong byte %d is not noticed", i)
 			}
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if m, ok := ParsePageRequest(data); ok && !bytes.Equal(m.Append(nil), data) {
-			t.Error("two forms of one ask")
+			t.Error("two datagrams of one request")
 		}
 		if m, ok := ParsePage(data); ok && !bytes.Equal(m.Append(nil), data) {
-			t.Error("two forms of one page")
+			t.Error("two datagrams of one page")
 		}
 		if m, ok := ParsePendingReport(data); ok && !bytes.Equal(m.Append(nil), data) {
-			t.Error("two forms of one debt")
+			t.Error("two datagrams of one pending report")
 		}
-		if lines, _, err := ReadReports(bytes.NewReader(data)); err == nil {
-			Merge(lines)
+		if reports, _, err := ReadReports(bytes.NewReader(data)); err == nil {
+			Merge(reports)
 		}
 	})
 }
 
-// collect has a gather ask books until it is whole. Each answer may be lost.
-func collect(t *testing.T, g *Collector, books []*Recorder, lost func(n int) bool) Report {
+// collect has a collector query recorders until it is complete. Each reply may be lost.
+func collect(t *testing.T, c *Collector, recorders []*Recorder, lost func(n int) bool) Report {
 	t.Helper()
 	now := time.Second
-	for n := 0; !g.Complete(); n++ {
-		asks, due := g.Tick(now)
-		for _, a := range asks {
-			if answer, ok := books[a.To].HandleRequest(a.Request); ok && !lost(n) {
-				g.HandleMessage(a.To, answer)
-				g.HandleMessage(a.To, answer) // twice
+	for n := 0; !c.Complete(); n++ {
+		queries, due := c.Tick(now)
+		for _, q := range queries {
+			if reply, ok := recorders[q.To].HandleRequest(q.Request); ok && !lost(n) {
+				c.HandleMessage(q.To, reply)
+				c.HandleMessage(q.To, reply) // twice
 			}
 		}
-		if now = max(now+time.Millisecond, due); n > 10000 {
-			t.Fatal("never whole")
+		now = max(now+time.Millisecond, due)
+		if n > 10000 {
+			t.Fatal("never complete")
 		}
 	}
-	return g.Report([]string{"gold", "iron"})
+	return c.Report([]string{"gold", "iron"})
 }
 
-// A period of many pages comes whole through loss; a limiter that dies in the middle counts from its
-// new start alone, and one that answers too late goes into the next period, which says so.
-func TestGather(t *testing.T) {
-	books := []*Recorder{NewRecorder(1), NewRecorder(2), NewRecorder(3)}
-	for i := range 300 {
-		for n, b := range books {
-			b.Add(Key{fmt.Sprintf("%016x", i), uint8(n % 2)}, 1.25)
-		}
+func neverLost(int) bool { return false }
+
+func newTestCollector(period, previous uint32, reportedUpTo []uint32) *Collector {
+	return NewCollector(period, previous, reportedUpTo, false, 9, time.Millisecond, 0)
+}
+
+func sumOfUnits(r Report) (units float64) {
+	for _, u := range r.Usage {
+		units += u.Units
 	}
-	sum := func(l Report) (units float64) {
-		for _, u := range l.Usage {
-			units += u.Units
+	return units
+}
+
+// A period of many pages comes complete through loss; a limiter that dies between two pages counts from
+// its new start alone, and one that replies too late becomes part of the next period, which says so.
+func TestCollect(t *testing.T) {
+	recorders := []*Recorder{NewRecorder(1), NewRecorder(2), NewRecorder(3)}
+	for i := range 300 {
+		for n, r := range recorders {
+			r.Add(Key{fmt.Sprintf("%016x", i), uint8(n % 2)}, 1.25)
 		}
-		return units
 	}
-	done := make([]uint32, 3)
-	g := NewCollector(5, 0, done, false, 9, time.Millisecond, 0)
-	line := collect(t, g, books, func(n int) bool { return n%3 == 0 })
-	if sum(line) != 3*300*1.25 || len(line.Usage) != 600 || !slices.Equal(line.Restarted, []int{0, 1, 2}) || line.Missing != nil {
-		t.Errorf("%v units of %d, anew %v, missing %v", sum(line), len(line.Usage), line.Restarted, line.Missing)
+	reported := make([]uint32, 3)
+	c := newTestCollector(5, 0, reported)
+	report := collect(t, c, recorders, func(n int) bool { return n%3 == 0 })
+	if sumOfUnits(report) != 3*300*1.25 || len(report.Usage) != 600 || !slices.Equal(report.Restarted, []int{0, 1, 2}) || report.Missing != nil {
+		t.Errorf("%v units of %d, restarted %v, missing %v", sumOfUnits(report), len(report.Usage), report.Restarted, report.Missing)
 	}
-	done = g.Reported()
+	reported = c.Reported()
 
-	for _, b := range books {
-		b.Add(Key{"x", 0}, 2)
+	for _, r := range recorders {
+		r.Add(Key{"x", 0}, 2)
 	}
-	g = NewCollector(6, 5, done, false, 9, time.Millisecond, 0)
-	line = collect(t, g, books, func(int) bool { return false })
-	if sum(line) != 6 || line.Restarted != nil || line.Since != nil {
-		t.Errorf("%+v", line)
+	c = newTestCollector(6, 5, reported)
+	report = collect(t, c, recorders, neverLost)
+	if sumOfUnits(report) != 6 || report.Restarted != nil || report.Since != nil {
+		t.Errorf("%+v", report)
 	}
-	done = g.Reported()
+	reported = c.Reported()
 
-	for i := range 100 { // several pages, and a new life after the first
-		books[1].Add(Key{fmt.Sprintf("%016x", i), 0}, 1)
-	}
-	g = NewCollector(7, 6, done, false, 9, time.Millisecond, 0)
-	answer, _ := books[1].HandleRequest(PageRequest{Period: 7, ReportedUpTo: 6, Token: 9})
-	g.HandleMessage(1, answer)
-	books[1] = NewRecorder(8)
-	books[1].Add(Key{"y", 0}, 3)
-	if line = collect(t, g, books, func(int) bool { return false }); sum(line) != 3 || !slices.Equal(line.Restarted, []int{1}) {
-		t.Errorf("%v units after a limiter died between two pages, anew %v", sum(line), line.Restarted)
-	}
-	done = g.Reported()
+	for i := range 100 { // several pages, and a new incarnation after the first
+		recorders[1].Add(Key{fmt.Sprintf("%016x", i), 0}, 1)
+	}
+	c = newTestCollector(7, 6, reported)
+	reply, _ := recorders[1].HandleRequest(PageRequest{Period: 7, ReportedUpTo: 6, Token: 9})
+	c.HandleMessage(1, reply)
+	recorders[1] = NewRecorder(8)
+	recorders[1].Add(Key{"y", 0}, 3)
+	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 3 || !slices.Equal(report.Restarted, []int{1}) {
+		t.Errorf("%v units after a limiter died between two pages, restarted %v", sumOfUnits(report), report.Restarted)
+	}
+	reported = c.Reported()
 
-	books[2].Add(Key{"z", 0}, 5)
-	g = NewCollector(9, 7, done, false, 9, time.Millisecond, 0)
-	g.sources[2].missing, g.incomplete = true, g.incomplete-1 // it did not answer in time, though it was asked
-	books[2].HandleRequest(PageRequest{Period: 9, ReportedUpTo: 7, Token: 9})
-	if line = collect(t, g, books, func(int) bool { return false }); sum(line) != 0 || !slices.Equal(line.Missing, []int{2}) {
-		t.Errorf("%+v", line)
-	}
-	g = NewCollector(10, 9, g.Reported(), false, 9, time.Millisecond, 0)
-	g.KnowsAllReports = true
-	if line = collect(t, g, books, func(int) bool { return false }); sum(line) != 5 || line.Since["2"] != 8 {
-		t.Errorf("%+v", line)
-	}
-	books[0].Add(Key{"w", 0}, 6) // is of no period that an earlier holder may have written
-	g = NewCollector(11, 9, []uint32{10, 10, 10}, true, 9, time.Millisecond, 0)
-	if line = collect(t, g, books, func(int) bool { return false }); sum(line) != 0 || line.Missing != nil || books[0].UnreportedUnits(11) != 6 {
-		t.Errorf("%+v, %v held", line, books[0].UnreportedUnits(11))
-	}
-	if _, ok := books[0].HandleRequest(PageRequest{Period: 11, Token: 8}); ok {
-		t.Error("answered the holder of an earlier lease")
+	recorders[2].Add(Key{"z", 0}, 5)
+	c = newTestCollector(9, 7, reported)
+	c.setMissing(&c.sources[2]) // it did not reply in time, though it received the request
+	recorders[2].HandleRequest(PageRequest{Period: 9, ReportedUpTo: 7, Token: 9})
+	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 0 || !slices.Equal(report.Missing, []int{2}) {
+		t.Errorf("%+v", report)
+	}
+	c = newTestCollector(10, 9, c.Reported())
+	c.KnowsAllReports = true
+	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 5 || report.Since["2"] != 8 {
+		t.Errorf("%+v", report)
+	}
+
+	recorders[0].Add(Key{"w", 0}, 6) // of no period that an earlier lease holder may have reported
+	c = NewCollector(11, 9, []uint32{10, 10, 10}, true, 9, time.Millisecond, 0)
+	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 0 || report.Missing != nil || recorders[0].UnreportedUnits(11) != 6 {
+		t.Errorf("%+v, %v unreported", report, recorders[0].UnreportedUnits(11))
+	}
+	if _, ok := recorders[0].HandleRequest(PageRequest{Period: 11, Token: 8}); ok {
+		t.Error("replied to the holder of an earlier lease")
 	}
 }
 
-// A book holds so many customers and no more; the rest is added up.
-func TestFullBook(t *testing.T) {
-	b := NewRecorder(1)
+// A recorder has room for so many customers and no more; the usage of the others is added up.
+func TestFullRecorder(t *testing.T) {
+	r := NewRecorder(1)
 	for i := range maxCustomers + 50 {
-		b.Add(Key{fmt.Sprintf("%016x", i), 0}, 1)
+		r.Add(Key{fmt.Sprintf("%016x", i), 0}, 1)
 	}
-	b.Add(Key{strings.Repeat("n", maxNameBytes+1), 0}, 1)
-	if len(b.open) != maxCustomers+1 || b.open[Key{OverflowCustomer, 0}] != 51*UnitParts || b.UnreportedUnits(0) != maxCustomers+51 {
-		t.Errorf("%d customers, others %d", len(b.open), b.open[Key{OverflowCustomer, 0}])
+	r.Add(Key{strings.Repeat("n", maxNameBytes+1), 0}, 1)
+	overflow := r.open[Key{OverflowCustomer, 0}]
+	if len(r.open) != maxCustomers+1 || overflow != 51*UnitParts || r.UnreportedUnits(0) != maxCustomers+51 {
+		t.Errorf("%d customers, overflow %d", len(r.open), overflow)
 	}
 }
 
-// Lines of several holders are joined: one a period, the rest told.
+// The reports of several lease holders are merged: one for each period, and what is wrong with the rest.
 func TestMerge(t *testing.T) {
-	use := func(n float64) []CustomerUsage { return []CustomerUsage{{"c", "gold", n}} }
-	lines := []Report{
-		{Period: 3, Previous: 2, Token: 8, Usage: use(4), MayRepeat: true},
-		{Period: 2, Previous: 1, Token: 5, Usage: use(2), Missing: []int{1, 4}},
-		{Period: 1, Token: 5, Usage: use(1)},
-		{Period: 3, Previous: 2, Token: 5, Usage: use(3), Since: map[string]uint32{"4": 2}},
-		{Period: 6, Previous: 5, Token: 9, Usage: use(6), Restarted: []int{0}},
-		{Period: 7, Previous: 6, Token: 9, Usage: use(7)},
-		{Period: 7, Previous: 6, Token: 10, Usage: use(70)},
-	}
-	s := Merge(lines)
+	usage := func(units float64) []CustomerUsage { return []CustomerUsage{{"c", "gold", units}} }
+	reports := []Report{
+		{Period: 3, Previous: 2, Token: 8, Usage: usage(4), MayRepeat: true},
+		{Period: 2, Previous: 1, Token: 5, Usage: usage(2), Missing: []int{1, 4}},
+		{Period: 1, Token: 5, Usage: usage(1)},
+		{Period: 3, Previous: 2, Token: 5, Usage: usage(3), Since: map[string]uint32{"4": 2}},
+		{Period: 6, Previous: 5, Token: 9, Usage: usage(6), Restarted: []int{0}},
+		{Period: 7, Previous: 6, Token: 9, Usage: usage(7)},
+		{Period: 7, Previous: 6, Token: 10, Usage: usage(70)},
+	}
+	s := Merge(reports)
 	if len(s.Reports) != 5 || s.Usage[0].Units != 1+2+3+6+7 {
 		t.Errorf("%+v", s)
 	}
@@ -172,9 +182,9 @@
 			t.Errorf("%q is missing in %q", w, s.Faults)
 		}
 	}
-	data, _ := json.Marshal(lines[1])
-	back, bad, err := ReadReports(strings.NewReader(string(data) + "\n\n" + string(data[:20])))
-	if err != nil || len(back) != 1 || !slices.Equal(bad, []int{3}) || Merge(back).Faults == nil {
-		t.Errorf("%+v, %v, %v", back, bad, err)
+	data, _ := json.Marshal(reports[1])
+	back, badLines, err := ReadReports(strings.NewReader(string(data) + "\n\n" + string(data[:20])))
+	if err != nil || len(back) != 1 || !slices.Equal(badLines, []int{3}) || Merge(back).Faults == nil {
+		t.Errorf("%+v, %v, %v", back, badLines, err)
 	}
 }
