--- /dev/null
+++ b/internal/hotrestart/link/conn.go
@@ -0,0 +1,219 @@
+// Package link carries messages, and sockets with them, between the two processes of a hot restart: over
+// a Unix socket in a directory that both share. It decides nothing.
+package link
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	// maxQueued is how many frames wait to be written: one for each request or client connection.
+	maxQueued = 4096
+	// dialTimeout bounds connecting to the other process.
+	dialTimeout = time.Second
+	// flushTimeout bounds writing what is queued when the link is closed.
+	flushTimeout = 50 * time.Millisecond
+	// writeTimeout bounds writing one frame. It is far longer than the other process may be silent.
+	writeTimeout = 10 * time.Second
+)
+
+// Conn is one end of a link. Send, SendSync, CloseAfterFlush, Close and Kill may be called from any
+// goroutine, Read from one.
+//
+// A Conn owns one goroutine, which writes what is queued and ends when the Conn is closed.
+type Conn struct {
+	socket *net.UnixConn
+	pid    int
+	queue  chan queuedFrame
+	done   chan struct{} // closed once nothing more is written
+	close  sync.Once
+	reader frameReader
+}
+
+// queuedFrame is a frame that waits to be written.
+type queuedFrame struct {
+	kind    uint8
+	body    []byte
+	sockets []syscall.Conn
+	written chan<- error // nil if no caller waits for it
+	last    bool         // no frame: the link is closed behind what was queued before
+}
+
+// Dial connects to the process that listens at a path.
+func Dial(path string) (*Conn, error) {
+	short, release, err := shortPath(path)
+	if err != nil {
+		return nil, err
+	}
+	defer release()
+	c, err := net.DialTimeout("unix", short, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return newConn(c.(*net.UnixConn))
+}
+
+// newConn returns the Conn of a connected socket, which it closes on an error.
+func newConn(socket *net.UnixConn) (*Conn, error) {
+	pid, err := peerPID(socket)
+	if err != nil {
+		_ = socket.Close() // nothing was written
+		return nil, fmt.Errorf("other process: %w", err)
+	}
+	c := &Conn{
+		socket: socket,
+		pid:    pid,
+		queue:  make(chan queuedFrame, maxQueued),
+		done:   make(chan struct{}),
+		reader: frameReader{socket: socket},
+	}
+	go c.writeQueued()
+	return c, nil
+}
+
+// peerPID returns the ID of the process at the other end, as the kernel recorded it.
+func peerPID(socket *net.UnixConn) (int, error) {
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	var credentials *syscall.Ucred
+	var optionErr error
+	err = raw.Control(func(fd uintptr) {
+		credentials, optionErr = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+	})
+	if err := errors.Join(err, optionErr); err != nil {
+		return 0, err
+	}
+	return int(credentials.Pid), nil
+}
+
+// PID returns the ID of the process at the other end.
+func (c *Conn) PID() int { return c.pid }
+
+// Kill kills the process at the other end, even a stopped one. The end of the link confirms it.
+func (c *Conn) Kill() {
+	_ = syscall.Kill(c.pid, syscall.SIGKILL) // it may have ended already
+}
+
+// Send queues a frame, and reports whether it could. It does not wait. If the queue is full, the other
+// process has read nothing for long, and the link is closed: a frame must not be left out unnoticed.
+func (c *Conn) Send(kind uint8, body []byte, sockets ...syscall.Conn) bool {
+	select {
+	case <-c.done:
+		return false
+	case c.queue <- queuedFrame{kind: kind, body: body, sockets: sockets}:
+		return true
+	default:
+		c.Close()
+		return false
+	}
+}
+
+// SendSync sends a frame and returns once it is written, so that the caller may close the sockets. The
+// error is net.ErrClosed if the link is closed.
+func (c *Conn) SendSync(kind uint8, body []byte, sockets ...syscall.Conn) error {
+	written := make(chan error, 1)
+	select {
+	case <-c.done:
+		return net.ErrClosed
+	case c.queue <- queuedFrame{kind: kind, body: body, sockets: sockets, written: written}:
+	}
+	select {
+	case err := <-written:
+		return err
+	case <-c.done:
+		return net.ErrClosed
+	}
+}
+
+// CloseAfterFlush closes the link behind what was sent before, without waiting. If that cannot be
+// written in time, the other process may never read it, and is killed.
+//
+// Its goroutine ends when the link is closed, after flushTimeout at the latest.
+func (c *Conn) CloseAfterFlush() {
+	timeout := time.AfterFunc(flushTimeout, func() {
+		c.Kill()
+		c.Close()
+	})
+	go func() {
+		select {
+		case c.queue <- queuedFrame{last: true}:
+		case <-c.done:
+		}
+		<-c.done
+		timeout.Stop()
+	}()
+}
+
+// Close closes the link at once.
+func (c *Conn) Close() {
+	c.close.Do(func() {
+		close(c.done)
+		_ = c.socket.Close() // what is queued is lost in any case
+	})
+}
+
+// writeQueued writes what is queued until the link is closed.
+func (c *Conn) writeQueued() {
+	defer c.Close()
+	for {
+		select {
+		case <-c.done:
+			return
+		case f := <-c.queue:
+			if f.last {
+				return
+			}
+			err := c.write(f)
+			if f.written != nil {
+				f.written <- err
+			}
+			if err != nil {
+				return
+			}
+		}
+	}
+}
+
+// write writes a frame, with its sockets beside the first bytes.
+func (c *Conn) write(f queuedFrame) error {
+	if err := c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		return err
+	}
+	data := encodeFrame(f.kind, len(f.sockets), f.body)
+	if len(f.sockets) > 0 {
+		n, err := c.writeWithSockets(data, f.sockets, nil)
+		if err != nil {
+			return err
+		}
+		data = data[n:]
+	}
+	_, err := c.socket.Write(data)
+	return err
+}
+
+// writeWithSockets writes the first bytes of data, with the descriptors of sockets. Each socket is kept
+// open meanwhile by a call to its Control, inside that of the one before.
+func (c *Conn) writeWithSockets(data []byte, sockets []syscall.Conn, descriptors []int) (n int, err error) {
+	if len(sockets) == 0 {
+		n, _, err = c.socket.WriteMsgUnix(data, syscall.UnixRights(descriptors...), nil)
+		return n, err
+	}
+	raw, err := sockets[0].SyscallConn()
+	if err != nil {
+		return 0, err
+	}
+	controlErr := raw.Control(func(fd uintptr) {
+		n, err = c.writeWithSockets(data, sockets[1:], append(descriptors, int(fd)))
+	})
+	return n, errors.Join(controlErr, err)
+}
+
+// Read returns the next frame, or an error once the link has ended.
+func (c *Conn) Read() (Frame, error) { return c.reader.read() }
--- a/internal/hotrestart/link/link_test.go
+++ b/internal/hotrestart/link/link_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"net"
 	"os"
 	"path/filepath"
@@ -10,7 +11,7 @@
 	"time"
 )
 
-// pair connects two ends.
+// pair returns the two ends of a link.
 func pair(t testing.TB) (a, b *Conn) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
@@ -19,20 +20,23 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	got := make(chan *Conn, 1)
+	accepted := make(chan *Conn, 1)
 	go func() {
-		c, _ := l.Accept()
-		got <- c
+		c, err := l.Accept()
+		if err != nil {
+			t.Error(err)
+		}
+		accepted <- c
 	}()
 	if a, err = Dial(path); err != nil {
 		t.Fatal(err)
 	}
-	b = <-got
+	b = <-accepted
 	t.Cleanup(func() { a.Close(); b.Close() })
 	return a, b
 }
 
-// Frames come whole and in order, large ones too, and each socket with its own frame.
+// Frames arrive complete and in order, large ones too, and each socket with its own frame.
 func TestFrames(t *testing.T) {
 	a, b := pair(t)
 	if a.PID() != os.Getpid() {
@@ -44,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		t.Cleanup(func() { _ = l.Close() }) // nothing connects
 		listeners = append(listeners, l.(*net.TCPListener))
 	}
 	large := bytes.Repeat([]byte("0123456789"), 300_000)
@@ -52,7 +56,9 @@
 	a.Send(2, large, listeners[0], listeners[1])
 	a.Send(3, []byte("x"))
 	go func() {
-		a.SendSync(4, nil, listeners[2])
+		if err := a.SendSync(4, nil, listeners[2]); err != nil {
+			t.Error(err)
+		}
 		a.CloseAfterFlush()
 	}()
 	for _, want := range []struct {
@@ -66,23 +72,29 @@
 		}
 		for i, s := range f.Sockets {
 			l, err := net.FileListener(s)
-			if err != nil || l.Addr().String() != want.sockets[i].Addr().String() {
-				t.Errorf("another socket: %v", err)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if l.Addr().String() != want.sockets[i].Addr().String() {
+				t.Errorf("socket of %v, want that of %v", l.Addr(), want.sockets[i].Addr())
+			}
+			if err := errors.Join(l.Close(), s.Close()); err != nil {
+				t.Error(err)
 			}
-			l.Close()
-			s.Close()
 		}
 	}
 	if _, err := b.Read(); err == nil {
-		t.Error("no end")
+		t.Error("the link has not ended")
 	}
-	if b.Send(1, nil); b.SendSync(1, nil) == nil && b.SendSync(1, nil) == nil {
-		t.Error("what is said to one who hung up counts as said")
+	b.Send(1, nil)
+	first, second := b.SendSync(1, nil), b.SendSync(1, nil) // the first one may meet the end
+	if first == nil && second == nil {
+		t.Error("frames to a process that has closed the link count as written")
 	}
 }
 
-// A process takes the path over from a live one and from a dead one's file, and takes away just
-// its own. Paths longer than a socket's address work as well.
+// A process takes over the path from one that lives and from one that left its file, and removes only
+// its own file. Paths longer than a socket's address work as well.
 func TestPath(t *testing.T) {
 	path := Path(filepath.Join(t.TempDir(), strings.Repeat("x", 120)), "../odd/n1")
 	if filepath.Base(path) != "lemongate-n1.sock" {
@@ -100,40 +112,42 @@
 		t.Fatal(err)
 	}
 	first.Close()
-	got := make(chan error, 1)
+	accepted := make(chan error, 1)
 	go func() {
 		_, err := second.Accept()
-		got <- err
+		accepted <- err
 	}()
 	c, err := Dial(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := <-got; err != nil {
+	if err := <-accepted; err != nil {
 		t.Error(err)
 	}
 	second.Close()
 	if _, err := Dial(path); err == nil {
-		t.Error("found where nobody is")
+		t.Error("connected where no process listens")
 	}
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Dial(path); err == nil {
-		t.Error("found in a plain file")
+		t.Error("connected to a plain file")
 	}
 }
 
-// Whatever comes over the stream is a frame or its end.
+// Whatever is on the stream is read as frames or as its end.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x02\x01\x00{}"))
 	f.Add([]byte("\xff\xff\xff\xff\x01\x00"))
 	f.Add([]byte("\x00\x00\x00\x00\x01\x01"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		a, b := pair(t)
-		a.c.SetWriteDeadline(time.Now().Add(time.Second))
-		a.c.Write(data)
+		if err := a.socket.SetWriteDeadline(time.Now().Add(time.Second)); err != nil {
+			t.Fatal(err)
+		}
+		_, _ = a.socket.Write(data) // all of it or a part: the reader has to bear both
 		a.Close()
 		for range len(data) + 1 {
 			if _, err := b.Read(); err != nil {
--- /dev/null
+++ b/internal/hotrestart/link/listener.go
@@ -0,0 +1,98 @@
+package link
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+)
+
+// socketMode lets only processes of the same user connect.
+const socketMode = 0o600
+
+// maxPathBytes is the longest path that is used as the address of a socket. There can be 107 bytes, of
+// which Listen needs some for a suffix.
+const maxPathBytes = 90
+
+// Path returns where the limiter of some name is found in a directory.
+func Path(dir, name string) string {
+	return filepath.Join(dir, "lemongate-"+filepath.Base(name)+".sock")
+}
+
+// Listener is where a successor finds this process.
+type Listener struct {
+	listener *net.UnixListener
+	path     string
+	file     os.FileInfo // of the socket; nil if it is not known
+}
+
+// Listen listens at a path, in place of any process before: one that was killed leaves its file behind,
+// and one that has handed over still listens at its own.
+func Listen(path string) (*Listener, error) {
+	short, release, err := shortPath(path)
+	if err != nil {
+		return nil, err
+	}
+	defer release()
+	temporary := fmt.Sprintf("%s.%d", short, os.Getpid())
+	_ = os.Remove(temporary) // left by a process with the same ID
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
+	if err != nil {
+		return nil, err
+	}
+	listener.SetUnlinkOnClose(false)
+	if err := publish(temporary, short); err != nil {
+		_ = listener.Close()     // no process has connected
+		_ = os.Remove(temporary) // the error that counts is that of publish
+		return nil, err
+	}
+	l := &Listener{listener: listener, path: path}
+	l.file, _ = os.Stat(path) // without it, Close leaves the file
+	return l, nil
+}
+
+// publish gives a socket its permissions and its path.
+func publish(temporary, path string) error {
+	if err := os.Chmod(temporary, socketMode); err != nil {
+		return err
+	}
+	return os.Rename(temporary, path)
+}
+
+// Accept waits for a successor. The error wraps net.ErrClosed once the Listener is closed.
+func (l *Listener) Accept() (*Conn, error) {
+	for {
+		socket, err := l.listener.AcceptUnix()
+		if err != nil {
+			return nil, err
+		}
+		c, err := newConn(socket)
+		if err == nil {
+			return c, nil
+		}
+		// It has ended already: wait for the next one.
+	}
+}
+
+// Close stops listening, and removes the file unless it is another process's by now.
+func (l *Listener) Close() {
+	_ = l.listener.Close() // nothing is written
+	file, err := os.Stat(l.path)
+	if err == nil && os.SameFile(file, l.file) {
+		_ = os.Remove(l.path) // a file that stays is replaced by the next process
+	}
+}
+
+// shortPath returns a path to the same file that is short enough for the address of a socket. It is
+// valid until release is called.
+func shortPath(path string) (short string, release func(), err error) {
+	if len(path) <= maxPathBytes {
+		return path, func() {}, nil
+	}
+	dir, err := os.Open(filepath.Dir(path))
+	if err != nil {
+		return "", nil, err
+	}
+	short = fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
+	return short, func() { _ = dir.Close() }, nil // only its descriptor was used
+}
