--- /dev/null
+++ b/internal/eventloop/edges.go
@@ -0,0 +1,213 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"lemongate/internal/admin"
+	"lemongate/internal/core"
+	"lemongate/internal/discovery"
+	"lemongate/internal/httpserver"
+	"lemongate/internal/peertransport"
+	"lemongate/internal/upstream"
+)
+
+// This file starts the edges, and carries out the effects on those that serve clients and peers.
+
+const (
+	// clientConnFraction and backendConnFraction are the fractions of the socket limit for connections of
+	// clients and to backends. The rest is for discovery, peers, files, and for sockets that are closed
+	// here and not yet by the system.
+	clientConnFraction  = 0.5
+	backendConnFraction = 0.25
+
+	// idleConnFraction is the fraction of the socket limit that is kept as idle connections per backend,
+	// at least minIdleConns. All limiters together keep maxIdleConnsOfTier at a backend, which has room
+	// for only so many, unless one each is more.
+	idleConnFraction   = 1.0 / 64
+	minIdleConns       = 4
+	maxIdleConnsOfTier = 128
+
+	// addressTimeout is how long a process that ends may keep a listening address.
+	addressTimeout       = 20 * time.Second
+	addressRetryInterval = 20 * time.Millisecond
+	addressLogAfter      = time.Second
+)
+
+// maxIdleConns is how many idle connections a limiter keeps per backend.
+func maxIdleConns(maxSockets float64, limiters int) int {
+	own := max(int(maxSockets*idleConnFraction), minIdleConns)
+	return max(min(own, maxIdleConnsOfTier/max(limiters, 1)), 1)
+}
+
+func (l *Loop) startUpstream() {
+	c := l.config
+	maxSockets := float64(c.Limits.Sockets)
+	l.upstream = upstream.New(upstream.Options{
+		ConnectTimeout:    c.Settings.ConnectTimeout,
+		IdleClose:         c.Settings.IdleClose,
+		LoadReportFields:  c.Settings.LoadReportFields,
+		MaxIdlePerBackend: maxIdleConns(maxSockets, c.Settings.Limiters),
+		MaxConns:          int(maxSockets * backendConnFraction),
+		Post:              l.post,
+		Now:               l.now,
+	})
+}
+
+// startAdmin starts the administration server, if there is one. Its goroutine ends when close closes
+// that server.
+func (l *Loop) startAdmin() {
+	if l.config.Console == "" {
+		return
+	}
+	l.admin = admin.New(l.upstream.AttemptsWritten, l.post, l.log)
+	go l.admin.Serve(l.config.Console)
+}
+
+// openListeners opens the sockets that the configuration names, and serves on them. With wait, it waits
+// for a process that ends to give up their addresses; the loop has nothing else to do yet.
+func (l *Loop) openListeners(wait bool) error {
+	c := l.config
+	var listener net.Listener
+	err := l.openAddress(wait, func() (err error) {
+		listener, err = listenForClients(c.Listen)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	if c.PeerListen.IsValid() {
+		err := l.openAddress(wait, func() (err error) {
+			l.peers, err = peertransport.Listen(c.PeerListen, c.Peers, c.PeersAll, l.post, l.log)
+			return err
+		})
+		if err != nil {
+			_ = listener.Close() // no client was accepted
+			return err
+		}
+	}
+	l.serve(listener, 0, c.Discovery, c.Generation)
+	return nil
+}
+
+func listenForClients(addr string) (net.Listener, error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	return listener, nil
+}
+
+// openAddress calls open, with wait as long as another process has the address.
+func (l *Loop) openAddress(wait bool, open func() error) error {
+	begin := time.Now()
+	for logged := false; ; time.Sleep(addressRetryInterval) {
+		err := open()
+		elapsed := time.Since(begin)
+		if err == nil || !wait || !errors.Is(err, syscall.EADDRINUSE) || elapsed > addressTimeout {
+			return err
+		}
+		if !logged && elapsed > addressLogAfter {
+			logged = true
+			l.log.Warn("waits for an address that another process holds", zap.Error(err))
+		}
+	}
+}
+
+// serve starts the edges that serve clients and peers, on sockets that are open. Requests are numbered
+// beyond lastRequest; endpoints are watched at discoveryAddr, from a generation of the list on.
+func (l *Loop) serve(listener net.Listener, lastRequest core.RequestID, discoveryAddr string, generation int64) {
+	c := l.config
+	l.listener = listener
+	l.server = httpserver.New(httpserver.Options{
+		Settings:    c.Settings.Settings,
+		MaxUnits:    c.Settings.MostUnits,
+		MaxConns:    int(float64(c.Limits.Sockets) * clientConnFraction),
+		LastRequest: uint64(lastRequest),
+		Now:         l.now,
+		Post:        l.post,
+		Log:         l.log,
+	})
+	close(l.serving)
+	l.watcher = &discovery.Watcher{
+		Addr:       discoveryAddr,
+		Origin:     l.clock.Load().Zero(),
+		Generation: generation,
+		Post:       l.post,
+		Log:        l.log,
+		Limiters:   c.Settings.Limiters,
+	}
+	l.startGoroutines(listener)
+	l.log.Info("listening",
+		zap.String("name", c.Name),
+		zap.Stringer("at", listener.Addr()),
+		zap.Int("backends", len(c.KnownEndpoints)),
+		zap.Int("peers", len(c.Peers)))
+}
+
+// startGoroutines starts the goroutines of the edges: those of the transport to peers end when close
+// closes it, that of the watcher with ctx, that of the server when the listener is closed.
+func (l *Loop) startGoroutines(listener net.Listener) {
+	if l.peers != nil {
+		go l.peers.Read()
+		go l.peers.Write()
+	}
+	l.background.Go(func() { l.watcher.Run(l.ctx) })
+	server := l.server
+	go func() {
+		if err := server.Serve(listener); err != nil {
+			l.fail(err)
+		}
+	}()
+}
+
+func (l *Loop) sendToPeer(e core.SendToPeer) {
+	if l.peers != nil {
+		l.peers.Send(e.Peer, e.Data)
+	}
+}
+
+func (l *Loop) respond(e core.Respond) {
+	if l.server != nil {
+		l.server.Respond(e)
+	}
+}
+
+// setReady sets what health checks are answered.
+func (l *Loop) setReady(ready bool) {
+	if l.server != nil {
+		l.server.SetReady(ready)
+	}
+	if l.admin != nil {
+		l.admin.SetReady(ready)
+	}
+}
+
+func (l *Loop) drainClientConns() {
+	if l.server != nil {
+		l.server.DrainConns()
+	}
+}
+
+// closeServer closes the server, and posts when it is closed. Its goroutine ends by then, within a
+// duration.
+func (l *Loop) closeServer(within time.Duration) {
+	server := l.server
+	go func() {
+		if server != nil {
+			server.Close(within)
+		}
+		l.post(core.ServerClosed{})
+	}()
+}
+
+func (l *Loop) watchEndpoints(addr string) {
+	if l.watcher != nil {
+		l.watcher.Move(addr)
+	}
+}
--- a/internal/eventloop/frames.go
+++ b/internal/eventloop/frames.go
@@ -2,8 +2,11 @@
 
 import (
 	"errors"
+	"fmt"
 	"time"
 
+	jsoniter "github.com/json-iterator/go"
+
 	"lemongate/internal/admission"
 	"lemongate/internal/core"
 	"lemongate/internal/hotrestart"
@@ -14,33 +17,52 @@
 	"lemongate/internal/usage"
 )
 
-// This file is the form of what two processes of a limiter say to each other, and the one place
-// where it is mapped to the reducer's types. Frames are JSON, so that releases that know more fields
-// than others understand each other. Kinds and field tags are a format that other releases read.
+// This file is the form of the frames between two processes of a limiter, and the one place where it is
+// mapped to the types of package core. Bodies are JSON, so that releases that know more fields than others
+// understand each other. Kinds and field tags are a format that other releases read.
 
-// linkFormat is the version of the frames. A process that says another is turned away, and waits
-// until the address is free.
-const linkFormat = 1
+// frameFormat is the version of the format. A process of another one is denied, and waits until the
+// listening address is free.
+const frameFormat = 1
 
-// Kinds of frames beside those that the machine speaks of.
+// The kinds of frames beside those of package hotrestart.
 const (
-	frameBegan uint8 = uint8(hotrestart.NumKinds) + iota
-	frameEnded
-	frameRelay
-	frameGave
-	frameReply
-	frameSession
+	frameAttemptStarted uint8 = uint8(hotrestart.NumKinds) + iota
+	frameAttemptFinished
+	frameForwardedRequest
+	frameCanceledRequest // its body is the request's ID
+	frameForwardedResponse
+	frameClientConn // has no body, and the connection's socket
+)
+
+var (
+	errUnknownKind     = errors.New("unknown kind of frame")
+	errMissingResponse = errors.New("response of a backend without content")
 )
 
-// helloFrame is what a successor says first.
+// frameCodec encodes the bodies of frames.
+var frameCodec = jsoniter.Config{CaseSensitive: true}.Froze()
+
+// helloFrame is the body of Hello: who the successor is.
 type helloFrame struct {
 	Format int    `json:"Format"`
 	Name   string `json:"Name"`
 	Listen string `json:"Listen"`
-	Peers  string `json:"Peers"` // address of the socket for peers
+	Peers  string `json:"Peers"` // listening address for peers
+}
+
+// mismatch returns why a process is no successor of this one, "" if it is one.
+func (f helloFrame) mismatch(own helloFrame) string {
+	switch {
+	case f.Format != own.Format:
+		return fmt.Sprintf("speaks format %d, not %d", f.Format, own.Format)
+	case f != own:
+		return "is another limiter, or listens elsewhere"
+	}
+	return ""
 }
 
-// requestFrame is a lemongate.Request.
+// requestFrame is an admission.Request.
 type requestFrame struct {
 	ID       admission.RequestID `json:"ID"`
 	Class    string              `json:"Class"`
@@ -53,8 +75,8 @@
 	Retry    bool                `json:"Retry"`
 }
 
-// beganFrame tells of an attempt that is out.
-type beganFrame struct {
+// attemptStartedFrame is a core.OpenAttempt.
+type attemptStartedFrame struct {
 	requestFrame
 	CallID  string `json:"CallID"`
 	Attempt int    `json:"Attempt"`
@@ -62,29 +84,30 @@
 	Booked  bool   `json:"Booked"`
 }
 
-// endedFrame tells how an attempt ended.
-type endedFrame struct {
-	Fetch   fetchIDFrame     `json:"Fetch"`
+// attemptFinishedFrame is a core.FinishedAttempt.
+type attemptFinishedFrame struct {
+	Attempt attemptIDFrame   `json:"Fetch"`
 	Backend string           `json:"Backend"`
 	Result  admission.Result `json:"Result"`
 	Latency time.Duration    `json:"Latency"`
 	Report  []float64        `json:"Report"`
 }
 
-type fetchIDFrame struct {
-	Req     core.RequestID `json:"Req"`
-	Attempt int            `json:"Attempt"`
+// attemptIDFrame is a core.AttemptID.
+type attemptIDFrame struct {
+	Request core.RequestID `json:"Req"`
+	Number  int            `json:"Attempt"`
 }
 
-// relayFrame passes a request on to the other process, with its content.
-type relayFrame struct {
+// forwardedRequestFrame is a core.ForwardedRequest.
+type forwardedRequestFrame struct {
 	requestFrame
-	CallID  string        `json:"CallID"`
-	Content *contentFrame `json:"Content"`
+	CallID  string               `json:"CallID"`
+	Content *requestContentFrame `json:"Content"`
 }
 
-// contentFrame is a fetch.Req.
-type contentFrame struct {
+// requestContentFrame is an upstream.Request.
+type requestContentFrame struct {
 	Method string `json:"Method"`
 	URI    string `json:"URI"`
 	Host   string `json:"Host"`
@@ -94,35 +117,35 @@
 	Body   []byte `json:"Body"`
 }
 
-// replyFrame is the answer to a request that was passed on.
-type replyFrame struct {
-	Req        core.RequestID     `json:"Req"`
-	Kind       core.ResponseKind  `json:"Kind"`
-	RetryAfter time.Duration      `json:"RetryAfter"`
-	Reply      *replyContentFrame `json:"Reply"`
+// forwardedResponseFrame is a core.Respond.
+type forwardedResponseFrame struct {
+	Request    core.RequestID        `json:"Req"`
+	Kind       core.ResponseKind     `json:"Kind"`
+	RetryAfter time.Duration         `json:"RetryAfter"`
+	Content    *responseContentFrame `json:"Reply"`
 }
 
-// replyContentFrame is a fetch.Reply.
-type replyContentFrame struct {
+// responseContentFrame is an upstream.Response.
+type responseContentFrame struct {
 	Type string `json:"Type"`
 	Body []byte `json:"Body"`
 }
 
-// stateFrame is all that goes over with handover.Transfer.
+// stateFrame is a core.HandoverState, the body of Transfer.
 type stateFrame struct {
-	Now        time.Duration         `json:"Now"`
-	Gate       []byte                `json:"Gate"`
-	Entries    []entryFrame          `json:"Entries"`
-	Generation int64                 `json:"Generation"`
-	Source     string                `json:"Source"`
-	Last       core.RequestID        `json:"Last"`
-	Out        []beganFrame          `json:"Out"`
-	Use        *usage.RecorderState  `json:"Use"`
-	Keepers    []lease.AcceptorState `json:"Keepers"`
-}
-
-// entryFrame is an entry of the list of backends.
-type entryFrame struct {
+	Now            time.Duration         `json:"Now"`
+	Controller     []byte                `json:"Gate"`
+	Endpoints      []endpointFrame       `json:"Entries"`
+	Generation     int64                 `json:"Generation"`
+	Source         string                `json:"Source"`
+	LastRequest    core.RequestID        `json:"Last"`
+	OpenAttempts   []attemptStartedFrame `json:"Out"`
+	Usage          *usage.RecorderState  `json:"Use"`
+	LeaseAcceptors []lease.AcceptorState `json:"Keepers"`
+}
+
+// endpointFrame is a core.Endpoint.
+type endpointFrame struct {
 	ID      string                 `json:"ID"`
 	Zone    string                 `json:"Zone"`
 	Cell    int                    `json:"Cell"`
@@ -134,159 +157,243 @@
 
 func newRequestFrame(r admission.Request) requestFrame {
 	return requestFrame{
-		ID: r.ID, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Units: r.Units, Budget: r.Budget,
-		First: r.FirstLimiter, Spread: r.SetSize, Retry: r.IsRetry,
+		ID:       r.ID,
+		Class:    r.Class,
+		Plan:     r.Plan,
+		Customer: r.Customer,
+		Units:    r.Units,
+		Budget:   r.Budget,
+		First:    r.FirstLimiter,
+		Spread:   r.SetSize,
+		Retry:    r.IsRetry,
 	}
 }
 
 func (f requestFrame) request() admission.Request {
 	return admission.Request{
-		ID: f.ID, Class: f.Class, Plan: f.Plan, Customer: f.Customer, Units: f.Units, Budget: f.Budget,
-		FirstLimiter: f.First, SetSize: f.Spread, IsRetry: f.Retry,
+		ID:           f.ID,
+		Class:        f.Class,
+		Plan:         f.Plan,
+		Customer:     f.Customer,
+		Units:        f.Units,
+		Budget:       f.Budget,
+		FirstLimiter: f.First,
+		SetSize:      f.Spread,
+		IsRetry:      f.Retry,
 	}
 }
 
-func newBeganFrame(b core.OpenAttempt) beganFrame {
-	return beganFrame{
-		requestFrame: newRequestFrame(b.Request), CallID: b.CallID, Attempt: b.Attempt, Backend: b.Backend, Booked: b.UsageRecorded,
+func newAttemptStartedFrame(a core.OpenAttempt) attemptStartedFrame {
+	return attemptStartedFrame{
+		requestFrame: newRequestFrame(a.Request),
+		CallID:       a.CallID,
+		Attempt:      a.Attempt,
+		Backend:      a.Backend,
+		Booked:       a.UsageRecorded,
 	}
 }
 
-func (f beganFrame) began() core.OpenAttempt {
-	return core.OpenAttempt{Request: f.request(), CallID: f.CallID, Attempt: f.Attempt, Backend: f.Backend, UsageRecorded: f.Booked}
+func (f attemptStartedFrame) attempt() core.OpenAttempt {
+	return core.OpenAttempt{
+		Request:       f.request(),
+		CallID:        f.CallID,
+		Attempt:       f.Attempt,
+		Backend:       f.Backend,
+		UsageRecorded: f.Booked,
+	}
 }
 
-func newEndedFrame(e core.FinishedAttempt) endedFrame {
-	return endedFrame{
-		Fetch: fetchIDFrame{Req: e.Attempt.Request, Attempt: e.Attempt.Number}, Backend: e.Backend, Result: e.Result,
-		Latency: e.Latency, Report: e.Report,
+func newAttemptFinishedFrame(a core.FinishedAttempt) attemptFinishedFrame {
+	return attemptFinishedFrame{
+		Attempt: attemptIDFrame{Request: a.Attempt.Request, Number: a.Attempt.Number},
+		Backend: a.Backend,
+		Result:  a.Result,
+		Latency: a.Latency,
+		Report:  a.Report,
 	}
 }
 
-func (f endedFrame) ended() core.FinishedAttempt {
+func (f attemptFinishedFrame) attempt() core.FinishedAttempt {
 	return core.FinishedAttempt{
-		Attempt: core.AttemptID{Request: f.Fetch.Req, Number: f.Fetch.Attempt}, Backend: f.Backend, Result: f.Result,
-		Latency: f.Latency, Report: f.Report,
+		Attempt: core.AttemptID{Request: f.Attempt.Request, Number: f.Attempt.Number},
+		Backend: f.Backend,
+		Result:  f.Result,
+		Latency: f.Latency,
+		Report:  f.Report,
 	}
 }
 
-func newRelayFrame(r core.ForwardedRequest) relayFrame {
-	f := relayFrame{requestFrame: newRequestFrame(r.Request), CallID: r.CallID}
+func newForwardedRequestFrame(r core.ForwardedRequest) forwardedRequestFrame {
+	f := forwardedRequestFrame{requestFrame: newRequestFrame(r.Request), CallID: r.CallID}
 	if content, ok := r.Content.(*upstream.Request); ok && content != nil {
-		f.Content = &contentFrame{
-			Method: content.Method, URI: content.URI, Host: content.Host, CallID: content.CallID, Key: content.Key,
-			Type: content.Type, Body: content.Body,
-		}
+		f.Content = newRequestContentFrame(content)
 	}
 	return f
 }
 
-func (f relayFrame) relayed() core.ForwardedRequest {
-	r := core.ForwardedRequest{Request: f.request(), CallID: f.CallID}
-	var content *upstream.Request
-	if c := f.Content; c != nil {
-		content = &upstream.Request{
-			Method: c.Method, URI: c.URI, Host: c.Host, CallID: c.CallID, Key: c.Key, Type: c.Type, Body: c.Body,
-		}
+func (f forwardedRequestFrame) forwardedRequest() core.ForwardedRequest {
+	return core.ForwardedRequest{Request: f.request(), CallID: f.CallID, Content: f.Content.content()}
+}
+
+func newRequestContentFrame(r *upstream.Request) *requestContentFrame {
+	return &requestContentFrame{
+		Method: r.Method,
+		URI:    r.URI,
+		Host:   r.Host,
+		CallID: r.CallID,
+		Key:    r.Key,
+		Type:   r.Type,
+		Body:   r.Body,
 	}
-	r.Content = content
-	return r
 }
 
-func newReplyFrame(a core.Respond) replyFrame {
-	f := replyFrame{Req: a.Request, Kind: a.Kind, RetryAfter: a.RetryAfter}
-	if reply, ok := a.Response.(*upstream.Response); ok && reply != nil {
-		f.Reply = &replyContentFrame{Type: reply.Type, Body: reply.Body}
+// content returns the content of a request, nil if it has none.
+func (f *requestContentFrame) content() *upstream.Request {
+	if f == nil {
+		return nil
+	}
+	return &upstream.Request{
+		Method: f.Method,
+		URI:    f.URI,
+		Host:   f.Host,
+		CallID: f.CallID,
+		Key:    f.Key,
+		Type:   f.Type,
+		Body:   f.Body,
+	}
+}
+
+func newForwardedResponseFrame(r core.Respond) forwardedResponseFrame {
+	f := forwardedResponseFrame{Request: r.Request, Kind: r.Kind, RetryAfter: r.RetryAfter}
+	if content, ok := r.Response.(*upstream.Response); ok && content != nil {
+		f.Content = &responseContentFrame{Type: content.Type, Body: content.Body}
 	}
 	return f
 }
 
-// answer is an error where an answer of a backend came without its content.
-func (f replyFrame) answer() (core.Respond, error) {
-	a := core.Respond{Request: f.Req, Kind: f.Kind, RetryAfter: f.RetryAfter}
-	var reply *upstream.Response
-	if f.Reply != nil {
-		reply = &upstream.Response{Type: f.Reply.Type, Body: f.Reply.Body}
+// respond returns the response, and errMissingResponse if it is one of a backend that has no content.
+func (f forwardedResponseFrame) respond() (core.Respond, error) {
+	r := core.Respond{Request: f.Request, Kind: f.Kind, RetryAfter: f.RetryAfter, Response: f.Content.content()}
+	if f.Content == nil && f.Kind == core.Served {
+		return r, errMissingResponse
 	}
-	a.Response = reply
-	if reply == nil && f.Kind == core.Served {
-		return a, errors.New("an answer without content")
+	return r, nil
+}
+
+// content returns the content of a response, nil if it has none.
+func (f *responseContentFrame) content() *upstream.Response {
+	if f == nil {
+		return nil
 	}
-	return a, nil
+	return &upstream.Response{Type: f.Type, Body: f.Body}
 }
 
-func newEntryFrame(e core.Endpoint) entryFrame {
-	return entryFrame{
-		ID: e.ID, Zone: e.Zone, Cell: e.Cell, State: e.State, Size: e.RelativeCapacity, Started: e.StartedAt, Addr: e.Addr,
+func newEndpointFrame(e core.Endpoint) endpointFrame {
+	return endpointFrame{
+		ID:      e.ID,
+		Zone:    e.Zone,
+		Cell:    e.Cell,
+		State:   e.State,
+		Size:    e.RelativeCapacity,
+		Started: e.StartedAt,
+		Addr:    e.Addr,
 	}
 }
 
-func (f entryFrame) entry() core.Endpoint {
+func (f endpointFrame) endpoint() core.Endpoint {
 	return core.Endpoint{
-		Backend: admission.Backend{ID: f.ID, Zone: f.Zone, Cell: f.Cell, State: f.State, RelativeCapacity: f.Size, StartedAt: f.Started},
-		Addr:    f.Addr,
+		Backend: admission.Backend{
+			ID:               f.ID,
+			Zone:             f.Zone,
+			Cell:             f.Cell,
+			State:            f.State,
+			RelativeCapacity: f.Size,
+			StartedAt:        f.Started,
+		},
+		Addr: f.Addr,
 	}
 }
 
-func newStateFrame(x core.HandoverState) stateFrame {
+func newStateFrame(s core.HandoverState) stateFrame {
 	return stateFrame{
-		Now: x.Now, Gate: x.Controller, Entries: memento.List(x.Endpoints, newEntryFrame), Generation: x.Generation,
-		Source: x.Source, Last: x.LastRequest, Out: memento.List(x.OpenAttempts, newBeganFrame), Use: x.Usage, Keepers: x.LeaseAcceptors,
+		Now:            s.Now,
+		Controller:     s.Controller,
+		Endpoints:      memento.List(s.Endpoints, newEndpointFrame),
+		Generation:     s.Generation,
+		Source:         s.Source,
+		LastRequest:    s.LastRequest,
+		OpenAttempts:   memento.List(s.OpenAttempts, newAttemptStartedFrame),
+		Usage:          s.Usage,
+		LeaseAcceptors: s.LeaseAcceptors,
 	}
 }
 
-func (f stateFrame) inherit() core.HandoverState {
+func (f stateFrame) state() core.HandoverState {
 	return core.HandoverState{
-		Now: f.Now, Controller: f.Gate, Endpoints: memento.List(f.Entries, entryFrame.entry), Generation: f.Generation,
-		Source: f.Source, LastRequest: f.Last, OpenAttempts: memento.List(f.Out, beganFrame.began), Usage: f.Use, LeaseAcceptors: f.Keepers,
+		Now:            f.Now,
+		Controller:     f.Controller,
+		Endpoints:      memento.List(f.Endpoints, endpointFrame.endpoint),
+		Generation:     f.Generation,
+		Source:         f.Source,
+		LastRequest:    f.LastRequest,
+		OpenAttempts:   memento.List(f.OpenAttempts, attemptStartedFrame.attempt),
+		Usage:          f.Usage,
+		LeaseAcceptors: f.LeaseAcceptors,
 	}
 }
 
-// decode reads a frame as an event. A frame that hands over a client session carries no event.
+// decode returns the event of a frame. It has none with an error, and none for frameClientConn.
 func decode(f link.Frame) (core.Event, error) {
-	ev, err := read(f)
+	ev, err := decodeBody(f)
 	if err != nil {
 		return nil, err
 	}
 	return ev, nil
 }
 
-func read(f link.Frame) (core.Event, error) {
+func decodeBody(f link.Frame) (core.Event, error) {
 	switch f.Kind {
 	case uint8(hotrestart.Transfer):
-		var body stateFrame
-		ev := &core.LinkMessageReceived{Kind: hotrestart.Transfer, Sockets: f.Sockets}
-		if codec.Unmarshal(f.Body, &body) == nil {
-			inherit := body.inherit()
-			ev.State = &inherit
-		}
-		return ev, nil
-	case frameBegan:
-		var body beganFrame
-		err := codec.Unmarshal(f.Body, &body)
-		return &core.PeerAttemptStarted{OpenAttempt: body.began()}, err
-	case frameEnded:
-		var body endedFrame
-		err := codec.Unmarshal(f.Body, &body)
-		return &core.PeerAttemptFinished{FinishedAttempt: body.ended()}, err
-	case frameRelay:
-		var body relayFrame
-		err := codec.Unmarshal(f.Body, &body)
-		return &core.ForwardedRequestReceived{ForwardedRequest: body.relayed()}, err
-	case frameGave:
-		var ev core.ForwardedRequestCanceled
-		err := codec.Unmarshal(f.Body, &ev.Request)
-		return ev, err
-	case frameReply:
-		var body replyFrame
-		err := codec.Unmarshal(f.Body, &body)
-		answer, incomplete := body.answer()
-		return &core.ForwardedResponseReceived{Respond: answer}, errors.Join(err, incomplete)
-	case frameSession:
+		return decodeTransfer(f), nil
+	case frameAttemptStarted:
+		body, err := unmarshal[attemptStartedFrame](f)
+		return &core.PeerAttemptStarted{OpenAttempt: body.attempt()}, err
+	case frameAttemptFinished:
+		body, err := unmarshal[attemptFinishedFrame](f)
+		return &core.PeerAttemptFinished{FinishedAttempt: body.attempt()}, err
+	case frameForwardedRequest:
+		body, err := unmarshal[forwardedRequestFrame](f)
+		return &core.ForwardedRequestReceived{ForwardedRequest: body.forwardedRequest()}, err
+	case frameCanceledRequest:
+		id, err := unmarshal[core.RequestID](f)
+		return core.ForwardedRequestCanceled{Request: id}, err
+	case frameForwardedResponse:
+		body, err := unmarshal[forwardedResponseFrame](f)
+		response, incomplete := body.respond()
+		return &core.ForwardedResponseReceived{Respond: response}, errors.Join(err, incomplete)
+	case frameClientConn:
 		return nil, nil
 	}
 	if f.Kind >= uint8(hotrestart.NumKinds) {
-		return nil, errors.New("unknown")
+		return nil, errUnknownKind
 	}
 	return &core.LinkMessageReceived{Kind: hotrestart.Kind(f.Kind)}, nil
 }
+
+// decodeTransfer returns the event of a Transfer. A state that cannot be read is left out: the successor
+// takes over without it.
+func decodeTransfer(f link.Frame) core.Event {
+	ev := &core.LinkMessageReceived{Kind: hotrestart.Transfer, Sockets: f.Sockets}
+	body, err := unmarshal[stateFrame](f)
+	if err == nil {
+		state := body.state()
+		ev.State = &state
+	}
+	return ev
+}
+
+// unmarshal reads the body of a frame.
+func unmarshal[T any](f link.Frame) (body T, err error) {
+	err = frameCodec.Unmarshal(f.Body, &body)
+	return body, err
+}
--- a/internal/eventloop/frames_test.go
+++ b/internal/eventloop/frames_test.go
@@ -26,57 +26,57 @@
 func TestFramesOfEarlierRelease(t *testing.T) {
 	for pattern := range 3 {
 		state := filled[core.HandoverState](pattern)
-		began := filled[core.OpenAttempt](pattern)
-		ended := filled[core.FinishedAttempt](pattern)
-		relayed := filled[core.ForwardedRequest](pattern)
+		started := filled[core.OpenAttempt](pattern)
+		finished := filled[core.FinishedAttempt](pattern)
+		forwarded := filled[core.ForwardedRequest](pattern)
 		content := filled[upstream.Request](pattern)
-		relayed.Content = &content
-		answer := filled[core.Respond](pattern)
-		reply := filled[upstream.Response](pattern)
-		answer.Response = &reply
+		forwarded.Content = &content
+		response := filled[core.Respond](pattern)
+		responseContent := filled[upstream.Response](pattern)
+		response.Response = &responseContent
 		for _, c := range []struct {
 			name  string
 			kind  uint8
 			body  any
 			event core.Event
 		}{
-			{"state", uint8(hotrestart.Transfer), encodeState(state), &core.LinkMessageReceived{Kind: hotrestart.Transfer, State: &state}},
-			{"began", frameBegan, encodeBegan(began), &core.PeerAttemptStarted{OpenAttempt: began}},
-			{"ended", frameEnded, encodeEnded(ended), &core.PeerAttemptFinished{FinishedAttempt: ended}},
-			{"relayed", frameRelay, encodeRelayed(relayed), &core.ForwardedRequestReceived{ForwardedRequest: relayed}},
-			{"gave", frameGave, core.RequestID(4711), core.ForwardedRequestCanceled{Request: 4711}},
-			{"reply", frameReply, encodeAnswer(answer), &core.ForwardedResponseReceived{Respond: answer}},
+			{"state", uint8(hotrestart.Transfer), newStateFrame(state), &core.LinkMessageReceived{Kind: hotrestart.Transfer, State: &state}},
+			{"began", frameAttemptStarted, newAttemptStartedFrame(started), &core.PeerAttemptStarted{OpenAttempt: started}},
+			{"ended", frameAttemptFinished, newAttemptFinishedFrame(finished), &core.PeerAttemptFinished{FinishedAttempt: finished}},
+			{"relayed", frameForwardedRequest, newForwardedRequestFrame(forwarded), &core.ForwardedRequestReceived{ForwardedRequest: forwarded}},
+			{"gave", frameCanceledRequest, core.RequestID(4711), core.ForwardedRequestCanceled{Request: 4711}},
+			{"reply", frameForwardedResponse, newForwardedResponseFrame(response), &core.ForwardedResponseReceived{Respond: response}},
 		} {
 			name := fmt.Sprintf("frames/%s-%d.json", c.name, pattern)
-			data, err := codec.Marshal(c.body)
+			data, err := frameCodec.Marshal(c.body)
 			if err != nil {
 				t.Fatal(err)
 			}
 			golden.Equal(t, name, data)
 			got, err := decode(link.Frame{Kind: c.kind, Body: golden.Read(t, name)})
-			if heard, ok := got.(*core.LinkMessageReceived); ok {
-				heard.Sockets = nil
+			if message, ok := got.(*core.LinkMessageReceived); ok {
+				message.Sockets = nil
 			}
 			if err != nil || !reflect.DeepEqual(got, c.event) {
 				t.Errorf("%s: read as %+v, %v; want %+v", name, got, err, c.event)
 			}
 		}
 	}
-	data, err := codec.Marshal(filled[helloOfRelease](0))
+	data, err := frameCodec.Marshal(filled[helloFrame](0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "frames/hello.json", data)
 }
 
-// The numbers of what the two processes say, and of the values that go with it.
+// The numbers of frames, and of the values in them, are those of 0.8.0.
 func TestNumbersOfFrames(t *testing.T) {
 	var b strings.Builder
 	for kind := range hotrestart.NumKinds {
 		fmt.Fprintf(&b, "frame %d %v\n", kind, kind)
 	}
 	fmt.Fprintf(&b, "frame %d began\nframe %d ended\nframe %d relayed\nframe %d gave\nframe %d reply\nframe %d session\n",
-		frameBegan, frameEnded, frameRelay, frameGave, frameReply, frameSession)
+		frameAttemptStarted, frameAttemptFinished, frameForwardedRequest, frameCanceledRequest, frameForwardedResponse, frameClientConn)
 	fmt.Fprintf(&b, "answer served %d refused %d failed %d clashed %d\n", core.Served, core.Rejected, core.Failed, core.DuplicateID)
 	fmt.Fprintf(&b, "result done %d errored %d turned away %d timed out %d unreachable %d broken %d canceled %d not sent %d disconnected %d\n",
 		admission.Succeeded, admission.Errored, admission.Rejected, admission.TimedOut, admission.Unreachable, admission.ConnectionLost,
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -8,7 +8,6 @@
 	"syscall"
 	"time"
 
-	jsoniter "github.com/json-iterator/go"
 	"go.uber.org/zap"
 
 	"lemongate/internal/core"
@@ -17,306 +16,363 @@
 	"lemongate/internal/peertransport"
 )
 
-// This file carries a takeover's events and effects over the link to the other process, see
-// internal/handover. The form of what is said is in frames.go.
+// This file carries the events and effects of a hot restart over the link to the other process. The form
+// of frames is in frames.go, the protocol in internal/hotrestart.
 
-var codec = jsoniter.Config{CaseSensitive: true}.Froze()
+// sharedResources is the fraction of its resources that a process uses while there are two.
+const sharedResources = 0.5
 
-func (n *Loop) hello() helloFrame {
-	return helloFrame{Format: linkFormat, Name: n.conf.Name, Listen: n.conf.Listen, Peers: n.conf.PeerListen.String()}
-}
+var errNoListener = errors.New("the predecessor sent no listener")
 
-// unfit says why a successor is none of this process, or nothing.
-func (h helloFrame) unfit(mine helloFrame) string {
-	switch {
-	case h.Format != mine.Format:
-		return fmt.Sprintf("speaks format %d, not %d", h.Format, mine.Format)
-	case h != mine:
-		return "is another limiter, or listens elsewhere"
-	}
-	return ""
+// otherProcess is what a Loop has of the other process of a hot restart. It belongs to the goroutine of
+// Run.
+type otherProcess struct {
+	path       string         // where successors connect
+	link       *link.Conn     // the current one; nil for none
+	successors *link.Listener // nil until successors may connect
 }
 
-// kin is what a node has of the other process.
-type kin struct {
-	path string
-	link *link.Conn // the one that counts
-	l    *link.Listener
-}
-
-func (k *kin) close() {
-	if k.l != nil {
-		k.l.Close()
+func (o *otherProcess) close() {
+	if o.successors != nil {
+		o.successors.Close()
 	}
-	if k.link != nil {
-		k.link.Close()
+	if o.link != nil {
+		o.link.Close()
 	}
 }
 
-// kinEvent is an event that came over a link; where that does not count any longer, neither
-// does the event.
-type kinEvent struct {
-	core.Event
-	from    *link.Conn
-	session []*os.File // a client session, in place of an event
+// linkEvent is an event that came over a link. It counts only while that link is the current one.
+type linkEvent struct {
+	core.Event // nil if the frame carried a client connection
+	from       *link.Conn
+	clientConn []*os.File
 }
 
-// unwrap takes the wrapping off an event, and tells whether it counts.
-func (n *Loop) unwrap(ev core.Event) (core.Event, bool) {
-	k, ok := ev.(kinEvent)
+// unwrapLinkEvent returns the event that came over a link, and reports whether it is for the core. Other
+// events pass.
+func (l *Loop) unwrapLinkEvent(ev core.Event) (core.Event, bool) {
+	received, ok := ev.(linkEvent)
 	if !ok {
 		return ev, true
 	}
-	if k.session != nil { // behind what was said before it: how many sessions there may be, for one
-		n.adopt(k.session)
+	if received.clientConn != nil { // also from a former link: the client must not be dropped
+		l.adoptClientConns(received.clientConn)
 		return nil, false
 	}
-	if k.from != n.kin.link {
-		if h, ok := k.Event.(*core.LinkMessageReceived); ok && h.Sockets != nil {
-			closeAll(h.Sockets.([]*os.File))
-		}
+	if received.from != l.other.link {
+		closeSockets(received.Event)
 		return nil, false
 	}
-	if _, gone := k.Event.(core.LinkClosed); gone {
-		n.kin.link = nil
+	if _, closed := received.Event.(core.LinkClosed); closed {
+		l.other.link = nil
 	}
-	return k.Event, true
+	return received.Event, true
 }
 
-func closeAll(files []*os.File) {
+// closeSockets closes the sockets that came with an event which does not count.
+func closeSockets(ev core.Event) {
+	message, ok := ev.(*core.LinkMessageReceived)
+	if ok && message.Sockets != nil {
+		closeFiles(message.Sockets.([]*os.File))
+	}
+}
+
+func closeFiles(files []*os.File) {
 	for _, f := range files {
-		f.Close()
+		_ = f.Close() // only this process's copy of a socket
 	}
 }
 
-func (n *Loop) carryOutKin(e core.Effect) {
+// carryOutHotRestart carries out an effect that concerns the other process, or hands it on.
+func (l *Loop) carryOutHotRestart(e core.Effect) {
 	switch e := e.(type) {
 	case core.ConnectPredecessor:
-		n.seek()
+		l.connectPredecessor()
+	case core.AcceptSuccessors:
+		l.acceptSuccessors()
 	case core.AcceptSuccessor:
-		n.kin.link = e.Link.(*link.Conn)
+		l.other.link = e.Link.(*link.Conn)
 	case core.DenySuccessor:
-		c := e.Link.(*link.Conn)
-		n.log.Info("successor turned away", zap.Int("pid", c.PID()), zap.String("why", e.Reason))
-		c.Send(uint8(hotrestart.Deny), []byte(e.Reason))
-		c.CloseAfterFlush()
-	case core.SendLinkMessage:
-		n.say(uint8(e.Kind), nil)
+		l.denySuccessor(e)
 	case core.TransferState:
-		n.transfer(e.State)
+		l.transferState(e.State)
 	case core.CloseLink:
-		if n.kin.link != nil {
-			n.kin.link.CloseAfterFlush()
-			n.kin.link = nil
-		}
+		l.closeLink()
 	case core.KillLinkedProcess:
-		n.kin.link.Kill()
-	case core.ReportAttemptStarted:
-		n.say(frameBegan, newBeganFrame(e.OpenAttempt))
-	case core.ReportAttemptFinished:
-		n.say(frameEnded, newEndedFrame(e.FinishedAttempt))
-	case core.ForwardRequest:
-		n.say(frameRelay, newRelayFrame(e.ForwardedRequest))
-	case core.CancelForwardedRequest:
-		n.say(frameGave, e.Request)
-	case core.SendForwardedResponse:
-		n.say(frameReply, newReplyFrame(e.Respond))
+		l.other.link.Kill()
 	case core.OpenListeners:
-		if err := n.start(e.Wait); err != nil {
-			n.fail(err)
-		}
+		l.failOn(l.openListeners(e.Wait))
 	case core.AdoptSockets:
-		if err := n.takeOver(e); err != nil {
-			n.fail(fmt.Errorf("takeover: %w", err))
-		}
+		l.failOn(l.adoptSockets(e))
 	case core.PauseListeners:
-		n.front.Pause()
-		if n.peers != nil {
-			n.peers.Pause()
-		}
+		l.pauseListeners()
 	case core.ResumeListeners:
-		n.front.Resume()
-		if n.peers != nil {
-			n.peers.Resume()
-		}
+		l.resumeListeners()
 	case core.MoveClientConns:
-		to := n.kin.link
-		n.front.MoveConns(func(c syscall.Conn) error { return to.SendSync(frameSession, nil, c) })
+		l.moveClientConns()
 	case core.SetAcceptingClients:
-		if n.console != nil {
-			n.console.SetReady(e.Accepting)
-		}
+		l.setAcceptingClients(e.Accepting)
 	case core.SetResourceShare:
-		n.fetches.SetResourceShare(e.Fraction)
-		if n.front != nil {
-			n.front.SetResourceShare(e.Fraction)
-		}
-		if n.share != nil {
-			n.share(e.Fraction)
-		}
-	case core.AcceptSuccessors:
-		n.await()
+		l.setResourceShare(e.Fraction)
 	case core.Abort:
-		n.fail(errors.New(e.Reason))
+		l.fail(errors.New(e.Reason))
+	default:
+		l.sendEffect(e)
 	}
 }
 
-// fail ends the program.
-func (n *Loop) fail(err error) {
-	select {
-	case n.failed <- err:
-	default:
+// sendEffect sends the other process an effect that is nothing but a frame.
+func (l *Loop) sendEffect(e core.Effect) {
+	switch e := e.(type) {
+	case core.SendLinkMessage:
+		l.sendFrame(uint8(e.Kind), nil)
+	case core.ReportAttemptStarted:
+		l.sendFrame(frameAttemptStarted, newAttemptStartedFrame(e.OpenAttempt))
+	case core.ReportAttemptFinished:
+		l.sendFrame(frameAttemptFinished, newAttemptFinishedFrame(e.FinishedAttempt))
+	case core.ForwardRequest:
+		l.sendFrame(frameForwardedRequest, newForwardedRequestFrame(e.ForwardedRequest))
+	case core.CancelForwardedRequest:
+		l.sendFrame(frameCanceledRequest, e.Request)
+	case core.SendForwardedResponse:
+		l.sendFrame(frameForwardedResponse, newForwardedResponseFrame(e.Respond))
 	}
 }
 
-// say sends a frame. One that cannot be sent is on a stream that has ended, which is told by
-// its reader.
-func (n *Loop) say(kind uint8, body any) {
-	if n.kin.link == nil {
+// failOn ends the program on an error.
+func (l *Loop) failOn(err error) {
+	if err != nil {
+		l.fail(err)
+	}
+}
+
+// sendFrame sends a frame with a body, nil for none. One that cannot be sent is on a link that has ended,
+// which its reader posts.
+func (l *Loop) sendFrame(kind uint8, body any) {
+	if l.other.link == nil {
 		return
 	}
 	var data []byte
 	if body != nil {
 		var err error
-		if data, err = codec.Marshal(body); err != nil {
-			n.log.Error("takeover", zap.Uint8("frame", kind), zap.Error(err))
+		data, err = frameCodec.Marshal(body)
+		if err != nil {
+			l.log.Error("frame for the other process could not be encoded", zap.Uint8("frame", kind), zap.Error(err))
 			return
 		}
 	}
-	n.kin.link.Send(kind, data)
+	l.other.link.Send(kind, data)
 }
 
-// seek connects to the process that runs, if there is one, and says Hello.
-func (n *Loop) seek() {
-	n.kin.path = n.conf.HotRestart.Path(n.conf.Name)
-	c, err := link.Dial(n.kin.path)
+func (l *Loop) closeLink() {
+	if l.other.link != nil {
+		l.other.link.CloseAfterFlush()
+		l.other.link = nil
+	}
+}
+
+// hello returns what this process says of itself.
+func (l *Loop) hello() helloFrame {
+	return helloFrame{
+		Format: frameFormat,
+		Name:   l.config.Name,
+		Listen: l.config.Listen,
+		Peers:  l.config.PeerListen.String(),
+	}
+}
+
+// connectPredecessor connects to the process that runs, if there is one, and says hello. The goroutine
+// that reads from it ends with the link.
+func (l *Loop) connectPredecessor() {
+	l.other.path = l.config.HotRestart.Path(l.config.Name)
+	c, err := link.Dial(l.other.path)
 	if err != nil {
-		n.log.Debug("no process to take over from", zap.Error(err))
-		go n.post(kinEvent{Event: core.LinkClosed{Epoch: epoch()}}) // the loop may be in this very call
+		l.log.Debug("no process to take over from", zap.Error(err))
+		// In a goroutine of its own, which ends when the loop has read it: the loop is in this call.
+		go l.post(linkEvent{Event: core.LinkClosed{Epoch: newEpoch()}})
 		return
 	}
-	n.log.Info("takes over", zap.Int("from", c.PID()))
-	n.kin.link = c
-	n.say(uint8(hotrestart.Hello), n.hello())
-	go n.follow(c)
+	l.log.Info("takes over", zap.Int("from", c.PID()))
+	l.other.link = c
+	l.sendFrame(uint8(hotrestart.Hello), l.hello())
+	go l.readLink(c)
 }
 
-// epoch is what a start now would have, see config.
-func epoch() uint32 { return uint32(time.Now().UnixMilli()) }
+// newEpoch returns the epoch of a limiter that starts now, see package config.
+func newEpoch() uint32 { return uint32(time.Now().UnixMilli()) }
 
-// await lets successors find this process. Where there are no Unix sockets none will.
-func (n *Loop) await() {
-	if n.conf.HotRestart == nil || n.kin.l != nil {
+// acceptSuccessors lets successors connect to this process. Without Unix sockets none can. Its goroutine
+// ends when otherProcess is closed.
+func (l *Loop) acceptSuccessors() {
+	if l.config.HotRestart == nil || l.other.successors != nil {
 		return
 	}
-	l, err := link.Listen(n.kin.path)
+	successors, err := link.Listen(l.other.path)
 	if err != nil {
-		n.log.Info("no successor can take over", zap.Error(err))
+		l.log.Info("no successor can take over", zap.Error(err))
 		return
 	}
-	n.kin.l = l
+	l.other.successors = successors
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := successors.Accept()
 			if err != nil {
 				return
 			}
-			go n.meet(c)
+			go l.greetSuccessor(c) // ends with its link
 		}
 	}()
 }
 
-// meet hears who comes.
-func (n *Loop) meet(c *link.Conn) {
+// greetSuccessor reads the hello of a process that has connected, posts it, and reads on.
+func (l *Loop) greetSuccessor(c *link.Conn) {
 	f, err := c.Read()
-	var who helloFrame
-	if err != nil || f.Kind != uint8(hotrestart.Hello) || codec.Unmarshal(f.Body, &who) != nil {
+	var hello helloFrame
+	if err != nil || f.Kind != uint8(hotrestart.Hello) || frameCodec.Unmarshal(f.Body, &hello) != nil {
 		c.Close()
 		return
 	}
-	n.post(&core.SuccessorConnected{Link: c, Reason: who.unfit(n.hello())})
-	n.follow(c)
+	l.post(&core.SuccessorConnected{Link: c, Reason: hello.mismatch(l.hello())})
+	l.readLink(c)
+}
+
+func (l *Loop) denySuccessor(e core.DenySuccessor) {
+	c := e.Link.(*link.Conn)
+	l.log.Info("successor denied", zap.Int("pid", c.PID()), zap.String("reason", e.Reason))
+	c.Send(uint8(hotrestart.Deny), []byte(e.Reason))
+	c.CloseAfterFlush()
 }
 
-// follow posts what the other process says until the stream ends.
-func (n *Loop) follow(c *link.Conn) {
+// readLink posts what the other process sends until the link ends.
+func (l *Loop) readLink(c *link.Conn) {
 	for {
 		f, err := c.Read()
 		if err != nil {
-			n.post(kinEvent{Event: core.LinkClosed{Epoch: epoch()}, from: c})
+			l.post(linkEvent{Event: core.LinkClosed{Epoch: newEpoch()}, from: c})
 			c.Close()
 			return
 		}
-		ev, err := decode(f)
-		if err != nil {
-			n.log.Error("takeover", zap.Uint8("frame", f.Kind), zap.Error(err))
-			closeAll(f.Sockets)
+		if f.Kind == frameClientConn {
+			l.post(linkEvent{from: c, clientConn: f.Sockets})
 			continue
 		}
-		if f.Kind == frameSession {
-			n.post(kinEvent{from: c, session: f.Sockets})
+		ev, err := decode(f)
+		if err != nil {
+			l.log.Error("frame of the other process could not be decoded", zap.Uint8("frame", f.Kind), zap.Error(err))
+			closeFiles(f.Sockets)
 			continue
 		}
-		n.post(kinEvent{Event: ev, from: c})
+		l.post(linkEvent{Event: ev, from: c})
 	}
 }
 
-// transfer sends the state, the clients' listener and the peers' socket.
-func (n *Loop) transfer(x core.HandoverState) {
-	body, err := codec.Marshal(newStateFrame(x))
+// transferState sends a successor the state, the listener of clients and the socket of peers. One that
+// cannot read the state takes over without it.
+func (l *Loop) transferState(state core.HandoverState) {
+	body, err := frameCodec.Marshal(newStateFrame(state))
 	if err != nil {
-		n.log.Error("takeover", zap.Error(err))
+		l.log.Error("state for the successor could not be encoded", zap.Error(err))
 	}
-	sockets := []syscall.Conn{n.listener.(syscall.Conn)}
-	if n.peers != nil {
-		sockets = append(sockets, n.peers.Socket())
+	sockets := []syscall.Conn{l.listener.(syscall.Conn)}
+	if l.peers != nil {
+		sockets = append(sockets, l.peers.Socket())
 	}
-	n.kin.link.Send(uint8(hotrestart.Transfer), body, sockets...)
+	l.other.link.Send(uint8(hotrestart.Transfer), body, sockets...)
 }
 
-// takeOver serves on what the elder sent.
-func (n *Loop) takeOver(e core.AdoptSockets) error {
+// adoptSockets serves on the sockets that the predecessor sent, by its clock.
+func (l *Loop) adoptSockets(e core.AdoptSockets) error {
 	files, _ := e.Sockets.([]*os.File)
-	defer closeAll(files)
+	defer closeFiles(files)
+	listener, err := l.adoptListeners(files)
+	if err != nil {
+		return fmt.Errorf("hot restart: %w", err)
+	}
+	clock := newClockAt(e.Now, l.clock.Load().rate)
+	l.clock.Store(&clock)
+	l.serve(listener, e.LastRequest, e.Source, e.Generation)
+	l.server.SetResourceShare(sharedResources)
+	return nil
+}
+
+// adoptListeners returns the listener of clients, the first of the files, and keeps the socket of peers,
+// the second.
+func (l *Loop) adoptListeners(files []*os.File) (net.Listener, error) {
 	if len(files) == 0 {
-		return errors.New("no listener came")
+		return nil, errNoListener
 	}
-	l, err := net.FileListener(files[0])
+	listener, err := net.FileListener(files[0])
 	if err != nil {
-		return err
+		return nil, err
 	}
-	if len(files) > 1 && n.conf.PeerListen.IsValid() {
-		c, err := net.FilePacketConn(files[1])
-		if err != nil {
-			l.Close()
-			return err
-		}
-		n.peers = peertransport.NewTransport(c.(*net.UDPConn), n.conf.Peers, n.conf.PeersAll, n.post, n.log)
+	if len(files) == 1 || !l.config.PeerListen.IsValid() {
+		return listener, nil
+	}
+	conn, err := net.FilePacketConn(files[1])
+	if err != nil {
+		_ = listener.Close() // no client was accepted
+		return nil, err
+	}
+	l.peers = peertransport.NewTransport(conn.(*net.UDPConn), l.config.Peers, l.config.PeersAll, l.post, l.log)
+	return listener, nil
+}
+
+func (l *Loop) pauseListeners() {
+	l.server.Pause()
+	if l.peers != nil {
+		l.peers.Pause()
+	}
+}
+
+func (l *Loop) resumeListeners() {
+	l.server.Resume()
+	if l.peers != nil {
+		l.peers.Resume()
 	}
-	clock := clockAt(e.Now, n.clock.rate)
-	n.clock = clock
-	n.wall.Store(&clock)
-	n.serve(l, e.LastRequest, e.Source, e.Generation)
-	n.front.SetResourceShare(0.5)
-	return nil
 }
 
-// adopt serves client sessions that the elder gave away.
-func (n *Loop) adopt(files []*os.File) {
+// moveClientConns moves the client connections between requests to the successor, now and as they get
+// there.
+func (l *Loop) moveClientConns() {
+	successor := l.other.link
+	l.server.MoveConns(func(c syscall.Conn) error { return successor.SendSync(frameClientConn, nil, c) })
+}
+
+// adoptClientConns serves client connections that the predecessor moved here, once the server is there.
+// The goroutine for each ends by then, or with the loop.
+func (l *Loop) adoptClientConns(files []*os.File) {
 	for _, f := range files {
-		c, err := net.FileConn(f)
-		f.Close()
+		conn, err := net.FileConn(f)
+		_ = f.Close() // conn has its own copy of the socket
 		if err != nil {
-			n.log.Warn("client session", zap.Error(err))
+			l.log.Warn("client connection could not be adopted", zap.Error(err))
 			continue
 		}
 		go func() {
 			select {
-			case <-n.serving:
-				n.front.AdoptConn(c)
-			case <-n.done:
-				c.Close()
+			case <-l.serving:
+				l.server.AdoptConn(conn)
+			case <-l.ctx.Done():
+				_ = conn.Close() // no request was read from it here
 			}
 		}()
 	}
 }
+
+// setAcceptingClients sets which of the two processes is ready by its administration server.
+func (l *Loop) setAcceptingClients(accepting bool) {
+	if l.admin != nil {
+		l.admin.SetReady(accepting)
+	}
+}
+
+// setResourceShare sets the fraction of its resources that this process uses.
+func (l *Loop) setResourceShare(fraction float64) {
+	l.upstream.SetResourceShare(fraction)
+	if l.server != nil {
+		l.server.SetResourceShare(fraction)
+	}
+	if l.setShare != nil {
+		l.setShare(fraction)
+	}
+}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -38,20 +38,20 @@
 	}
 }
 
-// The whole program, from its start to its exit: it is ready once discovery
-// has spoken, passes a req on, refuses what is beyond the quota, prints its
-// counters when asked, follows discovery where SIGHUP moves it and keeps the old
-// place if the file is bad, and on SIGTERM answers what it has taken and ends.
+// The complete program, from its start to its exit: it is ready once discovery has sent a list, forwards
+// a request, rejects what is beyond the quota, logs its counters at SIGUSR1, watches endpoints where
+// SIGHUP moves discovery and stays with the old address if the file is bad, and after SIGTERM completes
+// the requests that it has and ends.
 func TestRun(t *testing.T) {
-	took, let := make(chan bool, 1), make(chan bool)
+	received, proceed := make(chan bool, 1), make(chan bool)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		took <- true
-		<-let
-		io.WriteString(w, "answer to "+r.Header.Get("X-Call-Id"))
+		received <- true
+		<-proceed
+		_, _ = io.WriteString(w, "answer to "+r.Header.Get("X-Call-Id")) // the client checks it
 	}))
 	defer backend.Close()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, `{"generation":1,"reset":false,"instances":[]}`+"\n")
+		_, _ = io.WriteString(w, `{"generation":1,"reset":false,"instances":[]}`+"\n") // the limiter does not start without it
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
@@ -90,31 +90,35 @@
 	}()
 
 	base := "http://" + <-listening
-	ask := func(id string) (int, string) {
-		req, _ := http.NewRequest("GET", base+"/read/00000000b4d65521", nil)
+	get := func(id string) (int, string) {
+		request, err := http.NewRequest("GET", base+"/read/00000000b4d65521", nil)
+		if err != nil {
+			t.Error(err)
+			return 0, ""
+		}
 		for name, v := range map[string]string{
 			"X-Call-Id": id, "Plan": "small", "X-Budget": "29000m", "Quota-Info": "units=1,spread=1,first=0",
 		} {
-			req.Header.Set(name, v)
+			request.Header.Set(name, v)
 		}
-		resp, err := http.DefaultClient.Do(req)
+		resp, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Error(err)
 			return 0, ""
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }() // it is read to its end
 		body, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(body)
 	}
 	answered := make(chan bool)
 	go func() {
-		if status, body := ask("id7"); status != 200 || body != "answer to id7" {
+		if status, body := get("id7"); status != 200 || body != "answer to id7" {
 			t.Errorf("%d %q", status, body)
 		}
 		answered <- true
 	}()
-	<-took
-	if status, _ := ask("id8"); status != 429 {
+	<-received
+	if status, _ := get("id8"); status != 429 {
 		t.Errorf("beyond the quota: %d", status)
 	}
 	dump <- syscall.SIGUSR1
@@ -124,7 +128,7 @@
 	<-watched
 	stop <- syscall.SIGTERM
 	reload <- syscall.SIGHUP
-	let <- true
+	proceed <- true
 	<-answered
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -137,7 +141,7 @@
 	}
 }
 
-// What cannot be listened on is an error, not a limiter that hears nothing.
+// An address that cannot be listened on is an error.
 func TestRunFails(t *testing.T) {
 	taken := httptest.NewServer(nil)
 	defer taken.Close()
@@ -148,14 +152,14 @@
 	}
 }
 
-// All limiters together keep no more spare connections at a backend than it can be
-// thought to hold, however many limiters there are; few keep as many as they use.
-func TestSparesOfATier(t *testing.T) {
-	for _, c := range []struct{ sockets, tier, want int }{
+// All limiters together keep no more idle connections at a backend than it is assumed to have room for,
+// however many limiters there are; a few keep as many as they use.
+func TestMaxIdleConns(t *testing.T) {
+	for _, c := range []struct{ sockets, limiters, want int }{
 		{256, 0, 4}, {256, 3, 4}, {1024, 3, 16}, {1024, 20, 6}, {384, 80, 1}, {1024, 1000, 1},
 	} {
-		if got := spares(float64(c.sockets), c.tier); got != c.want {
-			t.Errorf("%d limiters of %d sockets: %d, want %d", c.tier, c.sockets, got, c.want)
+		if got := maxIdleConns(float64(c.sockets), c.limiters); got != c.want {
+			t.Errorf("%d limiters of %d sockets: %d, want %d", c.limiters, c.sockets, got, c.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/eventloop/usagefile.go
@@ -0,0 +1,55 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"lemongate/internal/core"
+)
+
+// usageFileMode lets all users read the files of usage reports.
+const usageFileMode = 0o644
+
+// usageFile returns the file of the reports under a fencing token. A report that is written too late
+// goes to the file of a former lease holder, and can hide none of another one.
+func usageFile(dir string, token uint64) string {
+	return filepath.Join(dir, fmt.Sprintf("use-%020d.jsonl", token))
+}
+
+// errLeaseExpired is the error of a report that is not written, as its lease has ended.
+var errLeaseExpired = errors.New("lease has expired")
+
+// writeUsage writes a usage report, unless the lease that it is under has ended, and posts the outcome.
+func (l *Loop) writeUsage(e core.WriteUsage) {
+	isExpired := func() bool { return l.now() >= e.StartBefore }
+	err := appendReport(usageFile(l.config.Usage.Dir, e.Token), e.Report, isExpired)
+	outcome := core.UsageWritten{Token: e.Token, LeaseExpired: errors.Is(err, errLeaseExpired)}
+	if err != nil && !outcome.LeaseExpired {
+		outcome.Err = errors.New(strings.ReplaceAll(err.Error(), "\n", "; ")) // one line in the log
+	}
+	l.post(outcome)
+}
+
+// appendReport appends a report to a file and waits for the disk. Once the file is open, it writes nothing
+// if the lease has expired.
+func appendReport(path string, report []byte, isExpired func() bool) error {
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, usageFileMode)
+	if err != nil {
+		return err
+	}
+	size, seekErr := f.Seek(0, io.SeekEnd)
+	if isExpired() {
+		return errors.Join(errLeaseExpired, f.Close())
+	}
+	if _, err = f.Write(report); err == nil {
+		err = f.Sync()
+	}
+	if err != nil && seekErr == nil {
+		_ = f.Truncate(size) // half a line would spoil the next one; the error that counts is the first
+	}
+	return errors.Join(err, f.Close())
+}
