--- a/internal/rollingrestart/requester.go
+++ b/internal/rollingrestart/requester.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Why a Requester lost a slot, as operators see it.
+// Why a Requester lost a slot, as operators have seen it since 0.8.0.
 const (
-	reasonExpired   = "its restart slot has expired"
-	reasonLastOfSet = "all others that serve some customer are restarting"
+	reasonExpired   = "its turn has ended"
+	reasonLastOfSet = "the others that hold some customer are out"
 )
 
 // Requester is the side of a limiter that may want to restart. It is not safe for concurrent use; see
