--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -4,7 +4,8 @@
 // and the link to the other process of a hot restart.
 //
 // Events and effects are described in package core. All state belongs to the goroutine of Run, but for
-// what a comment says otherwise; no effect keeps it waiting for a socket or a disk.
+// what a comment says otherwise. No effect keeps it waiting for a socket or a disk, except opening the
+// listening addresses at the start, when there is nothing else to do.
 package eventloop
 
 import (
