--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,17 +1,20 @@
-// Command adapter lets the lemongate module decide on a simulator's wire: it
-// reads batches of events on standard input and writes replies on standard
-// output. Each instance has a Gateway of its own and shares nothing.
+// Command adapter makes the decisions of simulated limiters: it reads the simulator's batches of events
+// from standard input and writes the replies to standard output, until the input ends. Each limiter has
+// an admission controller of its own and shares nothing with the others.
+//
+// It has no options. It exits with status 0 at the end of the input, and with 1 and a line on standard
+// error if the input is malformed or a reply cannot be written.
 package main
 
 import (
 	"fmt"
 	"os"
 
-	"lemongate/internal/wire"
+	"lemongate/internal/simprotocol"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,7 +17,7 @@
 	"lemongate/internal/core"
 	"lemongate/internal/discovery"
 	"lemongate/internal/lease"
-	"lemongate/internal/wire"
+	"lemongate/internal/settings"
 )
 
 // Config is all that the program is told.
@@ -40,7 +40,7 @@
 
 	KnownEndpoints []core.Endpoint // the backends as last known
 	Generation     int64           // of that list
-	Settings       wire.Settings
+	Settings       settings.Settings
 }
 
 // Limits are the platform's for one limiter; zero means none is told.
@@ -112,7 +112,7 @@
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, Limits: f.Limits, Seed: seed(f.Seed)}
 	var err error
-	if c.Settings, err = wire.DecodeSettings(f.Settings); err != nil {
+	if c.Settings, err = settings.Decode(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	// Every machine reads the same clock, so a later start has a later epoch.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -18,14 +18,14 @@
 	"lemongate/internal/admission"
 	"lemongate/internal/config"
 	"lemongate/internal/core"
-	"lemongate/internal/wire"
+	"lemongate/internal/settings"
 )
 
 func testConfig(discovery, backend string) *config.Config {
 	return &config.Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Limits: config.Limits{Sockets: 100},
 		KnownEndpoints: []core.Endpoint{{Backend: admission.Backend{ID: "b1", Zone: "a"}, Addr: backend}},
-		Settings: wire.Settings{
+		Settings: settings.Settings{
 			ConnectTimeout: 5 * time.Second, IdleClose: time.Minute,
 			Settings: admission.Settings{
 				Limiters: 1, Zone: "a", ClockResolution: time.Millisecond, MaxAttempts: 2, MaxRetryAfter: time.Second,
--- /dev/null
+++ b/internal/simprotocol/line.go
@@ -0,0 +1,207 @@
+package simprotocol
+
+import (
+	"encoding/base64"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/settings"
+)
+
+const (
+	separator = "\t"
+	absent    = "-" // a part without a value
+	// maxSeconds bounds times, on both sides of zero; a time.Duration has room for more.
+	maxSeconds = 1e9
+)
+
+// Parts that have the same index on all lines of events that have them.
+const (
+	limiterIndex = 1
+	requestIndex = 2
+)
+
+// partError says which part of a line is malformed.
+type partError struct {
+	verb  verb
+	index int    // of the part; the verb is 0
+	want  string // what the part should be
+	got   string
+}
+
+func (e *partError) Error() string {
+	return fmt.Sprintf("%s: part %d: want %s, got %q", e.verb, e.index, e.want, settings.Excerpt(e.got))
+}
+
+// line reads the parts of a line of input by their index. A part that is absent reads as zero, where its
+// kind has one. The first error is kept in err; after it all parts read as absent.
+type line struct {
+	verb  verb
+	parts []string // the verb included
+	err   error
+}
+
+// splitEvent splits the line of an event. The last part may hold tabs.
+func splitEvent(text string) (line, error) {
+	name, _, _ := strings.Cut(text, separator)
+	count, known := eventPartCounts[verb(name)]
+	if !known {
+		return line{}, fmt.Errorf("unknown event %q", settings.Excerpt(name))
+	}
+	l := line{verb: verb(name), parts: strings.SplitN(text, separator, count)}
+	return l, l.checkPartCount(count)
+}
+
+// splitLine splits a line that should have a certain verb; checkVerb reports whether it has.
+func splitLine(want verb, text string) line {
+	return line{verb: want, parts: strings.Split(text, separator)}
+}
+
+func (l *line) checkVerb() error {
+	if got := l.parts[0]; got != string(l.verb) {
+		return fmt.Errorf("want %s, got %q", l.verb, settings.Excerpt(got))
+	}
+	return nil
+}
+
+func (l *line) checkPartCount(want int) error {
+	if len(l.parts) != want {
+		return fmt.Errorf("%s: %d parts, want %d", l.verb, len(l.parts), want)
+	}
+	return nil
+}
+
+// limiter is the name of the limiter that an event is for.
+func (l *line) limiter() string { return l.parts[limiterIndex] }
+
+// fail keeps the first error: the part at an index is not what it should be.
+func (l *line) fail(index int, want string) {
+	if l.err == nil {
+		l.err = &partError{verb: l.verb, index: index, want: want, got: l.parts[index]}
+	}
+}
+
+// value returns a part, empty if it is absent.
+func (l *line) value(index int) string {
+	if l.err != nil || l.parts[index] == absent {
+		return ""
+	}
+	return l.parts[index]
+}
+
+// number reads a finite number.
+func (l *line) number(index int) float64 {
+	text := l.value(index)
+	if text == "" {
+		return 0
+	}
+	number, ok := parseNumber(text)
+	if !ok {
+		l.fail(index, "a number")
+	}
+	return number
+}
+
+// parseNumber returns a number and whether the text is one, and finite.
+func parseNumber(text string) (float64, bool) {
+	number, err := strconv.ParseFloat(text, 64)
+	finite := !math.IsNaN(number) && !math.IsInf(number, 0)
+	return number, err == nil && finite
+}
+
+// seconds reads a time.
+func (l *line) seconds(index int) time.Duration {
+	number := l.number(index)
+	if math.Abs(number) > maxSeconds {
+		l.fail(index, "a time in seconds")
+		return 0
+	}
+	return settings.Duration(number)
+}
+
+// integer reads a signed integer of 64 bits.
+func (l *line) integer(index int) int64 {
+	text := l.value(index)
+	if text == "" {
+		return 0
+	}
+	number, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		l.fail(index, "a whole number")
+	}
+	return number
+}
+
+// request reads the number of the request that an event is about, which is below 2^32 and never absent.
+func (l *line) request() admission.RequestID {
+	id, err := strconv.ParseUint(l.value(requestIndex), 10, 32)
+	if err != nil {
+		l.fail(requestIndex, "a request id")
+	}
+	return admission.RequestID(id)
+}
+
+// seed reads an integer of 64 bits with or without a sign, which is never absent.
+func (l *line) seed(index int) uint64 {
+	text := l.value(index)
+	if signed, err := strconv.ParseInt(text, 10, 64); err == nil {
+		return uint64(signed)
+	}
+	seed, err := strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		l.fail(index, "a whole number")
+	}
+	return seed
+}
+
+// flag reads 0 or 1.
+func (l *line) flag(index int) bool {
+	switch l.value(index) {
+	case "", "0":
+		return false
+	case "1":
+		return true
+	}
+	l.fail(index, "0 or 1")
+	return false
+}
+
+// bytes reads base64 with padding.
+func (l *line) bytes(index int) []byte {
+	data, err := base64.StdEncoding.DecodeString(l.value(index))
+	if err != nil {
+		l.fail(index, "base64")
+	}
+	return data
+}
+
+// loadReport reads numbers set apart by commas, 0 for those that are absent; nil if there is no report.
+func (l *line) loadReport(index int) []float64 {
+	text := l.value(index)
+	if text == "" {
+		return nil
+	}
+	var report []float64
+	for part := range strings.SplitSeq(text, ",") {
+		number, ok := parseNumber(part)
+		if !ok && part != absent {
+			l.fail(index, "numbers set apart by commas")
+			return nil
+		}
+		report = append(report, number)
+	}
+	return report
+}
+
+// choice reads one of a set of names, which is never absent.
+func choice[T any](l *line, index int, values map[string]T) T {
+	value, known := values[l.value(index)]
+	if !known {
+		l.fail(index, "a known word")
+	}
+	return value
+}
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/server_test.go
@@ -1,7 +1,8 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
+	"errors"
 	"strings"
 	"testing"
 )
@@ -13,18 +14,19 @@
 	return out.String(), err
 }
 
+// start is a batch that starts a limiter with one backend.
 const start = "frame\t1.5\t1\n" +
-	"power_on\tdoor_0\t42\t" + facts1 + "\n" +
+	"power_on\tdoor_0\t42\t" + settingsText + "\n" +
 	"membership\tdoor_0\t3\tC\t1\n" +
 	"row\tb_one\tnorth\tbox\t0\tlive\t1\t-\n" +
 	"your_turn\n"
 
-const facts1 = `{"siblings":1,"me":0,"zone":"north","granularity_s":0.001,"a new key":{"x":[1]},` +
+const settingsText = `{"siblings":1,"me":0,"zone":"north","granularity_s":0.001,"a new key":{"x":[1]},` +
 	`"classes":[{"name":"read","effect":"idempotent","group":"all","on_time_s":0.5,"deadline_s":2,"importance":1}],` +
 	`"tiers_of_service":[{"name":"small","refill":2,"depth":1}],` +
 	`"allowed":{"max_attempts":2,"retry_after":true,"max_retry_after_s":1}}`
 
-// A request is sent on, answered, and the next one is beyond its quota.
+// A request is forwarded and served, and the next one is rejected: it is beyond its quota.
 func TestTranscript(t *testing.T) {
 	got, err := serve(t, start+
 		"frame\t1.6\t2\n"+
@@ -51,14 +53,15 @@
 	}
 }
 
-// A halted or unknown instance is owed nothing, and may start again at once.
+// Events of a limiter that was halted or never started have no effect, and a halted one may start again in
+// the same batch.
 func TestHaltAndRestart(t *testing.T) {
 	got, err := serve(t, start+
 		"frame\t2\t2\n"+
 		"halt\tdoor_0\n"+
 		"aborted\tdoor_0\t5\n"+
 		"fired\tdoor_9\tbeat\n"+
-		"power_on\tdoor_0\t-7\t"+facts1+"\n"+
+		"power_on\tdoor_0\t-7\t"+settingsText+"\n"+
 		"membership\tdoor_0\t3\tC\t0\n"+
 		"your_turn\n")
 	if err != nil || !strings.HasSuffix(got, "defer\tdoor_0\t2.250000\tbeat\nok\t2\n") {
@@ -66,7 +69,7 @@
 	}
 }
 
-// Malformed input is named in one plain line.
+// Malformed input ends Serve with an error of one line that names the line and the part.
 func TestMalformed(t *testing.T) {
 	for input, want := range map[string]string{
 		"hello\n":                  "line 1: want frame",
@@ -92,6 +95,19 @@
 	}
 }
 
+// The error has the number of the malformed line, also behind a batch that was served.
+func TestLineError(t *testing.T) {
+	replies, err := serve(t, start+"frame\t2\t2\naborted\tdoor_0\tx\n")
+	var malformed *LineError
+	if !errors.As(err, &malformed) || malformed.Line != 7 {
+		t.Errorf("got %v, want an error in line 7", err)
+	}
+	if !strings.HasSuffix(replies, "ok\t1\n") {
+		t.Errorf("got replies %q, want the one to the first batch", replies)
+	}
+}
+
+// No input makes Serve panic or fail without a message.
 func FuzzServe(f *testing.F) {
 	f.Add(start)
 	f.Add("frame\t1\t1\nyour_turn\n")
