--- /dev/null
+++ b/cmd/lemongate/admin_test.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"lemongate/internal/lab/fleet"
+)
+
+// Callers that keep connections to the administration server open, a hundred at once, keep nobody
+// from a response, and no request waits for them.
+func TestAdminServerUnderLoad(t *testing.T) {
+	tier := newTier(t, 1, 2)
+	p := startAll(t, tier)[0]
+	load := tier.Begin(200, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)} })
+	for i := range 100 {
+		c, err := net.Dial("tcp", p.Console)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer func() { _ = c.Close() }()
+		if i%3 == 0 {
+			_, _ = fmt.Fprint(c, "GET /stats HTTP/1.1\r\nHos") // it may be closed for others already
+		}
+	}
+	for range 10 {
+		begin := time.Now()
+		if !p.Healthy() || time.Since(begin) > time.Second {
+			t.Errorf("not healthy within a second: %v", time.Since(begin))
+		}
+	}
+	results := load.End()
+	checkResults(t, tier, results)
+	slow := 0
+	for _, r := range results {
+		if r.Took > 300*time.Millisecond {
+			slow++
+		}
+	}
+	if slow > len(results)/20 {
+		t.Errorf("%d of %d requests took over 0.3 s", slow, len(results))
+	}
+}
--- /dev/null
+++ b/cmd/lemongate/check.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"context"
+	"fmt"
+
+	"github.com/urfave/cli/v3"
+
+	"lemongate/internal/eventloop"
+)
+
+func checkCommand() *cli.Command {
+	return &cli.Command{
+		Name:   "check",
+		Usage:  "read the configuration, print a summary of it, and exit",
+		Flags:  []cli.Flag{operatorFlag()},
+		Action: check,
+	}
+}
+
+// check reads the configuration as serve would.
+func check(_ context.Context, cmd *cli.Command) error {
+	c, err := loadConfig(eventloop.NewClock(1).Zero(), cmd.String("operator"))
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(cmd.Root().Writer, "%s: limiter %d of %d, %d classes, %d plans, %d known backends\n",
+		c.Name, c.Settings.Self, c.Settings.Limiters, len(c.Settings.Classes), len(c.Settings.Plans), len(c.KnownEndpoints))
+	return err
+}
--- /dev/null
+++ b/cmd/lemongate/hotrestart_test.go
@@ -0,0 +1,495 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"lemongate/internal/hotrestart"
+	"lemongate/internal/hotrestart/link"
+	"lemongate/internal/lab/fleet"
+)
+
+// Hot restarts one after another under load: no connection is reset or refused, every request gets one
+// complete response, none is forwarded twice, the ceiling holds to the unit, and the peers see one epoch
+// of the limiter.
+func TestHotRestartsUnderLoad(t *testing.T) {
+	const restarts, rate, burst = 10, 100.0, 60.0
+	tier := newTier(t, 3, 4)
+	tier.Plans = append(tier.Plans, fleet.Plan{Name: "capped", Rate: rate, Burst: burst, CeilRate: rate, Ceil: burst})
+	processes := startAll(t, tier)
+	for _, b := range tier.Backends {
+		b.Delay(15 * time.Millisecond)
+	}
+	load := tier.Begin(500, func(n int) fleet.Req {
+		request := fleet.Req{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), Spread: 3}
+		switch n % 5 {
+		case 0, 1: // twice the ceiling, by all three
+			request.Plan, request.Customer = "capped", 7
+		case 2:
+			request.Class, request.Key, request.Body = "post", fmt.Sprintf("%032x", n), 2000
+		}
+		return request
+	})
+	if err := load.Warm(0, 30); err != nil {
+		t.Fatal(err)
+	}
+	old := processes[0]
+	for i := range restarts {
+		next := tier.Limiters[0].Start()
+		next.Await(t)
+		fleet.Until(t, "it takes over", func() bool { return next.Log("takes over") })
+		if i%3 == 0 { // in probation for a while
+			time.Sleep(200 * time.Millisecond)
+		}
+		old.Signal(syscall.SIGTERM)
+		if err := old.Wait(t); err != nil {
+			t.Errorf("hot restart %d: the old process ended with %v", i, err)
+		}
+		old = next
+	}
+	results := load.End()
+	served, gap := checkResults(t, tier, results)
+	if len(results) < 500 || served < len(results)/2 {
+		t.Errorf("served %d of %d", served, len(results))
+	}
+	if n := len(tier.Net.Epochs(0)); n != 1 {
+		t.Errorf("the peers saw %d epochs of the limiter", n)
+	}
+	_, first := tier.Attempts()
+	checkCeiling(t, first, rate, burst)
+	t.Logf("%d requests, %d served, longest time without one %v; p99 %v at the limiter that restarts, %v at the others",
+		len(results), served, gap, p99(results, func(r fleet.Result) bool { return r.Limiter == 0 }),
+		p99(results, func(r fleet.Result) bool { return r.Limiter > 0 }))
+}
+
+// A successor ends or hangs at any step: the predecessor goes on serving, or serves again soon, and no
+// request is lost.
+func TestFailedSuccessor(t *testing.T) {
+	for _, step := range []string{"hello", "offer", "prepared", "transfer", "taken", "commit", "beats"} {
+		for _, failure := range []string{"end", "stop", "hang"} {
+			t.Run(step+" "+failure, func(t *testing.T) {
+				t.Parallel()
+				tier := newTier(t, 1, 2)
+				predecessor := startAll(t, tier)[0]
+				load := tier.Begin(150, func(n int) fleet.Req {
+					return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)}
+				})
+				time.Sleep(100 * time.Millisecond) // some connections and requests are open
+				successor := startScript(t, tier, "successor:"+step+":"+failure)
+				fleet.Until(t, "the step", func() bool { return successor.Log("at " + step) })
+				before := time.Now()
+				fleet.Until(t, "a process that takes clients", predecessor.Healthy)
+				back := time.Since(before)
+				time.Sleep(700 * time.Millisecond) // any timeout that still runs has passed
+				if !predecessor.Healthy() {
+					t.Error("the predecessor accepts no clients")
+				}
+				results := load.End()
+				served, gap := checkResults(t, tier, results)
+				// While one hangs, what it was to decide is rejected.
+				if served < len(results)/2 || gap > 1500*time.Millisecond {
+					t.Errorf("served %d of %d, once none for %v", served, len(results), gap)
+				}
+				t.Logf("healthy after %v, longest time without a response %v", back, gap)
+				// A good successor takes over after the bad one.
+				if failure != "end" {
+					successor.Signal(syscall.SIGKILL)
+				}
+				next := tier.Limiters[0].Start()
+				fleet.Until(t, "the good successor", next.Healthy)
+				predecessor.Signal(syscall.SIGTERM)
+				if err := predecessor.Wait(t); err != nil {
+					t.Error(err)
+				}
+			})
+		}
+	}
+}
+
+// A predecessor that dies in the middle leaves the successor to serve with what it has; one that hangs
+// while neither accepts clients is killed; one that hangs before that still has the clients, and the
+// successor waits for it.
+func TestFailedPredecessor(t *testing.T) {
+	for _, c := range []struct{ step, failure string }{
+		{"listening", "end"}, {"hello", "end"}, {"offer", "end"}, {"prepared", "end"}, {"transfer", "end"}, {"taken", "end"}, {"commit", "end"},
+		{"transfer", "stop"}, {"taken", "stop"}, {"commit", "stop"},
+		{"hello", "stop"}, {"offer", "stop"}, {"prepared", "stop"},
+	} {
+		t.Run(c.step+" "+c.failure, func(t *testing.T) {
+			t.Parallel()
+			tier := newTier(t, 1, 2)
+			predecessor := startScript(t, tier, "predecessor:"+c.step+":"+c.failure)
+			fleet.Until(t, "the predecessor", func() bool { return predecessor.Log("ready") })
+			successor := tier.Limiters[0].Start()
+			waits := c.failure == "stop" && c.step != "transfer" && c.step != "taken" && c.step != "commit"
+			if waits {
+				fleet.Until(t, "the step", func() bool { return predecessor.Log("at " + c.step) })
+				time.Sleep(800 * time.Millisecond)
+				if successor.Healthy() {
+					t.Error("accepts clients beside a predecessor that may")
+				}
+				predecessor.Signal(syscall.SIGKILL)
+			}
+			successor.Await(t)
+			load := tier.Begin(100, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)} })
+			time.Sleep(300 * time.Millisecond)
+			if served, _ := checkResults(t, tier, load.End()); served < 20 {
+				t.Errorf("served %d", served)
+			}
+		})
+	}
+}
+
+// One of the two processes is killed or suspended a little after the hot restart began, at offsets that
+// sweep over all of it: one serves in the end, and never do both.
+func TestKilledAtAnyPoint(t *testing.T) {
+	for i := range 12 {
+		for _, side := range []string{"predecessor", "successor"} {
+			sig, fault := syscall.SIGKILL, "killed"
+			if i%2 == 1 {
+				sig, fault = syscall.SIGSTOP, "suspended"
+			}
+			after := time.Duration(i) * 4 * time.Millisecond
+			t.Run(fmt.Sprintf("%s %s after %v", side, fault, after), func(t *testing.T) {
+				t.Parallel()
+				tier := newTier(t, 1, 2)
+				predecessor := startAll(t, tier)[0]
+				successor := tier.Limiters[0].Start()
+				fleet.Until(t, "the hot restart", func() bool { return successor.Log("takes over") || successor.Log("listening") })
+				time.Sleep(after)
+				victim, other := predecessor, successor
+				if side == "successor" {
+					victim, other = successor, predecessor
+				}
+				victim.Signal(sig)
+				fleet.Until(t, "one that serves", func() bool {
+					if sig == syscall.SIGSTOP && side == "predecessor" && !other.Healthy() {
+						victim.Signal(syscall.SIGKILL) // suspended before it handed over anything: the operator kills it
+					}
+					return other.Healthy()
+				})
+				if sig == syscall.SIGSTOP && side == "successor" {
+					victim.Signal(syscall.SIGCONT) // if it still runs, it must not accept clients now
+					for range 20 {
+						if victim.Healthy() && other.Healthy() {
+							t.Error("both accept clients")
+						}
+						time.Sleep(10 * time.Millisecond)
+					}
+				}
+			})
+		}
+	}
+}
+
+// Signals to either process, a third process, other configurations and what a killed process left behind.
+func TestUnusualHotRestarts(t *testing.T) {
+	t.Run("both shut down", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		predecessor := startAll(t, tier)[0]
+		successor := tier.Limiters[0].Start()
+		successor.Await(t)
+		predecessor.Signal(syscall.SIGTERM)
+		successor.Signal(syscall.SIGTERM)
+		if a, b := predecessor.Wait(t), successor.Wait(t); a != nil || b != nil {
+			t.Error(a, b)
+		}
+	})
+	t.Run("the successor shut down", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		predecessor := startAll(t, tier)[0]
+		successor := tier.Limiters[0].Start()
+		successor.Await(t)
+		successor.Signal(syscall.SIGTERM)
+		if err := successor.Wait(t); err != nil {
+			t.Error(err)
+		}
+		fleet.Until(t, "the predecessor serves again", predecessor.Healthy)
+	})
+	t.Run("SIGHUP during the hot restart", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		predecessor := startAll(t, tier)[0]
+		successor := tier.Limiters[0].Start()
+		for range 5 {
+			predecessor.Signal(syscall.SIGHUP)
+			time.Sleep(3 * time.Millisecond)
+		}
+		successor.Await(t)
+		successor.Signal(syscall.SIGHUP)
+		predecessor.Signal(syscall.SIGTERM)
+		if err := predecessor.Wait(t); err != nil {
+			t.Error(err)
+		}
+		time.Sleep(50 * time.Millisecond)
+		if !successor.Healthy() {
+			t.Error("the successor does not serve")
+		}
+	})
+	t.Run("a third process", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		predecessor := startAll(t, tier)[0]
+		successor := tier.Limiters[0].Start()
+		successor.Await(t) // in its probation
+		third := tier.Limiters[0].Start()
+		fleet.Until(t, "a reply to the third", func() bool { return predecessor.Log("another takeover is under way") || predecessor.Log("is handed") })
+		if third.Healthy() || !successor.Healthy() {
+			t.Error("the third accepts clients")
+		}
+		predecessor.Signal(syscall.SIGTERM)
+		_ = predecessor.Wait(t) // its exit is not what is tested here
+		third.Signal(syscall.SIGTERM)
+		third.Signal(syscall.SIGKILL)
+		time.Sleep(50 * time.Millisecond)
+		if !successor.Healthy() {
+			t.Error("the second does not serve any more")
+		}
+	})
+	t.Run("other settings", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		predecessor := startAll(t, tier)[0]
+		successor := tier.Limiters[0].Start(func(c map[string]any) {
+			c["settings"].(map[string]any)["tiers_of_service"] = []map[string]any{{"name": "free"}, {"name": "more", "refill": 3, "depth": 9}}
+		})
+		successor.Await(t)
+		fleet.Until(t, "state of other settings is refused", func() bool { return successor.Log("of other settings") })
+		predecessor.Signal(syscall.SIGTERM)
+		if err := predecessor.Wait(t); err != nil || !successor.Healthy() {
+			t.Error(err)
+		}
+	})
+	t.Run("another limiter", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		predecessor := startAll(t, tier)[0]
+		tier.Limiters[0].Start(func(c map[string]any) { c["listen"] = "127.0.0.1:1" })
+		fleet.Until(t, "it is rejected", func() bool { return predecessor.Log("listens elsewhere") })
+		if !predecessor.Healthy() {
+			t.Error("the one that runs does not serve any more")
+		}
+	})
+	t.Run("what a killed process left", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		predecessor := startAll(t, tier)[0]
+		predecessor.Signal(syscall.SIGKILL)
+		_ = predecessor.Wait(t) // its exit is not what is tested here
+		if list, _ := os.ReadDir(tier.Limiters[0].Dir); len(list) != 1 {
+			t.Errorf("left %v", list)
+		}
+		next := tier.Limiters[0].Start()
+		next.Await(t)
+		again := tier.Limiters[0].Start()
+		again.Await(t)
+		fleet.Until(t, "the process that runs is found behind a file left over", func() bool { return again.Log("takes over") })
+		next.Signal(syscall.SIGTERM)
+		_ = next.Wait(t)
+		again.Signal(syscall.SIGTERM)
+		_ = again.Wait(t)
+		if list, _ := os.ReadDir(tier.Limiters[0].Dir); len(list) != 0 {
+			t.Errorf("left %v", list)
+		}
+	})
+	t.Run("a directory with a long name", func(t *testing.T) {
+		t.Parallel()
+		tier := newTier(t, 1, 1)
+		tier.Limiters[0].Dir += "/" + strings.Repeat("long", 40)
+		if err := os.Mkdir(tier.Limiters[0].Dir, 0o700); err != nil {
+			t.Fatal(err)
+		}
+		startAll(t, tier)
+		next := tier.Limiters[0].Start()
+		next.Await(t)
+		fleet.Until(t, "it takes over", func() bool { return next.Log("takes over") })
+	})
+}
+
+// Client connections of all kinds at the moment of the hot restart: used and idle, never used, and with
+// half a request head sent. Each goes on, and each request gets its response.
+func TestConnectionsAcrossHotRestart(t *testing.T) {
+	tier := newTier(t, 1, 2)
+	predecessor := startAll(t, tier)[0]
+	load := tier.Begin(100, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 20)} })
+	const idle, half = 300, 100
+	send := func(c net.Conn, id string) error {
+		_, err := fmt.Fprintf(c, "GET /read/%016x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nPlan: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n", 9, id)
+		return err
+	}
+	expectResponse := func(c net.Conn, what string) {
+		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second)) // a read would fail too
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
+			t.Errorf("%s: %v, %+v", what, err, resp)
+		}
+	}
+	dial := func() net.Conn {
+		c, err := net.Dial("tcp", tier.Limiters[0].Addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = c.Close() })
+		return c
+	}
+	var used, halves []net.Conn
+	for i := range idle {
+		c := dial()
+		if i%2 == 0 {
+			if err := send(c, fmt.Sprintf("before%d", i)); err != nil {
+				t.Error(err)
+			}
+			expectResponse(c, "before the hot restart")
+		}
+		used = append(used, c)
+	}
+	for i := range half {
+		c := dial()
+		_, _ = fmt.Fprintf(c, "GET /read/%016x HTTP/1.1\r\nHost: h\r\nX-Call-Id: half%d\r\nPl", 9, i) // the response shows it
+		halves = append(halves, c)
+	}
+	successor := tier.Limiters[0].Start()
+	successor.Await(t)
+	predecessor.Signal(syscall.SIGTERM)
+	fleet.Until(t, "the predecessor closes", func() bool { return predecessor.Log("phase closing") })
+	for _, c := range halves {
+		_, _ = fmt.Fprint(c, "an: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n") // the response shows it
+	}
+	for i, c := range used {
+		if err := send(c, fmt.Sprintf("after%d", i)); err != nil {
+			t.Error(err)
+		}
+	}
+	for _, c := range halves {
+		expectResponse(c, "half a head")
+	}
+	for _, c := range used {
+		expectResponse(c, "an idle connection")
+	}
+	if err := predecessor.Wait(t); err != nil {
+		t.Error(err)
+	}
+	checkResults(t, tier, load.End())
+}
+
+// A request with an idempotency key is in flight at a backend that dies during a hot restart: it runs
+// once, its client gets one response, and the client's own retry through the successor is answered by
+// what the backends remember.
+func TestIdempotencyKeyAcrossHotRestart(t *testing.T) {
+	tier := newTier(t, 1, 3)
+	predecessor := startAll(t, tier)[0]
+	for _, b := range tier.Backends {
+		b.Delay(400 * time.Millisecond)
+	}
+	load := tier.Begin(40, func(n int) fleet.Req {
+		return fleet.Req{Class: "post", Plan: "free", Customer: uint64(n % 5), Key: fmt.Sprintf("%032x", n/2), Body: 100}
+	})
+	time.Sleep(300 * time.Millisecond)
+	successor := tier.Limiters[0].Start()
+	successor.Await(t)
+	tier.Backends[0].Break() // with its requests in flight
+	predecessor.Signal(syscall.SIGTERM)
+	if err := predecessor.Wait(t); err != nil {
+		t.Error(err)
+	}
+	time.Sleep(500 * time.Millisecond)
+	results := load.End()
+	served := 0
+	for _, r := range results {
+		if r.Fault != "" {
+			t.Errorf("lost after %v: %s", r.Took, r.Fault)
+		}
+		if r.Status == http.StatusOK {
+			served++
+		}
+	}
+	if n := tier.Doubled(); n > 0 {
+		t.Errorf("%d keys ran twice outside of their idempotency window", n)
+	}
+	if served < len(results)/2 {
+		t.Errorf("served %d of %d", served, len(results))
+	}
+}
+
+// A process that cannot take over leaves the one that runs as it is: another version of the format, a
+// program that does not start, one that comes while the other shuts down.
+func TestInvalidSuccessors(t *testing.T) {
+	tier := newTier(t, 1, 1)
+	predecessor := startAll(t, tier)[0]
+	c, err := link.Dial(link.Path(tier.Limiters[0].Dir, "n0"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	hello := `{"Format":2,"Name":"n0","Listen":"` + tier.Limiters[0].Addr + `"}`
+	if !c.Send(uint8(hotrestart.Hello), []byte(hello)) {
+		t.Error("hello was not sent")
+	}
+	if f, err := c.Read(); err != nil || f.Kind != uint8(hotrestart.Deny) || !strings.Contains(string(f.Body), "format 2") {
+		t.Errorf("%+v, %v", f, err)
+	}
+	for _, noise := range []string{"", "x", "\xff\xff\xff\xff\xff\xff", "\x00\x00\x00\x02\x00\x00{}", "\x00\x00\x00\x01\x00\x09x"} {
+		raw, err := net.Dial("unix", link.Path(tier.Limiters[0].Dir, "n0"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, _ = raw.Write([]byte(noise)) // it may be closed for the noise already
+		_ = raw.Close()
+	}
+	bad := tier.Limiters[0].Start(func(c map[string]any) { c["settings"] = map[string]any{} })
+	if err := bad.Wait(t); err == nil || !predecessor.Healthy() {
+		t.Error("an invalid configuration starts")
+	}
+	load := tier.Begin(50, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "free", Customer: 1} })
+	tier.Backends[0].Delay(300 * time.Millisecond)
+	time.Sleep(100 * time.Millisecond)
+	results := load.End()
+	predecessor.Signal(syscall.SIGTERM)
+	late := tier.Limiters[0].Start()
+	late.Await(t) // once the address is free
+	fleet.Until(t, "it serves", func() bool { return late.Log("phase serving") })
+	if late.Log("without the state") {
+		t.Error("it took over from one that shut down")
+	}
+	checkResults(t, tier, results)
+}
+
+// A token bucket that hardly refills is consumed once, whichever of the two processes its requests come
+// to: connections to the predecessor stay in use through a long probation, and new ones come to the
+// successor.
+func TestUnitsConsumedOnceAcrossHotRestart(t *testing.T) {
+	const burst = 60
+	tier := newTier(t, 1, 2)
+	tier.Plans = append(tier.Plans, fleet.Plan{Name: "capped", Rate: 0.5, Burst: burst})
+	old := startAll(t, tier)[0]
+	for _, b := range tier.Backends {
+		b.Delay(30 * time.Millisecond) // so that several connections are in use
+	}
+	begin := time.Now()
+	load := tier.Begin(100, func(n int) fleet.Req { return fleet.Req{Class: "read", Plan: "capped", Customer: 7} })
+	time.Sleep(250 * time.Millisecond)
+	for range 2 {
+		next := tier.Limiters[0].Start()
+		next.Await(t)
+		time.Sleep(400 * time.Millisecond)
+		old.Signal(syscall.SIGTERM)
+		if err := old.Wait(t); err != nil {
+			t.Error(err)
+		}
+		old = next
+	}
+	checkResults(t, tier, load.End())
+	byID, _ := tier.Attempts()
+	mostUnits := burst + int(0.5*time.Since(begin).Seconds())
+	if len(byID) > mostUnits || len(byID) < burst*9/10 {
+		t.Errorf("%d requests were forwarded of a bucket of %d units", len(byID), mostUnits)
+	}
+}
--- a/cmd/lemongate/leases.go
+++ b/cmd/lemongate/leases.go
@@ -10,56 +10,66 @@
 	"text/tabwriter"
 	"time"
 
-	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
 	"lemongate/internal/lease"
 )
 
-// callWithin bounds a call to a console, which answers within a second.
-const callWithin = 2 * time.Second
+// leaseColumns heads the table of leases. Scripts read it.
+const leaseColumns = "TASK\tHOLDER\tHELD HERE\tTOKEN\tFOR\tTRY\tKEEPERS\tKEEPS\tWON\tRENEWED\tLOST\tGIVEN\tREFUSED\tWAITED"
 
-// leases prints what a limiter's console tells of leases.
-func leases(ctx context.Context, cmd *cli.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cmd.String("console")+"/leases", nil)
-	if err != nil {
-		return fmt.Errorf("console: %w", err)
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return fmt.Errorf("console: %w", err)
+func leasesCommand() *cli.Command {
+	return &cli.Command{
+		Name:   "leases",
+		Usage:  "print the leases as a running limiter sees them: tasks that one limiter does at a time",
+		Flags:  []cli.Flag{consoleFlag(), jsonFlag()},
+		Action: leases,
 	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(resp.Body)
-	if err != nil || resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("console: status %d, %w", resp.StatusCode, err)
-	}
-	out := cmd.Root().Writer
+}
+
+// leases prints the leases that a limiter's administration server reports.
+func leases(ctx context.Context, cmd *cli.Command) error {
+	address, out := cmd.String("console"), cmd.Root().Writer
 	if cmd.Bool("json") {
-		_, err := out.Write(data)
+		body, err := callAdmin(ctx, http.MethodGet, address, "/leases", nil)
+		if err != nil {
+			return err
+		}
+		_, err = out.Write(body)
+		return err
+	}
+	var views []lease.View
+	if _, err := callAdmin(ctx, http.MethodGet, address, "/leases", &views); err != nil {
 		return err
 	}
-	var list []lease.View
-	if err := jsoniter.Unmarshal(data, &list); err != nil {
-		return fmt.Errorf("console: %w", err)
+	return printLeases(out, views)
+}
+
+// printLeases prints a table of leases.
+func printLeases(out io.Writer, views []lease.View) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	_, _ = fmt.Fprintln(table, leaseColumns) // Flush returns the error
+	for i := range views {
+		_, _ = fmt.Fprintln(table, leaseRow(&views[i]))
 	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "TASK\tHOLDER\tHELD HERE\tTOKEN\tFOR\tTRY\tKEEPERS\tKEEPS\tWON\tRENEWED\tLOST\tGIVEN\tREFUSED\tWAITED")
-	for _, v := range list {
-		held, token, left := "no", "-", "-"
-		if v.Holds {
-			held, token, left = "yes", strconv.FormatUint(v.Token, 10), v.ValidFor.Round(time.Millisecond).String()
-		}
-		keepers := strings.Trim(fmt.Sprint(v.Acceptors), "[]")
-		c := v.Counts
-		who := "-"
-		if v.Holder >= 0 {
-			who = strconv.Itoa(v.Holder)
-		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\t%d\t%d\n",
-			v.Task, who, held, token, left, v.Phase, keepers, v.IsAcceptor, c.Won, c.Renewed, c.Lost, c.Released, c.RejectedLate, c.Waited)
+	return table.Flush()
+}
+
+// leaseRow returns one row of the table, in the order of leaseColumns.
+func leaseRow(v *lease.View) string {
+	holder := "-"
+	if v.Holder >= 0 {
+		holder = strconv.Itoa(v.Holder)
+	}
+	held, token, validFor := "no", "-", "-"
+	if v.Holds {
+		held = "yes"
+		token = strconv.FormatUint(v.Token, 10)
+		validFor = v.ValidFor.Round(time.Millisecond).String()
 	}
-	return w.Flush()
+	acceptors := strings.Trim(fmt.Sprint(v.Acceptors), "[]")
+	c := v.Counts
+	return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\t%d\t%d",
+		v.Task, holder, held, token, validFor, v.Phase, acceptors, v.IsAcceptor,
+		c.Won, c.Renewed, c.Lost, c.Released, c.RejectedLate, c.Waited)
 }
--- a/cmd/lemongate/main_test.go
+++ b/cmd/lemongate/main_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"lemongate/internal/config"
+	"lemongate/internal/lab/fleet"
 )
 
 func run(t *testing.T, args ...string) (string, error) {
@@ -22,7 +23,23 @@
 	return out.String(), err
 }
 
-// The version told is the newest that the changelog describes.
+// TestMain lets the test program be a limiter's process, or one side of a hot restart that fails at a
+// step.
+func TestMain(m *testing.M) {
+	switch role, script, _ := strings.Cut(os.Getenv("LEMONGATE_TEST"), ":"); role {
+	case "serve":
+		os.Args = append([]string{"lemongate"}, os.Args[1:]...)
+		main()
+	case "successor":
+		fleet.PlayHeir(script)
+	case "predecessor":
+		fleet.PlayElder(script)
+	default:
+		os.Exit(m.Run())
+	}
+}
+
+// The version that is printed is the newest that the changelog describes.
 func TestVersion(t *testing.T) {
 	out, err := run(t, "version")
 	if err != nil || !strings.HasPrefix(out, "lemongate "+release+" ") {
@@ -38,8 +55,8 @@
 	}
 }
 
-// A bad configuration is one plain error for whoever reads it.
-func TestBadConfig(t *testing.T) {
+// An invalid configuration gives one plain error.
+func TestInvalidConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"settings":{}}`), 0o600); err != nil {
 		t.Fatal(err)
@@ -51,18 +68,18 @@
 		}
 	}
 	if _, err := run(t, "serve", "--log-level", "loud"); err == nil || !strings.Contains(err.Error(), "log-level") {
-		t.Errorf("bad level: %v", err)
+		t.Errorf("invalid level: %v", err)
 	}
 }
 
-// The runtime is held to the platform's limits.
-func TestLimit(t *testing.T) {
+// The Go runtime is kept within the platform's limits.
+func TestLimitRuntime(t *testing.T) {
 	procs, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	defer func() {
 		runtime.GOMAXPROCS(procs)
 		debug.SetMemoryLimit(memory)
 	}()
-	limit(config.Limits{Cores: 1.5, MemoryMB: 200}, 1)
+	limitRuntime(config.Limits{Cores: 1.5, MemoryMB: 200}, 1)
 	if p, m := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1); p != 1 || m != 140<<20 {
 		t.Errorf("%d procs, %d bytes", p, m)
 	}
--- a/cmd/lemongate/restartslot.go
+++ b/cmd/lemongate/restartslot.go
@@ -8,73 +8,97 @@
 	"net/http"
 	"time"
 
-	jsoniter "github.com/json-iterator/go"
 	"github.com/urfave/cli/v3"
 
 	"lemongate/internal/core"
 )
 
-// turnEvery is how often a limiter is asked whether it has its turn.
-const turnEvery = 100 * time.Millisecond
+const (
+	// restartSlotPollInterval is how often a limiter is polled until it has a slot.
+	restartSlotPollInterval = 100 * time.Millisecond
+	// defaultRestartSlotWait is how long the command waits for a slot where no flag says otherwise.
+	defaultRestartSlotWait = 10 * time.Minute
+)
+
+// errRestartSlotsDisabled is that the limiter's settings have no restart slots.
+var errRestartSlotsDisabled = errors.New("turn: the limiter gives no turns; the operators' file sets them")
+
+func restartSlotCommand() *cli.Command {
+	return &cli.Command{
+		Name:    "restart-slot",
+		Aliases: []string{"turn"},
+		Usage:   "wait until a limiter is granted a restart slot: a few restart at once, never all limiters of a customer",
+		Flags: []cli.Flag{
+			consoleFlag(),
+			&cli.DurationFlag{Name: "wait", Usage: "wait for `DURATION` at most", Value: defaultRestartSlotWait},
+			&cli.BoolFlag{Name: "back", Usage: "release the limiter's slot, or withdraw its request for one"},
+			&cli.UintFlag{Name: "forget", Usage: "release the slot of limiter `N`, which is down and will not come back"},
+		},
+		Action: restartSlot,
+	}
+}
 
-// turn waits until a limiter may restart, and tells for how long that stands.
-func turn(ctx context.Context, cmd *cli.Command) error {
-	address, out := cmd.String("console"), cmd.Root().Writer
+// restartSlot waits for a restart slot, or releases one.
+func restartSlot(ctx context.Context, cmd *cli.Command) error {
+	address := cmd.String("console")
 	switch {
 	case cmd.IsSet("forget"):
-		_, err := callTurn(ctx, http.MethodPost, fmt.Sprintf("%s/turn?forget=%d", address, cmd.Uint("forget")))
+		_, err := callRestartSlot(ctx, http.MethodPost, address, fmt.Sprintf("/turn?forget=%d", cmd.Uint("forget")))
 		return err
 	case cmd.Bool("back"):
-		_, err := callTurn(ctx, http.MethodDelete, address+"/turn")
+		_, err := callRestartSlot(ctx, http.MethodDelete, address, "/turn")
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, cmd.Duration("wait"))
+	return waitForRestartSlot(ctx, address, cmd.Duration("wait"), cmd.Root().Writer)
+}
+
+// waitForRestartSlot requests a slot and polls the limiter until it has it, then prints for how long
+// the slot is valid. A request that was not granted in time is withdrawn.
+func waitForRestartSlot(ctx context.Context, address string, wait time.Duration, out io.Writer) error {
+	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		v, err := callTurn(ctx, http.MethodGet, address+"/turn")
-		if err == nil && v.Granted {
-			fmt.Fprintf(out, "restart within %v; out as well: %v\n", v.ValidFor.Round(time.Millisecond), v.Restarting)
-			return nil
-		}
-		if err == nil && !v.Wanted {
-			_, err = callTurn(ctx, http.MethodPost, address+"/turn")
-		}
+		view, err := pollRestartSlot(ctx, address)
 		if err != nil && ctx.Err() == nil {
 			return err
 		}
+		if err == nil && view.Granted {
+			_, err := fmt.Fprintf(out, "restart within %v; out as well: %v\n", view.ValidFor.Round(time.Millisecond), view.Restarting)
+			return err
+		}
 		select {
 		case <-ctx.Done():
-			callTurn(context.Background(), http.MethodDelete, address+"/turn")
-			return fmt.Errorf("turn: none came in %v; out: %v, given by limiter %d. %s", cmd.Duration("wait"), v.Restarting, v.Coordinator, v.Reason)
-		case <-time.After(turnEvery):
+			withdrawRestartSlot(address)
+			return fmt.Errorf("turn: none came in %v; out: %v, given by limiter %d. %s",
+				wait, view.Restarting, view.Coordinator, view.Reason)
+		case <-time.After(restartSlotPollInterval):
 		}
 	}
 }
 
-// callTurn calls a console about turns.
-func callTurn(ctx context.Context, method, url string) (v core.RestartSlotView, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+url, nil)
-	if err != nil {
-		return v, fmt.Errorf("console: %w", err)
-	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return v, fmt.Errorf("console: %w", err)
-	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(resp.Body)
-	switch {
-	case err != nil:
-		return v, fmt.Errorf("console: %w", err)
-	case resp.StatusCode == http.StatusNotFound:
-		return v, errors.New("turn: the limiter gives no turns; the operators' file sets them")
-	case resp.StatusCode >= http.StatusMultipleChoices:
-		return v, fmt.Errorf("console: status %d: %.100s", resp.StatusCode, data)
+// pollRestartSlot returns the restart slots as the limiter sees them, and requests one if it has no
+// request yet.
+func pollRestartSlot(ctx context.Context, address string) (core.RestartSlotView, error) {
+	view, err := callRestartSlot(ctx, http.MethodGet, address, "/turn")
+	if err == nil && !view.Granted && !view.Wanted {
+		_, err = callRestartSlot(ctx, http.MethodPost, address, "/turn")
 	}
-	if err := jsoniter.Unmarshal(data, &v); err != nil {
-		return v, fmt.Errorf("console: %w", err)
+	return view, err
+}
+
+// withdrawRestartSlot withdraws a request that nobody waits for any longer.
+func withdrawRestartSlot(address string) {
+	// the caller reports that no slot came in time
+	_, _ = callRestartSlot(context.Background(), http.MethodDelete, address, "/turn")
+}
+
+// callRestartSlot calls an administration server about restart slots.
+func callRestartSlot(ctx context.Context, method, address, path string) (core.RestartSlotView, error) {
+	var view core.RestartSlotView
+	_, err := callAdmin(ctx, method, address, path, &view)
+	var failed *statusError
+	if errors.As(err, &failed) && failed.Code == http.StatusNotFound {
+		return view, errRestartSlotsDisabled
 	}
-	return v, nil
+	return view, err
 }
--- /dev/null
+++ b/cmd/lemongate/shutdown_test.go
@@ -0,0 +1,71 @@
+package main
+
+import (
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"lemongate/internal/lab/fleet"
+)
+
+// A process is shut down again and again under load, with client connections in use, new and idle, and at
+// times it is suspended just then. Whatever it reads it answers, to the last.
+func TestShutdownUnderLoad(t *testing.T) {
+	tier := newSingleLimiter(t)
+	for round := range 6 {
+		p := tier.Limiters[0].Start()
+		p.Await(t)
+		load := tier.Begin(500, func(n int) fleet.Req {
+			return fleet.Req{Class: []string{"read", "post"}[n%2], Key: []string{"", strconv.Itoa(round) + "k" + strconv.Itoa(n)}[n%2], Plan: "free", Customer: uint64(n % 30), Body: n % 2 * 3000}
+		})
+		if err := load.Warm(0, 20); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(300 * time.Millisecond)
+		p.Signal(syscall.SIGTERM)
+		if round%2 == 1 {
+			p.Signal(syscall.SIGSTOP)
+			time.Sleep(100 * time.Millisecond)
+			p.Signal(syscall.SIGCONT)
+		}
+		time.Sleep(300 * time.Millisecond) // clients retry for 0.4 s at most
+		results := load.End()
+		if err := p.Wait(t); err != nil {
+			t.Errorf("ended with %v", err)
+		}
+		if unread := checkAllAnswered(t, results, p); unread > len(results)/50 {
+			t.Errorf("%d of %d requests were not read", unread, len(results))
+		}
+	}
+}
+
+// A limiter with many client connections is suspended for nearly as long as these may be idle, again and
+// again. What came meanwhile is answered.
+func TestSuspendedUnderLoad(t *testing.T) {
+	tier := newSingleLimiter(t)
+	tier.Sockets = 256
+	p := tier.Limiters[0].Start()
+	p.Await(t)
+	load := tier.Begin(120, func(n int) fleet.Req {
+		return fleet.Req{Class: "read", Plan: "free", Customer: uint64(n % 30)}
+	})
+	if err := load.Warm(0, 70); err != nil { // over a quarter of the bound
+		t.Fatal(err)
+	}
+	for range 3 {
+		time.Sleep(700 * time.Millisecond)
+		p.Signal(syscall.SIGSTOP)
+		time.Sleep(1900 * time.Millisecond)
+		p.Signal(syscall.SIGCONT)
+	}
+	time.Sleep(500 * time.Millisecond)
+	results := load.End()
+	p.Signal(syscall.SIGTERM)
+	if err := p.Wait(t); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	if unread := checkAllAnswered(t, results, p); unread > len(results)/50 {
+		t.Errorf("%d of %d requests were not read", unread, len(results))
+	}
+}
--- /dev/null
+++ b/cmd/lemongate/tier_test.go
@@ -0,0 +1,244 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"regexp"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	jsoniter "github.com/json-iterator/go"
+
+	"lemongate/internal/lab/fleet"
+	"lemongate/internal/lease"
+)
+
+// newTier makes limiters with hot restart enabled.
+func newTier(t *testing.T, limiters, backends int) *fleet.Tier {
+	t.Helper()
+	operator := t.TempDir() + "/operator.json"
+	if err := os.WriteFile(operator, []byte(`{"takeover":{"on":true,"silence_ms":300}}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	tier := fleet.New(t, limiters, backends, os.Args[0], "serve", "--operator", operator)
+	tier.Env = []string{"LEMONGATE_TEST=serve"}
+	return tier
+}
+
+// startAll starts each limiter once.
+func startAll(t *testing.T, tier *fleet.Tier) (list []*fleet.Process) {
+	t.Helper()
+	for _, l := range tier.Limiters {
+		list = append(list, l.Start())
+	}
+	for _, p := range list {
+		p.Await(t)
+	}
+	return list
+}
+
+// checkResults checks that each request got a complete response, of a backend or local, that nothing
+// had its effect twice, and that few requests were forwarded more than once. It returns how many were
+// served, and the longest time without one.
+func checkResults(t *testing.T, tier *fleet.Tier, results []fleet.Result) (served int, gap time.Duration) {
+	t.Helper()
+	attempts, _ := tier.Attempts()
+	// The settings allow three attempts; on a slow machine one may take so long that it is canceled
+	// for another. A hot restart that forwarded requests twice would do so with all in flight.
+	const maxAttempts = 3
+	var last time.Time
+	bad, repeated := 0, 0
+	for _, r := range results {
+		switch {
+		case r.Fault != "":
+			t.Errorf("limiter %d: lost after %v: %s", r.Limiter, r.Took, r.Fault)
+			bad++
+		case r.Status == http.StatusOK && r.Body != fmt.Sprintf("%s %d", r.ID, r.Req.Body):
+			t.Errorf("served with %q", r.Body)
+			bad++
+		case r.Status != http.StatusOK && r.Status != http.StatusTooManyRequests:
+			t.Errorf("limiter %d: status %d after %v", r.Limiter, r.Status, r.Took)
+			bad++
+		case attempts[r.ID] > maxAttempts:
+			t.Errorf("%s reached backends %d times", r.ID, attempts[r.ID])
+			bad++
+		case attempts[r.ID] > 1:
+			repeated++
+		}
+		if r.Status == http.StatusOK {
+			served++
+			if at := r.At.Add(r.Took); !last.IsZero() {
+				gap = max(gap, at.Sub(last))
+			}
+			last = r.At.Add(r.Took)
+		}
+		if bad > 10 {
+			t.Fatal("further ones are not listed")
+		}
+	}
+	if n := tier.Doubled(); n > 0 {
+		t.Errorf("%d keys had their effect twice", n)
+	}
+	if repeated > 2+len(results)/8 {
+		t.Errorf("%d of %d requests reached backends more than once", repeated, len(results))
+	}
+	return served, gap
+}
+
+// p99 is the 99th percentile of the time to the response.
+func p99(results []fleet.Result, of func(fleet.Result) bool) time.Duration {
+	var latencies []time.Duration
+	for _, r := range results {
+		if of(r) && r.Status == http.StatusOK {
+			latencies = append(latencies, r.Took)
+		}
+	}
+	slices.Sort(latencies)
+	if len(latencies) == 0 {
+		return 0
+	}
+	return latencies[len(latencies)*99/100]
+}
+
+// checkCeiling checks the first attempts of customer 7 against a token bucket: by the time they reached
+// a backend no more had come than its burst and what was refilled since. An attempt may be under way
+// for a moment, so the bucket is given what is refilled in that time.
+func checkCeiling(t *testing.T, seen []fleet.Seen, rate, burst float64) {
+	t.Helper()
+	const customer, underWaySeconds = "0000000000000007", 0.15
+	level, last, counted := burst, time.Time{}, map[string]bool{}
+	least, n := burst, 0
+	for _, s := range seen {
+		if s.Customer != customer || counted[s.CallID] {
+			continue
+		}
+		counted[s.CallID] = true
+		if !last.IsZero() {
+			level = min(level+rate*s.At.Sub(last).Seconds(), burst)
+		}
+		last = s.At
+		level--
+		least = min(least, level)
+		n++
+	}
+	if least < -rate*underWaySeconds {
+		t.Errorf("the ceiling is exceeded by %.1f units in %d", -least, n)
+	}
+	if n < 100 {
+		t.Errorf("just %d of the customer's requests were forwarded", n)
+	}
+}
+
+// startScript starts a process that plays one side of a hot restart and fails at a step.
+func startScript(t *testing.T, tier *fleet.Tier, role string) *fleet.Process {
+	t.Helper()
+	env := tier.Env
+	tier.Env = []string{"LEMONGATE_TEST=" + role}
+	defer func() { tier.Env = env }()
+	return tier.Limiters[0].Start()
+}
+
+// newTierWithLeases makes limiters of which one makes the recovery attempts for all.
+func newTierWithLeases(t *testing.T, limiters, backends int) *fleet.Tier {
+	t.Helper()
+	operator := t.TempDir() + "/operator.json"
+	text := `{"leases":{"on":true,"length_ms":1000,"keepers":3,"tasks":["trials"]}}`
+	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	tier := fleet.New(t, limiters, backends, os.Args[0], "serve", "--operator", operator)
+	tier.Env = []string{"LEMONGATE_TEST=serve"}
+	return tier
+}
+
+// recoveryLease returns the lease on recovery attempts as a limiter sees it, if that responds.
+func recoveryLease(t *testing.T, p *fleet.Process) (v lease.View, ok bool) {
+	t.Helper()
+	out, err := run(t, "leases", "--json", "--console", p.Console)
+	if err != nil {
+		return v, false // it may be suspended or killed
+	}
+	var views []lease.View
+	if err := jsoniter.UnmarshalFromString(out, &views); err != nil || len(views) != 1 {
+		t.Fatalf("%q, %v", out, err)
+	}
+	return views[0], true
+}
+
+// awaitHolder waits for a limiter that holds the lease on recovery attempts, and returns its number.
+func awaitHolder(t *testing.T, processes []*fleet.Process) int {
+	holder := -1
+	fleet.Until(t, "a lease holder", func() bool {
+		for i, p := range processes {
+			if v, ok := recoveryLease(t, p); ok && v.Holds {
+				holder = i
+			}
+		}
+		return holder >= 0
+	})
+	return holder
+}
+
+// checkTokens checks what reached the backends under a lease: fencing tokens never fall. It returns the
+// number of holders. An attempt that was under way when the next holder began would have a lower one,
+// but a lease ends before the first byte of an attempt that it would not cover.
+func checkTokens(t *testing.T, acts []fleet.Act) (holders int) {
+	t.Helper()
+	for i, a := range acts {
+		if i > 0 && a.Token < acts[i-1].Token {
+			t.Errorf("attempt %d came with token %d, %v after one with %d", i, a.Token, a.At.Sub(acts[i-1].At), acts[i-1].Token)
+		}
+		if i == 0 || a.Token != acts[i-1].Token {
+			holders++
+		}
+	}
+	if !fleet.Locked(acts) {
+		t.Error("not a history of a lock with fencing tokens")
+	}
+	return holders
+}
+
+// counter returns a counter of a process that has ended.
+func counter(t *testing.T, p *fleet.Process, name string) int {
+	t.Helper()
+	found := regexp.MustCompile(`"` + name + `":(\d+)`).FindStringSubmatch(p.Last(`"msg":"counters"`))
+	if found == nil {
+		t.Fatal("no counter ", name)
+	}
+	n, _ := strconv.Atoi(found[1])
+	return n
+}
+
+// checkAllAnswered checks that each request that a process counts as read, or as rejected for the bound
+// on connections, has one complete response, and that one without a response was not read. It returns
+// how many have none.
+func checkAllAnswered(t *testing.T, results []fleet.Result, p *fleet.Process) (unread int) {
+	t.Helper()
+	answered, faults := 0, map[string]int{}
+	for _, r := range results {
+		if r.Status != 0 {
+			answered++
+		} else {
+			faults[regexp.MustCompile(`[0-9.]+:[0-9]+`).ReplaceAllString(r.Fault, "")]++
+			unread++
+		}
+	}
+	if n := counter(t, p, "received") + counter(t, p, "full"); n != answered {
+		t.Errorf("%d requests read, %d answered of %d; without a response: %v", n, answered, len(results), faults)
+	}
+	return unread
+}
+
+// newSingleLimiter makes one limiter without hot restart, and two backends.
+func newSingleLimiter(t *testing.T) *fleet.Tier {
+	t.Helper()
+	tier := fleet.New(t, 1, 2, os.Args[0], "serve")
+	tier.Env = []string{"LEMONGATE_TEST=serve"}
+	for _, b := range tier.Backends {
+		b.Delay(30 * time.Millisecond)
+	}
+	return tier
+}
--- a/cmd/lemongate/usage.go
+++ b/cmd/lemongate/usage.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"text/tabwriter"
 
@@ -13,56 +14,102 @@
 	"lemongate/internal/usage"
 )
 
-// errGaps ends the command with exit code 1 after what is missing was told.
-var errGaps = errors.New("use: not whole")
+var (
+	// errIncompleteUsage ends the command with exit code 1 after the faults were printed.
+	errIncompleteUsage = errors.New("usage: incomplete")
+	errNoUsageFiles    = errors.New("usage: no files given")
+)
+
+// A usageSummary is the output of the command as JSON.
+type usageSummary struct {
+	Periods int                   `json:"periods"`
+	Usage   []usage.CustomerUsage `json:"use"`
+	Faults  []string              `json:"faults"`
+}
+
+func usageCommand() *cli.Command {
+	return &cli.Command{
+		Name:      "usage",
+		Aliases:   []string{"use"},
+		Usage:     "merge usage files and print the usage per customer, and which periods are missing, uncertain or duplicate",
+		ArgsUsage: "FILE...",
+		Flags:     []cli.Flag{jsonFlag()},
+		Action:    mergeUsage,
+	}
+}
 
-// use joins the files of the fleet's use: what all used, and what is missing, in doubt or twice.
-func use(_ context.Context, cmd *cli.Command) error {
+// mergeUsage prints the usage of all customers by all files given, and what is wrong with these.
+func mergeUsage(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 0 {
-		return errors.New("use: a file at least is wanted")
+		return errNoUsageFiles
 	}
-	var lines []usage.Report
-	var bad []string
+	var reports []usage.Report
+	var faults []string
 	for _, path := range cmd.Args().Slice() {
-		f, err := os.Open(path)
-		if err != nil {
-			return fmt.Errorf("use: %w", err)
-		}
-		more, torn, err := usage.ReadReports(f)
-		f.Close()
+		inFile, faultsOfFile, err := readUsageFile(path)
 		if err != nil {
-			return fmt.Errorf("use: %s: %w", path, err)
-		}
-		lines = append(lines, more...)
-		for _, n := range torn {
-			bad = append(bad, fmt.Sprintf("%s: line %d cannot be read", path, n))
+			return err
 		}
+		reports = append(reports, inFile...)
+		faults = append(faults, faultsOfFile...)
+	}
+	summary := usage.Merge(reports)
+	summary.Faults = append(faults, summary.Faults...)
+	if err := printUsage(cmd.Root().Writer, &summary, cmd.Bool("json")); err != nil {
+		return err
+	}
+	if len(summary.Faults) > 0 {
+		return errIncompleteUsage
+	}
+	return nil
+}
+
+// readUsageFile returns the reports in a file, and a fault for each line that cannot be read.
+func readUsageFile(path string) (reports []usage.Report, faults []string, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, nil, fmt.Errorf("usage: %w", err)
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	reports, badLines, err := usage.ReadReports(file)
+	if err != nil {
+		return nil, nil, fmt.Errorf("usage: %s: %w", path, err)
+	}
+	for _, number := range badLines {
+		faults = append(faults, fmt.Sprintf("%s: line %d cannot be read", path, number))
+	}
+	return reports, faults, nil
+}
+
+func printUsage(out io.Writer, summary *usage.Summary, asJSON bool) error {
+	if asJSON {
+		return jsoniter.NewEncoder(out).Encode(usageSummary{
+			Periods: len(summary.Reports), Usage: summary.Usage, Faults: summary.Faults,
+		})
 	}
-	s := usage.Merge(lines)
-	s.Faults = append(bad, s.Faults...)
-	out := cmd.Root().Writer
-	if cmd.Bool("json") {
-		if err := jsoniter.NewEncoder(out).Encode(map[string]any{"periods": len(s.Reports), "use": s.Usage, "faults": s.Faults}); err != nil {
+	return printUsageTable(out, summary)
+}
+
+// printUsageTable prints a row per customer, the range of periods, and a line per fault.
+func printUsageTable(out io.Writer, summary *usage.Summary) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	_, _ = fmt.Fprintln(table, "CUSTOMER\tPLAN\tUNITS") // Flush returns the error
+	for _, u := range summary.Usage {
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%.3f\n", u.Customer, u.Plan, u.Units)
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	if n := len(summary.Reports); n > 0 {
+		first, last := summary.Reports[0], summary.Reports[n-1]
+		if _, err := fmt.Fprintf(out, "%d periods, %d to %d\n", n, first.Period, last.Period); err != nil {
 			return err
 		}
-	} else {
-		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, "CUSTOMER\tPLAN\tUNITS")
-		for _, u := range s.Usage {
-			fmt.Fprintf(w, "%s\t%s\t%.3f\n", u.Customer, u.Plan, u.Units)
-		}
-		if err := w.Flush(); err != nil {
+	}
+	for _, fault := range summary.Faults {
+		if _, err := fmt.Fprintln(out, fault); err != nil {
 			return err
 		}
-		if n := len(s.Reports); n > 0 {
-			fmt.Fprintf(out, "%d periods, %d to %d\n", n, s.Reports[0].Period, s.Reports[n-1].Period)
-		}
-		for _, line := range s.Faults {
-			fmt.Fprintln(out, line)
-		}
-	}
-	if len(s.Faults) > 0 {
-		return errGaps
 	}
 	return nil
 }
--- /dev/null
+++ b/cmd/lemongate/usage_test.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"os"
+	"strings"
+	"testing"
+)
+
+// Usage files are merged; what is missing is reported, and then the command fails.
+func TestUsageCommand(t *testing.T) {
+	dir := t.TempDir()
+	write := func(name, text string) string {
+		if err := os.WriteFile(dir+"/"+name, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return dir + "/" + name
+	}
+	a := write("use-1.jsonl", `{"period":4,"after":0,"token":1,"limiter":0,"at":"x","use":[{"customer":"c","plan":"gold","units":2.5}]}`+"\n")
+	b := write("use-2.jsonl", `{"period":5,"after":4,"token":2,"limiter":1,"at":"x","use":[{"customer":"c","plan":"gold","units":1}]}`+"\n"+`{"period":6,`)
+	if out, err := run(t, "usage", a); err != nil || !strings.Contains(out, "2.500") || !strings.Contains(out, "1 periods, 4 to 4") {
+		t.Errorf("%q, %v", out, err)
+	}
+	out, err := run(t, "usage", "--json", a, b)
+	if err == nil || !strings.Contains(out, `"units":3.5`) || !strings.Contains(out, "line 2 cannot be read") {
+		t.Errorf("%q, %v", out, err)
+	}
+	if _, err := run(t, "usage", "no such file"); err == nil {
+		t.Error("a file that does not exist is read")
+	}
+	if out, err := run(t, "schema"); err != nil || !strings.Contains(out, `"rollup"`) {
+		t.Errorf("%v", err)
+	}
+}
