--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,7 +8,6 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"time"
 
 	jsoniter "github.com/json-iterator/go"
@@ -21,145 +20,206 @@
 	"lemongate/internal/schema"
 )
 
+// This file reads the operators' file, whose path is an option of the command line. It keeps the names
+// of release 0.8.0.
+
+// operatorSchemaName is the name of the schema in errors.
+const operatorSchemaName = "operator.schema.json"
+
 //go:embed operator.schema.json
 var operatorSchema []byte
 
-// OperatorSchema is the JSON schema of the operators' file.
+// OperatorSchema returns the JSON schema of the operators' file.
 func OperatorSchema() []byte { return operatorSchema }
 
-// HotRestart is what the operators' file says of takeovers.
-type HotRestart struct {
-	Dir               string // where the processes of a limiter find each other
-	HeartbeatTimeout  time.Duration
-	ProbationDuration time.Duration
+// Defaults of the operators' file.
+const (
+	defaultAcceptors       = 5
+	defaultLeaseDuration   = 4 * time.Second
+	defaultUsagePeriod     = time.Minute
+	defaultMaxRestarts     = 1
+	defaultRestartDuration = 30 * time.Second
+)
+
+const (
+	// clockDrift is the fraction by which the rates of two clocks differ at most, for leases.
+	clockDrift = 0.01
+	// renewalsPerLease is how many replies a lease holder gets of each other acceptor per duration of
+	// the lease.
+	renewalsPerLease = 5
+	// leaseMessageFraction is the fraction of the datagrams which a limiter takes in that may be about
+	// leases; the rest is left to other gossip.
+	leaseMessageFraction = 0.3
+)
+
+var (
+	errNoUsageDir  = errors.New("/rollup/dir: missing, where /leases/tasks has the roll-up")
+	errNoLeasePeer = errors.New("/leases: there are no peers to agree with")
+)
+
+// operatorFile is the operators' file. Its schema bounds the values.
+type operatorFile struct {
+	HotRestart   hotRestartOptions   `json:"takeover"`
+	Leases       leaseOptions        `json:"leases"`
+	Usage        usageOptions        `json:"rollup"`
+	RestartSlots restartSlotsOptions `json:"restarts"`
+}
+
+// hotRestartOptions let a second process of a limiter take over from the one that runs.
+type hotRestartOptions struct {
+	Enabled            bool   `json:"on"`         // enables hot restarts
+	Dir                string `json:"dir"`        // directory that both processes share; default: the system's for temporary files
+	HeartbeatTimeoutMS int    `json:"silence_ms"` // after which the successor counts as failed, in ms; default: hotrestart.DefaultLimits
+	ProbationS         int    `json:"trial_s"`    // after which the predecessor ends, in s; default: hotrestart.DefaultLimits
+}
+
+// leaseOptions have each of some tasks done by one limiter at a time.
+type leaseOptions struct {
+	Enabled    bool     `json:"on"`        // enables leases
+	DurationMS int      `json:"length_ms"` // of a lease, in ms; default: 4000
+	Acceptors  int      `json:"keepers"`   // per task; default: 5
+	Tasks      []string `json:"tasks"`     // names of core.Task...; a task is enabled by being in the list
 }
 
-// Usage is where the fleet's use is written, and how often; zero for nowhere.
-type Usage struct {
-	Dir    string
-	Period time.Duration
+// usageOptions are those of usage accounting, which is a task under a lease.
+type usageOptions struct {
+	Dir     string `json:"dir"`      // directory of the usage files; required with the task
+	PeriodS int    `json:"period_s"` // that a report covers, in s; default: 60
 }
 
-// turnLasts is how long a turn lasts where the operators' file does not say.
-const turnLasts = 30 * time.Second
-
-// rollupEvery is a period where the operators' file has none.
-const rollupEvery = time.Minute
-
-// operator is the operators' file as it stands.
-type operator struct {
-	Takeover struct {
-		On        bool   `json:"on"`
-		Dir       string `json:"dir"`
-		SilenceMS int    `json:"silence_ms"`
-		TrialS    int    `json:"trial_s"`
-	} `json:"takeover"`
-	Leases struct {
-		On       bool     `json:"on"`
-		LengthMS int      `json:"length_ms"`
-		Keepers  int      `json:"keepers"`
-		Tasks    []string `json:"tasks"`
-	} `json:"leases"`
-	Rollup struct {
-		Dir     string `json:"dir"`
-		PeriodS int    `json:"period_s"`
-	} `json:"rollup"`
-	Restarts struct {
-		Most  int `json:"most"`
-		TurnS int `json:"turn_s"`
-	} `json:"restarts"`
+// restartSlotsOptions are those of rolling restarts, whose coordination is a task under a lease.
+type restartSlotsOptions struct {
+	MaxConcurrent int `json:"most"`   // limiters that restart at once; default: 1
+	DurationS     int `json:"turn_s"` // in which a granted restart has to begin, in s; default: 30
 }
 
-// LoadOperator reads the operators' file into a configuration. With no path all that is set
-// there is off.
+// LoadOperator reads the operators' file into a configuration of Load. What it does not enable is
+// disabled; so is everything with an empty path.
 func (c *Config) LoadOperator(path string) error {
 	if path == "" {
 		return nil
 	}
+	if err := c.loadOperator(path); err != nil {
+		return fmt.Errorf("operators' file: %w", err)
+	}
+	return nil
+}
+
+func (c *Config) loadOperator(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("operators' file: %w", err)
+		return err
 	}
-	var o operator
-	if err := schema.Validate("operator.schema.json", operatorSchema, data); err != nil {
-		return fmt.Errorf("operators' file: %w", err)
+	if err := schema.Validate(operatorSchemaName, operatorSchema, data); err != nil {
+		return err
+	}
+	var f operatorFile
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &f); err != nil {
+		return errors.New(singleLine(err))
+	}
+	c.setHotRestart(&f.HotRestart)
+	return c.setLeases(&f)
+}
+
+func (c *Config) setHotRestart(o *hotRestartOptions) {
+	if !o.Enabled {
+		return
+	}
+	c.HotRestart = &HotRestart{
+		Dir:               o.Dir,
+		HeartbeatTimeout:  time.Duration(o.HeartbeatTimeoutMS) * time.Millisecond,
+		ProbationDuration: time.Duration(o.ProbationS) * time.Second,
 	}
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &o); err != nil {
-		return fmt.Errorf("operators' file: %s", strings.ReplaceAll(err.Error(), "\n", " "))
-	}
-	if t := o.Takeover; t.On {
-		if t.Dir == "" {
-			t.Dir = os.TempDir()
-		}
-		c.HotRestart = &HotRestart{
-			Dir: t.Dir, HeartbeatTimeout: time.Duration(t.SilenceMS) * time.Millisecond, ProbationDuration: time.Duration(t.TrialS) * time.Second,
-		}
-	}
-	if l := o.Leases; l.On {
-		c.Leases = &lease.Settings{
-			Tasks: l.Tasks, AcceptorCount: cmp.Or(l.Keepers, leaseKeepers), ClockDrift: leaseDrift,
-			Duration: cmp.Or(time.Duration(l.LengthMS)*time.Millisecond, leaseLength),
-			MinToken: uint64(time.Now().UnixMilli()),
-		}
-		if slices.Contains(l.Tasks, core.TaskUsage) {
-			if o.Rollup.Dir == "" {
-				return errors.New("operators' file: /rollup/dir: missing, where /leases/tasks has the roll-up")
-			}
-			c.Usage = Usage{Dir: o.Rollup.Dir, Period: cmp.Or(time.Duration(o.Rollup.PeriodS)*time.Second, rollupEvery)}
-		}
-		if slices.Contains(l.Tasks, core.TaskRestarts) {
-			if n := c.Settings.Limiters; n > rollingrestart.MaxLimiters {
-				return fmt.Errorf("operators' file: /leases/tasks: turns at restarts are for %d limiters at most, there are %d", rollingrestart.MaxLimiters, n)
-			}
-			c.RestartSlots = core.RestartSlots{MaxConcurrent: cmp.Or(o.Restarts.Most, 1), Duration: cmp.Or(time.Duration(o.Restarts.TurnS)*time.Second, turnLasts)}
-		}
-		if least := leaseLeast(c.Leases, c.Settings.Limiters, c.Settings.PeerMessagesPerSecond); c.Leases.Duration < least {
-			return fmt.Errorf("operators' file: /leases/length_ms: %d tasks with %d keepers want %d at least, as a limiter takes in %g datagrams a second",
-				len(l.Tasks), c.Leases.AcceptorCount, least.Milliseconds(), c.Settings.PeerMessagesPerSecond)
-		}
-		if len(c.Peers) == 0 && c.Settings.Limiters > 1 {
-			return errors.New("operators' file: /leases: there are no peers to agree with")
-		}
+	if o.Dir == "" {
+		c.HotRestart.Dir = os.TempDir()
 	}
+}
+
+// setLeases enables the tasks under leases, after checking that each can be done.
+func (c *Config) setLeases(f *operatorFile) error {
+	o := &f.Leases
+	if !o.Enabled {
+		return nil
+	}
+	c.Leases = &lease.Settings{
+		Tasks:         o.Tasks,
+		AcceptorCount: cmp.Or(o.Acceptors, defaultAcceptors),
+		ClockDrift:    clockDrift,
+		Duration:      cmp.Or(time.Duration(o.DurationMS)*time.Millisecond, defaultLeaseDuration),
+		MinToken:      uint64(time.Now().UnixMilli()),
+	}
+	if err := c.setUsage(&f.Usage); err != nil {
+		return err
+	}
+	if err := c.setRestartSlots(&f.RestartSlots); err != nil {
+		return err
+	}
+	return c.validateLeases()
+}
+
+func (c *Config) setUsage(o *usageOptions) error {
+	if !slices.Contains(c.Leases.Tasks, core.TaskUsage) {
+		return nil
+	}
+	if o.Dir == "" {
+		return errNoUsageDir
+	}
+	c.Usage = Usage{Dir: o.Dir, Period: cmp.Or(time.Duration(o.PeriodS)*time.Second, defaultUsagePeriod)}
 	return nil
 }
 
-// Defaults of leases, and the rate that clocks are assumed to be off by at most.
-const (
-	leaseKeepers = 5
-	leaseLength  = 4 * time.Second
-	leaseDrift   = 0.01
-)
+func (c *Config) setRestartSlots(o *restartSlotsOptions) error {
+	if !slices.Contains(c.Leases.Tasks, core.TaskRestarts) {
+		return nil
+	}
+	if n := c.Settings.Limiters; n > rollingrestart.MaxLimiters {
+		return fmt.Errorf("/leases/tasks: turns at restarts are for %d limiters at most, there are %d", rollingrestart.MaxLimiters, n)
+	}
+	c.RestartSlots = core.RestartSlots{
+		MaxConcurrent: cmp.Or(o.MaxConcurrent, defaultMaxRestarts),
+		Duration:      cmp.Or(time.Duration(o.DurationS)*time.Second, defaultRestartDuration),
+	}
+	return nil
+}
 
-// renewals is how many answers a holder has from each other keeper in a length, and leasePart the part
-// of what a limiter takes in that all tasks together may fill: the rest is the other messages'.
-const (
-	renewals  = 5
-	leasePart = 0.3
-)
+func (c *Config) validateLeases() error {
+	rate := c.Settings.PeerMessagesPerSecond
+	shortest := minLeaseDuration(c.Leases, c.Settings.Limiters, rate)
+	if c.Leases.Duration < shortest {
+		return fmt.Errorf("/leases/length_ms: %d tasks with %d keepers want %d at least, as a limiter takes in %g datagrams a second",
+			len(c.Leases.Tasks), c.Leases.AcceptorCount, shortest.Milliseconds(), rate)
+	}
+	if len(c.Peers) == 0 && c.Settings.Limiters > 1 {
+		return errNoLeasePeer
+	}
+	return nil
+}
 
-// leaseLeast is the least length at which one limiter may hold all tasks and still hear the answers.
-func leaseLeast(s *lease.Settings, limiters int, inPerSec float64) time.Duration {
-	if inPerSec <= 0 {
+// minLeaseDuration is the shortest duration of leases with which one limiter may hold all of them and
+// still receive the replies of the acceptors, at a number of datagrams that it takes in per second.
+func minLeaseDuration(s *lease.Settings, limiters int, datagramsPerSecond float64) time.Duration {
+	if datagramsPerSecond <= 0 {
 		return 0
 	}
-	others := min(s.AcceptorCount, limiters) - 1
-	return time.Duration(float64(len(s.Tasks)*renewals*others) / (leasePart * inPerSec) * float64(time.Second))
+	otherAcceptors := min(s.AcceptorCount, limiters) - 1
+	replies := float64(len(s.Tasks) * renewalsPerLease * otherAcceptors)
+	return time.Duration(replies / (leaseMessageFraction * datagramsPerSecond) * float64(time.Second))
 }
 
-// Path is where the processes of a limiter find each other.
-func (t *HotRestart) Path(name string) string { return link.Path(filepath.Clean(t.Dir), name) }
+// Path returns the path of the socket at which the processes of a limiter find each other.
+func (h *HotRestart) Path(name string) string { return link.Path(filepath.Clean(h.Dir), name) }
 
-func (t *HotRestart) limits() *hotrestart.Limits {
-	if t == nil {
+// limits returns the timeouts of hot restarts, nil if these are disabled.
+func (h *HotRestart) limits() *hotrestart.Limits {
+	if h == nil {
 		return nil
 	}
-	l := hotrestart.DefaultLimits()
-	if t.HeartbeatTimeout > 0 {
-		l.HeartbeatTimeout = t.HeartbeatTimeout
+	limits := hotrestart.DefaultLimits()
+	if h.HeartbeatTimeout > 0 {
+		limits.HeartbeatTimeout = h.HeartbeatTimeout
 	}
-	if t.ProbationDuration > 0 {
-		l.ProbationDuration = t.ProbationDuration
+	if h.ProbationDuration > 0 {
+		limits.ProbationDuration = h.ProbationDuration
 	}
-	return &l
+	return &limits
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func operatorFile(t testing.TB, text string) string {
+func writeOperatorFile(t testing.TB, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -18,17 +18,16 @@
 	return path
 }
 
-// The operators' file switches on what it names, and one that is wrong is told in one line with
-// the field.
-func TestOperator(t *testing.T) {
+// The operators' file enables what it names. One that is wrong gives an error of one line with the field.
+func TestOperatorFile(t *testing.T) {
 	var c Config
 	if err := c.LoadOperator(""); err != nil || c.HotRestart != nil {
 		t.Error(err)
 	}
-	if err := c.LoadOperator(operatorFile(t, `{"takeover":{"on":false}}`)); err != nil || c.HotRestart != nil {
+	if err := c.LoadOperator(writeOperatorFile(t, `{"takeover":{"on":false}}`)); err != nil || c.HotRestart != nil {
 		t.Error(err)
 	}
-	if err := c.LoadOperator(operatorFile(t, `{"takeover":{"on":true,"dir":"/x","silence_ms":200,"trial_s":9}}`)); err != nil {
+	if err := c.LoadOperator(writeOperatorFile(t, `{"takeover":{"on":true,"dir":"/x","silence_ms":200,"trial_s":9}}`)); err != nil {
 		t.Fatal(err)
 	}
 	if l := c.HotRestart.limits(); c.HotRestart.Dir != "/x" || l.HeartbeatTimeout != 200*time.Millisecond || l.ProbationDuration != 9*time.Second {
@@ -46,25 +45,25 @@
 		`{"takeover":{"on":true,"more":0}}`:      "more",
 		`{"takeover":{"on":true,"trial_s":1.5}}`: "/takeover/trial_s: ",
 	} {
-		err := c.LoadOperator(operatorFile(t, text))
+		err := c.LoadOperator(writeOperatorFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", text, err, want)
 		}
 	}
 	if err := c.LoadOperator("no such file"); err == nil {
-		t.Error("a file that is not there")
+		t.Error("a file that does not exist is read")
 	}
 }
 
-// Tasks under leases want what they need, and no more than a limiter takes in.
-func TestOperatorLeases(t *testing.T) {
+// Tasks under leases require their options, and no more datagrams than a limiter takes in.
+func TestOperatorFileLeases(t *testing.T) {
 	var c Config
 	c.Settings.Limiters, c.Settings.PeerMessagesPerSecond, c.Peers = 5, 40, make([]netip.AddrPort, 5)
 	text := `{"leases":{"on":true,"tasks":["trials","rollup","restarts"],"length_ms":9000},"rollup":{"dir":"/x","period_s":7},"restarts":{"most":2}}`
-	if err := c.LoadOperator(operatorFile(t, text)); err != nil {
+	if err := c.LoadOperator(writeOperatorFile(t, text)); err != nil {
 		t.Fatal(err)
 	}
-	if c.Leases.AcceptorCount != leaseKeepers || c.Usage.Period != 7*time.Second || c.RestartSlots.MaxConcurrent != 2 || c.RestartSlots.Duration != turnLasts {
+	if c.Leases.AcceptorCount != defaultAcceptors || c.Usage.Period != 7*time.Second || c.RestartSlots.MaxConcurrent != 2 || c.RestartSlots.Duration != defaultRestartDuration {
 		t.Errorf("%+v, %+v, %+v", c.Leases, c.Usage, c.RestartSlots)
 	}
 	for text, want := range map[string]string{
@@ -77,26 +76,26 @@
 		`{"leases":{"on":true,"tasks":["trials","trials"]}}`:                                       "/leases/tasks: ",
 		`{"leases":{"on":true,"tasks":["trials"]},"rollup":{"dir":"/x","period_s":1,"every":"m"}}`: "every",
 	} {
-		err := c.LoadOperator(operatorFile(t, text))
+		err := c.LoadOperator(writeOperatorFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", text, err, want)
 		}
 	}
 	c.Settings.Limiters = 600
-	if err := c.LoadOperator(operatorFile(t, `{"leases":{"on":true,"tasks":["restarts"]}}`)); err == nil || !strings.Contains(err.Error(), "/leases/tasks") {
+	if err := c.LoadOperator(writeOperatorFile(t, `{"leases":{"on":true,"tasks":["restarts"]}}`)); err == nil || !strings.Contains(err.Error(), "/leases/tasks") {
 		t.Error(err)
 	}
 	c.Settings.Limiters, c.Peers = 5, nil
-	if err := c.LoadOperator(operatorFile(t, `{"leases":{"on":true,"tasks":["trials"]}}`)); err == nil || !strings.Contains(err.Error(), "/leases") {
+	if err := c.LoadOperator(writeOperatorFile(t, `{"leases":{"on":true,"tasks":["trials"]}}`)); err == nil || !strings.Contains(err.Error(), "/leases") {
 		t.Error(err)
 	}
 }
 
-func FuzzOperator(f *testing.F) {
+func FuzzOperatorFile(f *testing.F) {
 	f.Add(`{"takeover":{"on":true,"silence_ms":200}}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		var c Config
-		if err := c.LoadOperator(operatorFile(t, text)); err != nil && strings.Contains(err.Error(), "\n") {
+		if err := c.LoadOperator(writeOperatorFile(t, text)); err != nil && strings.Contains(err.Error(), "\n") {
 			t.Errorf("more than a line: %v", err)
 		}
 	})
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -19,15 +19,15 @@
   "tiers_of_service":[{"name":"small","refill":2,"depth":7}],"family_info":{"most_units":4,"peer_in_per_s":40},
   "allowed":{"peers":true,"connect_timeout_s":0.25,"idle_close_s":15,"max_attempts":5}}}`
 
-type loader func(env func(string) string, origin time.Time) (*Config, error)
+type loadFunc func(env func(string) string, origin time.Time) (*Config, error)
 
-func read(t *testing.T, from loader, content string, env map[string]string) (*Config, error) {
+func read(t *testing.T, load loadFunc, content string, env map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return from(func(name string) string {
+	return load(func(name string) string {
 		if name == "ROUTER_CONFIG" {
 			return path
 		}
@@ -48,32 +48,31 @@
 	}
 }
 
-// After a start the environment still tells where discovery was then: when the
-// file is read again, what it says counts, as far as it says anything.
+// After a start the environment still has the address of discovery at that time: at a reload that of the
+// file counts, if it has one.
 func TestReload(t *testing.T) {
 	env := map[string]string{"ROUTER_DISCOVERY": "127.0.0.9:1", "ROUTER_NAME": "n9"}
 	if c, err := read(t, Load, text, env); err != nil || c.Discovery != "127.0.0.9:1" {
 		t.Errorf("at the start: %+v, %v", c, err)
 	}
 	if c, err := read(t, Reload, text, env); err != nil || c.Discovery != "127.0.0.2:8500" || c.Name != "n9" {
-		t.Errorf("read again: %+v, %v", c, err)
+		t.Errorf("reloaded: %+v, %v", c, err)
 	}
 	if c, err := read(t, Reload, strings.Replace(text, `"discovery":"127.0.0.2:8500",`, "", 1), env); err != nil || c.Discovery != "127.0.0.9:1" {
-		t.Errorf("read again without: %+v, %v", c, err)
+		t.Errorf("reloaded without an address: %+v, %v", c, err)
 	}
 }
 
-// Without an address for peers there is nothing to tell them through, whatever
-// the settings allow.
-func TestNoPeers(t *testing.T) {
+// Without an address for datagrams of peers there is no gossip, whatever the settings allow.
+func TestGossipDisabledWithoutPeers(t *testing.T) {
 	c, err := read(t, Load, strings.Replace(text, `"peer_listen":"127.0.0.4:7946",`, "", 1), nil)
 	if err != nil || c.Settings.GossipEnabled {
 		t.Errorf("%v", err)
 	}
 }
 
-// plans words as many, each with its own name.
-func plans(n int) string {
+// plansJSON returns so many plans, each with its own name.
+func plansJSON(n int) string {
 	var list []string
 	for i := range n {
 		list = append(list, fmt.Sprintf(`{"name":"p%d"}`, i))
@@ -81,7 +80,7 @@
 	return strings.Join(list, ",")
 }
 
-// A bad configuration is told in one plain line.
+// An invalid configuration gives an error of one line.
 func TestMalformed(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{text, "{\n", "bad JSON"},
@@ -97,13 +96,13 @@
 		{`"deadline_s":2,`, "", "no deadline"},
 		{`{"name":"small","refill":2,"depth":7}`, "", "no plans"},
 		{`{"name":"small","refill":2,"depth":7}`, `{"name":"small"},{"name":"Small"},{"name":"small"}`, `plan "small" twice`},
-		{`{"name":"small","refill":2,"depth":7}`, plans(256), "256 plans, 255 at most"},
+		{`{"name":"small","refill":2,"depth":7}`, plansJSON(256), "256 plans, 255 at most"},
 		{`"classes":[`, `"classes":[{"name":"read","effect":"at_most_once","deadline_s":9},`, `class "read" twice`},
 		{`"effect":"idempotent"`, `"effect":"x"`, "unknown effect"},
 		{`"settings":{`, `"other":{`, "settings: "},
 	} {
 		if !strings.Contains(text, c.old) {
-			t.Fatalf("%s is not there", c.old)
+			t.Fatalf("%s is not in the text", c.old)
 		}
 		_, err := read(t, Load, strings.Replace(text, c.old, c.new, 1), nil)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema holds JSON that people write against a JSON schema, and names the first
-// field that is wrong.
+// Package schema validates JSON that people write against a JSON schema, and names the first field that
+// is wrong.
 package schema
 
 import (
@@ -13,18 +13,10 @@
 	"golang.org/x/text/message"
 )
 
-// Validate holds the data against the schema of a name. An error is one line; it begins with
-// the field's path where a field is wrong.
+// Validate validates data against a schema. Name is the name of the schema in errors about itself. An
+// error has one line; it begins with the path of the field if one is wrong.
 func Validate(name string, schema, data []byte) error {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
-	if err != nil {
-		return fmt.Errorf("schema: %w", err)
-	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource(name, doc); err != nil {
-		return fmt.Errorf("schema: %w", err)
-	}
-	compiled, err := c.Compile(name)
+	compiled, err := compile(name, schema)
 	if err != nil {
 		return fmt.Errorf("schema: %w", err)
 	}
@@ -32,15 +24,31 @@
 	if err != nil {
 		return fmt.Errorf("bad JSON: %s", strings.ReplaceAll(err.Error(), "\n", " "))
 	}
+	err = compiled.Validate(value)
 	var invalid *jsonschema.ValidationError
-	if err := compiled.Validate(value); errors.As(err, &invalid) {
-		for len(invalid.Causes) > 0 {
-			invalid = invalid.Causes[0]
-		}
-		what := invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-		return fmt.Errorf("/%s: %s", strings.Join(invalid.InstanceLocation, "/"), what)
-	} else if err != nil {
-		return err
+	if errors.As(err, &invalid) {
+		return firstFault(invalid)
+	}
+	return err
+}
+
+func compile(name string, schema []byte) (*jsonschema.Schema, error) {
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
+	if err != nil {
+		return nil, err
+	}
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(name, document); err != nil {
+		return nil, err
+	}
+	return compiler.Compile(name)
+}
+
+// firstFault describes the innermost first cause of an error, with the path of its field.
+func firstFault(invalid *jsonschema.ValidationError) error {
+	for len(invalid.Causes) > 0 {
+		invalid = invalid.Causes[0]
 	}
-	return nil
+	description := invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))
+	return fmt.Errorf("/%s: %s", strings.Join(invalid.InstanceLocation, "/"), description)
 }
