--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -15,11 +15,11 @@
 // Paths, methods, statuses, content types, metric names, labels and JSON that scrapers and scripts
 // read of 0.8.0. Help texts are for people and may change.
 func TestCallsOfEarlierRelease(t *testing.T) {
-	c, addr := serve(t)
+	s, address := serve(t)
 	var b strings.Builder
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	ask := func(method, path string) {
-		r, err := http.NewRequest(method, "http://"+addr+path, nil)
+	call := func(method, path string) {
+		r, err := http.NewRequest(method, "http://"+address+path, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,7 +27,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }()
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
 			t.Fatal(err)
@@ -41,20 +41,20 @@
 			}
 		}
 	}
-	every := []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodDelete}
-	for _, method := range every {
-		ask(method, "/healthcheck")
+	methods := []string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodDelete}
+	for _, method := range methods {
+		call(method, "/healthcheck")
 	}
-	ask(http.MethodGet, "/turn")
-	ask(http.MethodGet, "/leases")
-	c.SetReady(true)
-	var f core.Metrics
-	(&golden.Filler{}).Fill(&f)
-	f.RestartSlots.Enabled = true
-	c.Publish(f)
+	call(http.MethodGet, "/turn")
+	call(http.MethodGet, "/leases")
+	s.SetReady(true)
+	var metrics core.Metrics
+	(&golden.Filler{}).Fill(&metrics)
+	metrics.RestartSlots.Enabled = true
+	s.Publish(metrics)
 	for _, path := range []string{"/healthcheck", "/stats", "/leases", "/turn", "/turn?forget=3", "/turn?forget=x", "/", "/metrics"} {
-		for _, method := range every {
-			ask(method, path)
+		for _, method := range methods {
+			call(method, path)
 		}
 	}
 	golden.Equal(t, "calls.txt", []byte(b.String()))
--- /dev/null
+++ b/internal/admin/routes.go
@@ -0,0 +1,90 @@
+package admin
+
+import (
+	"net/http"
+	"strconv"
+
+	jsoniter "github.com/json-iterator/go"
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"lemongate/internal/core"
+	"lemongate/internal/lease"
+)
+
+// This file answers the calls. Paths, statuses and bodies are read by scripts: they keep the words of
+// release 0.8.0.
+
+// routes returns the handler of all calls.
+func (s *Server) routes(attemptsWritten func() uint64) http.Handler {
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(&collector{metrics: &s.metrics, attemptsWritten: attemptsWritten})
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /healthcheck", s.handleHealth)
+	mux.Handle("GET /stats", promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}))
+	mux.HandleFunc("GET /leases", s.handleLeases)
+	mux.HandleFunc("GET /turn", s.handleRestartSlot)
+	mux.HandleFunc("POST /turn", s.handleRestartSlot)
+	mux.HandleFunc("DELETE /turn", s.handleRestartSlot)
+	return mux
+}
+
+// handleHealth reports whether this process accepts clients.
+func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
+	if !s.ready.Load() {
+		http.Error(w, "takes no clients", http.StatusServiceUnavailable)
+		return
+	}
+	_, _ = w.Write([]byte("takes clients\n")) // a caller that left has no use for it
+}
+
+// handleLeases shows the leases as this limiter sees them.
+func (s *Server) handleLeases(w http.ResponseWriter, _ *http.Request) {
+	views := s.metrics.Load().Leases
+	if views == nil {
+		views = []lease.View{}
+	}
+	writeJSON(w, http.StatusOK, views)
+}
+
+// handleRestartSlot shows the restart slots as this limiter sees them, and takes an operator's request:
+// POST requests a slot for this limiter, or with forget=N releases the slot of limiter N, which will not
+// come back; DELETE releases that of this limiter or withdraws its request.
+func (s *Server) handleRestartSlot(w http.ResponseWriter, r *http.Request) {
+	view := s.metrics.Load().RestartSlots
+	if !view.Enabled {
+		http.Error(w, "no turns at restarts are set", http.StatusNotFound)
+		return
+	}
+	if r.Method == http.MethodGet {
+		writeJSON(w, http.StatusOK, view)
+		return
+	}
+	event, valid := restartSlotEvent(r)
+	if !valid {
+		http.Error(w, "forget: want the number of a limiter, by POST", http.StatusBadRequest)
+		return
+	}
+	s.post(event)
+	writeJSON(w, http.StatusAccepted, view)
+}
+
+// restartSlotEvent returns the event that a call about restart slots asks for, and whether the call is
+// valid.
+func restartSlotEvent(r *http.Request) (event core.Event, valid bool) {
+	text := r.URL.Query().Get("forget")
+	if text == "" {
+		return core.RestartSlotRequested{Wanted: r.Method == http.MethodPost}, true
+	}
+	limiter, err := strconv.ParseUint(text, 10, 16)
+	if err != nil || r.Method != http.MethodPost {
+		return nil, false
+	}
+	return core.RestartSlotReleased{Limiter: int(limiter)}, true
+}
+
+func writeJSON(w http.ResponseWriter, status int, value any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = jsoniter.NewEncoder(w).Encode(value) // a caller that left has no use for it
+}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,245 +1,105 @@
-// Package admin answers the operators' calls: whether this process takes clients,
-// and its figures. It decides nothing and asks the rest of the program nothing: it
-// shows what it was handed last, so no caller can slow a req or wait for one.
+// Package admin is the administration server: whether this process accepts clients, its metrics, its
+// leases and its restart slots. It decides nothing and waits for nothing else in the program: it shows
+// what was published last, so no caller can delay a request of a client.
+//
+// server.go has the life of the server, routes.go its calls, collector.go the metrics, listener.go the
+// bound on connections. docs/operators/console.md describes the calls for operators.
 package admin
 
 import (
-	"container/list"
 	"context"
 	"errors"
 	"net"
 	"net/http"
-	"strconv"
-	"sync"
 	"sync/atomic"
 	"time"
 
-	jsoniter "github.com/json-iterator/go"
-	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"go.uber.org/zap"
 
 	"lemongate/internal/core"
-	"lemongate/internal/lease"
 )
 
 const (
-	// Callers wait a second, and some connect and say nothing for long. Nobody may
-	// hold a place for longer than the others wait, and one who comes to a full
-	// console takes the place of who has held one longest.
-	callWithin = time.Second
-	callers    = 32
-	maxHead    = 4 << 10
-	againAfter = time.Second // the address could not be listened on
+	// callTimeout bounds how long a caller may take to send a call, and to read the response. It is as
+	// long as callers wait at most.
+	callTimeout = time.Second
+	// maxConns is how many callers are connected at once; see boundedListener.
+	maxConns = 32
+	// maxHeaderBytes bounds the head of a call.
+	maxHeaderBytes = 4 << 10
+	// listenRetryInterval is the pause before an address that could not be listened on is tried again.
+	listenRetryInterval = time.Second
 )
 
-// A Server serves one address. Its methods may be called from any goroutine.
+// A Server answers calls at one address. Its methods may be called from any goroutine.
 type Server struct {
-	log    *zap.Logger
-	server *http.Server
-	ready  atomic.Bool
-	now    atomic.Pointer[core.Metrics]
-	post   func(core.Event)
-	done   context.Context
-	end    context.CancelFunc
-}
-
-// New returns a Console that does not listen yet. Wrote tells how many attempts were
-// written to backends whole; it is asked at each call and must not wait. Post takes what
-// operators want; it may wait for the loop, but holds up nobody else.
-func New(wrote func() uint64, post func(core.Event), log *zap.Logger) *Server {
-	c := &Server{log: log, post: post}
-	c.done, c.end = context.WithCancel(context.Background())
-	c.now.Store(&core.Metrics{})
-	registry := prometheus.NewRegistry()
-	registry.MustRegister(&collector{now: &c.now, wrote: wrote})
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthcheck", c.health)
-	mux.Handle("GET /stats", promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}))
-	mux.HandleFunc("GET /leases", c.leases)
-	mux.HandleFunc("GET /turn", c.turn)
-	mux.HandleFunc("POST /turn", c.turn)
-	mux.HandleFunc("DELETE /turn", c.turn)
-	c.server = &http.Server{
-		Handler: mux, ReadTimeout: callWithin, WriteTimeout: callWithin, MaxHeaderBytes: maxHead,
-		ErrorLog: zap.NewStdLog(log.Named("console")),
+	log     *zap.Logger
+	server  *http.Server
+	ready   atomic.Bool
+	metrics atomic.Pointer[core.Metrics] // as published last
+	post    func(core.Event)
+	done    context.Context // ends with Close
+	end     context.CancelFunc
+}
+
+// New returns a Server that does not listen yet. AttemptsWritten returns how many attempts were written
+// to backends completely; it is called for each scrape and must not wait. Post takes the events of
+// operators' calls; it may wait for the event loop, which delays only that call.
+func New(attemptsWritten func() uint64, post func(core.Event), log *zap.Logger) *Server {
+	s := &Server{log: log, post: post}
+	s.done, s.end = context.WithCancel(context.Background())
+	s.metrics.Store(&core.Metrics{})
+	s.server = &http.Server{
+		Handler:        s.routes(attemptsWritten),
+		ReadTimeout:    callTimeout,
+		WriteTimeout:   callTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       zap.NewStdLog(log.Named("console")),
 	}
-	c.server.SetKeepAlivesEnabled(false) // one call per connection
-	return c
+	s.server.SetKeepAlivesEnabled(false) // one call per connection
+	return s
 }
 
-// Serve answers calls at an address until Close. An address that cannot be listened on
-// is tried again: a limiter that serves its clients does not end for its console.
-func (c *Server) Serve(addr string) {
-	for c.done.Err() == nil {
-		l, err := (&net.ListenConfig{}).Listen(c.done, "tcp", addr)
-		if err == nil {
-			err = c.ServeOn(l)
-		}
-		if err != nil && c.done.Err() == nil {
-			c.log.Error("console is not reached", zap.String("at", addr), zap.Error(err))
+// Serve answers calls at an address, host:port, until Close. An address that cannot be listened on is
+// tried again: a limiter that serves its clients does not end for its administration server.
+func (s *Server) Serve(address string) {
+	for s.done.Err() == nil {
+		if err := s.listenAndServe(address); err != nil && s.done.Err() == nil {
+			s.log.Error("administration server cannot listen", zap.String("at", address), zap.Error(err))
 		}
 		select {
-		case <-c.done.Done():
-		case <-time.After(againAfter):
+		case <-s.done.Done():
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
-// ServeOn answers calls that come to a listener until Close.
-func (c *Server) ServeOn(l net.Listener) error {
-	if err := c.server.Serve(&places{Listener: l}); !errors.Is(err, http.ErrServerClosed) {
+func (s *Server) listenAndServe(address string) error {
+	listener, err := (&net.ListenConfig{}).Listen(s.done, "tcp", address)
+	if err != nil {
 		return err
 	}
-	return nil
-}
-
-// Close ends all calls.
-func (c *Server) Close() {
-	c.end()
-	c.server.Close()
-}
-
-// SetReady sets whether this process takes clients.
-func (c *Server) SetReady(is bool) { c.ready.Store(is) }
-
-// Publish takes the figures that are shown from now on.
-func (c *Server) Publish(f core.Metrics) { c.now.Store(&f) }
-
-func (c *Server) health(w http.ResponseWriter, _ *http.Request) {
-	if !c.ready.Load() {
-		http.Error(w, "takes no clients", http.StatusServiceUnavailable)
-		return
-	}
-	w.Write([]byte("takes clients\n"))
+	return s.ServeOn(listener)
 }
 
-// leases shows how the tasks stand that one limiter does at a time.
-func (c *Server) leases(w http.ResponseWriter, _ *http.Request) {
-	list := c.now.Load().Leases
-	if list == nil {
-		list = []lease.View{}
-	}
-	w.Header().Set("Content-Type", "application/json")
-	jsoniter.NewEncoder(w).Encode(list)
-}
-
-// turn shows how planned restarts stand, and takes an operator's word: POST wants a turn here, or with
-// forget=N has the place of a limiter freed that will not come back; DELETE wants none.
-func (c *Server) turn(w http.ResponseWriter, r *http.Request) {
-	now := c.now.Load().RestartSlots
-	if !now.Enabled {
-		http.Error(w, "no turns at restarts are set", http.StatusNotFound)
-		return
-	}
-	code := http.StatusOK
-	if r.Method != http.MethodGet {
-		var ev core.Event = core.RestartSlotRequested{Wanted: r.Method == http.MethodPost}
-		if text := r.URL.Query().Get("forget"); text != "" {
-			n, err := strconv.ParseUint(text, 10, 16)
-			if err != nil || r.Method != http.MethodPost {
-				http.Error(w, "forget: want the number of a limiter, by POST", http.StatusBadRequest)
-				return
-			}
-			ev = core.RestartSlotReleased{Limiter: int(n)}
-		}
-		c.post(ev)
-		code = http.StatusAccepted
+// ServeOn answers calls that come to a listener, which it closes, until Close. It returns nil then, and
+// else the error of the listener.
+func (s *Server) ServeOn(listener net.Listener) error {
+	err := s.server.Serve(&boundedListener{Listener: listener})
+	if errors.Is(err, http.ErrServerClosed) {
+		return nil
 	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(code)
-	jsoniter.NewEncoder(w).Encode(now)
+	return err
 }
 
-var (
-	completed = prometheus.NewDesc("router_completed_total", "reqs served", []string{"lane"}, nil)
-	rejected  = prometheus.NewDesc("router_rejected_total", "reqs refused", []string{"lane"}, nil)
-	failed    = prometheus.NewDesc("router_failed_total", "reqs failed", []string{"lane"}, nil)
-	upstream  = prometheus.NewDesc("router_upstream_requests_total", "attempts written to backends whole", nil, nil)
-	pending   = prometheus.NewDesc("router_pending", "reqs taken and not yet ended", nil, nil)
-	members   = prometheus.NewDesc("router_members", "backends in the list", nil, nil)
-	avoided   = prometheus.NewDesc("router_members_unavailable", "listed backends that are avoided now", nil, nil)
-)
-
-// A collector turns the figures into Prometheus's form.
-type collector struct {
-	now   *atomic.Pointer[core.Metrics]
-	wrote func() uint64
+// Close ends Serve, ServeOn and all calls.
+func (s *Server) Close() {
+	s.end()
+	_ = s.server.Close() // nothing is left to do for a listener that does not close
 }
 
-func (c *collector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{completed, rejected, failed, upstream, pending, members, avoided} {
-		to <- d
-	}
-}
+// SetReady sets whether this process accepts clients.
+func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-func (c *collector) Collect(to chan<- prometheus.Metric) {
-	f := c.now.Load()
-	counter := func(d *prometheus.Desc, v uint64, labels ...string) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), labels...)
-	}
-	gauge := func(d *prometheus.Desc, v int) {
-		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, float64(v))
-	}
-	for _, l := range f.Classes {
-		counter(completed, l.Completed, l.Class)
-		counter(rejected, l.Rejected, l.Class)
-		counter(failed, l.Failed, l.Class)
-	}
-	counter(upstream, c.wrote())
-	gauge(pending, f.Pending)
-	gauge(members, f.Members)
-	gauge(avoided, f.Unavailable)
-}
-
-// places is a listener with room for some callers. At the bound the one who has held a
-// place longest loses it.
-type places struct {
-	net.Listener
-	mu   sync.Mutex
-	held list.List // of *place, the longest held first
-}
-
-// A place is a caller's connection.
-type place struct {
-	net.Conn
-	in *places
-	at *list.Element // nil once it is given up
-}
-
-// Accept takes the next caller in.
-func (p *places) Accept() (net.Conn, error) {
-	c, err := p.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	x := &place{Conn: c, in: p}
-	p.mu.Lock()
-	var out *place
-	if p.held.Len() >= callers {
-		out = p.held.Front().Value.(*place)
-		out.leave()
-	}
-	x.at = p.held.PushBack(x)
-	p.mu.Unlock()
-	if out != nil {
-		out.Conn.Close()
-	}
-	return x, nil
-}
-
-// leave gives the place up; in.mu is held.
-func (x *place) leave() {
-	if x.at != nil {
-		x.in.held.Remove(x.at)
-		x.at = nil
-	}
-}
-
-// Close ends the call.
-func (x *place) Close() error {
-	x.in.mu.Lock()
-	x.leave()
-	x.in.mu.Unlock()
-	return x.Conn.Close()
-}
+// Publish sets the metrics that are shown from now on.
+func (s *Server) Publish(metrics core.Metrics) { s.metrics.Store(&metrics) }
