--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -1,5 +1,5 @@
-// Package peertransport carries datagrams between limiters. It tells them apart by
-// their source addresses and reads nothing of what they say.
+// Package peertransport carries datagrams between limiters. It tells limiters apart by their source
+// addresses, and does not read the messages.
 package peertransport
 
 import (
@@ -17,158 +17,189 @@
 )
 
 const (
-	maxSize = 256 // of a datagram; a longer one breaks the platform's rule
-	waiting = 256 // datagrams that may wait to be written; more are lost, as on the way
+	// maxDatagramBytes is the platform's bound on datagrams between limiters.
+	maxDatagramBytes = 256
+	// sendQueueLength is how many datagrams may wait to be written. Further ones are dropped: they may
+	// be lost on the way as well.
+	sendQueueLength = 256
+	// flushTimeout bounds how long Close waits for the queue to be written.
+	flushTimeout = 100 * time.Millisecond
+	// unknownLimiter is the number of a limiter that is not among the peers.
+	unknownLimiter = -1
 )
 
-// flushWithin bounds how long Close waits for what is queued.
-const flushWithin = 100 * time.Millisecond
-
-// A Transport is this limiter's end of the way to its peers.
+// A Transport sends and receives the datagrams of one limiter. The owner runs Read and Write, each in a
+// goroutine; both end with Close. The other methods may be called from any goroutine.
 type Transport struct {
-	conn    *net.UDPConn
-	peers   []netip.AddrPort
-	all     netip.AddrPort
-	numbers map[netip.AddrPort]int
-	queue   chan datagram
-	written chan struct{} // closed when Write has ended
-	post    func(core.Event)
-	log     *zap.Logger
-
-	mu     sync.Mutex
-	paused chan struct{} // closed when reading goes on; nil while it does
-	closed chan struct{}
+	conn      *net.UDPConn
+	peers     []netip.AddrPort // by the limiters' numbers
+	broadcast netip.AddrPort   // reaches all limiters
+	numbers   map[netip.AddrPort]int
+	queue     chan datagram
+	written   chan struct{} // closed when Write has ended
+	closed    chan struct{} // closed by Close
+	post      func(core.Event)
+	log       *zap.Logger
+
+	mu      sync.Mutex
+	resumed chan struct{} // closed by Resume; nil while reading is not paused
 }
 
+// A datagram waits to be written.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// Listen opens the socket. Peers stand in the order of their numbers.
-func Listen(at netip.AddrPort, peers []netip.AddrPort, all netip.AddrPort, post func(core.Event), log *zap.Logger) (*Transport, error) {
+// Listen opens a socket and returns a Transport on it. Peers are in the order of the limiters' numbers;
+// broadcast is an address that reaches all of them. Post takes each datagram that is received.
+func Listen(at netip.AddrPort, peers []netip.AddrPort, broadcast netip.AddrPort, post func(core.Event), log *zap.Logger) (*Transport, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return nil, fmt.Errorf("peers: %w", err)
 	}
-	return NewTransport(conn, peers, all, post, log), nil
+	return NewTransport(conn, peers, broadcast, post, log), nil
 }
 
-// NewTransport goes on with a socket that is open.
-func NewTransport(conn *net.UDPConn, peers []netip.AddrPort, all netip.AddrPort, post func(core.Event), log *zap.Logger) *Transport {
-	l := &Transport{
-		conn: conn, peers: peers, all: all, numbers: map[netip.AddrPort]int{},
-		queue: make(chan datagram, waiting), written: make(chan struct{}), closed: make(chan struct{}), post: post, log: log,
+// NewTransport returns a Transport on a socket that is open already; see Listen.
+func NewTransport(conn *net.UDPConn, peers []netip.AddrPort, broadcast netip.AddrPort, post func(core.Event), log *zap.Logger) *Transport {
+	t := &Transport{
+		conn:      conn,
+		peers:     peers,
+		broadcast: broadcast,
+		numbers:   map[netip.AddrPort]int{},
+		queue:     make(chan datagram, sendQueueLength),
+		written:   make(chan struct{}),
+		closed:    make(chan struct{}),
+		post:      post,
+		log:       log,
 	}
-	for i, p := range peers {
-		l.numbers[plain(p)] = i
+	for number, peer := range peers {
+		t.numbers[unmapped(peer)] = number
 	}
-	return l
+	return t
 }
 
-// Socket is the socket, for another process to go on with.
-func (l *Transport) Socket() *net.UDPConn { return l.conn }
-
-// Pause ends reading until Resume: what comes meanwhile is for who reads next, here or in
-// another process.
-func (l *Transport) Pause() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.paused == nil {
-		l.paused = make(chan struct{})
-		l.conn.SetReadDeadline(time.Unix(1, 0))
+// unmapped returns an IPv4 address in the one form that compares equal.
+func unmapped(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+
+// Socket returns the socket, to be handed to another process.
+func (t *Transport) Socket() *net.UDPConn { return t.conn }
+
+// Pause stops reading until Resume. What comes meanwhile stays in the socket, for the process that reads
+// next.
+func (t *Transport) Pause() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.resumed != nil {
+		return
 	}
+	t.resumed = make(chan struct{})
+	t.setReadDeadline(time.Unix(1, 0)) // ends a read that waits
 }
 
-// Resume goes on reading.
-func (l *Transport) Resume() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.paused != nil {
-		l.conn.SetReadDeadline(time.Time{})
-		close(l.paused)
-		l.paused = nil
+// Resume goes on reading after Pause.
+func (t *Transport) Resume() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.resumed == nil {
+		return
 	}
+	t.setReadDeadline(time.Time{})
+	close(t.resumed)
+	t.resumed = nil
 }
 
-// rest waits for Resume, or for the link's end.
-func (l *Transport) rest() {
-	l.mu.Lock()
-	paused := l.paused
-	l.mu.Unlock()
-	if paused != nil {
-		select {
-		case <-paused:
-		case <-l.closed:
-		}
-	}
+func (t *Transport) setReadDeadline(deadline time.Time) {
+	_ = t.conn.SetReadDeadline(deadline) // fails on a closed socket alone, where Read ends
 }
 
-// plain makes an IPv4 address equal to itself, however the system writes it.
-func plain(a netip.AddrPort) netip.AddrPort { return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()) }
+// waitForResume waits until reading is not paused, or for Close.
+func (t *Transport) waitForResume() {
+	t.mu.Lock()
+	resumed := t.resumed
+	t.mu.Unlock()
+	if resumed == nil {
+		return
+	}
+	select {
+	case <-resumed:
+	case <-t.closed:
+	}
+}
 
-// Read posts what comes in until the link is closed.
-func (l *Transport) Read() {
-	// One byte more than allowed, so that a longer datagram shows.
-	buf := make([]byte, maxSize+1)
+// Read posts a core.PeerMessageReceived for each datagram, until Close.
+func (t *Transport) Read() {
+	buffer := make([]byte, maxDatagramBytes+1) // one more than allowed, so that a longer datagram shows
 	for {
-		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
-		if errors.Is(err, net.ErrClosed) {
+		n, from, err := t.conn.ReadFromUDPAddrPort(buffer)
+		switch {
+		case errors.Is(err, net.ErrClosed):
 			return
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			t.waitForResume()
+		case err != nil: // such as a refusal of an earlier datagram: the next read may succeed
+			t.log.Debug("datagram not received", zap.Error(err))
+		default:
+			t.post(&core.PeerMessageReceived{From: t.sender(from, n), Data: append([]byte(nil), buffer[:n]...)})
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			l.rest()
-			continue
-		}
-		if err != nil { // such as a refusal that an earlier datagram met: the next read may do
-			l.log.Debug("peer datagram", zap.Error(err))
-			continue
-		}
-		number, known := l.numbers[plain(from)]
-		if !known || n > maxSize {
-			number = -1
-		}
-		l.post(&core.PeerMessageReceived{From: number, Data: append([]byte(nil), buf[:n]...)})
 	}
 }
 
-// Write sends what Tell has queued until the link is closed.
-func (l *Transport) Write() {
-	defer close(l.written)
-	for d := range l.queue {
-		if _, err := l.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
-			l.log.Debug("peer datagram", zap.Error(err))
-		}
+// sender returns the number of the limiter that sent a datagram of n bytes; unknownLimiter for another
+// address, and for a datagram that is too long to be a limiter's.
+func (t *Transport) sender(from netip.AddrPort, n int) int {
+	number, known := t.numbers[unmapped(from)]
+	if !known || n > maxDatagramBytes {
+		return unknownLimiter
 	}
+	return number
 }
 
-// Send queues a datagram for a limiter, or for all with a number below 0. It
-// never waits: datagrams may be lost anyway.
-func (l *Transport) Send(number int, data []byte) {
-	var to netip.AddrPort
-	switch {
-	case number < 0:
-		to = l.all
-	case number < len(l.peers):
-		to = l.peers[number]
+// Write sends what Send has queued, until Close.
+func (t *Transport) Write() {
+	defer close(t.written)
+	for d := range t.queue {
+		if _, err := t.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
+			t.log.Debug("datagram not sent", zap.Error(err))
+		}
 	}
-	if !to.IsValid() || len(data) > maxSize {
-		l.log.Warn("datagram not sent", zap.Int("to", number), zap.Int("bytes", len(data)))
+}
+
+// Send queues a datagram for a limiter, or for all limiters with a number below 0. It never waits; a
+// datagram that the queue has no room for is dropped. It must not be called after Close.
+func (t *Transport) Send(number int, data []byte) {
+	to := t.address(number)
+	if !to.IsValid() || len(data) > maxDatagramBytes {
+		t.log.Warn("datagram not sent", zap.Int("to", number), zap.Int("bytes", len(data)))
 		return
 	}
 	select {
-	case l.queue <- datagram{to, data}:
+	case t.queue <- datagram{to, data}:
 	default:
 	}
 }
 
-// Close ends Read and Write. Tell must not be called after it.
-func (l *Transport) Close() error {
-	close(l.queue)
-	close(l.closed)
-	select { // what was told last, such as that this limiter leaves, still goes out
-	case <-l.written:
-	case <-time.After(flushWithin):
+// address returns the address of a limiter, that of all with a number below 0; it is invalid if there is
+// none.
+func (t *Transport) address(number int) netip.AddrPort {
+	switch {
+	case number < 0:
+		return t.broadcast
+	case number < len(t.peers):
+		return t.peers[number]
+	}
+	return netip.AddrPort{}
+}
+
+// Close writes what is queued, such as that this limiter leaves, within flushTimeout, and ends Read and
+// Write.
+func (t *Transport) Close() error {
+	close(t.queue)
+	close(t.closed)
+	select {
+	case <-t.written:
+	case <-time.After(flushTimeout):
 	}
-	return l.conn.Close()
+	return t.conn.Close()
 }
