--- /dev/null
+++ b/internal/discovery/decode.go
@@ -0,0 +1,101 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"time"
+
+	jsoniter "github.com/json-iterator/go"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+)
+
+// This file decodes endpoint lists. The JSON has the platform's names.
+
+// A message is a complete endpoint list or a change of it.
+type message struct {
+	Generation int64      `json:"generation"`
+	Complete   bool       `json:"reset"`
+	Instances  []instance `json:"instances"`
+}
+
+type instance struct {
+	ID          string  `json:"instanceId"`
+	Addr        string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	Cell        int     `json:"cell"`
+	Lifecycle   string  `json:"lifecycle"`
+	Weight      float64 `json:"weight"`
+	StartedAtMS int64   `json:"startedAtMs"` // Unix time in ms; 0 for long ago
+}
+
+var (
+	errNoInstances  = errors.New("list of backends: a complete list without instances")
+	errNoInstanceID = errors.New("list of backends: an instance without instanceId")
+)
+
+// Decode decodes one message, and returns the generation of the list as well. Origin is the Unix time at
+// which the program's clock was at zero. An error has one line.
+func Decode(data []byte, origin time.Time) (list *core.EndpointsUpdated, generation int64, err error) {
+	var m message
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &m); err != nil {
+		return nil, 0, jsonError(err)
+	}
+	list, err = m.endpoints(origin)
+	return list, m.Generation, err
+}
+
+func jsonError(err error) error {
+	return fmt.Errorf("list of backends: bad JSON: %s", strings.ReplaceAll(err.Error(), "\n", " "))
+}
+
+// endpoints returns the message as an event.
+func (m *message) endpoints(origin time.Time) (*core.EndpointsUpdated, error) {
+	if m.Complete && m.Instances == nil {
+		return nil, errNoInstances
+	}
+	list := &core.EndpointsUpdated{Kind: admission.ListDelta, Generation: m.Generation}
+	if m.Complete {
+		list.Kind = admission.ListComplete
+	}
+	for i := range m.Instances {
+		endpoint, err := m.Instances[i].endpoint(origin)
+		if err != nil {
+			return nil, err
+		}
+		list.Endpoints = append(list.Endpoints, endpoint)
+	}
+	return list, nil
+}
+
+func (x *instance) endpoint(origin time.Time) (core.Endpoint, error) {
+	if x.ID == "" {
+		return core.Endpoint{}, errNoInstanceID
+	}
+	state := x.state()
+	if _, _, err := net.SplitHostPort(x.Addr); err != nil && state == admission.Live {
+		return core.Endpoint{}, fmt.Errorf("list of backends: instance %q: %w", x.ID, err)
+	}
+	endpoint := core.Endpoint{Addr: x.Addr, Backend: admission.Backend{
+		ID: x.ID, Zone: x.Zone, Cell: x.Cell, State: state, RelativeCapacity: x.Weight,
+	}}
+	if x.StartedAtMS > 0 {
+		endpoint.StartedAt = max(time.UnixMilli(x.StartedAtMS).Sub(origin), 0)
+	}
+	return endpoint, nil
+}
+
+// state returns the state of the backend. An unknown one counts as draining: one entry of a later version
+// must not cost the list, and nothing new goes to that backend.
+func (x *instance) state() admission.BackendState {
+	switch x.Lifecycle {
+	case "up":
+		return admission.Live
+	case "removed":
+		return admission.Removed
+	}
+	return admission.Draining
+}
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -11,64 +11,73 @@
 	"lemongate/internal/core"
 )
 
-// A stream reads the messages of a watch one by one, on one line each or indented over several,
-// and sees to it that what has fallen silent is given up.
+const (
+	// maxMessageBytes bounds a message; it is far more than any list has.
+	maxMessageBytes = 4 << 20
+	// stallTimeout is after how long without a byte a message that has begun counts as cut off.
+	stallTimeout = 100 * time.Millisecond
+)
+
+var errMessageTooLong = errors.New("message too long")
+
+// A stream reads the messages of a watch one by one, each on one line or indented over several, and sets
+// the timer that ends a watch which has fallen silent.
 //
-// Between two messages any byte is a sign of life. A message that has begun comes whole soon: the
-// agent is on this machine and has all of it. What it says counts as told from its first byte, so
-// one that was cut off is found out before new sending has to end, whatever comes behind it.
+// Between two messages any byte shows that discovery is there. A message that has begun is complete soon:
+// discovery is on this machine and has all of it. A change counts as known here from its first byte, so a
+// message that was cut off has to be found before new attempts must end, whatever follows it.
 type stream struct {
-	body   io.Reader
-	silent time.Duration // trusted between messages, and for a whole one
-	alarm  *time.Timer   // gives the watch up
+	body    io.Reader
+	timeout time.Duration // between messages, and for a complete one
+	silence *time.Timer   // ends the watch
 
-	values *jsoniter.Decoder
-	inside bool      // a message has begun
-	by     time.Time // it has to be whole
-	left   int       // bytes that it may still have
-	err    error     // of the last Read
+	decoder   *jsoniter.Decoder
+	inMessage bool      // a message has begun
+	deadline  time.Time // for the message to be complete
+	remaining int       // bytes that the message may still have
+	err       error     // of the last Read
 }
 
-var errTooLong = errors.New("message too long")
-
-func newStream(body io.Reader, silent time.Duration, alarm *time.Timer) *stream {
-	s := &stream{body: body, silent: silent, alarm: alarm, left: maxList}
-	s.values = jsoniter.ConfigCompatibleWithStandardLibrary.NewDecoder(s)
+func newStream(body io.Reader, timeout time.Duration, silence *time.Timer) *stream {
+	s := &stream{body: body, timeout: timeout, silence: silence, remaining: maxMessageBytes}
+	s.decoder = jsoniter.ConfigCompatibleWithStandardLibrary.NewDecoder(s)
 	return s
 }
 
-// next waits for a message and reads it. One that was cut off or makes no sense is errUnread.
+// next waits for a message and decodes it. The error is errInvalidMessage for one that was cut off or is
+// invalid.
 func (s *stream) next(origin time.Time) (*core.EndpointsUpdated, error) {
-	s.inside, s.left = false, maxList
-	s.alarm.Reset(s.silent)
-	if !s.values.More() && s.err != nil {
+	s.inMessage, s.remaining = false, maxMessageBytes
+	s.silence.Reset(s.timeout)
+	if !s.decoder.More() && s.err != nil {
 		return nil, fmt.Errorf("watch: %w", s.err)
 	}
-	s.inside, s.by = true, time.Now().Add(s.silent)
-	s.alarm.Reset(min(stalledAfter, s.silent))
+	s.inMessage, s.deadline = true, time.Now().Add(s.timeout)
+	s.silence.Reset(min(stallTimeout, s.timeout))
 	var m message
-	if err := s.values.Decode(&m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errUnread, badJSON(err))
+	if err := s.decoder.Decode(&m); err != nil {
+		return nil, fmt.Errorf("%w: %w", errInvalidMessage, jsonError(err))
 	}
-	list, err := m.list(origin)
+	list, err := m.endpoints(origin)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errUnread, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidMessage, err)
 	}
 	return list, nil
 }
 
-// Read is for the decoder.
+// Read implements io.Reader for the decoder, and sets the timer by what comes.
 func (s *stream) Read(p []byte) (n int, err error) {
-	if s.left == 0 {
-		s.err = errTooLong
+	if s.remaining == 0 {
+		s.err = errMessageTooLong
 		return 0, s.err
 	}
-	n, s.err = s.body.Read(p[:min(len(p), s.left)])
-	if n > 0 && s.inside {
-		s.left -= n
-		s.alarm.Reset(min(stalledAfter, time.Until(s.by)))
-	} else if n > 0 {
-		s.alarm.Reset(s.silent)
+	n, s.err = s.body.Read(p[:min(len(p), s.remaining)])
+	switch {
+	case n > 0 && s.inMessage:
+		s.remaining -= n
+		s.silence.Reset(min(stallTimeout, time.Until(s.deadline)))
+	case n > 0:
+		s.silence.Reset(s.timeout)
 	}
 	return n, s.err
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -35,9 +35,9 @@
 		"braces in a name": indented(t, strings.Replace(listText, `"s-1"`, `"}{\\\""`, 1), " "),
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newAgent(t)
-			events := a.watcher(t, nil)
-			w := <-a.watches
+			fake := newFakeDiscovery(t)
+			events := fake.watcher(t, nil)
+			w := <-fake.watches
 			w.lines <- text + "\n" + indented(t, strings.Replace(change, "%", "99", 1), "  ")
 			if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
 				t.Errorf("%+v", ev)
@@ -49,46 +49,46 @@
 	}
 }
 
-// A message may be cut off behind any byte, with the next one behind it. It is asked for again soon,
-// and nothing is told of what was half there.
-func TestCutOffAnywhere(t *testing.T) {
-	whole := strings.TrimSpace(strings.Replace(change, "%", "43", 1))
+// A message may be cut off after any byte, with the next one behind it. The list is requested again soon,
+// and nothing of half a message is posted.
+func TestCutOffAtAnyByte(t *testing.T) {
+	complete := strings.TrimSpace(strings.Replace(change, "%", "43", 1))
 	next := strings.Replace(change, "%", "44", 1)
 	for _, behind := range []string{"\n", "\n" + next, "\n\n", next} {
-		for i := 1; i < len(whole); i++ {
+		for i := 1; i < len(complete); i++ {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
-				a := newAgent(t)
-				events := a.watcher(t, func(w *Watcher) { w.SilenceTimeout = time.Hour })
-				(<-a.watches).lines <- whole[:i] + behind
-				if again := <-a.watches; again.query != "/v1/endpoints?stream=1&index=0" {
-					t.Errorf("cut off at %q: asked %s", whole[:i], again.query)
+				fake := newFakeDiscovery(t)
+				events := fake.watcher(t, func(w *Watcher) { w.SilenceTimeout = time.Hour })
+				(<-fake.watches).lines <- complete[:i] + behind
+				if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
+					t.Errorf("cut off at %q: requested %s", complete[:i], again.query)
 				}
 				if len(events) > 0 {
-					t.Errorf("cut off at %q: told %+v", whole[:i], <-events)
+					t.Errorf("cut off at %q: posted %+v", complete[:i], <-events)
 				}
 			})
 		}
 	}
 }
 
-// What is no list ends the watch, and wipes nothing.
-func TestNoList(t *testing.T) {
+// What is not a list ends the watch, and removes nothing.
+func TestNotAList(t *testing.T) {
 	for _, text := range []string{"]", "}", "7", `"up"`, "[]", `{"generation":43,"reset":true}`, `{"generation":43,"reset":true,"instances":null}`, "\x00"} {
-		a := newAgent(t)
-		events := a.watcher(t, nil)
-		(<-a.watches).lines <- text + "\n"
-		if again := <-a.watches; again.query != "/v1/endpoints?stream=1&index=0" || len(events) > 0 {
-			t.Errorf("%q: asked %s, %d events", text, again.query, len(events))
+		fake := newFakeDiscovery(t)
+		events := fake.watcher(t, nil)
+		(<-fake.watches).lines <- text + "\n"
+		if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" || len(events) > 0 {
+			t.Errorf("%q: requested %s, %d events", text, again.query, len(events))
 		}
 	}
 }
 
 // A message that grows without end is given up at a bound.
 func TestEndlessMessage(t *testing.T) {
-	a := newAgent(t)
-	a.watcher(t, nil)
-	w := <-a.watches
+	fake := newFakeDiscovery(t)
+	fake.watcher(t, nil)
+	w := <-fake.watches
 	go func() {
 		w.lines <- "{"
 		for piece := strings.Repeat(" ", 64<<10); ; {
@@ -99,17 +99,17 @@
 			}
 		}
 	}()
-	<-a.watches
+	<-fake.watches
 }
 
-// A watch may fall silent at any point: at the connect, after the head, in the middle of an object, or
-// of a line, or between two objects. Each is given up and opened anew, and the newest list comes then.
-func TestSilentAnywhere(t *testing.T) {
+// A watch may fall silent at any point: at the connect, after the head, in the middle of an object or of a
+// line, or between two objects. Each is given up and opened anew, and the newest list comes then.
+func TestSilentAtAnyPoint(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
-	whole := strings.Replace(change, "%", "43", 1)
-	for name, said := range map[string]string{
-		"connect": "", "half a head": head[:20], "head": head, "line": head + whole[:40],
-		"object": head + "{\n \"generation\": 43,\n", "signs of life inside an object": head + "{\n", "list": head + whole,
+	complete := strings.Replace(change, "%", "43", 1)
+	for name, sent := range map[string]string{
+		"connect": "", "half a head": head[:20], "head": head, "line": head + complete[:40],
+		"object": head + "{\n \"generation\": 43,\n", "bytes inside an object": head + "{\n", "list": head + complete,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -117,8 +117,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
-			a := &agent{}
+			defer func() { _ = l.Close() }()
+			fake := &fakeDiscovery{}
 			silent, done := make(chan net.Conn, 1), make(chan bool)
 			go func() {
 				c, err := l.Accept()
@@ -126,9 +126,9 @@
 					return
 				}
 				silent <- c
-				http.ReadRequest(bufio.NewReader(c))
-				io.WriteString(c, said)
-				if strings.HasPrefix(name, "signs") { // a part of an object now and then is none
+				_, _ = http.ReadRequest(bufio.NewReader(c)) // the second watch shows whether it came
+				_, _ = io.WriteString(c, sent)
+				if strings.HasPrefix(name, "bytes") { // parts of an object do not make a message
 					for range 2000 {
 						if _, err := io.WriteString(c, " \"x\": 1,\n"); err != nil {
 							break
@@ -140,19 +140,19 @@
 				if err != nil {
 					return
 				}
-				http.ReadRequest(bufio.NewReader(second))
-				fmt.Fprint(second, head, strings.Replace(change, "%", "44", 1))
+				_, _ = http.ReadRequest(bufio.NewReader(second)) // the list shows whether it came
+				_, _ = fmt.Fprint(second, head, strings.Replace(change, "%", "44", 1))
 				<-done
-				second.Close()
+				_ = second.Close()
 			}()
 			defer close(done)
-			a.server = newAgent(t).server
-			events := a.watcher(t, func(w *Watcher) { w.Addr, w.SilenceTimeout = l.Addr().String(), 100*time.Millisecond })
+			fake.server = newFakeDiscovery(t).server
+			events := fake.watcher(t, func(w *Watcher) { w.Addr, w.SilenceTimeout = l.Addr().String(), 100*time.Millisecond })
 			for {
 				select {
 				case ev := <-events:
 					if ev.(*core.EndpointsUpdated).Generation == 44 {
-						(<-silent).Close()
+						_ = (<-silent).Close()
 						return
 					}
 				case <-time.After(10 * time.Second):
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/watcher_test.go
@@ -22,8 +22,7 @@
 	{"instanceId":"s-2","hostPort":"127.0.0.1:8444","zone":"b","cell":4,"lifecycle":"draining","weight":1,"startedAtMs":1000500},
 	{"instanceId":"s-3","lifecycle":"removed","startedAtMs":7}]}`
 
-// Unix milliseconds become times of the program's clock; a start before its
-// zero is long ago.
+// Unix milliseconds become times of the program's clock; a start before its zero is long ago.
 func TestDecode(t *testing.T) {
 	list, generation, err := Decode([]byte(listText), time.UnixMilli(1_000_000))
 	want := &core.EndpointsUpdated{Kind: admission.ListComplete, Generation: 41, Endpoints: []core.Endpoint{
@@ -38,8 +37,7 @@
 	}
 }
 
-// An entry in a state that nobody here knows takes nothing new, and the others
-// count all the same.
+// An entry in an unknown state counts as draining, and the others count all the same.
 func TestUnknownLifecycle(t *testing.T) {
 	list, _, err := Decode([]byte(strings.Replace(listText, `"removed"`, `"parked"`, 1)), time.Time{})
 	if err != nil || len(list.Endpoints) != 3 || list.Endpoints[2].State != admission.Draining {
@@ -60,25 +58,25 @@
 	}
 }
 
-// agent plays discovery: it hands each watch to the test.
-type agent struct {
+// A fakeDiscovery hands each watch to the test.
+type fakeDiscovery struct {
 	watches chan watch
 	server  *httptest.Server
 }
 
-// A watch is one that was asked for. It ends when its lines are closed.
+// A watch was requested by a Watcher. It ends when its lines are closed.
 type watch struct {
 	query string
 	lines chan string
 	gone  <-chan struct{}
 }
 
-func newAgent(t *testing.T) *agent {
-	a := &agent{watches: make(chan watch)}
-	a.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
+	d := &fakeDiscovery{watches: make(chan watch)}
+	d.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		lines := make(chan string)
 		select {
-		case a.watches <- watch{r.URL.RequestURI(), lines, r.Context().Done()}:
+		case d.watches <- watch{r.URL.RequestURI(), lines, r.Context().Done()}:
 		case <-r.Context().Done(): // one more than the test looks at
 			return
 		}
@@ -88,26 +86,26 @@
 				if !more {
 					return
 				}
-				io.WriteString(w, text)
+				_, _ = io.WriteString(w, text) // the watch may have ended
 				w.(http.Flusher).Flush()
 			case <-r.Context().Done():
 				return
 			}
 		}
 	}))
-	t.Cleanup(a.server.Close)
-	return a
+	t.Cleanup(d.server.Close)
+	return d
 }
 
-func (a *agent) watcher(t *testing.T, change func(*Watcher)) <-chan core.Event {
-	_, events := a.start(t, change)
+func (d *fakeDiscovery) watcher(t *testing.T, change func(*Watcher)) <-chan core.Event {
+	_, events := d.start(t, change)
 	return events
 }
 
-func (a *agent) start(t *testing.T, change func(*Watcher)) (*Watcher, <-chan core.Event) {
+func (d *fakeDiscovery) start(t *testing.T, change func(*Watcher)) (*Watcher, <-chan core.Event) {
 	events := make(chan core.Event, 8)
 	w := &Watcher{
-		Addr: a.server.Listener.Addr().String(), Generation: 7, Log: zap.NewNop(),
+		Addr: d.server.Listener.Addr().String(), Generation: 7, Log: zap.NewNop(),
 		Post: func(ev core.Event) { events <- ev }, Sleep: func(time.Duration) {},
 	}
 	if change != nil {
@@ -126,108 +124,107 @@
 	return w, events
 }
 
-// A move ends the watch of before at once, and asks the new place for its whole
-// list: the versions of one discovery mean nothing at another. Until that has
-// come, nothing is told, so the old list holds. The last of several moves counts.
+// A move ends the watch before it at once, and requests the complete list at the new address: the
+// generations of one discovery mean nothing at another. Until that has come nothing is posted, so the old
+// list holds. The last of several moves counts.
 func TestMove(t *testing.T) {
-	a, b := newAgent(t), newAgent(t)
-	w, events := a.start(t, nil)
-	first := <-a.watches
-	w.Move(b.server.Listener.Addr().String())
+	fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
+	w, events := fake.start(t, nil)
+	first := <-fake.watches
+	w.Move(other.server.Listener.Addr().String())
 	<-first.gone
-	moved := <-b.watches
+	moved := <-other.watches
 	if moved.query != "/v1/endpoints?stream=1&index=0" || len(events) != 0 {
-		t.Errorf("asked %s, %d events", moved.query, len(events))
+		t.Errorf("requested %s, %d events", moved.query, len(events))
 	}
 	moved.lines <- strings.ReplaceAll(listText, "\n", "") + "\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
 		t.Errorf("%+v", ev)
 	}
-	w.Move("127.0.0.1:0") // nothing is there
+	w.Move("127.0.0.1:0") // nobody listens there
 	<-moved.gone
-	w.Move(a.server.Listener.Addr().String()) // also out of a pause
-	if again := <-a.watches; again.query != "/v1/endpoints?stream=1&index=0" {
-		t.Errorf("asked %s", again.query)
+	w.Move(fake.server.Listener.Addr().String()) // also out of a pause
+	if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
+		t.Errorf("requested %s", again.query)
 	}
 }
 
 const change = `{"generation":%,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]}` + "\n"
 
-// A watch resumes after the last version it brought, skips the empty lines,
-// and asks for the whole list once a line made no sense.
+// A watch resumes after the last generation it brought, skips empty lines, and requests the complete list
+// after an invalid line.
 func TestResume(t *testing.T) {
-	a := newAgent(t)
-	events := a.watcher(t, nil)
-	first := <-a.watches
+	fake := newFakeDiscovery(t)
+	events := fake.watcher(t, nil)
+	first := <-fake.watches
 	first.lines <- "\n" + strings.Replace(change, "%", "43", 1) + "\n\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListDelta || len(ev.Endpoints) != 1 {
 		t.Errorf("%+v", ev)
 	}
 	close(first.lines)
-	second := <-a.watches
+	second := <-fake.watches
 	second.lines <- "nonsense\n"
-	third := <-a.watches
+	third := <-fake.watches
 	third.lines <- strings.ReplaceAll(listText, "\n", "") + "\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete {
 		t.Errorf("%+v", ev)
 	}
 	for i, c := range []struct{ got, index string }{{first.query, "7"}, {second.query, "43"}, {third.query, "0"}} {
 		if want := "/v1/endpoints?stream=1&index=" + c.index; c.got != want {
-			t.Errorf("watch %d asked %s, want %s", i, c.got, want)
+			t.Errorf("watch %d requested %s, want %s", i, c.got, want)
 		}
 	}
 }
 
-// A stream on which not even empty lines come is given up: TCP does not notice
-// that a machine has been cut off. A stream with empty lines is kept.
+// A stream on which not even empty lines come is given up: TCP does not notice that a machine has been cut
+// off.
 func TestSilence(t *testing.T) {
-	a := newAgent(t)
-	a.watcher(t, func(w *Watcher) { w.SilenceTimeout = 20 * time.Millisecond })
-	first := <-a.watches
+	fake := newFakeDiscovery(t)
+	fake.watcher(t, func(w *Watcher) { w.SilenceTimeout = 20 * time.Millisecond })
+	first := <-fake.watches
 	<-first.gone
-	<-a.watches
+	<-fake.watches
 }
 
-// A change in a line that cannot be read counts as told with that line, and
-// new sending must end 250 ms later: even after three such lines in a row what
-// it said is asked for again in time.
-func TestBadLines(t *testing.T) {
-	a := newAgent(t)
+// A change in an invalid line counts as known with that line, and new attempts must end 250 ms later: even
+// after three such lines in a row the list is requested again in time.
+func TestInvalidLines(t *testing.T) {
+	fake := newFakeDiscovery(t)
 	var spent time.Duration
-	events := a.watcher(t, func(w *Watcher) { w.Sleep = func(d time.Duration) { spent += d } })
+	events := fake.watcher(t, func(w *Watcher) { w.Sleep = func(d time.Duration) { spent += d } })
 	for range 3 {
-		(<-a.watches).lines <- "{\"generation\x00:7}\n"
+		(<-fake.watches).lines <- "{\"generation\x00:7}\n"
 	}
-	(<-a.watches).lines <- strings.Replace(change, "%", "8", 1)
+	(<-fake.watches).lines <- strings.Replace(change, "%", "8", 1)
 	if <-events; spent > 100*time.Millisecond {
-		t.Errorf("asked again after %v", spent)
+		t.Errorf("requested again after %v", spent)
 	}
 }
 
-// Pauses between failed watches grow up to a bound, well within the 250 ms for which what the
-// agent has learnt may be missed, and start again from the least once a watch has brought something.
+// Pauses between failed watches grow up to a bound, well within the 250 ms for which a change may be
+// missed, and start again from the shortest once a watch has brought something.
 func TestBackoff(t *testing.T) {
-	a := newAgent(t)
+	fake := newFakeDiscovery(t)
 	pauses := make(chan time.Duration, 1)
-	a.watcher(t, func(w *Watcher) {
+	fake.watcher(t, func(w *Watcher) {
 		w.Sleep, w.Random = func(d time.Duration) { pauses <- d }, func() float64 { return 0.5 }
 	})
-	for _, want := range []int{10, 20, 40, 80, 100, 100} { // and no more: a silent one costs nobody anything
-		close((<-a.watches).lines)
+	for _, want := range []int{10, 20, 40, 80, 100, 100} { // and no longer ones: a failed watch costs nobody anything
+		close((<-fake.watches).lines)
 		if got := <-pauses; got != time.Duration(want)*time.Millisecond {
 			t.Errorf("pause %v, want %d ms", got, want)
 		}
 	}
-	good := <-a.watches
+	good := <-fake.watches
 	good.lines <- strings.Replace(change, "%", "8", 1)
 	close(good.lines)
-	if got := <-pauses; got != backoffFrom {
+	if got := <-pauses; got != minBackoff {
 		t.Errorf("pause %v after a good watch", got)
 	}
 }
 
-// crowded plays a discovery that turns every call away, and gives the pauses after them.
-func crowded(t *testing.T, tier, calls int, random func() float64) (pauses []time.Duration) {
+// rejectionPauses returns the pauses after watches that discovery rejects, all of them.
+func rejectionPauses(tier, calls int, random func() float64) (pauses []time.Duration) {
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
@@ -246,9 +243,9 @@
 	return pauses
 }
 
-// Limiters that are turned away together do not come again in step, nor so often that
-// discovery's line never empties, nor later than what it has to tell counts as told.
-func TestTierDoesNotFloodDiscovery(t *testing.T) {
+// Limiters whose watches are rejected together do not retry in step, nor so often that discovery's queue
+// never empties, nor later than a change counts as known to them.
+func TestTierDoesNotOverloadDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		tier         int
 		first, least time.Duration // most of the first pauses, and the least mean of late ones
@@ -258,42 +255,42 @@
 	} {
 		chance := rand.New(rand.NewPCG(1, uint64(c.tier)))
 		var sum time.Duration
-		for _, d := range crowded(t, c.tier, 31, chance.Float64)[11:] {
-			if sum += d / 20; d > toldWithin*3/2 {
+		for _, d := range rejectionPauses(c.tier, 31, chance.Float64)[11:] {
+			if sum += d / 20; d > maxRejectionBackoff*3/2 {
 				t.Errorf("%d limiters: a pause of %v", c.tier, d)
 			}
 		}
 		if sum < c.least {
-			t.Errorf("%d limiters: a call each %v, want %v at least", c.tier, sum, c.least)
+			t.Errorf("%d limiters: a watch each %v, want %v at least", c.tier, sum, c.least)
 		}
 		var earliest, latest time.Duration = time.Hour, 0
 		for range 20 {
-			d := crowded(t, c.tier, 1, chance.Float64)[0]
+			d := rejectionPauses(c.tier, 1, chance.Float64)[0]
 			earliest, latest = min(earliest, d), max(latest, d)
 		}
 		if latest > c.first || latest < c.first/2 || earliest > c.first/3 {
-			t.Errorf("%d limiters: again %v to %v after a refusal, want it spread over %v", c.tier, earliest, latest, c.first)
+			t.Errorf("%d limiters: retries %v to %v after a rejection, want it spread over %v", c.tier, earliest, latest, c.first)
 		}
 	}
 }
 
-// What the agent has counts as told, so in a tier of any size the first call goes out
-// at the start, and a new one at a move and once a watch breaks, with no pause that
-// the rule on drains (250 ms) has no room for.
-func TestAsksAtOnceInAnyTier(t *testing.T) {
+// A change that discovery has counts as known, so in a tier of any size the first watch is opened at the
+// start, and a new one at a move and once a watch breaks, with no pause that the rule on draining backends
+// (250 ms) has no room for.
+func TestWatchesAtOnceInAnyTier(t *testing.T) {
 	for _, tier := range []int{3, 80, 300} {
-		a, b := newAgent(t), newAgent(t)
+		fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
 		var spent time.Duration
-		w, events := a.start(t, func(w *Watcher) { w.Limiters, w.Sleep = tier, func(d time.Duration) { spent += d } })
-		first := <-a.watches
+		w, events := fake.start(t, func(w *Watcher) { w.Limiters, w.Sleep = tier, func(d time.Duration) { spent += d } })
+		first := <-fake.watches
 		first.lines <- strings.Replace(change, "%", "8", 1)
 		<-events
 		close(first.lines)
-		<-a.watches
-		w.Move(b.server.Listener.Addr().String())
-		<-b.watches
+		<-fake.watches
+		w.Move(other.server.Listener.Addr().String())
+		<-other.watches
 		if spent > 50*time.Millisecond {
-			t.Errorf("%d limiters: three calls after pauses of %v", tier, spent)
+			t.Errorf("%d limiters: three watches after pauses of %v", tier, spent)
 		}
 	}
 }
