--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -1,4 +1,4 @@
-// Package peertransport carries datagrams between limiters. It tells limiters apart by their source
+// Package peertransport carries datagrams between limiters. It identifies limiters by their source
 // addresses, and does not read the messages.
 package peertransport
 
--- /dev/null
+++ b/internal/upstream/backend.go
@@ -0,0 +1,113 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// idleFraction is the fraction of Options.IdleClose for which a connection is kept idle. A request
+	// that crosses the backend's close would be lost.
+	idleFraction = 2.0 / 3
+	// maxResponseHeaderBytes bounds the head of a response.
+	maxResponseHeaderBytes = 16 << 10
+)
+
+var (
+	// errTooManyConns is the client's own bound, and not a failure of the backend.
+	errTooManyConns = errors.New("too many connections")
+	// errBackendClosed ends an attempt that would begin on a connection to a backend that is draining, was
+	// removed or has started anew.
+	errBackendClosed = errors.New("connections to the backend are closed")
+)
+
+// A backend has the connections to a backend at one address, from its first attempt until
+// CloseBackendConns.
+type backend struct {
+	transport *http.Transport
+	closed    atomic.Bool // by CloseBackendConns
+}
+
+// backend returns the backend of an id, which it creates if there is none. The caller holds c.mu.
+func (c *Client) backend(id, addr string) *backend {
+	if b := c.backends[id]; b != nil {
+		return b
+	}
+	b := &backend{}
+	dialer := &net.Dialer{Timeout: c.options.ConnectTimeout, KeepAlive: -1}
+	b.transport = &http.Transport{
+		DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
+			return c.dial(ctx, dialer, b, network, addr)
+		},
+		DisableCompression:     true,
+		MaxIdleConnsPerHost:    max(c.options.MaxIdlePerBackend, 1),
+		IdleConnTimeout:        time.Duration(float64(c.options.IdleClose) * idleFraction),
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
+	}
+	c.backends[id] = b
+	return b
+}
+
+// closeIdleIfClosed closes what an attempt or probe left idle at a backend that was closed meanwhile:
+// http.Transport keeps idle connections again once anything has asked for one.
+func (b *backend) closeIdleIfClosed() {
+	if b.closed.Load() {
+		b.transport.CloseIdleConnections()
+	}
+}
+
+// dial opens a connection to a backend.
+func (c *Client) dial(ctx context.Context, dialer *net.Dialer, b *backend, network, addr string) (net.Conn, error) {
+	if b.closed.Load() {
+		return nil, errBackendClosed
+	}
+	if !c.reserveConn() {
+		return nil, errTooManyConns
+	}
+	release := func() { c.conns.Add(-1) }
+	dialed, err := dialer.DialContext(ctx, network, addr)
+	if err != nil {
+		release()
+		return nil, err
+	}
+	conn, err := newBackendConn(dialed.(*net.TCPConn), b, release, c.hooks.written)
+	if err != nil {
+		release()
+		_ = dialed.Close() // nothing was sent on it
+		return nil, err
+	}
+	return conn, nil
+}
+
+// reserveConn counts a connection that is to be opened, and reports whether it may be. At the bound the
+// idle connections are closed for it, as an attempt cannot wait.
+func (c *Client) reserveConn() bool {
+	maxConns := c.maxConns.Load()
+	open := c.conns.Add(1)
+	if maxConns <= 0 || open <= maxConns {
+		return true
+	}
+	c.closeIdleConns()
+	if c.conns.Load() <= maxConns {
+		return true
+	}
+	c.conns.Add(-1)
+	return false
+}
+
+// closeIdleConns closes the idle connections to all backends.
+func (c *Client) closeIdleConns() {
+	c.mu.Lock()
+	transports := make([]*http.Transport, 0, len(c.backends))
+	for _, b := range c.backends {
+		transports = append(transports, b.transport)
+	}
+	c.mu.Unlock()
+	for _, transport := range transports {
+		transport.CloseIdleConnections()
+	}
+}
--- /dev/null
+++ b/internal/upstream/loadreport.go
@@ -0,0 +1,61 @@
+package upstream
+
+import (
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+const (
+	// loadReportFormat is the prefix of the one format of load reports that is read.
+	loadReportFormat = "TEXT "
+	// utilizationField is the field for the fraction of a backend's cores in use.
+	utilizationField = "util"
+	// maxUtilization bounds that field, with room for noise.
+	maxUtilization = 2
+	// maxReportValue bounds all other fields: no backend is that slow or loaded.
+	maxReportValue = 1e6
+)
+
+// parseLoadReport parses "TEXT name=value, ..." into the order of the fields. It returns nil unless there
+// is one report that has each field once, with a value that a backend can have. The response is valid
+// all the same.
+func parseLoadReport(texts []string, fields []string) []float64 {
+	if len(texts) != 1 || len(fields) == 0 {
+		return nil
+	}
+	text, ok := strings.CutPrefix(strings.TrimSpace(texts[0]), loadReportFormat)
+	if !ok {
+		return nil
+	}
+	values := make([]float64, len(fields))
+	for i := range values {
+		values[i] = math.NaN() // for missing
+	}
+	for part := range strings.SplitSeq(text, ",") {
+		name, valueText, _ := strings.Cut(strings.TrimSpace(part), "=")
+		i := slices.Index(fields, name)
+		if i < 0 {
+			continue
+		}
+		value, valid := parseReportValue(name, valueText)
+		if !valid || !math.IsNaN(values[i]) { // or a duplicate
+			return nil
+		}
+		values[i] = value
+	}
+	if slices.ContainsFunc(values, math.IsNaN) {
+		return nil
+	}
+	return values
+}
+
+func parseReportValue(name, text string) (value float64, valid bool) {
+	value, err := strconv.ParseFloat(text, 64)
+	limit := maxReportValue
+	if name == utilizationField {
+		limit = maxUtilization
+	}
+	return value, err == nil && value >= 0 && value <= limit // NaN is neither
+}
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -17,77 +16,81 @@
 
 	"lemongate/internal/admission"
 	"lemongate/internal/core"
+	"lemongate/internal/rapidtest"
 )
 
-// TestMain fixes the seed, so that the steps are the same every time; how they cross is not.
+// TestMain fixes the seed, so that the steps are the same every time; how they interleave is not.
 func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true", "rapid.steps": "40"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
+	os.Exit(rapidtest.Main(m, "20261202", map[string]string{"rapid.steps": "40"}))
 }
 
-// far is a backend that answers each req as it is told, and knows what came whole.
-type far struct {
+// A modelBackend responds only when the model says so, and counts the requests that came completely.
+type modelBackend struct {
 	net.Listener
-	mu    sync.Mutex
-	whole map[string]int // reqs, by the client's name for them
-	open  []*farConn
+	mu       sync.Mutex
+	complete map[string]int // requests, by their X-Call-Id
+	conns    []*modelConn
 }
 
-type farConn struct {
+type modelConn struct {
 	net.Conn
-	calls chan string // reqs that came whole here, to be answered
+	calls chan string // requests that came completely on it, to be answered
 }
 
-func (f *far) serve() {
+// serve accepts connections until the listener is closed.
+func (b *modelBackend) serve() {
 	for {
-		c, err := f.Accept()
+		accepted, err := b.Accept()
 		if err != nil {
 			return
 		}
-		x := &farConn{c, make(chan string, 64)}
-		f.mu.Lock()
-		f.open = append(f.open, x)
-		f.mu.Unlock()
-		go func() {
-			in := bufio.NewReader(c)
-			for {
-				r, err := http.ReadRequest(in)
-				if err == nil {
-					_, err = io.Copy(io.Discard, r.Body)
-				}
-				if err != nil {
-					close(x.calls)
-					return
-				}
-				f.mu.Lock()
-				f.whole[r.Header.Get("X-Call-Id")]++
-				f.mu.Unlock()
-				x.calls <- r.Header.Get("X-Call-Id")
-			}
-		}()
+		c := &modelConn{accepted, make(chan string, 64)}
+		b.mu.Lock()
+		b.conns = append(b.conns, c)
+		b.mu.Unlock()
+		go b.read(c)
 	}
 }
 
-// Fetches are started, stopped, withdrawn and dropped, and their backend answers, spoils, closes and
-// resets, in any order. Each fetch has one outcome or was stopped; it came to the backend once at most;
-// where the outcome says that it never ran it did not come whole; and what serves it is its own answer.
-func TestFetchModel(t *testing.T) {
+// read reads requests until the connection ends.
+func (b *modelBackend) read(c *modelConn) {
+	in := bufio.NewReader(c)
+	for {
+		r, err := http.ReadRequest(in)
+		if err == nil {
+			_, err = io.Copy(io.Discard, r.Body)
+		}
+		if err != nil {
+			close(c.calls)
+			return
+		}
+		call := r.Header.Get("X-Call-Id")
+		b.mu.Lock()
+		b.complete[call]++
+		b.mu.Unlock()
+		c.calls <- call
+	}
+}
+
+// send writes to the connection, which the client may have closed.
+func (c *modelConn) send(text string) { _, _ = io.WriteString(c, text) }
+
+// Attempts are started, canceled, withdrawn and have their backend's connections closed, and the backend
+// responds, sends invalid responses, closes and resets, in any order. Each attempt has one outcome or was
+// canceled; it came to the backend once at most; where the outcome says that it never ran it did not come
+// completely; and the response that serves it is its own.
+func TestAttemptModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &far{Listener: l, whole: map[string]int{}}
-		go b.serve()
-		defer l.Close()
+		backend := &modelBackend{Listener: l, complete: map[string]int{}}
+		go backend.serve()
+		defer func() { _ = l.Close() }()
 		var mu sync.Mutex
 		ended := map[core.AttemptID]*core.AttemptFinished{}
-		p := New(Options{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxIdlePerBackend: 2, ResponseTimeout: 20 * time.Millisecond, Post: func(ev core.Event) {
+		client := New(Options{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxIdlePerBackend: 2, ResponseTimeout: 20 * time.Millisecond, Post: func(ev core.Event) {
 			e := ev.(*core.AttemptFinished)
 			mu.Lock()
 			defer mu.Unlock()
@@ -97,80 +100,79 @@
 			ended[e.Attempt] = e
 		}})
 		var started []core.AttemptID
-		stopped := map[core.AttemptID]bool{}
+		canceled := map[core.AttemptID]bool{}
 		call := func(id core.AttemptID) string { return fmt.Sprint("call", id.Request) }
-		one := func(t *rapid.T) core.AttemptID {
+		recent := func(t *rapid.T) core.AttemptID {
 			if len(started) == 0 {
 				t.Skip("none")
 			}
-			return rapid.SampledFrom(started[max(0, len(started)-4):]).Draw(t, "fetch")
+			return rapid.SampledFrom(started[max(0, len(started)-4):]).Draw(t, "attempt")
 		}
-		conn := func(t *rapid.T) *farConn {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			if len(b.open) == 0 {
+		conn := func(t *rapid.T) *modelConn {
+			backend.mu.Lock()
+			defer backend.mu.Unlock()
+			if len(backend.conns) == 0 {
 				t.Skip("none")
 			}
-			return b.open[len(b.open)-1-rapid.IntRange(0, min(len(b.open), 3)-1).Draw(t, "connection")]
+			return backend.conns[len(backend.conns)-1-rapid.IntRange(0, min(len(backend.conns), 3)-1).Draw(t, "connection")]
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
 				id := core.AttemptID{Request: core.RequestID(len(started) + 1)}
 				started = append(started, id)
 				in := &Request{Method: "POST", URI: "/x", Host: "x", CallID: call(id), Body: make([]byte, rapid.SampledFrom([]int{0, 10, 20 << 10}).Draw(t, "size"))}
-				p.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: l.Addr().String(), Timeout: time.Second, Content: in})
+				client.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: l.Addr().String(), Timeout: time.Second, Content: in})
 			},
 			"stop": func(t *rapid.T) {
-				id := one(t)
-				stopped[id] = true
-				p.CancelAttempt(id)
+				id := recent(t)
+				canceled[id] = true
+				client.CancelAttempt(id)
 			},
-			"withdraw": func(t *rapid.T) { p.WithdrawAttempt(one(t)) },
-			"drop":     func(*rapid.T) { p.CloseBackendConns("b") },
+			"withdraw":           func(t *rapid.T) { client.WithdrawAttempt(recent(t)) },
+			"disconnect backend": func(*rapid.T) { client.CloseBackendConns("b") },
 			"answer": func(t *rapid.T) {
 				c := conn(t)
 				select {
-				case name, more := <-c.calls:
+				case body, more := <-c.calls:
 					if !more {
 						return
 					}
-					body := name
-					io.WriteString(c, "HTTP/1.1 "+rapid.SampledFrom([]string{"200 OK", "500 Oops", "503 Full\r\nX-Rejected: 1"}).Draw(t, "status")+
-						fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", len(body), body)+rapid.SampledFrom([]string{"", "", "noise"}).Draw(t, "behind"))
+					c.send("HTTP/1.1 " + rapid.SampledFrom([]string{"200 OK", "500 Oops", "503 Full\r\nX-Rejected: 1"}).Draw(t, "status") +
+						fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", len(body), body) + rapid.SampledFrom([]string{"", "", "noise"}).Draw(t, "behind"))
 				case <-time.After(time.Millisecond):
 				}
 			},
-			"spoil": func(t *rapid.T) {
-				io.WriteString(conn(t), rapid.SampledFrom([]string{"HT", "HTTP/1.1 200 OK\r\n\r\nno length", "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf", "\x00\r\n\r\n"}).Draw(t, "spoilt"))
+			"invalid": func(t *rapid.T) {
+				conn(t).send(rapid.SampledFrom([]string{"HT", "HTTP/1.1 200 OK\r\n\r\nno length", "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf", "\x00\r\n\r\n"}).Draw(t, "text"))
 			},
 			"close": func(t *rapid.T) {
 				c := conn(t)
 				if rapid.Bool().Draw(t, "reset") {
-					c.Conn.(*net.TCPConn).SetLinger(0)
+					_ = c.Conn.(*net.TCPConn).SetLinger(0) // it may be closed already
 				}
-				c.Close()
+				_ = c.Close()
 			},
 		})
-		p.Close()
-		l.Close()
+		client.Close()
+		_ = l.Close()
 		for _, id := range started {
 			for over := false; !over; time.Sleep(100 * time.Microsecond) {
-				b.mu.Lock()
-				for _, c := range b.open { // also those that were accepted just now
-					c.Close()
+				backend.mu.Lock()
+				for _, c := range backend.conns { // also those that were accepted just now
+					_ = c.Close()
 				}
-				b.mu.Unlock()
+				backend.mu.Unlock()
 				mu.Lock()
-				over = ended[id] != nil || stopped[id]
+				over = ended[id] != nil || canceled[id]
 				mu.Unlock()
 			}
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		b.mu.Lock()
-		defer b.mu.Unlock()
+		backend.mu.Lock()
+		defer backend.mu.Unlock()
 		for _, id := range started {
-			e, came := ended[id], b.whole[call(id)]
+			e, came := ended[id], backend.complete[call(id)]
 			if came > 1 {
 				t.Fatalf("%s came %d times", call(id), came)
 			}
@@ -178,7 +180,7 @@
 				continue
 			}
 			if never := e.Result != admission.Rejected && e.Result.NeverRan(); never && came > 0 {
-				t.Fatalf("%s came whole, and its outcome is %v", call(id), e.Result)
+				t.Fatalf("%s came completely, and its outcome is %v", call(id), e.Result)
 			}
 			if e.Result == admission.Succeeded && string(e.Response.(*Response).Body) != call(id) {
 				t.Fatalf("%s was served %q", call(id), e.Response.(*Response).Body)
--- /dev/null
+++ b/internal/upstream/probe.go
@@ -0,0 +1,86 @@
+package upstream
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"net/url"
+	"time"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+)
+
+// probeTimeoutFactor is the timeout of a probe over that of a connect: a slower one is of no use.
+const probeTimeoutFactor = 2
+
+// Probe requests the load report of a backend, and posts the outcome as a core.ProbeFinished. Its
+// goroutine ends with the timeout at the latest.
+func (c *Client) Probe(e core.ProbeBackend) {
+	c.mu.Lock()
+	b := c.backend(e.Backend, e.Addr)
+	c.mu.Unlock()
+	go func() {
+		defer b.closeIdleIfClosed()
+		start := time.Now()
+		out := c.probe(b, e.Addr)
+		c.options.Post(&core.ProbeFinished{
+			Backend: e.Backend, Result: out.result, Latency: time.Since(start), Report: out.report,
+		})
+	}()
+}
+
+func (c *Client) probe(b *backend, addr string) outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeoutFactor*c.options.ConnectTimeout)
+	defer cancel()
+	var conn *backendConn
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(info httptrace.GotConnInfo) {
+			if got, ok := info.Conn.(*backendConn); ok {
+				got.assign(nil)
+				conn = got
+			}
+		},
+		GotFirstResponseByte: func() { conn.responseBuffered() },
+	})
+	request := &http.Request{
+		Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: addr, Path: "/status/load"},
+		Header: http.Header{"User-Agent": nil}, Body: io.NopCloser(bytes.NewReader(nil)),
+	}
+	response, err := b.transport.RoundTrip(request.WithContext(ctx))
+	if err != nil {
+		if ctx.Err() != nil {
+			return outcome{result: admission.TimedOut}
+		}
+		return outcome{result: admission.Unreachable}
+	}
+	defer func() { _ = response.Body.Close() }() // it was read to its end, or its connection is closed
+	return c.receiveProbe(conn, response)
+}
+
+// receiveProbe reads the response to a probe whose head has come.
+func (c *Client) receiveProbe(conn *backendConn, response *http.Response) outcome {
+	if begun, _ := conn.progress(nil); !begun { // see receive
+		_ = conn.Close()
+		return outcome{result: admission.Unreachable}
+	}
+	err := errResponseUnframed
+	var body []byte
+	if isFramed(response) {
+		body, err = readBody(response)
+	}
+	if err != nil {
+		_ = conn.Close() // where the next response begins on it is not known
+		return outcome{result: admission.ConnectionLost}
+	}
+	if response.StatusCode != http.StatusOK {
+		return outcome{result: admission.Errored}
+	}
+	texts := response.Header["X-Load-Report"]
+	if len(texts) == 0 {
+		texts = []string{string(body)}
+	}
+	return outcome{result: admission.Succeeded, report: parseLoadReport(texts, c.options.LoadReportFields)}
+}
--- /dev/null
+++ b/internal/upstream/request_test.go
@@ -0,0 +1,74 @@
+package upstream
+
+import (
+	"net/http"
+	"reflect"
+	"testing"
+
+	"lemongate/internal/admission"
+)
+
+// http.Transport repeats a GET, and whatever has Idempotency-Key, by itself when a kept connection breaks:
+// an attempt that nobody decided on.
+func TestNotRepeated(t *testing.T) {
+	for name, in := range map[string]*Request{
+		"GET":   get,
+		"keyed": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id2", Key: "k", Body: []byte("x")},
+		"empty": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id3", Key: "k"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			backend := startBackend(t, response("200 OK", "", ""), "", response("200 OK", "", ""))
+			client := newTestClient(backend.listener.Addr().String())
+			defer client.Close()
+			client.attempt(in)
+			if got := client.attempt(in); got.Result != admission.ConnectionLost {
+				t.Errorf("result %v, want connection lost", got.Result)
+			}
+			first, second := <-backend.requests, <-backend.requests
+			if first.conn != second.conn {
+				t.Fatal("the connection was not kept, so nothing is shown")
+			}
+			if len(backend.requests) != 0 {
+				t.Errorf("repeated: %v", <-backend.requests)
+			}
+		})
+	}
+}
+
+// What identifies a request is forwarded as it came, and nothing is added that would change the response.
+func TestRequestForwardedUnchanged(t *testing.T) {
+	backend := startBackend(t, response("200 OK", "Content-Type: a/b\r\n", "x"))
+	client := newTestClient(backend.listener.Addr().String())
+	defer client.Close()
+	in := &Request{
+		Method: "POST", URI: "/post//a%2Fb/../00000000b4d65521?q=%41&&;x", Host: "backend.local",
+		CallID: "9b1f03aa5c7e2d41", Key: "5c0f", Type: "text/x", Body: []byte("12345"),
+	}
+	if served := client.attempt(in).Response.(*Response); served.Type != "a/b" {
+		t.Errorf("type %q", served.Type)
+	}
+	got := <-backend.requests
+	want := http.Header{
+		"X-Call-Id": {in.CallID}, "Idempotency-Key": {in.Key}, "Content-Type": {in.Type},
+		"X-Budget": {"1234m"}, "Content-Length": {"5"},
+	}
+	if got.request.Method != in.Method || got.request.RequestURI != in.URI || got.request.Host != in.Host ||
+		got.body != "12345" || !reflect.DeepEqual(got.request.Header, want) {
+		t.Errorf("%s %s %s %q %v", got.request.Method, got.request.RequestURI, got.request.Host, got.body, got.request.Header)
+	}
+}
+
+// A request without a body is sent without one, in no framing of any kind.
+func TestNoBody(t *testing.T) {
+	for _, method := range []string{"GET", "POST"} {
+		backend := startBackend(t, response("200 OK", "", ""))
+		client := newTestClient(backend.listener.Addr().String())
+		client.attempt(&Request{Method: method, URI: get.URI, Host: get.Host, CallID: "id4"})
+		got := <-backend.requests
+		want := http.Header{"X-Call-Id": {"id4"}, "X-Budget": {"1234m"}}
+		if !reflect.DeepEqual(got.request.Header, want) || got.request.TransferEncoding != nil || got.body != "" {
+			t.Errorf("%s: %v, encoding %v, body %q", method, got.request.Header, got.request.TransferEncoding, got.body)
+		}
+		client.Close()
+	}
+}
--- /dev/null
+++ b/internal/upstream/response_test.go
@@ -0,0 +1,112 @@
+package upstream
+
+import (
+	"bytes"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lemongate/internal/admission"
+)
+
+// What came back, or did not, has the result that it proves.
+func TestOutcomes(t *testing.T) {
+	long := strings.Repeat("x", maxBodyBytes+1)
+	for name, c := range map[string]struct {
+		response string
+		want     admission.Result
+		report   []float64
+	}{
+		"served":                {response("200 OK", "X-Load-Report: TEXT util=0.5, latency_ms=7\r\n", "hello"), admission.Succeeded, []float64{7, 0.5}},
+		"chunked":               {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", admission.Succeeded, nil},
+		"error":                 {response("500 Oops", "X-Load-Report: TEXT util=1, latency_ms=9\r\n", ""), admission.Errored, []float64{9, 1}},
+		"rejected 503":          {response("503 Full", "X-Rejected: 1\r\n", ""), admission.Rejected, nil},
+		"rejected 504":          {response("504 Over", "X-Rejected: 1\r\n", ""), admission.Rejected, nil},
+		"503 of another sender": {response("503 Full", "", ""), admission.Errored, nil},
+		"rejected 500":          {response("500 Oops", "X-Rejected: 1\r\n", ""), admission.Errored, nil},
+		"redirect":              {response("302 Found", "Location: /elsewhere\r\n", ""), admission.Errored, nil},
+		"closed":                {"", admission.ConnectionLost, nil},
+		"cut off":               {"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ncut off", admission.ConnectionLost, nil},
+		"chunk cut off":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n99\r\ncut off", admission.ConnectionLost, nil},
+		"too long":              {response("200 OK", "", long), admission.ConnectionLost, nil},
+		"too many chunks":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + long + "\r\n0\r\n\r\n", admission.ConnectionLost, nil},
+		"no HTTP":               {"what?\r\n\r\n", admission.ConnectionLost, nil},
+		"head without end":      {"HTTP/1.1 200 OK\r\nX-Y", admission.ConnectionLost, nil},
+		"too short":             {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", admission.ConnectionLost, nil},
+		"two lengths":           {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nhello", admission.ConnectionLost, nil},
+		"length below 0":        {"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello", admission.ConnectionLost, nil},
+		"no length":             {"HTTP/1.1 200 OK\r\n\r\nhello", admission.ConnectionLost, nil},
+		"no length, ended":      {"HTTP/1.1 200 OK\r\n\r\ncut off", admission.ConnectionLost, nil},
+		"3 GB":                  {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello", admission.ConnectionLost, nil},
+		"101":                   {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n", admission.ConnectionLost, nil},
+		"1xx ahead":             {"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + response("200 OK", "", "hello"), admission.Succeeded, nil},
+		"copy behind":           {response("200 OK", "", "hello") + response("200 OK", "", "hello"), admission.Succeeded, nil},
+		"noise behind":          {response("200 OK", "", "hello") + "\x00\xff?", admission.Succeeded, nil},
+		"bad report":            {response("200 OK", "X-Load-Report: TEXT util=x, latency_ms=7\r\n", "hello"), admission.Succeeded, nil},
+		"two reports":           {response("200 OK", "X-Load-Report: TEXT util=1, latency_ms=7\r\nX-Load-Report: TEXT util=1, latency_ms=7\r\n", "hello"), admission.Succeeded, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client := newTestClient(startBackend(t, c.response).listener.Addr().String(), func(o *Options) { o.ResponseTimeout = 20 * time.Millisecond })
+			defer client.Close()
+			got := client.attempt(get)
+			invalid := c.want == admission.ConnectionLost && c.response != closeInstead
+			if got.ResponseInvalid != invalid {
+				t.Errorf("response invalid %v, want %v", got.ResponseInvalid, invalid)
+			}
+			if got.Result != c.want || !reflect.DeepEqual(got.Report, c.report) {
+				t.Errorf("result %v, report %v; want %v, %v", got.Result, got.Report, c.want, c.report)
+			}
+			if got.Result == admission.Succeeded && string(got.Response.(*Response).Body) != "hello" {
+				t.Errorf("body %q", got.Response.(*Response).Body)
+			}
+		})
+	}
+}
+
+// A body of known length is read to its end, so that its connection is kept.
+func TestReadBodyKeepsConnection(t *testing.T) {
+	body := bytes.Repeat([]byte("x"), maxBodyBytes)
+	backend := startBackend(t, response("200 OK", "", string(body)), response("200 OK", "", ""))
+	client := newTestClient(backend.listener.Addr().String())
+	defer client.Close()
+	if got := client.attempt(get).Response.(*Response); !bytes.Equal(got.Body, body) {
+		t.Errorf("%d bytes", len(got.Body))
+	}
+	client.attempt(get)
+	if a, b := <-backend.requests, <-backend.requests; a.conn != b.conn {
+		t.Error("a new connection was made")
+	}
+}
+
+// A copy of a response, noise, or half a head that came behind a response is never the response to the next
+// attempt on that connection, also where http.Transport has it in its buffer already; that attempt goes to
+// another connection instead, and nothing of it is written to the first.
+func TestNoLeftOverResponse(t *testing.T) {
+	old := response("200 OK", "", "old")
+	for name, extra := range map[string]string{
+		"copy": old, "two copies": old + old, "noise": "\x00\xff\r\n", "half a head": "HTTP/1.1 200 OK\r\nX-Y: ",
+		"head": "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", "1xx": "HTTP/1.1 102 Processing\r\n\r\n", "a byte": "H",
+	} {
+		t.Run(name, func(t *testing.T) {
+			for _, first := range []string{"old", ""} { // without a body the connection is free before the response is returned
+				backend := startBackend(t, response("200 OK", "", first)+extra, response("200 OK", "", "new"), response("200 OK", "", "new"))
+				client := newTestClient(backend.listener.Addr().String())
+				for range 2 { // at once, so that it races with the transport's own check
+					got := client.attempt(get)
+					if got.Result != admission.Succeeded {
+						t.Fatalf("result %v", got.Result)
+					}
+					if body := string(got.Response.(*Response).Body); body != first {
+						t.Fatalf("response %q", body)
+					}
+					first = "new"
+				}
+				if a, b := <-backend.requests, <-backend.requests; a.conn == b.conn {
+					t.Error("the connection was used again")
+				}
+				client.Close()
+			}
+		})
+	}
+}
