--- a/internal/httpserver/crossing_test.go
+++ b/internal/httpserver/crossing_test.go
@@ -14,203 +14,181 @@
 	"time"
 
 	"lemongate/internal/core"
+	"lemongate/internal/testnet"
 	"lemongate/internal/upstream"
 )
 
-// A limiter that stood still finds sessions idle for long with a req in the socket. None of these is
-// closed, for want of use, for room or at the end: the req is read and answered.
-func TestReqInTheSocketIsNotClosedOver(t *testing.T) {
-	for name, pick := range map[string]func(*sessions) closing{
-		"sweep":  func(a *sessions) closing { return a.oldest(idle, idleAtLeast) },
-		"victim": func(a *sessions) closing { return a.victim() },
-		"end":    func(a *sessions) closing { return a.oldest(idle, 0) },
+// A limiter that was suspended finds connections idle for long with a request in the socket. None of these
+// is closed, for want of use, for room or at a shutdown: the request is read and answered.
+func TestNotClosedOverRequestInSocket(t *testing.T) {
+	for name, selected := range map[string]func(*connSet) evicted{
+		"sweep": func(conns *connSet) evicted { return conns.evictLongest(stateIdle, minIdleTime) },
+		"room":  (*connSet).evictLeastUseful,
+		"drain": func(conns *connSet) evicted { return conns.evictLongest(stateIdle, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r, past := bounded(t, 8)
-			s := r.session(t)
-			s.ready()
-			r.state(idle, 1)
+			server, past := startBoundedServer(t, 8)
+			client := server.connect(t)
+			client.requestReady()
+			server.awaitState(stateIdle, 1)
 			past.Add(int64(time.Minute))
-			l := r.Server.sessions.Load()
-			l.mu.Lock() // the reader cannot get to what comes
-			all := l.lists[idle].Front().Value.(*session)
-			s.send(good)
-			for !all.waits() {
-				time.Sleep(time.Millisecond)
-			}
-			out := pick(l)
-			l.mu.Unlock()
-			out.finish()
-			ev, ok := (<-r.events).(*core.RequestReceived)
+			server.evict(func(conns *connSet) evicted { // the reader cannot get to what comes meanwhile
+				idle := conns.byState[stateIdle].Front().Value.(*clientConn)
+				client.send(good)
+				for !idle.hasInput() {
+					time.Sleep(time.Millisecond)
+				}
+				return selected(conns)
+			})
+			ev, ok := (<-server.events).(*core.RequestReceived)
 			if !ok {
-				t.Fatal("closed over a req")
-			}
-			r.Respond(core.Respond{Request: ev.ID, Kind: core.Rejected})
-			if resp, _ := s.answer(); resp.StatusCode != 429 {
-				t.Errorf("%d", resp.StatusCode)
+				t.Fatal("closed over a request")
 			}
+			server.reject(ev.ID)
+			client.expectRejected()
 		})
 	}
 }
 
-// A req that was read whole, but is not posted yet, is spared however long that takes; one that is
-// stuck half way is not.
-func TestWholeReqIsNotClosedForRoom(t *testing.T) {
+// A connection whose request was read completely, but is not posted yet, is not closed however long that
+// takes.
+func TestNotEvictedWithCompleteRequest(t *testing.T) {
 	read, post := make(chan bool), make(chan bool)
-	var r *rig
 	past := time.Duration(0)
 	start := time.Now()
-	r = serve(t, func(o *Options) {
+	server := startServer(t, func(o *Options) {
 		o.MaxConns = 1
 		o.Wall = func() time.Time { return start.Add(past) }
 		o.Now = func() time.Duration { read <- true; <-post; return 42 }
 	})
-	s := r.session(t)
-	s.send(good)
+	client := server.connect(t)
+	client.send(good)
 	<-read
-	l := r.Server.sessions.Load()
-	l.mu.Lock()
-	past = time.Minute
-	out := l.victim()
-	l.mu.Unlock()
-	out.finish()
+	server.evict(func(conns *connSet) evicted {
+		past = time.Minute
+		return conns.evictLeastUseful()
+	})
 	post <- true
-	ev, ok := (<-r.events).(*core.RequestReceived)
+	ev, ok := (<-server.events).(*core.RequestReceived)
 	if !ok {
-		t.Fatal("closed with a req read whole")
-	}
-	r.Respond(core.Respond{Request: ev.ID, Kind: core.Rejected})
-	if resp, _ := s.answer(); resp.StatusCode != 429 {
-		t.Errorf("%d", resp.StatusCode)
+		t.Fatal("closed with a complete request")
 	}
+	server.reject(ev.ID)
+	client.expectRejected()
 }
 
-func TestHalfReqMakesRoom(t *testing.T) {
-	r, past := bounded(t, 1)
-	s := r.session(t)
-	s.send(goodHead)
-	r.state(reading, 1)
-	l := r.Server.sessions.Load()
-	for parked := false; !parked; time.Sleep(time.Millisecond) {
-		l.mu.Lock()
-		parked = l.lists[reading].Front().Value.(*session).parked
-		l.mu.Unlock()
-	}
-	past.Add(int64(halfFor))
-	usual := r.session(t)
-	usual.ready()
-	s.ended()
+// A connection that is stuck in the middle of a request is closed for another.
+func TestHalfRequestIsEvicted(t *testing.T) {
+	server, past := startBoundedServer(t, 1)
+	client := server.connect(t)
+	client.send(goodHead)
+	server.awaitState(stateReading, 1)
+	server.awaitReaderWaits()
+	past.Add(int64(stuckReadingTime))
+	usual := server.connect(t)
+	usual.requestReady()
+	client.expectClose()
 }
 
-// A client that ends its sending counts as gone, as nothing tells the two apart: its req is withdrawn.
-// It reads on, so it gets the one answer there is to such a req, which is none that a backend made.
-func TestHalfClosedIsAnswered(t *testing.T) {
-	r := serve(t)
-	s := r.session(t)
-	s.send(good)
-	id := (<-r.events).(*core.RequestReceived).ID
-	s.conn.(*net.TCPConn).CloseWrite()
-	if ev := (<-r.events).(*core.ClientDisconnected); ev.Request != id {
+// A client that ends its sending counts as disconnected, which looks the same: its request is withdrawn. It
+// reads on, so it gets the one response there is to such a request, a local reply.
+func TestHalfClosedConnIsAnswered(t *testing.T) {
+	server := startServer(t)
+	client := server.connect(t)
+	client.send(good)
+	id := (<-server.events).(*core.RequestReceived).ID
+	client.closeWrite()
+	if ev := (<-server.events).(*core.ClientDisconnected); ev.Request != id {
 		t.Errorf("%+v", ev)
 	}
-	r.Respond(core.Respond{Request: id, Kind: core.Rejected})
-	if resp, _ := s.answer(); resp.StatusCode != 429 {
-		t.Errorf("%d", resp.StatusCode)
-	}
-	s.ended()
+	server.reject(id)
+	client.expectRejected()
+	client.expectClose()
 }
 
-// An answer that crosses the end of a client's sending is written.
-func TestAnswerCrossesHalfClose(t *testing.T) {
-	var r *rig
-	r = serve(t, func(o *Options) {
+// A response that crosses the end of a client's sending is written.
+func TestResponseCrossesHalfClose(t *testing.T) {
+	var server *testServer
+	server = startServer(t, func(o *Options) {
 		post := o.Post
 		o.Post = func(ev core.Event) {
-			if left, ok := ev.(*core.ClientDisconnected); ok { // it was answered by then
-				r.Respond(core.Respond{Request: left.Request, Kind: core.Served, Response: &upstream.Response{Body: []byte("yes")}})
+			if disconnected, ok := ev.(*core.ClientDisconnected); ok { // it was answered by then
+				server.Respond(core.Respond{Request: disconnected.Request, Kind: core.Served, Response: &upstream.Response{Body: []byte("yes")}})
 				return
 			}
 			post(ev)
 		}
 	})
-	s := r.session(t)
-	s.send(good)
-	<-r.events
-	s.conn.(*net.TCPConn).CloseWrite()
-	if resp, body := s.answer(); resp.StatusCode != 200 || body != "yes" {
+	client := server.connect(t)
+	client.send(good)
+	<-server.events
+	client.closeWrite()
+	if resp, body := client.response(); resp.StatusCode != 200 || body != "yes" {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
 }
 
-// A req that came together with the one before is in the server's buffer, not in the socket. Its session
-// is not between reqs, and is closed for nobody.
-func TestReqInTheBufferIsNotClosedOver(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	start := time.Now() // stands still, or a sweep would close it
-	r := build(l, func(o *Options) { o.MaxConns, o.Wall = 1, func() time.Time { return start } })
-	over, rested := make(chan bool), make(chan bool)
-	rest := r.server.ConnState
-	r.server.ConnState = func(c net.Conn, state http.ConnState) {
-		if rest(c, state); state == http.StateIdle {
-			over <- true
-			<-rested
+// A request that came together with the one before is in the buffer of net/http, not in the socket. Its
+// connection is not between requests, and is not closed for another.
+func TestNotClosedOverRequestInBuffer(t *testing.T) {
+	l := testnet.Listen(t)
+	start := time.Now() // the time does not go on, or a sweep would close it
+	server := newTestServer(l, func(o *Options) { o.MaxConns, o.Wall = 1, func() time.Time { return start } })
+	answered, goOn := make(chan bool), make(chan bool)
+	connState := server.server.ConnState
+	server.server.ConnState = func(c net.Conn, state http.ConnState) {
+		connState(c, state)
+		if state == http.StateIdle {
+			answered <- true
+			<-goOn
 		}
 	}
-	r.run(t, l)
-	s := r.session(t)
-	s.send(good + strings.Replace(good, "9b1f", "0000", 1))
-	r.Respond(core.Respond{Request: (<-r.events).(*core.RequestReceived).ID, Kind: core.Rejected})
-	s.answer()
-	<-over
-	all := r.Server.sessions.Load()
-	all.mu.Lock()
-	out := all.victim()
-	all.mu.Unlock()
-	out.finish()
-	all.end()
-	rested <- true
-	ev, ok := (<-r.events).(*core.RequestReceived)
+	server.run(t, l)
+	client := server.connect(t)
+	client.send(good + strings.Replace(good, "9b1f", "0000", 1))
+	server.reject((<-server.events).(*core.RequestReceived).ID)
+	client.response()
+	<-answered
+	server.evict((*connSet).evictLeastUseful)
+	server.connSet().drain()
+	goOn <- true
+	ev, ok := (<-server.events).(*core.RequestReceived)
 	if !ok {
-		t.Fatal("closed over a req in the buffer")
-	}
-	r.Respond(core.Respond{Request: ev.ID, Kind: core.Rejected})
-	if resp, _ := s.answer(); resp.StatusCode != 429 {
-		t.Errorf("%d", resp.StatusCode)
+		t.Fatal("closed over a request in the buffer")
 	}
-	<-over
-	rested <- true
-	s.ended() // as it gets between reqs
+	server.reject(ev.ID)
+	client.expectRejected()
+	<-answered
+	goOn <- true
+	client.expectClose() // as it becomes idle
 }
 
-// A client that sends many reqs at once and goes has gone, whatever it sent behind the first: that one is
-// withdrawn at once, and the others come as those of a client that left, or not at all.
-func TestSendsMuchAndGoes(t *testing.T) {
-	for name, n := range map[string]int{"in the server's buffer": 3, "read ahead": 30} {
+// A client that sends many requests at once and disconnects has gone, whatever it sent behind the first: that
+// one is withdrawn at once, and the others come as those of a client that has disconnected, or not at all.
+func TestPipelinesAndDisconnects(t *testing.T) {
+	for name, n := range map[string]int{"in the buffer of net/http": 3, "read ahead": 30} {
 		t.Run(name, func(t *testing.T) {
-			r := serve(t)
-			s := r.session(t)
-			all := ""
+			server := startServer(t)
+			client := server.connect(t)
+			var requests strings.Builder
 			for i := range n {
-				all += strings.Replace(good, "9b1f", fmt.Sprintf("%04x", i), 1)
+				requests.WriteString(strings.Replace(good, "9b1f", fmt.Sprintf("%04x", i), 1))
 			}
-			s.send(all)
-			first := (<-r.events).(*core.RequestReceived)
-			s.conn.Close()
-			if left, ok := (<-r.events).(*core.ClientDisconnected); !ok || left.Request != first.ID {
-				t.Fatalf("posted %+v", left)
+			client.send(requests.String())
+			first := (<-server.events).(*core.RequestReceived)
+			client.close()
+			if ev, ok := (<-server.events).(*core.ClientDisconnected); !ok || ev.Request != first.ID {
+				t.Fatalf("posted %+v", ev)
 			}
-			r.Respond(core.Respond{Request: first.ID, Kind: core.Rejected})
-			for r.Conns() > 0 {
+			server.reject(first.ID)
+			for server.Conns() > 0 {
 				select {
-				case ev := <-r.events:
+				case ev := <-server.events:
 					next, ok := ev.(*core.RequestReceived)
 					if !ok || !next.Disconnected {
 						t.Fatalf("posted %+v", ev)
 					}
-					r.Respond(core.Respond{Request: next.ID, Kind: core.Rejected})
+					server.reject(next.ID)
 				case <-time.After(time.Millisecond):
 				}
 			}
@@ -218,314 +196,271 @@
 	}
 }
 
-// Beyond a bound nothing is read ahead: a client that floods costs no memory, and its reqs are answered in turn.
-func TestFloodIsNotReadAhead(t *testing.T) {
-	r := serve(t)
-	s := r.session(t)
+// Beyond a bound nothing is read ahead: a client that pipelines many requests costs no memory, and they are
+// answered in turn.
+func TestReadAheadOfPipelinedRequests(t *testing.T) {
+	server := startServer(t)
+	client := server.connect(t)
 	const n = 400
 	go func() {
 		for i := range n {
-			s.send(strings.Replace(good, "9b1f", fmt.Sprintf("%04x", i), 1))
+			client.send(strings.Replace(good, "9b1f", fmt.Sprintf("%04x", i), 1))
 		}
 	}()
 	for i := range n {
-		ev := (<-r.events).(*core.RequestReceived)
+		ev := (<-server.events).(*core.RequestReceived)
 		if want := fmt.Sprintf("%04x03aa5c7e2d41", i); ev.CallID != want {
 			t.Fatalf("%s came where %s is due", ev.CallID, want)
 		}
-		l := r.Server.sessions.Load()
-		l.mu.Lock()
-		if got := len(l.lists[busy].Front().Value.(*session).ahead); got >= aheadMost+4<<10 {
+		conns := server.connSet()
+		conns.mu.Lock()
+		if got := len(conns.byState[stateBusy].Front().Value.(*clientConn).readAhead); got >= maxReadAhead+4<<10 {
 			t.Errorf("%d bytes read ahead", got)
 		}
-		l.mu.Unlock()
-		r.Respond(core.Respond{Request: ev.ID, Kind: core.Rejected})
-		s.answer()
+		conns.mu.Unlock()
+		server.reject(ev.ID)
+		client.response()
 	}
 }
 
-// A limiter that stood still finds the time for a read over and what was to be read in the socket. It
+// A limiter that was suspended finds the deadline of a read passed and what was to be read in the socket. It
 // reads that.
-func TestTimeIsOverOnlyOverNothing(t *testing.T) {
-	r := serve(t)
-	near, far := pair(t)
-	l := r.Server.sessions.Load()
-	s := l.admit(near, silent)
-	io.WriteString(far, "GET")
-	for waits := false; !waits; time.Sleep(time.Millisecond) {
-		l.mu.Lock()
-		waits = s.waits()
-		l.mu.Unlock()
+func TestDeadlinePassesOnlyWithoutInput(t *testing.T) {
+	server := startServer(t)
+	accepted, dialed := testnet.Pair(t)
+	conns := server.connSet()
+	conn := conns.admit(accepted, stateNew)
+	newTestClient(t, dialed).send("GET")
+	for hasInput := false; !hasInput; time.Sleep(time.Millisecond) {
+		conns.mu.Lock()
+		hasInput = conn.hasInput()
+		conns.mu.Unlock()
+	}
+	if err := conn.SetReadDeadline(time.Unix(1, 0)); err != nil {
+		t.Fatal(err)
 	}
-	s.SetReadDeadline(time.Unix(1, 0))
 	p := make([]byte, 8)
-	if n, err := s.Read(p); string(p[:n]) != "GET" || err != nil {
+	if n, err := conn.Read(p); string(p[:n]) != "GET" || err != nil {
 		t.Errorf("read %q, %v", p[:n], err)
 	}
-	if n, err := s.Read(p); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+	if n, err := conn.Read(p); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read %q, %v where there is nothing", p[:n], err)
 	}
-	far.Close()
+	_ = dialed.Close()
 	for eof := false; !eof; time.Sleep(time.Millisecond) {
-		_, err := s.Read(p)
-		eof = err == io.EOF
+		_, err := conn.Read(p)
+		eof = errors.Is(err, io.EOF)
 	}
 }
 
-// Small writes leave at once, also of sessions that another process gave away: held back by the system,
-// they would be lost at a close over unread bytes.
-func TestNothingIsHeldBack(t *testing.T) {
-	r := serve(t)
-	near, _ := pair(t)
-	f, err := near.File()
+// Small writes are sent at once, also on connections that another process handed over: delayed by the
+// system, they would be lost at a close over unread bytes.
+func TestNoDelay(t *testing.T) {
+	server := startServer(t)
+	accepted, _ := testnet.Pair(t)
+	file, err := accepted.File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	adopted, err := net.FileConn(f)
-	if f.Close(); err != nil {
+	adopted, err := net.FileConn(file)
+	_ = file.Close() // the connection has a descriptor of its own
+	if err != nil {
 		t.Fatal(err)
 	}
-	go r.AdoptConn(adopted)
-	r.state(idle, 1)
-	r.session(t)
-	r.state(silent, 1)
-	l := r.Server.sessions.Load()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, state := range []sessionState{idle, silent} {
-		s := l.lists[state].Front().Value.(*session)
+	go server.AdoptConn(adopted)
+	server.awaitState(stateIdle, 1)
+	server.connect(t)
+	server.awaitState(stateNew, 1)
+	conns := server.connSet()
+	conns.mu.Lock()
+	defer conns.mu.Unlock()
+	for _, state := range []connState{stateIdle, stateNew} {
+		conn := conns.byState[state].Front().Value.(*clientConn)
 		noDelay := 0
-		s.raw.Control(func(fd uintptr) {
+		controlErr := conn.raw.Control(func(fd uintptr) {
 			noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		})
-		if noDelay == 0 || err != nil {
-			t.Errorf("%v session: TCP_NODELAY %d, %v", state, noDelay, err)
+		if noDelay == 0 || err != nil || controlErr != nil {
+			t.Errorf("%v connection: TCP_NODELAY %d, %v, %v", state, noDelay, err, controlErr)
 		}
 	}
 }
 
-// Who has connected as the front closes is taken in, however many wait in the system's queue: a close
-// there would reset them.
-func TestQueueIsTakenInAtTheEnd(t *testing.T) {
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	h := &held{inner.(*net.TCPListener), make(chan bool, 4), make(chan bool)}
-	r := serveOn(t, h)
-	var queue []*client
-	for range 4 { // the first is given out and held, the others wait
-		s := r.session(t)
-		s.send(good)
-		queue = append(queue, s)
-	}
-	<-h.got
-	gone := make(chan bool)
-	go func() { r.Close(10 * time.Second); close(gone) }()
-	<-r.Server.sessions.Load().stop
-	close(h.give)
+// Clients that have connected as the server closes are accepted, however many wait in the system's queue: a
+// close there would reset them.
+func TestQueuedConnsAreAcceptedAtClose(t *testing.T) {
+	l := &heldListener{testnet.Listen(t), make(chan bool, 4), make(chan bool)}
+	server := startServerOn(t, l)
+	var queue []*testClient
+	for range 4 { // the first is accepted and held, the others wait
+		client := server.connect(t)
+		client.send(good)
+		queue = append(queue, client)
+	}
+	<-l.accepted
+	closed := make(chan bool)
+	go func() { server.Close(10 * time.Second); close(closed) }()
+	<-server.connSet().stopped
+	close(l.release)
 	for range queue {
-		r.Respond(core.Respond{Request: (<-r.events).(*core.RequestReceived).ID, Kind: core.Rejected})
+		server.reject((<-server.events).(*core.RequestReceived).ID)
 	}
-	for _, s := range queue {
-		if resp, _ := s.answer(); resp.StatusCode != 429 {
-			t.Errorf("%d", resp.StatusCode)
-		}
-		s.conn.Close()
+	for _, client := range queue {
+		client.expectRejected()
+		client.close()
 	}
-	<-gone
-	if c, err := net.Dial("tcp", r.addr); err == nil {
-		c.Close()
+	<-closed
+	if c, err := net.Dial("tcp", server.addr); err == nil {
+		_ = c.Close() // it should not be there
 		t.Error("still accepts")
 	}
 }
 
-// Shortly before its end a front reads no more of any req. What is whole by then is answered, and what
-// comes later was not read: it is not sent on, and its client is told so by the close.
-func TestLastCall(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := build(l)
-	r.lastCall, r.server.ReadHeaderTimeout = time.Hour, time.Hour
-	r.run(t, l)
-	busy, between, never, half := r.session(t), r.session(t), r.session(t), r.session(t)
+// Shortly before its end a server reads no more of any request. What is complete by then is answered, and
+// what comes later was not read: it is not forwarded, and the close shows that to its client.
+func TestNoReadsShortlyBeforeClose(t *testing.T) {
+	l := testnet.Listen(t)
+	server := newTestServer(l)
+	server.finalReadMargin, server.server.ReadHeaderTimeout = time.Hour, time.Hour
+	server.run(t, l)
+	busy, between, never, half := server.connect(t), server.connect(t), server.connect(t), server.connect(t)
 	busy.send(good)
-	id := (<-r.events).(*core.RequestReceived).ID
-	between.ready()
+	id := (<-server.events).(*core.RequestReceived).ID
+	between.requestReady()
 	half.send(goodHead)
-	r.state(idle, 1)
-	r.state(silent, 1)
-	all := r.Server.sessions.Load()
-	for parked := false; !parked; time.Sleep(time.Millisecond) {
-		all.mu.Lock()
-		if e := all.lists[reading].Front(); e != nil {
-			parked = e.Value.(*session).parked
+	server.awaitState(stateIdle, 1)
+	server.awaitState(stateNew, 1)
+	server.awaitReaderWaits()
+	closed := make(chan bool)
+	go func() { server.Close(time.Minute); close(closed) }()
+	for _, client := range []*testClient{between, never, half} {
+		client.expectClose()
+		client.send(good)
+	}
+	server.reject(id)
+	busy.expectRejected()
+	busy.close()
+	<-closed
+	for len(server.events) > 0 {
+		if ev, ok := (<-server.events).(*core.RequestReceived); ok {
+			t.Errorf("read shortly before the end: %+v", ev)
 		}
-		all.mu.Unlock()
 	}
-	gone := make(chan bool)
-	go func() { r.Close(time.Minute); close(gone) }()
-	for _, s := range []*client{between, never, half} {
-		s.ended()
-		s.send(good)
-	}
-	r.Respond(core.Respond{Request: id, Kind: core.Rejected})
-	if resp, _ := busy.answer(); resp.StatusCode != 429 {
-		t.Errorf("%d", resp.StatusCode)
-	}
-	busy.conn.Close()
-	<-gone
-	for len(r.events) > 0 {
-		if ev, ok := (<-r.events).(*core.RequestReceived); ok {
-			t.Errorf("read after the last call: %+v", ev)
-		}
-	}
-}
-
-// pair gives both ends of a connection.
-func pair(t *testing.T) (near, far *net.TCPConn) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	out, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	in, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { in.Close(); out.Close() })
-	return in.(*net.TCPConn), out.(*net.TCPConn)
 }
 
-// held is a listener that keeps the connection it was given back for a while.
-type held struct {
+// A heldListener holds each connection that it has accepted until the test releases it.
+type heldListener struct {
 	*net.TCPListener
-	got, give chan bool
+	accepted, release chan bool
 }
 
-func (h *held) Accept() (net.Conn, error) {
-	c, err := h.TCPListener.Accept()
+func (l *heldListener) Accept() (net.Conn, error) {
+	c, err := l.TCPListener.Accept()
 	if err == nil {
-		h.got <- true
-		<-h.give
+		l.accepted <- true
+		<-l.release
 	}
 	return c, err
 }
 
-// A connection that the system has given out as the front closes is a session like any other: its req
-// is answered before Close returns.
-func TestAcceptedAsItCloses(t *testing.T) {
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	h := &held{inner.(*net.TCPListener), make(chan bool), make(chan bool)}
-	r := serveOn(t, h)
-	s := r.session(t)
-	s.send(strings.Replace(good, "480m", "400m", 1))
-	<-h.got
-	gone := make(chan bool)
-	go func() { r.Close(10 * time.Second); close(gone) }()
+// A connection that the system has returned as the server closes is one like any other: its request is
+// answered before Close returns.
+func TestAcceptedDuringClose(t *testing.T) {
+	l := &heldListener{testnet.Listen(t), make(chan bool), make(chan bool)}
+	server := startServerOn(t, l)
+	client := server.connect(t)
+	client.send(strings.Replace(good, "480m", "400m", 1))
+	<-l.accepted
+	closed := make(chan bool)
+	go func() { server.Close(10 * time.Second); close(closed) }()
 	select {
-	case <-gone:
-		t.Error("closed with a session not counted")
+	case <-closed:
+		t.Error("closed with a connection not counted")
 	case <-time.After(50 * time.Millisecond):
 	}
-	h.give <- true
-	r.Respond(core.Respond{Request: (<-r.events).(*core.RequestReceived).ID, Kind: core.Rejected})
-	if resp, _ := s.answer(); resp.StatusCode != 429 {
-		t.Errorf("%d", resp.StatusCode)
-	}
-	s.conn.Close()
-	<-gone
+	l.release <- true
+	server.reject((<-server.events).(*core.RequestReceived).ID)
+	client.expectRejected()
+	client.close()
+	<-closed
 }
 
-// Bad clients of every kind hold no more than the bound on sessions, cost usual clients nothing, and once
-// they have gone nothing is left of them.
-func TestBadClientsHoldNothing(t *testing.T) {
-	r, past := bounded(t, 16)
-	<-r.Server.serves
-	l := r.Server.sessions.Load()
-	l.mu.Lock()
-	l.patient = time.Minute // however late a usual client gets to run
-	l.mu.Unlock()
-	go func() {
-		for ev := range r.events {
+// Bad clients of every kind have no more connections than the bound, cost usual clients nothing, and once they
+// have gone nothing is left of them.
+func TestBadClientsLeaveNothing(t *testing.T) {
+	server, past := startBoundedServer(t, 16)
+	server.setPatience(time.Minute) // however late a usual client gets to run
+	go func() {                     // ends with the test program: nobody closes the channel
+		for ev := range server.events {
 			if ev, ok := ev.(*core.RequestReceived); ok {
-				r.Respond(core.Respond{Request: ev.ID, Kind: core.Rejected})
+				server.reject(ev.ID)
 			}
 		}
 	}()
-	first := r.session(t)
-	first.ready()
-	r.state(idle, 1) // so all that the front itself needs runs by now
+	first := server.connect(t)
+	first.requestReady()
+	server.awaitState(stateIdle, 1) // so all that the server itself needs runs by now
 	before := runtime.NumGoroutine() - 1
 	many := strings.Repeat(good, 200)
-	all := []net.Conn{first.conn}
+	clients := []*testClient{first}
 	for i := range 150 {
-		s := r.session(t)
-		all = append(all, s.conn)
+		client := server.connect(t)
+		clients = append(clients, client)
 		switch i % 6 {
-		case 0: // says nothing
+		case 0: // sends nothing
 		case 1:
-			s.send(goodHead[:i])
+			client.send(goodHead[:i])
 		case 2:
-			s.send("\x00\xff" + strings.Repeat("x", 5000))
+			client.send("\x00\xff" + strings.Repeat("x", 5000))
 		case 3:
-			s.send(goodHead + "Content-Length: 60000\n\n123")
+			client.send(goodHead + "Content-Length: 60000\n\n123")
 		case 4:
-			go s.send(many) // and reads nothing
+			go client.send(many) // and reads nothing
 		case 5:
-			s.send(many[:20000])
-			s.conn.(*net.TCPConn).SetLinger(0)
-			s.conn.Close()
+			client.send(many[:20000])
+			client.closeWithReset()
 		}
-		past.Add(int64(halfFor) / 4)
-		if n := r.Conns(); n > 16+doorMost {
-			t.Fatalf("%d sessions", n)
+		past.Add(int64(stuckReadingTime) / 4)
+		if n := server.Conns(); n > 16+maxRejected {
+			t.Fatalf("%d connections", n)
 		}
 		if i%10 == 9 {
-			usual := r.session(t)
+			usual := server.connect(t)
 			usual.send(good)
-			if resp, _ := usual.answer(); resp.StatusCode != 429 {
+			if resp, _ := usual.response(); resp.StatusCode != 429 {
 				t.Errorf("a usual client: %d", resp.StatusCode)
 			}
-			usual.conn.Close()
+			usual.close()
 		}
 	}
-	for _, c := range all {
-		c.Close()
+	for _, client := range clients {
+		client.close()
 	}
-	for end := time.Now().Add(20 * time.Second); r.Conns() > 0 || runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); server.Conns() > 0 || runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d sessions left, %d goroutines where %d were", r.Conns(), runtime.NumGoroutine(), before)
+			t.Fatalf("%d connections left, %d goroutines where %d were", server.Conns(), runtime.NumGoroutine(), before)
 		}
 	}
 }
 
-// Whenever the server looks for its client's leave, a session holds no more than the bound of what was read ahead.
+// Whenever net/http looks whether its client has disconnected, a connection has no more than the bound read
+// ahead.
 func TestReadAheadIsBounded(t *testing.T) {
-	near, far := pair(t)
-	all := newSessions(nil, 0, time.Now)
-	s := all.admit(near, silent)
-	sent := strings.Repeat("0123456789", aheadMost/2)
-	io.WriteString(far, sent)
-	s.serves()
+	accepted, dialed := testnet.Pair(t)
+	conns := newConnSet(nil, 0, time.Now)
+	conn := conns.admit(accepted, stateNew)
+	sent := strings.Repeat("0123456789", maxReadAhead/2)
+	newTestClient(t, dialed).send(sent)
+	conn.startServing()
 	got := ""
-	for range 2 * aheadMost {
+	for range 2 * maxReadAhead {
 		var one [1]byte
-		if n, err := s.Read(one[:]); n != 1 || err != nil {
+		if n, err := conn.Read(one[:]); n != 1 || err != nil {
 			t.Fatal(n, err)
 		}
-		if got += string(one[:]); len(s.ahead) >= aheadMost+len(all.spare) {
-			t.Fatalf("%d bytes read ahead", len(s.ahead))
+		got += string(one[:])
+		if len(conn.readAhead) >= maxReadAhead+len(conns.scratch) {
+			t.Fatalf("%d bytes read ahead", len(conn.readAhead))
 		}
 	}
 	if got != sent[:len(got)] {
--- a/internal/httpserver/model_test.go
+++ b/internal/httpserver/model_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"flag"
 	"fmt"
 	"io"
 	"net"
@@ -16,70 +15,67 @@
 	"pgregory.net/rapid"
 
 	"lemongate/internal/core"
+	"lemongate/internal/rapidtest"
 	"lemongate/internal/upstream"
 )
 
-// TestMain fixes the seed, so that the steps are the same every time; how they cross is not.
+// TestMain fixes the seed, so that the steps are the same every time; how they interleave is not.
 func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true", "rapid.steps": "40"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
+	os.Exit(rapidtest.Main(m, "20261202", map[string]string{"rapid.steps": "40"}))
 }
 
-// onlooker is what clients and a reducer see of a front.
-type onlooker struct {
-	t    *rapid.T
-	r    *rig
-	all  []*member
-	n    int // reqs sent
-	ends bool
+// A model has clients of a server, and plays the part of the event loop.
+type model struct {
+	t        *rapid.T
+	server   *testServer
+	clients  []*modelClient
+	requests int // sent, at least in part
 
 	mu     sync.Mutex
-	open   map[string]core.RequestID // posted and not answered, by the client's name for it
+	open   map[string]core.RequestID // posted and not answered, by X-Call-Id
 	posted map[string]bool
 }
 
-// A member is a client and its session.
-type member struct {
-	*client
-	reqs []string // sent whole, in order
-	half string   // a req of which half was sent
-	shut bool     // it has ended its sending
-	gone bool     // it has left
-	read chan []string
+// A modelClient is a client with its connection, and what it has sent.
+type modelClient struct {
+	*testClient
+	calls        []string // of its requests, in order
+	rest         string   // of a request of which the other part was sent
+	writeClosed  bool     // it has ended its sending
+	disconnected bool
+	responses    chan []string // all that came, once the connection has ended
 }
 
-// hear plays the reducer's part in what a front posts: a client that left is answered.
-func (o *onlooker) hear(ev core.Event) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// maySend reports whether the client may begin a request.
+func (c *modelClient) maySend() bool { return !c.writeClosed && !c.disconnected && c.rest == "" }
+
+// handle takes what the server posts: a client that has disconnected is answered.
+func (m *model) handle(ev core.Event) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch ev := ev.(type) {
 	case *core.RequestReceived:
-		if o.posted[ev.CallID] {
+		if m.posted[ev.CallID] {
 			panic("posted twice: " + ev.CallID)
 		}
-		o.posted[ev.CallID], o.open[ev.CallID] = true, ev.ID
+		m.posted[ev.CallID], m.open[ev.CallID] = true, ev.ID
 	case *core.ClientDisconnected:
-		for call, id := range o.open {
+		for call, id := range m.open {
 			if id == ev.Request {
-				delete(o.open, call)
-				o.r.Respond(core.Respond{Request: id, Kind: core.Rejected})
+				delete(m.open, call)
+				m.server.reject(id)
 			}
 		}
 	}
 }
 
-// answer serves a req that is open, with its own name.
-func (o *onlooker) answer(t *rapid.T) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// answer serves an open request, with its X-Call-Id as the body: one that t draws, or without t the first.
+func (m *model) answer(t *rapid.T) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var calls []string
-	for i := range o.n {
-		if call := fmt.Sprint("call", i); o.open[call] != 0 {
+	for i := range m.requests {
+		if call := fmt.Sprint("call", i); m.open[call] != 0 {
 			calls = append(calls, call)
 		}
 	}
@@ -90,16 +86,16 @@
 	if t != nil {
 		call = rapid.SampledFrom(calls).Draw(t, "answered")
 	}
-	o.r.Respond(core.Respond{Request: o.open[call], Kind: core.Served, Response: &upstream.Response{Body: []byte(call)}})
-	delete(o.open, call)
+	m.server.Respond(core.Respond{Request: m.open[call], Kind: core.Served, Response: &upstream.Response{Body: []byte(call)}})
+	delete(m.open, call)
 }
 
-// answers reads all that comes until the session ends.
-func (m *member) answers() {
+// readResponses reads all that comes until the connection ends.
+func (c *modelClient) readResponses() {
 	var list []string
-	defer func() { m.read <- list }()
+	defer func() { c.responses <- list }()
 	for {
-		resp, err := http.ReadResponse(m.in, nil)
+		resp, err := http.ReadResponse(c.in, nil)
 		if err != nil {
 			return
 		}
@@ -111,141 +107,177 @@
 	}
 }
 
-func (o *onlooker) whole() (call, text string) {
-	call = fmt.Sprint("call", o.n)
-	o.n++
+// newRequest returns a request with an X-Call-Id of its own.
+func (m *model) newRequest() (call, text string) {
+	call = fmt.Sprint("call", m.requests)
+	m.requests++
 	return call, strings.Replace(good, "9b1f03aa5c7e2d41", call, 1)
 }
 
-// Clients send, pipeline, stop half way, end their sending and leave, reqs are answered, sessions are
-// closed for room and for want of use, and the front ends, in any order. A req gets one answer, its own,
-// or its session ends and the req was never posted.
-func TestSessionModel(t *testing.T) {
+// draw returns one of the clients that fit.
+func (m *model) draw(t *rapid.T, fits func(*modelClient) bool) *modelClient {
+	var list []*modelClient
+	for _, c := range m.clients {
+		if fits(c) {
+			list = append(list, c)
+		}
+	}
+	if len(list) == 0 {
+		t.Skip("none")
+	}
+	return list[rapid.IntRange(0, len(list)-1).Draw(t, "client")]
+}
+
+// connect adds a client.
+func (m *model) connect(t *rapid.T) {
+	conn, err := net.Dial("tcp", m.server.addr)
+	if len(m.clients) >= 8 || err != nil {
+		t.Skip("no more")
+	}
+	c := &modelClient{
+		testClient: &testClient{conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)}, responses: make(chan []string, 1),
+	}
+	m.clients = append(m.clients, c)
+	go c.readResponses() // ends with the connection
+}
+
+// send sends a request.
+func (m *model) send(t *rapid.T) {
+	c := m.draw(t, (*modelClient).maySend)
+	call, text := m.newRequest()
+	c.calls = append(c.calls, call)
+	c.send(text)
+}
+
+// pipeline sends several requests at once.
+func (m *model) pipeline(t *rapid.T) {
+	c := m.draw(t, (*modelClient).maySend)
+	var requests strings.Builder
+	for range rapid.IntRange(2, 4).Draw(t, "requests") {
+		call, text := m.newRequest()
+		size := rapid.SampledFrom([]int{5, 3000, 9000}).Draw(t, "size")
+		c.calls = append(c.calls, call)
+		body := fmt.Sprintf("Length: %d\n\n%s", size, strings.Repeat("x", size))
+		requests.WriteString(strings.Replace(text, "Length: 5\n\n12345", body, 1))
+	}
+	c.send(requests.String())
+}
+
+// sendHalf sends a part of a request.
+func (m *model) sendHalf(t *rapid.T) {
+	c := m.draw(t, (*modelClient).maySend)
+	call, text := m.newRequest()
+	at := rapid.IntRange(1, len(text)-1).Draw(t, "at")
+	c.rest = text[at:]
+	c.calls = append(c.calls, call)
+	c.send(text[:at])
+}
+
+// sendRest sends what is missing of a request.
+func (m *model) sendRest(t *rapid.T) {
+	c := m.draw(t, func(c *modelClient) bool { return c.rest != "" && !c.writeClosed && !c.disconnected })
+	c.send(c.rest)
+	c.rest = ""
+}
+
+// endSending has a client end its sending.
+func (m *model) endSending(t *rapid.T) {
+	c := m.draw(t, func(c *modelClient) bool { return !c.writeClosed && !c.disconnected })
+	c.writeClosed = true
+	_ = c.conn.CloseWrite() // the server may have closed the connection
+}
+
+// disconnect has a client close its connection.
+func (m *model) disconnect(t *rapid.T) {
+	c := m.draw(t, func(c *modelClient) bool { return !c.disconnected })
+	c.disconnected = true
+	if rapid.Bool().Draw(t, "reset") {
+		c.closeWithReset()
+		return
+	}
+	c.close()
+}
+
+// close closes the server, and answers until it is closed.
+func (m *model) close() {
+	m.server.finalReadMargin = time.Hour // at once
+	closed := make(chan bool)
+	go func() {
+		m.server.Close(time.Minute)
+		close(closed)
+	}()
+	for {
+		select {
+		case <-closed:
+			return
+		case <-time.After(time.Millisecond):
+			m.answer(nil)
+		}
+	}
+}
+
+// Clients send, pipeline, stop half way, end their sending and disconnect, requests are answered, connections
+// are closed for room and for want of use, and the server shuts down, in any order. A request gets one response,
+// its own, or its connection ends and the request was never posted.
+func TestConnModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		o := &onlooker{t: t, open: map[string]core.RequestID{}, posted: map[string]bool{}}
-		o.r = build(l, func(p *Options) { p.MaxConns, p.Post = 4, o.hear })
-		go o.r.Serve(l)
-		<-o.r.serves
-		sessions := o.r.Server.sessions.Load()
-		some := func(t *rapid.T, fits func(*member) bool) *member {
-			var list []*member
-			for _, m := range o.all {
-				if fits(m) {
-					list = append(list, m)
-				}
-			}
-			if len(list) == 0 {
-				t.Skip("none")
-			}
-			return list[rapid.IntRange(0, len(list)-1).Draw(t, "client")]
-		}
+		m := &model{t: t, open: map[string]core.RequestID{}, posted: map[string]bool{}}
+		m.server = newTestServer(l, func(o *Options) { o.MaxConns, o.Post = 4, m.handle })
+		go func() { _ = m.server.Serve(l) }() // ends with Close; a client that it does not accept fails the check
+		<-m.server.serving
+		// The names' order decides what a seed draws.
 		t.Repeat(map[string]func(*rapid.T){
-			"come": func(t *rapid.T) {
-				c, err := net.Dial("tcp", o.r.addr)
-				if len(o.all) >= 8 || err != nil {
-					t.Skip("no more")
-				}
-				m := &member{client: &client{conn: c, in: bufio.NewReader(c)}, read: make(chan []string, 1)}
-				o.all = append(o.all, m)
-				go m.answers()
-			},
-			"send": func(t *rapid.T) {
-				m := some(t, func(m *member) bool { return !m.shut && !m.gone && m.half == "" })
-				call, text := o.whole()
-				m.reqs = append(m.reqs, call)
-				m.send(text)
-			},
-			"pipeline": func(t *rapid.T) {
-				m := some(t, func(m *member) bool { return !m.shut && !m.gone && m.half == "" })
-				all := ""
-				for range rapid.IntRange(2, 4).Draw(t, "reqs") {
-					call, text := o.whole()
-					size := rapid.SampledFrom([]int{5, 3000, 9000}).Draw(t, "size")
-					m.reqs = append(m.reqs, call)
-					all += strings.Replace(text, "Length: 5\n\n12345", fmt.Sprintf("Length: %d\n\n%s", size, strings.Repeat("x", size)), 1)
-				}
-				m.send(all)
-			},
-			"half": func(t *rapid.T) {
-				m := some(t, func(m *member) bool { return !m.shut && !m.gone && m.half == "" })
-				call, text := o.whole()
-				at := rapid.IntRange(1, len(text)-1).Draw(t, "at")
-				m.half = text[at:]
-				m.reqs = append(m.reqs, call)
-				m.send(text[:at])
-			},
-			"rest": func(t *rapid.T) {
-				m := some(t, func(m *member) bool { return m.half != "" && !m.shut && !m.gone })
-				m.send(m.half)
-				m.half = ""
-			},
-			"end sending": func(t *rapid.T) {
-				m := some(t, func(m *member) bool { return !m.shut && !m.gone })
-				m.shut = true
-				m.conn.(*net.TCPConn).CloseWrite()
-			},
-			"leave": func(t *rapid.T) {
-				m := some(t, func(m *member) bool { return !m.gone })
-				m.gone = true
-				if rapid.Bool().Draw(t, "reset") {
-					m.conn.(*net.TCPConn).SetLinger(0)
-				}
-				m.conn.Close()
-			},
-			"answer": func(t *rapid.T) { o.answer(t) },
-			"room": func(*rapid.T) {
-				sessions.mu.Lock()
-				out := sessions.victim()
-				sessions.mu.Unlock()
-				out.finish()
-			},
-			"sweep": func(*rapid.T) { sessions.sweep() },
-			"end":   func(*rapid.T) { o.r.DrainConns() },
+			"answer":         m.answer,
+			"connect":        m.connect,
+			"drain":          func(*rapid.T) { m.server.DrainConns() },
+			"end sending":    m.endSending,
+			"half":           m.sendHalf,
+			"hang up":        m.disconnect,
+			"pipeline":       m.pipeline,
+			"remaining half": m.sendRest,
+			"run eviction":   func(*rapid.T) { m.server.evict((*connSet).evictLeastUseful) },
+			"send":           m.send,
+			"sweep":          func(*rapid.T) { m.server.connSet().sweep() },
 		})
-		o.r.lastCall = time.Hour // at once
-		closed := make(chan bool)
-		go func() { o.r.Close(time.Minute); close(closed) }()
-		for over := false; !over; {
-			select {
-			case <-closed:
-				over = true
-			case <-time.After(time.Millisecond):
-				o.answer(nil)
-			}
-		}
-		if n, m := o.r.Conns(), len(o.r.waiting); n+m > 0 {
-			t.Fatalf("%d sessions and %d reqs left", n, m)
+		m.close()
+		if conns, waiting := m.server.Conns(), len(m.server.waiting); conns+waiting > 0 {
+			t.Fatalf("%d connections and %d requests left", conns, waiting)
 		}
-		for i, m := range o.all {
-			got := <-m.read
-			m.conn.Close()
-			if !m.gone {
-				o.check(i, m, got)
+		for i, c := range m.clients {
+			got := <-c.responses
+			c.close()
+			if !c.disconnected {
+				m.check(i, c, got)
 			}
 		}
 	})
 }
 
-// check holds what a client read against what it sent.
-func (o *onlooker) check(i int, m *member, got []string) {
-	for _, call := range m.reqs {
+// check compares what a client read with what it sent.
+func (m *model) check(i int, c *modelClient, got []string) {
+	for _, call := range c.calls {
 		switch {
-		case len(got) == 0 && o.posted[call]:
-			o.t.Fatalf("client %d: %s was taken and has no answer", i, call)
+		case len(got) == 0 && m.posted[call]:
+			m.t.Fatalf("client %d: %s was received and has no response", i, call)
 		case len(got) == 0:
-			return // the session ended before it was read
-		case got[0] == "429 " && !o.posted[call] && len(got) == 1:
-			return // there was no room for the session
-		case got[0] != "200 "+call && !(m.shut && strings.HasPrefix(got[0], "429")) && !(m.shut && m.half != "" && strings.HasPrefix(got[0], "400")):
-			o.t.Fatalf("client %d: %s was answered %q", i, call, got[0])
+			return // the connection ended before it was read
+		case got[0] == "429 " && !m.posted[call] && len(got) == 1:
+			return // there was no room for the connection
+		case got[0] != "200 "+call && !c.mayFail(got[0]):
+			m.t.Fatalf("client %d: %s was answered %q", i, call, got[0])
 		}
 		got = got[1:]
 	}
 	if len(got) > 0 {
-		o.t.Fatalf("client %d: more answers than reqs: %q", i, got)
+		m.t.Fatalf("client %d: more responses than requests: %q", i, got)
 	}
 }
+
+// mayFail reports whether a client that ended its sending may have got a response that is not a backend's.
+func (c *modelClient) mayFail(response string) bool {
+	return c.writeClosed && (strings.HasPrefix(response, "429") || c.rest != "" && strings.HasPrefix(response, "400"))
+}
--- /dev/null
+++ b/internal/httpserver/parse.go
@@ -0,0 +1,121 @@
+package httpserver
+
+import (
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// This file parses the values of paths and headers.
+
+const (
+	// maxWordBytes bounds the value of a header that is one word.
+	maxWordBytes = 256
+	// maxNumberBytes bounds a number.
+	maxNumberBytes = 24
+	// customerDigits is the length of a customer's name, which is hexadecimal.
+	customerDigits = 16
+	// customerLimit is above the numbers of all customers.
+	customerLimit = 1 << 33
+	// maxBudget bounds a client's budget.
+	maxBudget = time.Hour
+	// maxQuotaNumber bounds the numbers of a quota.
+	maxQuotaNumber = 1 << 20
+)
+
+// singleWord returns the value of a header that occurs once and is one word of printable ASCII.
+func singleWord(header http.Header, name string) (value string, ok bool) {
+	values := header[name]
+	if len(values) != 1 || len(values[0]) == 0 || len(values[0]) > maxWordBytes {
+		return "", false
+	}
+	for _, c := range []byte(values[0]) {
+		if c <= ' ' || c >= 0x7f {
+			return "", false
+		}
+	}
+	return values[0], true
+}
+
+// splitPath returns the class and the customer of a path: its first and its last segment. A customer has one
+// name: its digits are lower case.
+func splitPath(path string) (class, customer string, ok bool) {
+	path, ok = strings.CutPrefix(path, "/")
+	if !ok {
+		return "", "", false
+	}
+	class, _, ok = strings.Cut(path, "/")
+	customer = path[strings.LastIndexByte(path, '/')+1:]
+	if !ok || len(customer) != customerDigits || strings.ContainsAny(customer, "ABCDEF") {
+		return "", "", false
+	}
+	number, err := strconv.ParseUint(customer, 16, 64)
+	return class, customer, err == nil && number < customerLimit
+}
+
+// parseBudget parses a number with its unit: m for milliseconds, u for microseconds.
+func parseBudget(text string) (budget time.Duration, ok bool) {
+	if text == "" {
+		return 0, false
+	}
+	var unit time.Duration
+	switch text[len(text)-1] {
+	case 'm':
+		unit = time.Millisecond
+	case 'u':
+		unit = time.Microsecond
+	default:
+		return 0, false
+	}
+	number, ok := parseNumber(text[:len(text)-1])
+	nanoseconds := number * float64(unit)
+	if !ok || nanoseconds < 1 || nanoseconds > float64(maxBudget) {
+		return 0, false
+	}
+	return time.Duration(nanoseconds), true
+}
+
+// parseNumber parses a plain decimal number: no sign, exponent, infinity or hexadecimal digits, all of which
+// strconv would take.
+func parseNumber(text string) (number float64, ok bool) {
+	if len(text) > maxNumberBytes || strings.Trim(text, "0123456789.") != "" {
+		return 0, false
+	}
+	number, err := strconv.ParseFloat(text, 64)
+	return number, err == nil
+}
+
+// A quotaInfo is what a request takes of a quota.
+type quotaInfo struct {
+	units        float64
+	setSize      int // limiters of the customer
+	firstLimiter int // the first of them
+}
+
+// parseQuota parses "units=2,spread=3,first=1", each once. Other names are ignored.
+func parseQuota(text string) (quota quotaInfo, ok bool) {
+	seen := map[string]bool{}
+	for part := range strings.SplitSeq(text, ",") {
+		name, valueText, _ := strings.Cut(strings.TrimSpace(part), "=")
+		if name != "units" && name != "spread" && name != "first" {
+			continue
+		}
+		value, ok := parseNumber(valueText)
+		fractional := value != math.Trunc(value)
+		if !ok || seen[name] || fractional && name != "units" || value > maxQuotaNumber {
+			return quota, false
+		}
+		seen[name] = true
+		switch name {
+		case "units":
+			quota.units = value
+		case "spread":
+			quota.setSize = int(value)
+		case "first":
+			quota.firstLimiter = int(value)
+		}
+	}
+	return quota, len(seen) == 3 && quota.units > 0 && quota.setSize > 0
+}
--- /dev/null
+++ b/internal/httpserver/request.go
@@ -0,0 +1,236 @@
+package httpserver
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"strings"
+	"time"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+	"lemongate/internal/upstream"
+)
+
+// This file validates requests. What a backend or the rules of admission cannot use goes no further: it
+// would cost more there, and may pass for something else.
+
+const (
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 64 << 10
+	// bodyBytesPerSecond is how fast a body has to come at least.
+	bodyBytesPerSecond = 64 << 10
+	// bodyTimeoutSlack is the time for a body beyond that, from the end of the head.
+	bodyTimeoutSlack = time.Second
+	// malformedTimeout is for the body of a malformed request to be complete, from the first byte or the
+	// start of the connection; a response or a close is due after 3 s.
+	malformedTimeout = 2500 * time.Millisecond
+	// deadlineSlack is by how much a budget may exceed the deadline of the class, which the client may have
+	// rounded.
+	deadlineSlack = 50 * time.Millisecond
+)
+
+// A malformed describes why a request is malformed, and how it is answered. It never causes an attempt.
+type malformed struct {
+	cause      core.MalformedCause
+	status     int
+	text       string
+	closesConn bool // where the next request would begin is not known
+}
+
+// Faults of requests, in the order in which they are looked for.
+var (
+	faultEncoding    = &malformed{core.BadFraming, http.StatusLengthRequired, "Content-Length wanted, and nothing beside it", true}
+	faultVersion     = &malformed{core.BadFraming, http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
+	faultBodyTooLong = &malformed{core.BadFraming, http.StatusRequestEntityTooLarge, "body too long", true}
+	faultTarget      = &malformed{core.BadTarget, http.StatusNotFound, "no such class or customer", false}
+	faultMethod      = &malformed{core.BadMethod, http.StatusMethodNotAllowed, "the class has another method", false}
+	faultCallID      = &malformed{core.BadID, http.StatusBadRequest, "bad X-Call-Id", false}
+	faultKey         = &malformed{core.BadID, http.StatusBadRequest, "bad Idempotency-Key", false}
+	faultPlan        = &malformed{core.BadPlan, http.StatusBadRequest, "unknown plan", false}
+	faultBudget      = &malformed{core.BadBudget, http.StatusBadRequest, "bad X-Budget", false}
+	faultQuota       = &malformed{core.BadQuota, http.StatusBadRequest, "bad Quota-Info", false}
+	faultBodyTimeout = &malformed{core.BadFraming, http.StatusRequestTimeout, "body did not come", true}
+	faultBodyCutOff  = &malformed{core.BadFraming, http.StatusBadRequest, "body broken off", true}
+)
+
+// readRequest validates a request, reads its body, and returns it as an event; or what is wrong with it.
+func (s *Server) readRequest(r *http.Request) (*core.RequestReceived, *malformed) {
+	if fault := checkFraming(r); fault != nil {
+		return nil, fault
+	}
+	class, customer, fault := s.readTarget(r)
+	if fault != nil {
+		return nil, fault
+	}
+	fields, fault := s.readFields(r, class)
+	if fault != nil {
+		return nil, fault
+	}
+	body, fault := s.readBody(r)
+	if fault != nil {
+		return nil, fault
+	}
+	return &core.RequestReceived{
+		ReceivedAt: s.options.Now(),
+		CallID:     fields.callID,
+		Request: admission.Request{
+			ID:           core.RequestID(s.lastID.Add(1)),
+			Class:        class.Name,
+			Plan:         fields.plan,
+			Customer:     customer,
+			Units:        fields.quota.units,
+			Budget:       min(fields.budget, class.Deadline),
+			FirstLimiter: fields.quota.firstLimiter,
+			SetSize:      fields.quota.setSize,
+			IsRetry:      r.Header.Get("X-Again") == "1",
+		},
+		Content: &upstream.Request{
+			Method: r.Method,
+			URI:    r.RequestURI,
+			Host:   r.Host,
+			CallID: fields.callID,
+			Key:    fields.key,
+			Type:   r.Header.Get("Content-Type"),
+			Body:   body,
+		},
+	}, nil
+}
+
+// checkFraming looks for what may hide where a request ends. net/http takes a chunked body and drops a
+// Content-Length beside it unseen, and under HTTP/1.0 drops Transfer-Encoding: such a body may hide another
+// request. Clients send a length, so what comes without is not read.
+func checkFraming(r *http.Request) *malformed {
+	switch {
+	case len(r.TransferEncoding) > 0:
+		return faultEncoding
+	case !r.ProtoAtLeast(1, 1):
+		return faultVersion
+	case r.ContentLength > maxBodyBytes:
+		return faultBodyTooLong
+	}
+	return nil
+}
+
+// readTarget returns the class and the customer that the path of a request names.
+func (s *Server) readTarget(r *http.Request) (*admission.Class, string, *malformed) {
+	path, _, _ := strings.Cut(r.RequestURI, "?")
+	name, customer, ok := splitPath(path)
+	class := s.classes[name]
+	if class == nil { // a path may have characters of the name escaped
+		name, _ = url.PathUnescape(name) // empty with an error, which no class is
+		class = s.classes[name]
+	}
+	if !ok || class == nil {
+		return nil, "", faultTarget
+	}
+	return class, customer, nil
+}
+
+// requestFields are the values of a request's header.
+type requestFields struct {
+	callID string
+	key    string // idempotency key, empty for none
+	plan   string
+	budget time.Duration
+	quota  quotaInfo
+}
+
+// readFields returns the values of the header of a request of a class.
+func (s *Server) readFields(r *http.Request, class *admission.Class) (fields requestFields, fault *malformed) {
+	if !methodAllowed(r, class) {
+		return fields, faultMethod
+	}
+	var ok bool
+	if fields.callID, ok = singleWord(r.Header, "X-Call-Id"); !ok {
+		return fields, faultCallID
+	}
+	if fields.key, ok = readKey(r.Header, class); !ok {
+		return fields, faultKey
+	}
+	if fields.plan, ok = s.readPlan(r.Header); !ok {
+		return fields, faultPlan
+	}
+	if fields.budget, ok = readBudget(r.Header, class); !ok {
+		return fields, faultBudget
+	}
+	if fields.quota, ok = s.readQuota(r.Header); !ok {
+		return fields, faultQuota
+	}
+	return fields, nil
+}
+
+// methodAllowed reports whether a request has the method of its class: GET, without a body, for idempotent
+// ones, POST for others.
+func methodAllowed(r *http.Request, class *admission.Class) bool {
+	if class.Idempotency == admission.Idempotent {
+		return r.Method == http.MethodGet && r.ContentLength == 0
+	}
+	return r.Method == http.MethodPost
+}
+
+// readKey returns the idempotency key. It is required where the class goes by it.
+func readKey(header http.Header, class *admission.Class) (key string, ok bool) {
+	key, isWord := singleWord(header, "Idempotency-Key")
+	required := class.Idempotency == admission.IdempotentByKey
+	return key, (isWord || !required) && len(header["Idempotency-Key"]) <= 1
+}
+
+// readPlan returns the plan. Any character may be in its name.
+func (s *Server) readPlan(header http.Header) (plan string, ok bool) {
+	values := header["Plan"]
+	if len(values) != 1 {
+		return "", false
+	}
+	return values[0], s.plans[values[0]]
+}
+
+// readBudget returns how long the client still waits.
+func readBudget(header http.Header, class *admission.Class) (budget time.Duration, ok bool) {
+	text, ok := singleWord(header, "X-Budget")
+	if !ok {
+		return 0, false
+	}
+	budget, ok = parseBudget(text)
+	return budget, ok && budget <= class.Deadline+deadlineSlack
+}
+
+// readQuota returns the units of a request, and the customer's limiter set.
+func (s *Server) readQuota(header http.Header) (quota quotaInfo, ok bool) {
+	text, ok := singleWord(header, "Quota-Info")
+	if !ok {
+		return quotaInfo{}, false
+	}
+	quota, ok = parseQuota(text)
+	limiters := max(s.options.Settings.Limiters, 1)
+	inTier := quota.firstLimiter < limiters && quota.setSize <= limiters
+	unitsAllowed := s.options.MaxUnits <= 0 || quota.units <= s.options.MaxUnits
+	return quota, ok && inTier && unitsAllowed
+}
+
+// readBody reads the complete body. Its length is known and within the bound; but memory is taken for what
+// has come, not for what is announced.
+func (s *Server) readBody(r *http.Request) ([]byte, *malformed) {
+	if r.ContentLength == 0 {
+		return nil, nil
+	}
+	conn := connOf(r)
+	// By its length: a slow client may take seconds for a long one, and half of a short one is found at
+	// once.
+	seconds := float64(r.ContentLength) / bodyBytesPerSecond
+	timeout := bodyTimeoutSlack + time.Duration(seconds*float64(time.Second))
+	_ = conn.SetReadDeadline(s.options.Wall().Add(timeout)) // fails on a closed connection alone
+	body, err := io.ReadAll(r.Body)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return nil, faultBodyTimeout
+	}
+	if err != nil {
+		return nil, faultBodyCutOff
+	}
+	// net/http goes on reading, to see the client disconnect. After an error the deadline stays: net/http
+	// would wait for the rest before it answers.
+	_ = conn.SetReadDeadline(time.Time{})
+	return body, nil
+}
--- /dev/null
+++ b/internal/httpserver/request_test.go
@@ -0,0 +1,264 @@
+package httpserver
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+	"lemongate/internal/upstream"
+)
+
+// A request is posted as an event, with all that attempts forward.
+func TestRequestReceived(t *testing.T) {
+	server := startServer(t)
+	client := server.connect(t)
+	client.send(good)
+	ev := (<-server.events).(*core.RequestReceived)
+	want := admission.Request{
+		ID: ev.ID, Class: "post", Plan: "team", Customer: "00000000b4d65521", Units: 2,
+		Budget: 480 * time.Millisecond, FirstLimiter: 1, SetSize: 3, IsRetry: true,
+	}
+	if ev.Request != want || ev.ReceivedAt != 42 {
+		t.Errorf("%+v", ev)
+	}
+	in := *ev.Content.(*upstream.Request)
+	if string(in.Body) != "12345" {
+		t.Errorf("body %q", in.Body)
+	}
+	in.Body = nil
+	if got, want := fmt.Sprint(in), fmt.Sprint(upstream.Request{
+		Method: "POST", URI: "/post/x/00000000b4d65521?q=%41", Host: "backend.local",
+		CallID: "9b1f03aa5c7e2d41", Key: "5c0f", Type: "text/x",
+	}); got != want {
+		t.Errorf("%s", got)
+	}
+	server.Respond(core.Respond{Request: ev.ID, Kind: core.Served, Response: &upstream.Response{Body: []byte("yes")}})
+	server.Respond(core.Respond{Request: ev.ID, Kind: core.Failed}) // a second one goes nowhere
+	if resp, body := client.response(); resp.StatusCode != 200 || body != "yes" || resp.Header["Content-Type"] != nil {
+		t.Errorf("%v %q", resp, body)
+	}
+	client.send(good) // the connection goes on, and the next request has another number
+	if again := (<-server.events).(*core.RequestReceived); again.ID == ev.ID {
+		t.Error("a number given twice")
+	}
+}
+
+// Classes and plans are known by their complete names, whatever characters these have: none is taken for
+// another that is like it.
+func TestUnusualNames(t *testing.T) {
+	names := []string{"read", "Read", "read-2", "read 2", "ünter", "a%20b", "q?", "x.y~z"}
+	server := startServer(t, func(o *Options) {
+		o.Settings.Classes, o.Settings.Plans = nil, nil
+		for i, n := range names {
+			o.Settings.Classes = append(o.Settings.Classes, admission.Class{Name: n, Idempotency: admission.IdempotentByKey, Deadline: time.Duration(i+1) * time.Second})
+			o.Settings.Plans = append(o.Settings.Plans, admission.Plan{Name: n})
+		}
+	})
+	client := server.connect(t)
+	for i, n := range names {
+		client.send(strings.NewReplacer("/post/", "/"+url.PathEscape(n)+"/", "team", names[len(names)-1-i], "480m", fmt.Sprintf("%dm", (i+1)*1000)).Replace(good))
+		ev, ok := (<-server.events).(*core.RequestReceived)
+		if !ok || ev.Class != n || ev.Plan != names[len(names)-1-i] {
+			t.Fatalf("%q: %+v", n, ev)
+		}
+		server.reject(ev.ID)
+		client.response()
+	}
+	for _, n := range []string{"READ", "rea", "read-", "read%", "", "read-22"} {
+		client.send(strings.Replace(good, "team", n, 1))
+		if resp, _ := client.response(); resp.StatusCode/100 != 4 {
+			t.Errorf("%q: %d", n, resp.StatusCode)
+		}
+		if ev, ok := (<-server.events).(core.RequestMalformed); !ok {
+			t.Errorf("%q: posted %+v", n, ev)
+		}
+		client = server.connect(t)
+	}
+}
+
+// A malformed request is answered with 4xx at once, but not as a rejection, counted, and never posted as a
+// request.
+func TestMalformed(t *testing.T) {
+	server := startServer(t)
+	for _, c := range []struct {
+		old, new string
+		status   int
+	}{
+		{"X-Call-Id: 9b1f03aa5c7e2d41\n", "", 400},
+		{"Plan: team", "Plan: gold", 400},
+		{"Plan: team\n", "", 400},
+		{"/post/", "/put/", 404},
+		{"/post/x/00000000b4d65521", "/", 404},
+		{"/post/x/00000000b4d65521", "/post", 404},
+		{"00000000b4d65521", "b4d65521", 404},
+		{"00000000b4d65521", "00000002b4d65521", 404}, // not below 2^33
+		{"00000000b4d65521", "0000000xb4d65521", 404},
+		{"480m", "480", 400}, {"480m", "480s", 400}, {"480m", "0m", 400}, {"480m", "-1m", 400}, {"480m", "0x1p8m", 400},
+		{"480m", "NaNm", 400}, {"480m", "1e300m", 400}, {"480m", "Infm", 400}, {"480m", "m", 400}, {"X-Budget: 480m\n", "", 400},
+		{"480m", "50051m", 400}, {"480m", "0.0001u", 400},
+		{"units=2", "units=0", 400}, {"units=2", "units=-1", 400}, {"units=2", "units=NaN", 400}, {"units=2", "units=+2", 400},
+		{"units=2", "units=5", 400}, {"units=2,", "", 400}, {"spread=3", "spread=0", 400}, {"spread=3", "spread=4", 400},
+		{"units=2", "units=2,units=2", 400}, {"first=1", "first=0.5", 400}, {"first=1", "first=99999999999999999999", 400},
+		{"first=1", "first=3", 400}, {"first=1", "first=-1", 400}, {"first=1", "first=x", 400},
+		{"00000000b4d65521", "00000000B4D65521", 404}, // one customer, one name
+		{"Plan: team\n", "Plan: team\nPlan: team\n", 400}, {"X-Budget: 480m\n", "X-Budget: 480m\nX-Budget: 9m\n", 400},
+		{"X-Call-Id: 9b1f03aa5c7e2d41", "X-Call-Id: a\nX-Call-Id: b", 400}, {"9b1f03aa5c7e2d41", "a b", 400},
+		{"9b1f03aa5c7e2d41", strings.Repeat("a", maxWordBytes+1), 400},
+		{"Idempotency-Key: 5c0f\n", "", 400}, {"Key: 5c0f\n", "Key: 5c0f\nIdempotency-Key: 5c0f\n", 400},
+		{"POST /post/", "PUT /post/", 405}, {"POST /post/", "POST /read/", 405}, {"POST /post/", "GET /read/", 405},
+		{"/post/x/00000000b4d65521", "http://h/post/x/00000000b4d65521", 404}, {"POST /post/x/00000000b4d65521?q=%41", "OPTIONS *", 404},
+		{"HTTP/1.1", "HTTP/1.0", 505},
+		{"Content-Length: 5\n\n12345", "Content-Length: 65537\n\n", 413},
+		{"Content-Length: 5\n\n12345", "Content-Length: 60000000\n\n123", 413},
+		// Half a body, and nothing more: the response does not wait for it.
+		{"Content-Length: 5\n\n12345", "Content-Length: 99\nPlan: gold\n\n12345", 400},
+		// A length beside chunks may hide another request in what follows.
+		{"Content-Length: 5\n", "Content-Length: 5\nTransfer-Encoding: chunked\n", 411},
+		{"Content-Length: 5\n\n12345", "Transfer-Encoding: chunked\nContent-Length: 5\n\n0\n\n" + good, 411},
+		{"Content-Length: 5\n\n12345", "Transfer-Encoding: chunked\n\n5\n12345\n0\n\n", 411},
+		{"POST /post/x/00000000b4d65521?q=%41 HTTP/1.1\n", "POST /post/x/00000000b4d65521 HTTP/1.0\nTransfer-Encoding: chunked\n", 505},
+	} {
+		client := server.connect(t)
+		if !strings.Contains(good, c.old) {
+			t.Fatalf("%q is not in the request", c.old)
+		}
+		client.send(strings.Replace(good, c.old, c.new, 1))
+		if resp, _ := client.response(); resp.StatusCode != c.status {
+			t.Errorf("%.40q for %q: %d, want %d", c.new, c.old, resp.StatusCode, c.status)
+		}
+		if ev, ok := (<-server.events).(core.RequestMalformed); !ok {
+			t.Errorf("%.40q for %q: posted %+v", c.new, c.old, ev)
+		}
+		if len(server.events) > 0 {
+			t.Errorf("%.40q for %q: posted %+v as well", c.new, c.old, <-server.events)
+		}
+	}
+}
+
+// A connection ends in order after a malformed request with a body that nobody reads: net/http must not go on
+// to the next request while it still reads that body, as it panics then.
+func TestUnreadBodyClosesConn(t *testing.T) {
+	core, logs := observer.New(zap.DebugLevel)
+	server := startServer(t, func(o *Options) { o.Log = zap.New(core) })
+	client := server.connect(t)
+	client.send(strings.Replace(good, "Plan: team", "Plan: gold", 1))
+	if resp, _ := client.response(); resp.StatusCode != 400 || !resp.Close {
+		t.Errorf("status %d, last of its connection: %v", resp.StatusCode, resp.Close)
+	}
+	<-server.events
+	client.setReadDeadline()
+	if rest, err := io.ReadAll(client.in); len(rest) > 0 || err != nil {
+		t.Errorf("%q, %v after the response", rest, err)
+	}
+	if logs.Len() > 0 {
+		t.Errorf("logged: %.200s", logs.All()[0].Message)
+	}
+	client = server.connect(t)
+	client.send(strings.Replace(strings.Replace(good, "POST /post", "GET /read", 1), "Content-Length: 5\n\n12345", "Plan: gold\n\n", 1))
+	if resp, _ := client.response(); resp.StatusCode != 400 || resp.Close {
+		t.Errorf("without a body: status %d, last of its connection: %v", resp.StatusCode, resp.Close)
+	}
+}
+
+// No request waits for longer than its class allows, and a connection is read from for as long as any waits: a
+// timeout would be taken for a client that disconnected.
+func TestLongestBudget(t *testing.T) {
+	server := startServer(t)
+	server.connect(t).send(strings.Replace(good, "480m", "50050m", 1))
+	if ev := (<-server.events).(*core.RequestReceived); ev.Budget != 50*time.Second || server.server.ReadTimeout != 0 {
+		t.Errorf("waits %v, read from for %v", ev.Budget, server.server.ReadTimeout)
+	}
+}
+
+// What net/http itself cannot read is answered with 4xx or 5xx or closed, never posted as a request, and
+// counted.
+func TestUnparsableRequests(t *testing.T) {
+	server := startServer(t)
+	for _, text := range []string{
+		"\x00\xff\n\n", "GET\n\n", strings.Replace(good, ": 5\n", ": -5\n", 1), strings.Replace(good, ": 5\n", ": 5\nContent-Length: 6\n", 1),
+		strings.Replace(good, ": 5\n", ": 99999999999999999999\n", 1), strings.Replace(good, ": 5\n", ": five\n", 1),
+		strings.Replace(good, "Content-Length: 5", "Transfer-Encoding : chunked", 1),
+		strings.Replace(good, "Content-Length: 5", "Transfer-Encoding: gzip, chunked", 1),
+		strings.Replace(good, "Plan", "X: "+strings.Repeat("x", 40<<10)+"\nPlan", 1),
+	} {
+		client := server.connect(t)
+		client.send(text)
+		if resp, err := http.ReadResponse(client.in, nil); err == nil && resp.StatusCode < 400 {
+			t.Errorf("%.60q: %d", text, resp.StatusCode)
+		}
+		if ev := *(<-server.events).(*core.ClientConnClosed); !ev.Unread {
+			t.Errorf("%.60q: %+v", text, ev)
+		}
+	}
+}
+
+// The longest body that is allowed is read.
+func TestLongestBody(t *testing.T) {
+	server := startServer(t)
+	client := server.connect(t)
+	client.send(goodHead + "Content-Length: 65536\n\n" + strings.Repeat("x", maxBodyBytes))
+	if ev := (<-server.events).(*core.RequestReceived); len(ev.Content.(*upstream.Request).Body) != maxBodyBytes {
+		t.Errorf("%d bytes", len(ev.Content.(*upstream.Request).Body))
+	}
+}
+
+// Half a request is due a response or a close soon: its body has until shortly after the start of the
+// connection, or of the request if it is not the first.
+func TestHalfBody(t *testing.T) {
+	server, past := startBoundedServer(t, 0)
+	client := server.connect(t)
+	client.send(good)
+	server.reject((<-server.events).(*core.RequestReceived).ID)
+	client.response()
+	server.awaitState(stateIdle, 1)
+	past.Store(-int64(malformedTimeout)) // so that the time has passed at once
+	client.send(goodHead + "Content-Length: 5\n\n123")
+	if resp, _ := client.response(); resp.StatusCode != 408 || !resp.Close {
+		t.Errorf("%d, closes %v", resp.StatusCode, resp.Close)
+	}
+	if ev := <-server.events; ev != (core.RequestMalformed{Cause: core.BadFraming}) {
+		t.Errorf("posted %+v", ev)
+	}
+	if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("%v", err)
+	}
+}
+
+// A client that spends 2 s on a head and a second on a body of 64 KiB is served. The time for the body counts
+// from the end of the head, by its length.
+func TestSlowClient(t *testing.T) {
+	t.Parallel()
+	server := startServer(t)
+	client := server.connect(t)
+	const size = 60 << 10
+	head := goodHead + fmt.Sprintf("Content-Length: %d\n\n", size)
+	piece := len(head)/8 + 1
+	for i := 0; i < len(head); i += piece {
+		client.send(head[i:min(i+piece, len(head))])
+		time.Sleep(240 * time.Millisecond)
+	}
+	for range 10 {
+		client.send(strings.Repeat("x", size/10))
+		time.Sleep(90 * time.Millisecond)
+	}
+	first := <-server.events
+	ev, ok := first.(*core.RequestReceived)
+	if !ok {
+		t.Fatalf("a slow client was cut off: %+v", first)
+	}
+	if n := len(ev.Content.(*upstream.Request).Body); n != size {
+		t.Errorf("%d bytes", n)
+	}
+	server.reject(ev.ID)
+	client.response()
+}
--- /dev/null
+++ b/internal/httpserver/response.go
@@ -0,0 +1,53 @@
+package httpserver
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+
+	"lemongate/internal/core"
+	"lemongate/internal/upstream"
+)
+
+// This file writes responses. A response is complete before its first byte is sent. Errors of writes are
+// ignored: a client that has gone is no longer of interest, and the connection ends by that. The texts are
+// those of release 0.8.0.
+
+// writeResponse writes the response that was decided for a request.
+func writeResponse(w http.ResponseWriter, response core.Respond) {
+	switch response.Kind {
+	case core.Served:
+		writeServed(w, response.Response.(*upstream.Response))
+	case core.Rejected:
+		if response.RetryAfter > 0 {
+			seconds := strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64)
+			w.Header()["Retry-After"] = []string{seconds}
+		}
+		writeText(w, http.StatusTooManyRequests, "refused, try again later")
+	case core.DuplicateID:
+		writeText(w, http.StatusConflict, "a req with this X-Call-Id is open")
+	case core.Failed:
+		writeText(w, http.StatusBadGateway, "failed, it may have run")
+	}
+}
+
+// writeServed writes the response of a backend.
+func writeServed(w http.ResponseWriter, served *upstream.Response) {
+	header := w.Header()
+	header["Content-Type"] = []string{served.Type}
+	if served.Type == "" {
+		header["Content-Type"] = nil // or net/http guesses it from the body
+	}
+	header["Content-Length"] = []string{strconv.Itoa(len(served.Body))}
+	w.WriteHeader(http.StatusOK)
+	_, _ = w.Write(served.Body)
+}
+
+// writeText writes a local reply of one line.
+func writeText(w http.ResponseWriter, status int, text string) {
+	header := w.Header()
+	header["Content-Type"] = []string{"text/plain; charset=utf-8"}
+	header["Content-Length"] = []string{strconv.Itoa(len(text) + 1)}
+	w.WriteHeader(status)
+	_, _ = io.WriteString(w, text+"\n")
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -25,7 +25,7 @@
 // A canceled attempt closes its connection: the backend sees that, and one that has gone silent gets no
 // further request on it.
 func TestCancelClosesConnection(t *testing.T) {
-	backend := startBackend(t, "silent", response("200 OK", "", ""))
+	backend := startBackend(t, silentInstead, response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
 	id := client.start(get)
@@ -92,7 +92,7 @@
 
 // Connections stay within the bound, and are not counted any more once they end.
 func TestMaxConns(t *testing.T) {
-	backend := startBackend(t, "silent", response("200 OK", "", ""))
+	backend := startBackend(t, silentInstead, response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String(), func(o *Options) { o.MaxConns = 1 })
 	defer client.Close()
 	id := client.start(get)
