--- a/cmd/lemongate/restartslot.go
+++ b/cmd/lemongate/restartslot.go
@@ -20,7 +20,8 @@
 	defaultRestartSlotWait = 10 * time.Minute
 )
 
-// errRestartSlotsDisabled is that the limiter's settings have no restart slots.
+// errRestartSlotsDisabled reports that the limiter's settings have no restart slots. This text and that of
+// a wait that ended are those of release 0.8.0, which docs/operators/restarts.md quotes.
 var errRestartSlotsDisabled = errors.New("turn: the limiter gives no turns; the operators' file sets them")
 
 func restartSlotCommand() *cli.Command {
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -69,8 +69,7 @@
 	writeJSON(w, http.StatusAccepted, view)
 }
 
-// restartSlotEvent returns the event that a call about restart slots asks for, and whether the call is
-// valid.
+// restartSlotEvent returns the event that a call about restart slots requests, and whether the call is valid.
 func restartSlotEvent(r *http.Request) (event core.Event, valid bool) {
 	text := r.URL.Query().Get("forget")
 	if text == "" {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -2,7 +2,7 @@
 // leases and its restart slots. It decides nothing and waits for nothing else in the program: it shows
 // what was published last, so no caller can delay a request of a client.
 //
-// server.go has the life of the server, routes.go its calls, collector.go the metrics, listener.go the
+// server.go has the server itself, routes.go its calls, collector.go the metrics, listener.go the
 // bound on connections. docs/operators/console.md describes the calls for operators.
 package admin
 
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -28,7 +28,7 @@
 	consoleVariable   = "ROUTER_CONSOLE"
 )
 
-// maxPlans is how many plans gossip can tell apart: it has a byte for the plan of a customer.
+// maxPlans is how many plans gossip can distinguish: it has a byte for the plan of a customer.
 const maxPlans = 255
 
 var (
--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -117,9 +117,9 @@
 	return s.maxConns > 0 && s.open-s.byState[stateRejected].Len() >= s.bound()
 }
 
-// reject closes a new connection for which there is no room. Once its request comes, its client is told to
-// come again, and what it sent is read, as a close over that would be a reset. It ends within the set's
-// patience and the timeout of a write.
+// reject closes a new connection for which there is no room. Once its request comes, it is answered with 429,
+// and what the client sent is read, as a close over that would be a reset. It ends within the set's patience
+// and the timeout of a write.
 func (c *clientConn) reject() {
 	_ = c.SetReadDeadline(time.Now().Add(c.set.patience)) // fails on a closed connection alone
 	notified := false
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -2,7 +2,7 @@
 // writes the responses that it is given; it decides nothing else. It tracks what each client connection is
 // doing, so that none is closed over a request that the client could not send once more.
 //
-// The server: server.go has its life, handler.go a request from its head to its response, request.go
+// The server: server.go has the server itself, handler.go a request from its head to its response, request.go
 // validates, parse.go parses, response.go writes. Client connections: connset.go has all of them, accept.go
 // admits new ones, evict.go closes those of least use, shutdown.go and handover.go end them, and
 // clientconn.go is one of them.
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -51,8 +51,8 @@
 	_ = response.Body.Close() // of a connection that is closed
 }
 
-// isFramed reports whether a response says where it ends. One that ends with its connection cannot be
-// told from one cut off, and 101 is no response to a request.
+// isFramed reports whether a response says where it ends. One that ends with its connection looks
+// like one cut off, and 101 is no response to a request.
 func isFramed(response *http.Response) bool {
 	chunked := len(response.TransferEncoding) == 1 && response.TransferEncoding[0] == "chunked"
 	return response.ProtoMajor == 1 && response.StatusCode >= 200 && (response.ContentLength >= 0 || chunked)
