--- a/cmd/lemongate/crossrelease_test.go
+++ b/cmd/lemongate/crossrelease_test.go
@@ -25,7 +25,7 @@
 	if previous == "" {
 		t.Fatalf("%s is not set", previousReleaseVariable)
 	}
-	x := tier(t, 3, 4)
+	x := newTier(t, 3, 4)
 	x.Plans = append(x.Plans, processharness.Plan{Name: "capped", Rate: rate, Burst: burst, CeilRate: rate, Ceil: burst})
 	current := x.Program[0]
 	x.Program[0] = previous
@@ -68,7 +68,7 @@
 		predecessor = successor
 	}
 	results := load.End()
-	served, gap := judge(t, x, results)
+	served, gap := checkResults(t, x, results)
 	if len(results) < 500 || served < len(results)/2 {
 		t.Errorf("served %d of %d", served, len(results))
 	}
@@ -76,6 +76,6 @@
 		t.Errorf("the peers saw %d epochs of the limiter", n)
 	}
 	_, first := x.Attempts()
-	ceiling(t, first, rate, burst)
+	checkCeiling(t, first, rate, burst)
 	t.Logf("%d restarts, %d requests, %d served, longest time without one %v", restarts, len(results), served, gap)
 }
