--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -1,25 +1,17 @@
 package core
 
 import (
-	"flag"
 	"os"
 	"slices"
 	"testing"
 	"time"
 
 	"lemongate/internal/admission"
+	"lemongate/internal/rapidtest"
 )
 
 // TestMain fixes the seed of the model test, so that its verdict is the same every time.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { os.Exit(rapidtest.Main(m, "20261201", nil)) }
 
 var testSettings = admission.Settings{
 	Limiters: 2, Zone: "a", ClockResolution: 2 * time.Millisecond,
--- a/internal/hotrestart/machine_test.go
+++ b/internal/hotrestart/machine_test.go
@@ -1,26 +1,19 @@
 package hotrestart
 
 import (
-	"flag"
 	"os"
 	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
+
+	"lemongate/internal/rapidtest"
 )
 
 // TestMain fixes the seed, so that the verdict is the same every time.
 func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{
-		"rapid.seed": "20261201", "rapid.nofailfile": "true", "rapid.checks": "3000", "rapid.steps": "60",
-	} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
+	os.Exit(rapidtest.Main(m, "20261201", map[string]string{"rapid.checks": "3000", "rapid.steps": "60"}))
 }
 
 // side is one process, as the world sees it.
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -1,7 +1,6 @@
 package quota
 
 import (
-	"flag"
 	"os"
 	"testing"
 	"time"
@@ -9,18 +8,11 @@
 	"pgregory.net/rapid"
 
 	"lemongate/internal/gossip"
+	"lemongate/internal/rapidtest"
 )
 
 // TestMain fixes the seed, so that the result is always the same.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { os.Exit(rapidtest.Main(m, "20261201", nil)) }
 
 // message is a message in transit, or one that was delivered and may be delivered again.
 type message struct {
