--- a/cmd/lemongate/leases.go
+++ b/cmd/lemongate/leases.go
@@ -70,6 +70,6 @@
 	acceptors := strings.Trim(fmt.Sprint(v.Acceptors), "[]")
 	c := v.Counts
 	return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\t%d\t%d",
-		v.Task, holder, held, token, validFor, v.Phase, acceptors, v.IsAcceptor,
-		c.Won, c.Renewed, c.Lost, c.Released, c.RejectedLate, c.Waited)
+		v.Task, holder, held, token, validFor, v.Phase, acceptors, v.ActiveAcceptor,
+		c.Won, c.Renewed, c.Lost, c.Released, c.LateActions, c.Waited)
 }
--- a/cmd/lemongate/serve.go
+++ b/cmd/lemongate/serve.go
@@ -64,8 +64,8 @@
 	limitRuntime(settings.Limits, 1)
 	return eventloop.Run(settings, clock, log, eventloop.Controls{
 		Dump: dump, Stop: stop, Reload: reload,
-		Share: func(fraction float64) { limitRuntime(settings.Limits, fraction) },
-		Load:  func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Zero()) },
+		SetResourceShare: func(fraction float64) { limitRuntime(settings.Limits, fraction) },
+		Load:             func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Zero()) },
 	})
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -60,9 +60,9 @@
 	return s
 }
 
-// Serve answers calls at an address, host:port, until Close. An address that cannot be listened on is
+// ListenAndServe answers calls at an address, host:port, until Close. An address that cannot be listened on is
 // tried again: a limiter that serves its clients does not end for its administration server.
-func (s *Server) Serve(address string) {
+func (s *Server) ListenAndServe(address string) {
 	for s.done.Err() == nil {
 		if err := s.listenAndServe(address); err != nil && s.done.Err() == nil {
 			s.log.Error("administration server cannot listen", zap.String("at", address), zap.Error(err))
@@ -79,12 +79,12 @@
 	if err != nil {
 		return err
 	}
-	return s.ServeOn(listener)
+	return s.Serve(listener)
 }
 
-// ServeOn answers calls that come to a listener, which it closes, until Close. It returns nil then, and
+// Serve answers calls that come to a listener, which it closes, until Close. It returns nil then, and
 // else the error of the listener.
-func (s *Server) ServeOn(listener net.Listener) error {
+func (s *Server) Serve(listener net.Listener) error {
 	err := s.server.Serve(&boundedListener{Listener: listener})
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	s = New(func() uint64 { return 7 }, func(core.Event) {}, zap.NewNop())
-	go func() { _ = s.ServeOn(l) }() // ends with Close; calls show whether it serves
+	go func() { _ = s.Serve(l) }() // ends with Close; calls show whether it serves
 	t.Cleanup(s.Close)
 	return s, l.Addr().String()
 }
--- a/internal/admission/customers_test.go
+++ b/internal/admission/customers_test.go
@@ -79,7 +79,7 @@
 	}
 	f.advance(time.Second)
 	account := f.ctl.customers.byKey[customerKey{"x", "capped"}].account
-	if units := f.ctl.customers.ledger.Ceiling(account, f.now); units < 9 {
+	if units := f.ctl.customers.ledger.CeilingLevel(account, f.now); units < 9 {
 		t.Errorf("ceiling has %.1f units after all were rejected, want them returned", units)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,25 +14,25 @@
 
 // Config is the complete configuration of a limiter.
 type Config struct {
-	Name      string // of the limiter; its processes find each other by it
-	Listen    string // host:port at which clients connect
-	Discovery string // host:port of endpoint discovery
-	Console   string // host:port of the administration server; empty for none
-	Seed      uint64 // of all choices made by chance
-	Limits    Limits
+	Name          string // of the limiter; its processes find each other by it
+	ListenAddr    string // host:port at which clients connect
+	DiscoveryAddr string // host:port of endpoint discovery
+	AdminAddr     string // host:port of the administration server; empty for none
+	Seed          uint64 // of all choices made by chance
+	Limits        Limits
 
-	PeerListen netip.AddrPort   // where datagrams of other limiters are received; zero for no gossip
-	Peers      []netip.AddrPort // by the limiters' numbers
-	PeersAll   netip.AddrPort   // reaches all of them; zero for none
+	PeerListen    netip.AddrPort   // where datagrams of other limiters are received; zero for no gossip
+	Peers         []netip.AddrPort // by the limiters' numbers
+	PeerBroadcast netip.AddrPort   // reaches all of them; zero for none
 
-	HotRestart   *HotRestart       // nil if hot restarts are disabled
-	Leases       *lease.Settings   // nil if leases are disabled
-	Usage        Usage             // usage accounting
-	RestartSlots core.RestartSlots // of rolling restarts; zero if they are disabled
+	HotRestart   *HotRestart              // nil if hot restarts are disabled
+	Leases       *lease.Settings          // nil if leases are disabled
+	Usage        Usage                    // usage accounting
+	RestartSlots core.RestartSlotSettings // of rolling restarts; zero if they are disabled
 
-	KnownEndpoints []core.Endpoint   // the endpoint list as the platform last knew it
-	Generation     int64             // of that list
-	Settings       settings.Settings // of the service: classes, plans and what is allowed
+	KnownEndpoints  []core.Endpoint   // the endpoint list as the platform last knew it
+	KnownGeneration int64             // of that list
+	Settings        settings.Settings // of the service: classes, plans and what is allowed
 }
 
 // Limits are the platform's limits for one limiter. Zero means no limit.
@@ -61,9 +61,9 @@
 		Settings:         c.Settings.Settings,
 		Seed:             c.Seed,
 		KnownEndpoints:   c.KnownEndpoints,
-		Discovery:        c.Discovery,
-		PublishesMetrics: c.Console != "",
-		Generation:       c.Generation,
+		Discovery:        c.DiscoveryAddr,
+		PublishesMetrics: c.AdminAddr != "",
+		KnownGeneration:  c.KnownGeneration,
 		HotRestart:       c.HotRestart.limits(),
 		Epoch:            c.Settings.Epoch,
 		Leases:           c.Leases,
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -175,7 +175,7 @@
 	if n := c.Settings.Limiters; n > rollingrestart.MaxLimiters {
 		return fmt.Errorf("/leases/tasks: turns at restarts are for %d limiters at most, there are %d", rollingrestart.MaxLimiters, n)
 	}
-	c.RestartSlots = core.RestartSlots{
+	c.RestartSlots = core.RestartSlotSettings{
 		MaxConcurrent: cmp.Or(o.MaxConcurrent, defaultMaxRestarts),
 		Duration:      cmp.Or(time.Duration(o.DurationS)*time.Second, defaultRestartDuration),
 	}
@@ -206,8 +206,8 @@
 	return time.Duration(replies / (leaseMessageFraction * datagramsPerSecond) * float64(time.Second))
 }
 
-// Path returns the path of the socket at which the processes of a limiter find each other.
-func (h *HotRestart) Path(name string) string { return link.Path(filepath.Clean(h.Dir), name) }
+// SocketPath returns the path of the socket at which the processes of a limiter find each other.
+func (h *HotRestart) SocketPath(name string) string { return link.Path(filepath.Clean(h.Dir), name) }
 
 // limits returns the timeouts of hot restarts, nil if these are disabled.
 func (h *HotRestart) limits() *hotrestart.Limits {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -115,7 +115,7 @@
 // decode returns the configuration that the file says, after validating it.
 func (f *platformFile) decode(origin time.Time) (*Config, error) {
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console,
+		Name: f.Name, ListenAddr: f.Listen, DiscoveryAddr: f.Discovery, AdminAddr: f.Console,
 		Limits: f.Limits, Seed: parseSeed(f.Seed),
 	}
 	var err error
@@ -144,7 +144,7 @@
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	c.KnownEndpoints, c.Generation = list.Endpoints, generation
+	c.KnownEndpoints, c.KnownGeneration = list.Endpoints, generation
 	return nil
 }
 
@@ -153,9 +153,9 @@
 		option, value string
 		optional      bool
 	}{
-		{"listen", c.Listen, false},
-		{"discovery", c.Discovery, false},
-		{"console", c.Console, true},
+		{"listen", c.ListenAddr, false},
+		{"discovery", c.DiscoveryAddr, false},
+		{"console", c.AdminAddr, true},
 	} {
 		if address.optional && address.value == "" {
 			continue
@@ -178,7 +178,7 @@
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	if f.PeersAll != "" {
-		if c.PeersAll, err = netip.ParseAddrPort(f.PeersAll); err != nil {
+		if c.PeerBroadcast, err = netip.ParseAddrPort(f.PeersAll); err != nil {
 			return fmt.Errorf("peers_all: %w", err)
 		}
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -41,9 +41,9 @@
 		t.Fatal(err)
 	}
 	s := c.Settings
-	if c.Name != "n9" || c.Listen != "127.0.0.4:8443" || c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 192, 1024}) ||
-		len(c.Peers) != 2 || c.PeersAll.String() != "127.0.0.6:7946" || len(c.KnownEndpoints) != 1 || c.Generation != 41 ||
-		s.Self != 1 || s.ConnectTimeout != 250*time.Millisecond || s.IdleClose != 15*time.Second || s.MostUnits != 4 || !s.GossipEnabled {
+	if c.Name != "n9" || c.ListenAddr != "127.0.0.4:8443" || c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 192, 1024}) ||
+		len(c.Peers) != 2 || c.PeerBroadcast.String() != "127.0.0.6:7946" || len(c.KnownEndpoints) != 1 || c.KnownGeneration != 41 ||
+		s.Self != 1 || s.ConnectTimeout != 250*time.Millisecond || s.IdleClose != 15*time.Second || s.MaxUnits != 4 || !s.GossipEnabled {
 		t.Errorf("%+v", c)
 	}
 }
@@ -52,13 +52,13 @@
 // file counts, if it has one.
 func TestReload(t *testing.T) {
 	env := map[string]string{"ROUTER_DISCOVERY": "127.0.0.9:1", "ROUTER_NAME": "n9"}
-	if c, err := read(t, Load, text, env); err != nil || c.Discovery != "127.0.0.9:1" {
+	if c, err := read(t, Load, text, env); err != nil || c.DiscoveryAddr != "127.0.0.9:1" {
 		t.Errorf("at the start: %+v, %v", c, err)
 	}
-	if c, err := read(t, Reload, text, env); err != nil || c.Discovery != "127.0.0.2:8500" || c.Name != "n9" {
+	if c, err := read(t, Reload, text, env); err != nil || c.DiscoveryAddr != "127.0.0.2:8500" || c.Name != "n9" {
 		t.Errorf("reloaded: %+v, %v", c, err)
 	}
-	if c, err := read(t, Reload, strings.Replace(text, `"discovery":"127.0.0.2:8500",`, "", 1), env); err != nil || c.Discovery != "127.0.0.9:1" {
+	if c, err := read(t, Reload, strings.Replace(text, `"discovery":"127.0.0.2:8500",`, "", 1), env); err != nil || c.DiscoveryAddr != "127.0.0.9:1" {
 		t.Errorf("reloaded without an address: %+v, %v", c, err)
 	}
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -78,7 +78,7 @@
 }
 
 func (m *Machine) recordAttempt(r *request, id AttemptID, action admission.StartAttempt) {
-	m.counters.Fetched++
+	m.counters.AttemptsStarted++
 	if id.Number > 0 {
 		m.counters.Retries++
 	}
@@ -104,9 +104,9 @@
 }
 
 func (m *Machine) countAttemptResult(ev *AttemptFinished) {
-	m.counters.Stale += uint64(ev.StaleConns)
+	m.counters.StaleConns += uint64(ev.StaleConns)
 	if ev.ResponseInvalid {
-		m.counters.Spoilt++
+		m.counters.ResponsesInvalid++
 	}
 	switch ev.Result {
 	case admission.NotSent:
@@ -114,11 +114,11 @@
 	case admission.Errored:
 		m.counters.Errored++
 	case admission.Rejected:
-		m.counters.TurnedAway++
+		m.counters.AttemptsRejected++
 	case admission.Unreachable, admission.ConnectFailed:
-		m.counters.Unreachable++
+		m.counters.ConnectsFailed++
 	case admission.ConnectionLost:
-		m.counters.Broken++
+		m.counters.ConnsLost++
 	}
 }
 
--- a/internal/core/collection.go
+++ b/internal/core/collection.go
@@ -197,7 +197,7 @@
 func (m *Machine) openPeriod() {
 	c := &m.usage.collection
 	stage := periodOpened
-	if c.collector.MayBeReported {
+	if c.collector.MayRepeat {
 		stage = periodWriting
 	}
 	if m.setUsageStage(stage) {
@@ -312,8 +312,8 @@
 func (m *Machine) countWrittenReport() {
 	collector := m.usage.collection.collector
 	m.usage.counts.Written++
-	if collector.MayBeReported {
-		m.usage.counts.Again++
+	if collector.MayRepeat {
+		m.usage.counts.Repeated++
 	}
 	m.usage.counts.Missing += uint64(collector.Missing())
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -23,50 +23,50 @@
 
 // Counters count from the start of the process what it received, forwarded and answered.
 type Counters struct {
-	Received     uint64        `json:"received"`      // requests
-	Malformed    CountsByCause `json:"malformed"`     // what was no valid request, answered with 4xx
-	ClosedUnread uint64        `json:"closed_unread"` // client connections closed with no complete request read
-	ClosedIdle   uint64        `json:"closed_idle"`   // client connections closed between requests
-	Full         uint64        `json:"full"`          // new client connections beyond the limit, answered with Retry-After
-	Fetched      uint64        `json:"fetched"`       // attempts started
-	Retries      uint64        `json:"retries"`       // of these, retries
-	NotSent      uint64        `json:"not_sent"`      // attempts that came too late or one too many, or were withdrawn
-	Served       uint64        `json:"served"`        // responses of backends passed on
-	Refused      uint64        `json:"refused"`       // local replies: the request may be sent again
-	Failed       uint64        `json:"failed"`        // local replies: the request may have run
-	Overdue      uint64        `json:"overdue"`       // local replies at the deadline, of these two
-	Left         uint64        `json:"left"`          // clients that disconnected before their response
-	TimedOut     uint64        `json:"timed_out"`     // attempts
-	Unreachable  uint64        `json:"unreachable"`   // attempts that got no connection
-	Broken       uint64        `json:"broken"`        // attempts whose connection was lost
-	Spoilt       uint64        `json:"spoilt"`        // of these, those whose response had begun
-	Stale        uint64        `json:"stale"`         // backend connections found closed before an attempt used them
-	Errored      uint64        `json:"errored"`       // attempts that the backend failed
-	TurnedAway   uint64        `json:"turned_away"`   // attempts that the backend rejected
-	Probes       uint64        `json:"probes"`        // sent
-	Lists        uint64        `json:"lists"`         // watch events of the endpoint list
-	Reloads      uint64        `json:"reloads"`       // of the configuration
-	ReloadsBad   uint64        `json:"reloads_bad"`   // of a configuration that could not be read or is not valid
-	PeerOut      uint64        `json:"peer_out"`      // datagrams sent
-	PeerIn       uint64        `json:"peer_in"`       // datagrams received
-	PeerBad      uint64        `json:"peer_bad"`      // datagrams dropped as malformed or of unknown origin
-	OpenReqs     int           `json:"open_reqs"`     // requests without a response, now
-	OpenFetches  int           `json:"open_fetches"`  // attempts in flight, now
-	LiveBackends int           `json:"live_backends"` // listed and live, now
+	Received             uint64        `json:"received"`      // requests
+	Malformed            CountsByCause `json:"malformed"`     // what was no valid request, answered with 4xx
+	ClosedUnread         uint64        `json:"closed_unread"` // client connections closed with no complete request read
+	ClosedIdle           uint64        `json:"closed_idle"`   // client connections closed between requests
+	ConnsRejected        uint64        `json:"full"`          // new client connections beyond the limit, answered with Retry-After
+	AttemptsStarted      uint64        `json:"fetched"`       // attempts started
+	Retries              uint64        `json:"retries"`       // of these, retries
+	NotSent              uint64        `json:"not_sent"`      // attempts that came too late or one too many, or were withdrawn
+	Served               uint64        `json:"served"`        // responses of backends passed on
+	Rejected             uint64        `json:"refused"`       // local replies: the request may be sent again
+	Failed               uint64        `json:"failed"`        // local replies: the request may have run
+	Overdue              uint64        `json:"overdue"`       // local replies at the deadline, of these two
+	ClientsDisconnected  uint64        `json:"left"`          // clients that disconnected before their response
+	TimedOut             uint64        `json:"timed_out"`     // attempts
+	ConnectsFailed       uint64        `json:"unreachable"`   // attempts that got no connection
+	ConnsLost            uint64        `json:"broken"`        // attempts whose connection was lost
+	ResponsesInvalid     uint64        `json:"spoilt"`        // of these, those whose response had begun
+	StaleConns           uint64        `json:"stale"`         // backend connections found closed before an attempt used them
+	Errored              uint64        `json:"errored"`       // attempts that the backend failed
+	AttemptsRejected     uint64        `json:"turned_away"`   // attempts that the backend rejected
+	Probes               uint64        `json:"probes"`        // sent
+	EndpointUpdates      uint64        `json:"lists"`         // watch events of the endpoint list
+	Reloads              uint64        `json:"reloads"`       // of the configuration
+	ReloadsFailed        uint64        `json:"reloads_bad"`   // of a configuration that could not be read or is not valid
+	PeerMessagesSent     uint64        `json:"peer_out"`      // datagrams sent
+	PeerMessagesReceived uint64        `json:"peer_in"`       // datagrams received
+	PeerMessagesInvalid  uint64        `json:"peer_bad"`      // datagrams dropped as malformed or of unknown origin
+	OpenRequests         int           `json:"open_reqs"`     // requests without a response, now
+	OpenAttempts         int           `json:"open_fetches"`  // attempts in flight, now
+	LiveBackends         int           `json:"live_backends"` // listed and live, now
 
-	Turned admission.RejectionCounts `json:"turned"` // local replies by cause
-	Quota  quota.Counters            `json:"quota"`  // of customers
-	Rollup UsageCounts               `json:"rollup"` // of usage reports
+	Rejections admission.RejectionCounts `json:"turned"` // local replies by cause
+	Quota      quota.Counters            `json:"quota"`  // of customers
+	Usage      UsageCounts               `json:"rollup"` // of usage reports
 }
 
 // Counters returns the counters as they are now.
 func (m *Machine) Counters() Counters {
 	c := m.counters
-	c.OpenReqs = m.requests.pending
-	c.OpenFetches = len(m.attempts)
+	c.OpenRequests = m.requests.pending
+	c.OpenAttempts = len(m.attempts)
 	c.LiveBackends = m.liveBackends()
-	c.Turned = m.admission.controller.Rejections()
+	c.Rejections = m.admission.controller.Rejections()
 	c.Quota = m.admission.controller.QuotaCounters()
-	c.Rollup = m.usage.counts
+	c.Usage = m.usage.counts
 	return c
 }
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -147,8 +147,8 @@
 // CloseLink closes the link after what was sent.
 type CloseLink struct{}
 
-// KillLinkedProcess kills the other process. LinkClosed follows.
-type KillLinkedProcess struct{}
+// KillOtherProcess kills the other process. LinkClosed follows.
+type KillOtherProcess struct{}
 
 // ReportAttemptStarted notifies the successor of an attempt that started here.
 type ReportAttemptStarted struct{ OpenAttempt }
@@ -176,7 +176,7 @@
 type AdoptSockets struct {
 	Sockets     Content
 	Now         time.Duration // the predecessor's clock time
-	Source      string        // address at which the endpoint list is watched
+	Discovery   string        // address at which the endpoint list is watched
 	Generation  int64         // of the endpoint list
 	LastRequest RequestID     // requests are numbered from beyond this
 }
@@ -221,7 +221,7 @@
 func (SendLinkMessage) effect()        {}
 func (TransferState) effect()          {}
 func (CloseLink) effect()              {}
-func (KillLinkedProcess) effect()      {}
+func (KillOtherProcess) effect()       {}
 func (ReportAttemptStarted) effect()   {}
 func (ReportAttemptFinished) effect()  {}
 func (ForwardRequest) effect()         {}
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -38,7 +38,7 @@
 // connection that a new attempt could use. Removed ones are forgotten: backends are replaced under new
 // IDs, and never come back.
 func (m *Machine) applyEndpoints(ev *EndpointsUpdated) {
-	m.counters.Lists++
+	m.counters.EndpointUpdates++
 	m.endpoints.generation = ev.Generation
 	list := &admission.EndpointList{Kind: ev.Kind}
 	for i := range ev.Endpoints {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -60,8 +60,8 @@
 	BadQuota
 	// BadFraming means that the end of the request is ambiguous or did not come.
 	BadFraming
-	// OpenID means that an open request has the same X-Call-Id.
-	OpenID
+	// DuplicateCallID means that an open request has the same X-Call-Id.
+	DuplicateCallID
 	numCauses
 )
 
@@ -173,11 +173,11 @@
 	Epoch uint32 // of a start of this limiter now
 }
 
-// PeerAttemptStarted notifies a successor that the predecessor started an attempt.
-type PeerAttemptStarted struct{ OpenAttempt }
+// PredecessorAttemptStarted notifies a successor that the predecessor started an attempt.
+type PredecessorAttemptStarted struct{ OpenAttempt }
 
-// PeerAttemptFinished notifies a successor that an attempt of the predecessor ended.
-type PeerAttemptFinished struct{ FinishedAttempt }
+// PredecessorAttemptFinished notifies a successor that an attempt of the predecessor ended.
+type PredecessorAttemptFinished struct{ FinishedAttempt }
 
 // ForwardedRequestReceived brings a request of the predecessor. SendForwardedResponse follows.
 type ForwardedRequestReceived struct{ ForwardedRequest }
@@ -189,27 +189,27 @@
 // ForwardedResponseReceived brings the successor's response to a request that was forwarded to it.
 type ForwardedResponseReceived struct{ Respond }
 
-func (*RequestReceived) event()           {}
-func (*ClientDisconnected) event()        {}
-func (RequestMalformed) event()           {}
-func (*ClientConnClosed) event()          {}
-func (ServerClosed) event()               {}
-func (*AttemptFinished) event()           {}
-func (*ProbeFinished) event()             {}
-func (*EndpointsUpdated) event()          {}
-func (*PeerMessageReceived) event()       {}
-func (TimerFired) event()                 {}
-func (ShutdownRequested) event()          {}
-func (ReloadRequested) event()            {}
-func (*ConfigReloaded) event()            {}
-func (UsageWritten) event()               {}
-func (RestartSlotRequested) event()       {}
-func (RestartSlotReleased) event()        {}
-func (*SuccessorConnected) event()        {}
-func (*LinkMessageReceived) event()       {}
-func (LinkClosed) event()                 {}
-func (*PeerAttemptStarted) event()        {}
-func (*PeerAttemptFinished) event()       {}
-func (*ForwardedRequestReceived) event()  {}
-func (ForwardedRequestCanceled) event()   {}
-func (*ForwardedResponseReceived) event() {}
+func (*RequestReceived) event()            {}
+func (*ClientDisconnected) event()         {}
+func (RequestMalformed) event()            {}
+func (*ClientConnClosed) event()           {}
+func (ServerClosed) event()                {}
+func (*AttemptFinished) event()            {}
+func (*ProbeFinished) event()              {}
+func (*EndpointsUpdated) event()           {}
+func (*PeerMessageReceived) event()        {}
+func (TimerFired) event()                  {}
+func (ShutdownRequested) event()           {}
+func (ReloadRequested) event()             {}
+func (*ConfigReloaded) event()             {}
+func (UsageWritten) event()                {}
+func (RestartSlotRequested) event()        {}
+func (RestartSlotReleased) event()         {}
+func (*SuccessorConnected) event()         {}
+func (*LinkMessageReceived) event()        {}
+func (LinkClosed) event()                  {}
+func (*PredecessorAttemptStarted) event()  {}
+func (*PredecessorAttemptFinished) event() {}
+func (*ForwardedRequestReceived) event()   {}
+func (ForwardedRequestCanceled) event()    {}
+func (*ForwardedResponseReceived) event()  {}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -25,7 +25,7 @@
 	Controller     []byte // admission.Controller.Snapshot; empty where there is none or it failed
 	Endpoints      []Endpoint
 	Generation     int64     // of Endpoints
-	Source         string    // address at which the endpoint list is watched
+	Discovery      string    // address at which the endpoint list is watched
 	LastRequest    RequestID // the successor's requests are numbered from beyond this
 	OpenAttempts   []OpenAttempt
 	Usage          *usage.RecorderState  // nil where usage is not accounted for
@@ -78,7 +78,7 @@
 	state := HandoverState{
 		Now:            m.now,
 		Generation:     m.endpoints.generation,
-		Source:         m.endpoints.discovery,
+		Discovery:      m.endpoints.discovery,
 		LastRequest:    m.requests.lastID,
 		LeaseAcceptors: m.hotRestart.leaseAcceptors,
 	}
@@ -158,7 +158,7 @@
 	if m.usage.recorder != nil {
 		m.usage.recorder.Restore(state.Usage)
 	}
-	m.endpoints.discovery = state.Source
+	m.endpoints.discovery = state.Discovery
 	m.endpoints.generation = state.Generation
 	m.requests.lastID = state.LastRequest + requestIDGap
 	m.restoreController(state)
@@ -167,7 +167,7 @@
 	}
 	m.emit(SetResourceShare{Fraction: sharedFraction})
 	m.emit(AdoptSockets{
-		Sockets: m.hotRestart.sockets, Now: state.Now, Source: state.Source, Generation: state.Generation,
+		Sockets: m.hotRestart.sockets, Now: state.Now, Discovery: state.Discovery, Generation: state.Generation,
 		LastRequest: m.requests.lastID,
 	})
 	m.hotRestart.sockets = nil
@@ -187,12 +187,12 @@
 	if state == nil {
 		state = &HandoverState{Now: m.now}
 	}
-	if state.Source == "" {
-		state.Source = m.endpoints.discovery
+	if state.Discovery == "" {
+		state.Discovery = m.endpoints.discovery
 	}
 	if len(state.Endpoints) == 0 {
 		state.Endpoints = m.config.KnownEndpoints
-		state.Generation = m.config.Generation
+		state.Generation = m.config.KnownGeneration
 	}
 	return state
 }
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -56,9 +56,9 @@
 		m.onLinkMessage(ev)
 	case LinkClosed:
 		m.onLinkClosed(ev)
-	case *PeerAttemptStarted:
+	case *PredecessorAttemptStarted:
 		m.onPeerAttemptStarted(&ev.OpenAttempt)
-	case *PeerAttemptFinished:
+	case *PredecessorAttemptFinished:
 		m.onPeerAttemptFinished(&ev.FinishedAttempt)
 	case *ForwardedRequestReceived:
 		m.onForwardedRequest(ev)
@@ -153,7 +153,7 @@
 		m.emit(ConnectPredecessor{})
 	case hotrestart.KillPeer:
 		m.logf("killing the other process of the hot restart, it does not respond")
-		m.emit(KillLinkedProcess{})
+		m.emit(KillOtherProcess{})
 	case hotrestart.CloseLink:
 		m.emit(CloseLink{})
 	case hotrestart.Abort:
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -105,10 +105,10 @@
 func (m *Machine) onLeaseMessage(ev *PeerMessageReceived) {
 	message, ok := lease.Parse(ev.Data)
 	if !ok || !m.isPeer(ev.From) {
-		m.counters.PeerBad++
+		m.counters.PeerMessagesInvalid++
 		return
 	}
-	m.counters.PeerIn++
+	m.counters.PeerMessagesReceived++
 	if m.leases.agent == nil {
 		return
 	}
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -69,7 +69,7 @@
 		timeout = cachedListTimeout
 	}
 	m.timers.add(timer{at: m.now + timeout, kind: discoveryTimer})
-	m.applyEndpoints(&EndpointsUpdated{Kind: admission.ListCached, Endpoints: known, Generation: m.config.Generation})
+	m.applyEndpoints(&EndpointsUpdated{Kind: admission.ListCached, Endpoints: known, Generation: m.config.KnownGeneration})
 	m.startLeases()
 }
 
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -109,7 +109,7 @@
 			effects = m.Step(timer[0].At, TimerFired{})
 		}
 	}
-	if c := m.Counters(); c.OpenReqs != 0 || c.Refused+c.Failed != 2 {
+	if c := m.Counters(); c.OpenRequests != 0 || c.Rejected+c.Failed != 2 {
 		t.Errorf("counters %+v", c)
 	}
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -34,13 +34,13 @@
 	Discovery        string // address at which the endpoint list is watched
 	PublishesMetrics bool   // PublishMetrics effects are wanted
 
-	Generation int64              // of KnownEndpoints
-	HotRestart *hotrestart.Limits // of taking over from a predecessor and handing over to a successor; nil for neither
-	Epoch      uint32             // of this start of the limiter
-	Leases     *lease.Settings    // of tasks that one limiter does at a time; nil for none
+	KnownGeneration int64              // of KnownEndpoints
+	HotRestart      *hotrestart.Limits // of taking over from a predecessor and handing over to a successor; nil for neither
+	Epoch           uint32             // of this start of the limiter
+	Leases          *lease.Settings    // of tasks that one limiter does at a time; nil for none
 
-	UsagePeriod  time.Duration // that one usage report covers, where TaskUsage is among the tasks
-	RestartSlots RestartSlots  // of the rolling restart, where TaskRestarts is among the tasks
+	UsagePeriod  time.Duration       // that one usage report covers, where TaskUsage is among the tasks
+	RestartSlots RestartSlotSettings // of the rolling restart, where TaskRestarts is among the tasks
 }
 
 // Machine is the state of the program. It is not safe for concurrent use.
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -58,7 +58,7 @@
 		m.counters.Served++
 		class.Completed++
 	case Rejected:
-		m.counters.Refused++
+		m.counters.Rejected++
 		class.Rejected++
 	case Failed:
 		m.counters.Failed++
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -39,10 +39,10 @@
 func (m *Machine) onGossip(ev *PeerMessageReceived) {
 	_, ok := gossip.Parse(ev.Data)
 	if !ok || !m.isLimiter(ev.From) {
-		m.counters.PeerBad++
+		m.counters.PeerMessagesInvalid++
 		return
 	}
-	m.counters.PeerIn++
+	m.counters.PeerMessagesReceived++
 	m.decide(&admission.PeerMessage{From: ev.From, Data: ev.Data})
 }
 
@@ -54,6 +54,6 @@
 }
 
 func (m *Machine) sendToPeer(peer int, data []byte) {
-	m.counters.PeerOut++
+	m.counters.PeerMessagesSent++
 	m.emit(SendToPeer{Peer: peer, Data: data})
 }
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -15,7 +15,7 @@
 		m.Step(time.Hour, &ev)
 	}
 	m.Step(time.Hour, &PeerMessageReceived{1, message})
-	if c := m.Counters(); c.PeerBad != 5 || c.PeerIn != 1 {
-		t.Errorf("%d bad, %d good; want 5 and 1", c.PeerBad, c.PeerIn)
+	if c := m.Counters(); c.PeerMessagesInvalid != 5 || c.PeerMessagesReceived != 1 {
+		t.Errorf("%d bad, %d good; want 5 and 1", c.PeerMessagesInvalid, c.PeerMessagesReceived)
 	}
 }
--- a/internal/core/reload.go
+++ b/internal/core/reload.go
@@ -26,7 +26,7 @@
 	m.reload.running = false
 	switch {
 	case ev.Err != nil:
-		m.counters.ReloadsBad++
+		m.counters.ReloadsFailed++
 		m.logf("kept the configuration that runs: %v", ev.Err)
 	case ev.Discovery != m.endpoints.discovery:
 		m.counters.Reloads++
--- a/internal/core/reload_test.go
+++ b/internal/core/reload_test.go
@@ -36,7 +36,7 @@
 	if len(effectsOf[WatchEndpoints](got)) != 0 {
 		t.Errorf("the same address brought %+v", got)
 	}
-	if c := m.Counters(); c.Reloads != 2 || c.ReloadsBad != 1 || c.LiveBackends != 1 {
+	if c := m.Counters(); c.Reloads != 2 || c.ReloadsFailed != 1 || c.LiveBackends != 1 {
 		t.Errorf("%+v", c)
 	}
 	m.Step(time.Hour, ServerClosed{})
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -69,7 +69,7 @@
 	m.noteTraffic()
 	if ev.Disconnected {
 		m.counters.Received++
-		m.counters.Left++
+		m.counters.ClientsDisconnected++
 		m.emit(m.rejection(ev.ID))
 		return
 	}
@@ -80,7 +80,7 @@
 // open request is rejected: backends and clients would take the response of one for the other's.
 func (m *Machine) acceptRequest(ev *RequestReceived, fromPredecessor bool) {
 	if !m.claimCallID(ev) {
-		m.counters.Malformed[OpenID]++
+		m.counters.Malformed[DuplicateCallID]++
 		m.sendResponse(fromPredecessor, Respond{Request: ev.ID, Kind: DuplicateID})
 		return
 	}
@@ -158,7 +158,7 @@
 	}
 	r.answered = true
 	if !r.fromPredecessor {
-		m.counters.Left++
+		m.counters.ClientsDisconnected++
 		m.requests.pending--
 		m.emit(m.localReply(r))
 	}
@@ -247,7 +247,7 @@
 func (m *Machine) onClientConnClosed(ev *ClientConnClosed) {
 	switch {
 	case ev.Full:
-		m.counters.Full++
+		m.counters.ConnsRejected++
 	case ev.Unread:
 		m.counters.ClosedUnread++
 	default:
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("the first ended with %+v", first)
 	}
 	third := effectsOf[StartAttempt](send(3))
-	if len(third) != 1 || m.Counters().Malformed[OpenID] != 1 || len(m.requests.byCallID) != 1 {
+	if len(third) != 1 || m.Counters().Malformed[DuplicateCallID] != 1 || len(m.requests.byCallID) != 1 {
 		t.Errorf("the third brought %+v", third)
 	}
 }
@@ -95,7 +95,7 @@
 	if len(effectsOf[StartAttempt](effects))+len(effectsOf[Respond](effects)) > 0 || len(m.requests.byID) > 0 {
 		t.Errorf("%v, %d requests kept", effects, len(m.requests.byID))
 	}
-	if c := m.Counters(); c.Left != 1 || c.Refused != 0 || c.OpenReqs != 0 {
+	if c := m.Counters(); c.ClientsDisconnected != 1 || c.Rejected != 0 || c.OpenRequests != 0 {
 		t.Errorf("counters %+v", c)
 	}
 }
@@ -109,7 +109,7 @@
 	if got := effectsOf[Respond](effects); len(got) != 1 || got[0].Kind != Rejected || len(effectsOf[StartAttempt](effects)) > 0 {
 		t.Errorf("%v", effects)
 	}
-	if c := m.Counters(); c.Received != 1 || c.Left != 1 || c.OpenReqs != 0 || len(m.requests.byID) > 0 {
+	if c := m.Counters(); c.Received != 1 || c.ClientsDisconnected != 1 || c.OpenRequests != 0 || len(m.requests.byID) > 0 {
 		t.Errorf("counters %+v", c)
 	}
 }
--- a/internal/core/restartslots.go
+++ b/internal/core/restartslots.go
@@ -14,8 +14,8 @@
 // TaskRestarts is the task of granting restart slots.
 const TaskRestarts = "restarts"
 
-// RestartSlots are the operators' settings of the rolling restart.
-type RestartSlots struct {
+// RestartSlotSettings are the operators' settings of the rolling restart.
+type RestartSlotSettings struct {
 	MaxConcurrent int           // limiters that restart at once
 	Duration      time.Duration // within which a restart has to begin once its slot is granted
 }
@@ -114,10 +114,10 @@
 func (m *Machine) onSlotMessage(ev *PeerMessageReceived) {
 	message, ok := rollingrestart.Parse(ev.Data)
 	if !ok || !m.isPeer(ev.From) {
-		m.counters.PeerBad++
+		m.counters.PeerMessagesInvalid++
 		return
 	}
-	m.counters.PeerIn++
+	m.counters.PeerMessagesReceived++
 	if m.restartSlots.enabled && m.leases.agent != nil {
 		m.handleSlotMessage(lease.Limiter(ev.From), message)
 		m.runLeases()
--- a/internal/core/usage.go
+++ b/internal/core/usage.go
@@ -22,12 +22,12 @@
 
 // UsageCounts count from the start of the process what this limiter did for usage reports.
 type UsageCounts struct {
-	Pages   uint64 `json:"pages"`   // sent to lease holders
-	Written uint64 `json:"written"` // reports
-	Again   uint64 `json:"again"`   // of these, of periods that an earlier lease holder may have written
-	Missing uint64 `json:"missing"` // limiters that are in none of these reports
-	Failed  uint64 `json:"failed"`  // reports that could not be written, and were retried
-	Late    uint64 `json:"late"`    // reports that were not written, as the lease had ended
+	Pages    uint64 `json:"pages"`   // sent to lease holders
+	Written  uint64 `json:"written"` // reports
+	Repeated uint64 `json:"again"`   // of these, of periods that an earlier lease holder may have written
+	Missing  uint64 `json:"missing"` // limiters that are in none of these reports
+	Failed   uint64 `json:"failed"`  // reports that could not be written, and were retried
+	Late     uint64 `json:"late"`    // reports that were not written, as the lease had ended
 }
 
 func newUsageState(config Config) usageState {
@@ -62,11 +62,11 @@
 // onUsageMessage takes a datagram of usage accounting in.
 func (m *Machine) onUsageMessage(ev *PeerMessageReceived) {
 	if !m.isPeer(ev.From) {
-		m.counters.PeerBad++
+		m.counters.PeerMessagesInvalid++
 		return
 	}
 	if request, ok := usage.ParsePageRequest(ev.Data); ok {
-		m.counters.PeerIn++
+		m.counters.PeerMessagesReceived++
 		m.sendUsagePage(ev.From, request)
 		return
 	}
@@ -90,13 +90,13 @@
 func (m *Machine) onUsagePage(ev *PeerMessageReceived) {
 	c := &m.usage.collection
 	if c.phase != collectionQuerying || m.leases.agent == nil {
-		m.counters.PeerIn++ // too late to be of use
+		m.counters.PeerMessagesReceived++ // too late to be of use
 		return
 	}
 	if !c.collector.HandleMessage(usage.Limiter(ev.From), ev.Data) {
-		m.counters.PeerBad++
+		m.counters.PeerMessagesInvalid++
 		return
 	}
-	m.counters.PeerIn++
+	m.counters.PeerMessagesReceived++
 	m.runLeases()
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -59,7 +59,7 @@
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				fake := newFakeDiscovery(t)
-				events := fake.watcher(t, func(w *Watcher) { w.SilenceTimeout = time.Hour })
+				events := fake.watcher(t, func(w *Watcher) { w.silenceTimeout = time.Hour })
 				(<-fake.watches).lines <- complete[:i] + behind
 				if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
 					t.Errorf("cut off at %q: requested %s", complete[:i], again.query)
@@ -147,7 +147,7 @@
 			}()
 			defer close(done)
 			fake.server = newFakeDiscovery(t).server
-			events := fake.watcher(t, func(w *Watcher) { w.Addr, w.SilenceTimeout = l.Addr().String(), 100*time.Millisecond })
+			events := fake.watcher(t, func(w *Watcher) { w.Addr, w.silenceTimeout = l.Addr().String(), 100*time.Millisecond })
 			for {
 				select {
 				case ev := <-events:
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -46,9 +46,9 @@
 	Post           func(core.Event) // takes a core.EndpointsUpdated for each message
 	Log            *zap.Logger
 	Limiters       int                   // that watch the same discovery
-	Random         func() float64        // overrides the source of chance, in [0, 1)
-	SilenceTimeout time.Duration         // overrides after how long a silent watch is given up
-	Sleep          func(d time.Duration) // overrides how a pause is spent
+	random         func() float64        // overrides the source of chance, in [0, 1)
+	silenceTimeout time.Duration         // overrides after how long a silent watch is given up
+	sleepOverride  func(d time.Duration) // overrides how a pause is spent
 
 	mu       sync.Mutex
 	nextAddr string             // of the last Move; empty once Run watches there
@@ -90,10 +90,10 @@
 		DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
 	}
 	defer transport.CloseIdleConnections()
-	if w.Random == nil {
-		w.Random = rand.Float64
+	if w.random == nil {
+		w.random = rand.Float64
 	}
-	pauses := newBackoff(w.Limiters, w.Random)
+	pauses := newBackoff(w.Limiters, w.random)
 	for ctx.Err() == nil {
 		watchCtx, moved := w.begin(ctx)
 		if moved {
@@ -124,8 +124,8 @@
 }
 
 func (w *Watcher) sleep(ctx context.Context, d time.Duration) {
-	if w.Sleep != nil {
-		w.Sleep(d)
+	if w.sleepOverride != nil {
+		w.sleepOverride(d)
 		return
 	}
 	select {
@@ -138,7 +138,7 @@
 func (w *Watcher) watch(ctx context.Context, transport *http.Transport) (messages int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timeout := w.SilenceTimeout
+	timeout := w.silenceTimeout
 	if timeout == 0 {
 		timeout = defaultSilenceTimeout
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -106,7 +106,7 @@
 	events := make(chan core.Event, 8)
 	w := &Watcher{
 		Addr: d.server.Listener.Addr().String(), Generation: 7, Log: zap.NewNop(),
-		Post: func(ev core.Event) { events <- ev }, Sleep: func(time.Duration) {},
+		Post: func(ev core.Event) { events <- ev }, sleepOverride: func(time.Duration) {},
 	}
 	if change != nil {
 		change(w)
@@ -180,7 +180,7 @@
 // off.
 func TestSilence(t *testing.T) {
 	fake := newFakeDiscovery(t)
-	fake.watcher(t, func(w *Watcher) { w.SilenceTimeout = 20 * time.Millisecond })
+	fake.watcher(t, func(w *Watcher) { w.silenceTimeout = 20 * time.Millisecond })
 	first := <-fake.watches
 	<-first.gone
 	<-fake.watches
@@ -191,7 +191,7 @@
 func TestInvalidLines(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	var spent time.Duration
-	events := fake.watcher(t, func(w *Watcher) { w.Sleep = func(d time.Duration) { spent += d } })
+	events := fake.watcher(t, func(w *Watcher) { w.sleepOverride = func(d time.Duration) { spent += d } })
 	for range 3 {
 		(<-fake.watches).lines <- "{\"generation\x00:7}\n"
 	}
@@ -207,7 +207,7 @@
 	fake := newFakeDiscovery(t)
 	pauses := make(chan time.Duration, 1)
 	fake.watcher(t, func(w *Watcher) {
-		w.Sleep, w.Random = func(d time.Duration) { pauses <- d }, func() float64 { return 0.5 }
+		w.sleepOverride, w.random = func(d time.Duration) { pauses <- d }, func() float64 { return 0.5 }
 	})
 	for _, want := range []int{10, 20, 40, 80, 100, 100} { // and no longer ones: a failed watch costs nobody anything
 		close((<-fake.watches).lines)
@@ -232,8 +232,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w := &Watcher{
-		Addr: full.Listener.Addr().String(), Limiters: tier, Random: random, Log: zap.NewNop(), Post: func(core.Event) {},
-		Sleep: func(d time.Duration) {
+		Addr: full.Listener.Addr().String(), Limiters: tier, random: random, Log: zap.NewNop(), Post: func(core.Event) {},
+		sleepOverride: func(d time.Duration) {
 			if pauses = append(pauses, d); len(pauses) == calls {
 				cancel()
 			}
@@ -281,7 +281,7 @@
 	for _, tier := range []int{3, 80, 300} {
 		fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
 		var spent time.Duration
-		w, events := fake.start(t, func(w *Watcher) { w.Limiters, w.Sleep = tier, func(d time.Duration) { spent += d } })
+		w, events := fake.start(t, func(w *Watcher) { w.Limiters, w.sleepOverride = tier, func(d time.Duration) { spent += d } })
 		first := <-fake.watches
 		first.lines <- strings.Replace(change, "%", "8", 1)
 		<-events
--- a/internal/eventloop/edges.go
+++ b/internal/eventloop/edges.go
@@ -62,11 +62,11 @@
 // startAdmin starts the administration server, if there is one. Its goroutine ends when close closes
 // that server.
 func (l *Loop) startAdmin() {
-	if l.config.Console == "" {
+	if l.config.AdminAddr == "" {
 		return
 	}
 	l.admin = admin.New(l.upstream.AttemptsWritten, l.post, l.log)
-	go l.admin.Serve(l.config.Console)
+	go l.admin.ListenAndServe(l.config.AdminAddr)
 }
 
 // openListeners opens the sockets that the configuration names, and serves on them. With wait, it waits
@@ -75,7 +75,7 @@
 	c := l.config
 	var listener net.Listener
 	err := l.openAddress(wait, func() (err error) {
-		listener, err = listenForClients(c.Listen)
+		listener, err = listenForClients(c.ListenAddr)
 		return err
 	})
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 	if c.PeerListen.IsValid() {
 		err := l.openAddress(wait, func() (err error) {
-			l.peers, err = peertransport.Listen(c.PeerListen, c.Peers, c.PeersAll, l.post, l.log)
+			l.peers, err = peertransport.Listen(c.PeerListen, c.Peers, c.PeerBroadcast, l.post, l.log)
 			return err
 		})
 		if err != nil {
@@ -91,7 +91,7 @@
 			return err
 		}
 	}
-	l.serve(listener, 0, c.Discovery, c.Generation)
+	l.serve(listener, 0, c.DiscoveryAddr, c.KnownGeneration)
 	return nil
 }
 
@@ -126,7 +126,7 @@
 	l.listener = listener
 	l.server = httpserver.New(httpserver.Options{
 		Settings:    c.Settings.Settings,
-		MaxUnits:    c.Settings.MostUnits,
+		MaxUnits:    c.Settings.MaxUnits,
 		MaxConns:    int(float64(c.Limits.Sockets) * clientConnFraction),
 		LastRequest: uint64(lastRequest),
 		Now:         l.now,
--- a/internal/eventloop/frames.go
+++ b/internal/eventloop/frames.go
@@ -320,7 +320,7 @@
 		Controller:     s.Controller,
 		Endpoints:      memento.List(s.Endpoints, newEndpointFrame),
 		Generation:     s.Generation,
-		Source:         s.Source,
+		Source:         s.Discovery,
 		LastRequest:    s.LastRequest,
 		OpenAttempts:   memento.List(s.OpenAttempts, newAttemptStartedFrame),
 		Usage:          s.Usage,
@@ -334,7 +334,7 @@
 		Controller:     f.Controller,
 		Endpoints:      memento.List(f.Endpoints, endpointFrame.endpoint),
 		Generation:     f.Generation,
-		Source:         f.Source,
+		Discovery:      f.Source,
 		LastRequest:    f.LastRequest,
 		OpenAttempts:   memento.List(f.OpenAttempts, attemptStartedFrame.attempt),
 		Usage:          f.Usage,
@@ -357,10 +357,10 @@
 		return decodeTransfer(f), nil
 	case frameAttemptStarted:
 		body, err := unmarshal[attemptStartedFrame](f)
-		return &core.PeerAttemptStarted{OpenAttempt: body.attempt()}, err
+		return &core.PredecessorAttemptStarted{OpenAttempt: body.attempt()}, err
 	case frameAttemptFinished:
 		body, err := unmarshal[attemptFinishedFrame](f)
-		return &core.PeerAttemptFinished{FinishedAttempt: body.attempt()}, err
+		return &core.PredecessorAttemptFinished{FinishedAttempt: body.attempt()}, err
 	case frameForwardedRequest:
 		body, err := unmarshal[forwardedRequestFrame](f)
 		return &core.ForwardedRequestReceived{ForwardedRequest: body.forwardedRequest()}, err
--- a/internal/eventloop/frames_test.go
+++ b/internal/eventloop/frames_test.go
@@ -41,8 +41,8 @@
 			event core.Event
 		}{
 			{"state", uint8(hotrestart.Transfer), newStateFrame(state), &core.LinkMessageReceived{Kind: hotrestart.Transfer, State: &state}},
-			{"began", frameAttemptStarted, newAttemptStartedFrame(started), &core.PeerAttemptStarted{OpenAttempt: started}},
-			{"ended", frameAttemptFinished, newAttemptFinishedFrame(finished), &core.PeerAttemptFinished{FinishedAttempt: finished}},
+			{"began", frameAttemptStarted, newAttemptStartedFrame(started), &core.PredecessorAttemptStarted{OpenAttempt: started}},
+			{"ended", frameAttemptFinished, newAttemptFinishedFrame(finished), &core.PredecessorAttemptFinished{FinishedAttempt: finished}},
 			{"relayed", frameForwardedRequest, newForwardedRequestFrame(forwarded), &core.ForwardedRequestReceived{ForwardedRequest: forwarded}},
 			{"gave", frameCanceledRequest, core.RequestID(4711), core.ForwardedRequestCanceled{Request: 4711}},
 			{"reply", frameForwardedResponse, newForwardedResponseFrame(response), &core.ForwardedResponseReceived{Respond: response}},
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -98,7 +98,7 @@
 		l.transferState(e.State)
 	case core.CloseLink:
 		l.closeLink()
-	case core.KillLinkedProcess:
+	case core.KillOtherProcess:
 		l.other.link.Kill()
 	case core.OpenListeners:
 		l.failOn(l.openListeners(e.Wait))
@@ -176,7 +176,7 @@
 	return helloFrame{
 		Format: frameFormat,
 		Name:   l.config.Name,
-		Listen: l.config.Listen,
+		Listen: l.config.ListenAddr,
 		Peers:  l.config.PeerListen.String(),
 	}
 }
@@ -184,7 +184,7 @@
 // connectPredecessor connects to the process that runs, if there is one, and says hello. The goroutine
 // that reads from it ends with the link.
 func (l *Loop) connectPredecessor() {
-	l.other.path = l.config.HotRestart.Path(l.config.Name)
+	l.other.path = l.config.HotRestart.SocketPath(l.config.Name)
 	c, err := link.Dial(l.other.path)
 	if err != nil {
 		l.log.Debug("no process to take over from", zap.Error(err))
@@ -290,7 +290,7 @@
 	}
 	clock := newClockAt(e.Now, l.clock.Load().rate)
 	l.clock.Store(&clock)
-	l.serve(listener, e.LastRequest, e.Source, e.Generation)
+	l.serve(listener, e.LastRequest, e.Discovery, e.Generation)
 	l.server.SetResourceShare(sharedResources)
 	return nil
 }
@@ -313,7 +313,7 @@
 		_ = listener.Close() // no client was accepted
 		return nil, err
 	}
-	l.peers = peertransport.NewTransport(conn.(*net.UDPConn), l.config.Peers, l.config.PeersAll, l.post, l.log)
+	l.peers = peertransport.NewTransport(conn.(*net.UDPConn), l.config.Peers, l.config.PeerBroadcast, l.post, l.log)
 	return listener, nil
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -63,11 +63,11 @@
 
 // Controls control a running program.
 type Controls struct {
-	Dump   <-chan os.Signal // logs the counters
-	Stop   <-chan os.Signal // starts the shutdown
-	Reload <-chan os.Signal // has Load called
-	Load   func() (*config.Config, error)
-	Share  func(fraction float64) // limits the program to a fraction of its resources; may be nil
+	Dump             <-chan os.Signal // logs the counters
+	Stop             <-chan os.Signal // starts the shutdown
+	Reload           <-chan os.Signal // has Load called
+	Load             func() (*config.Config, error)
+	SetResourceShare func(fraction float64) // limits the program to a fraction of its resources; may be nil
 }
 
 // Run serves until a shutdown is complete, and then returns nil. It returns an error if the program
@@ -77,7 +77,7 @@
 		config:    c,
 		log:       log,
 		loadAgain: controls.Load,
-		setShare:  controls.Share,
+		setShare:  controls.SetResourceShare,
 		events:    make(chan core.Event, maxQueuedEvents),
 		timer:     time.NewTimer(time.Hour),
 		failed:    make(chan error, 1),
@@ -236,7 +236,7 @@
 		l.post(&core.ConfigReloaded{Err: err})
 		return
 	}
-	l.post(&core.ConfigReloaded{Discovery: c.Discovery})
+	l.post(&core.ConfigReloaded{Discovery: c.DiscoveryAddr})
 }
 
 // logCounters logs the line that scripts read: its message and its keys stay.
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -23,7 +23,7 @@
 
 func testConfig(discovery, backend string) *config.Config {
 	return &config.Config{
-		Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Limits: config.Limits{Sockets: 100},
+		Name: "n0", ListenAddr: "127.0.0.1:0", DiscoveryAddr: discovery, Limits: config.Limits{Sockets: 100},
 		KnownEndpoints: []core.Endpoint{{Backend: admission.Backend{ID: "b1", Zone: "a"}, Addr: backend}},
 		Settings: settings.Settings{
 			ConnectTimeout: 5 * time.Second, IdleClose: time.Minute,
@@ -135,8 +135,8 @@
 	}
 	all := lines.FilterMessage("counters").All()
 	c := all[len(all)-1].ContextMap()["counts"].(core.Counters)
-	if c.Received != 2 || c.Served != 1 || c.Refused != 1 || c.Fetched != 1 || len(all) != 2 ||
-		c.Reloads == 0 || c.ReloadsBad != 1 || len(lines.FilterMessage("kept the configuration that runs: bad JSON").All()) != 1 {
+	if c.Received != 2 || c.Served != 1 || c.Rejected != 1 || c.AttemptsStarted != 1 || len(all) != 2 ||
+		c.Reloads == 0 || c.ReloadsFailed != 1 || len(lines.FilterMessage("kept the configuration that runs: bad JSON").All()) != 1 {
 		t.Errorf("%d dumps, last %+v", len(all), c)
 	}
 }
@@ -146,7 +146,7 @@
 	taken := httptest.NewServer(nil)
 	defer taken.Close()
 	c := testConfig("127.0.0.1:1", "127.0.0.1:1")
-	c.Listen = strings.TrimPrefix(taken.URL, "http://")
+	c.ListenAddr = strings.TrimPrefix(taken.URL, "http://")
 	if err := Run(c, NewClock(1), zap.NewNop(), Controls{}); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("%v", err)
 	}
--- a/internal/experiment/equivalence_test.go
+++ b/internal/experiment/equivalence_test.go
@@ -197,7 +197,7 @@
 		&core.RequestReceived{}, &core.ClientDisconnected{}, core.RequestMalformed{}, &core.ClientConnClosed{}, &core.AttemptFinished{},
 		&core.ProbeFinished{}, &core.EndpointsUpdated{}, &core.PeerMessageReceived{}, core.TimerFired{}, core.ReloadRequested{},
 		&core.ConfigReloaded{}, core.ShutdownRequested{}, core.ServerClosed{}, &core.SuccessorConnected{}, &core.LinkMessageReceived{},
-		core.LinkClosed{}, &core.PeerAttemptStarted{}, &core.PeerAttemptFinished{}, &core.ForwardedRequestReceived{}, core.ForwardedRequestCanceled{},
+		core.LinkClosed{}, &core.PredecessorAttemptStarted{}, &core.PredecessorAttemptFinished{}, &core.ForwardedRequestReceived{}, core.ForwardedRequestCanceled{},
 		&core.ForwardedResponseReceived{}, core.UsageWritten{}, core.RestartSlotRequested{}, core.RestartSlotReleased{},
 	}
 	effects = []core.Effect{
@@ -205,7 +205,7 @@
 		core.CloseBackendConns{}, core.SendToPeer{}, core.SetTimer{}, core.SetReady{}, core.DrainClientConns{},
 		core.CloseServer{}, core.ReloadConfig{}, core.WatchEndpoints{}, core.Exit{}, core.Log{}, core.ConnectPredecessor{},
 		core.AcceptSuccessor{}, core.DenySuccessor{}, core.SendLinkMessage{}, core.TransferState{}, core.CloseLink{},
-		core.KillLinkedProcess{}, core.ReportAttemptStarted{}, core.ReportAttemptFinished{}, core.ForwardRequest{}, core.CancelForwardedRequest{},
+		core.KillOtherProcess{}, core.ReportAttemptStarted{}, core.ReportAttemptFinished{}, core.ForwardRequest{}, core.CancelForwardedRequest{},
 		core.SendForwardedResponse{}, core.OpenListeners{}, core.AdoptSockets{}, core.PauseListeners{}, core.ResumeListeners{},
 		core.MoveClientConns{}, core.SetAcceptingClients{}, core.SetResourceShare{}, core.AcceptSuccessors{}, core.Abort{},
 		core.PublishMetrics{}, core.WriteUsage{},
--- a/internal/hotrestart/machine.go
+++ b/internal/hotrestart/machine.go
@@ -123,7 +123,7 @@
 func (m *Machine) ShutdownRequested(time.Duration) (effects []Effect, alone bool) {
 	m.shutdownRequested = true
 	switch m.phase {
-	case Offered, Transferring, Probation, Committed:
+	case Offered, Transferring, Probation, Finishing:
 		alone = m.shutDownPredecessor()
 	case Greeting, Receiving, Adopting, Abandoned:
 		m.abandon("shut down before it took over")
--- a/internal/hotrestart/phase.go
+++ b/internal/hotrestart/phase.go
@@ -9,7 +9,7 @@
 	Offered                   // predecessor: admits; waits for the successor to be prepared
 	Transferring              // predecessor: neither side admits; state and sockets are in transit
 	Probation                 // predecessor: the successor admits, and is watched by its heartbeats
-	Committed                 // predecessor: the successor admits for good; this process finishes what is open
+	Finishing                 // predecessor: the successor admits for good; this process finishes what is open
 	Greeting                  // successor: has sent Hello
 	Receiving                 // successor: is prepared, and waits for the state
 	Adopting                  // successor: has the state, and waits for Commit
@@ -25,7 +25,7 @@
 		Offered:      "offered",
 		Transferring: "transferring",
 		Probation:    "trial",
-		Committed:    "committed",
+		Finishing:    "committed",
 		Greeting:     "greeting",
 		Receiving:    "receiving",
 		Adopting:     "taking",
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -38,7 +38,7 @@
 	m.predecessor = predecessorState{lastHeartbeatAt: now, checkedAt: now}
 	m.emit(Send{Commit}, ForwardRequests{})
 	if m.shutdownRequested {
-		m.commit()
+		m.finalize()
 	}
 }
 
@@ -71,7 +71,7 @@
 		return true
 	case Probation:
 		if !m.killing {
-			m.commit()
+			m.finalize()
 		}
 	}
 	return false
@@ -105,13 +105,13 @@
 	case now-p.lastHeartbeatAt > m.limits.HeartbeatTimeout:
 		m.kill()
 	case due:
-		m.commit()
+		m.finalize()
 	}
 }
 
-// commit leaves admitting to the successor for good.
-func (m *Machine) commit() {
-	m.enter(Committed, 0)
+// finalize leaves admitting to the successor for good.
+func (m *Machine) finalize() {
+	m.enter(Finishing, 0)
 	m.emit(Send{Final}, Finish{})
 }
 
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -132,7 +132,7 @@
 // RecordLateAction counts an action that was not begun as the lease had ended.
 func (a *Agent) RecordLateAction(name string) {
 	if t := a.task(name); t != nil {
-		t.counts.RejectedLate++
+		t.counts.LateActions++
 	}
 }
 
--- a/internal/lease/view.go
+++ b/internal/lease/view.go
@@ -8,24 +8,24 @@
 	Renewed         uint64 `json:"renewed"`
 	Lost            uint64 `json:"lost"` // it expired
 	Released        uint64 `json:"given"`
-	RejectedLate    uint64 `json:"refused"` // actions not begun, as the lease had ended
+	LateActions     uint64 `json:"refused"` // actions not begun, as the lease had ended
 	InvalidMessages uint64 `json:"bad"`     // proposals that were ignored
 	Waited          uint64 `json:"waited"`  // proposals that met an acceptor that was not active
 }
 
 // View is the state of a task as operators see it.
 type View struct {
-	Task         string        `json:"task"`
-	Acceptors    []Limiter     `json:"keepers"`
-	IsAcceptor   bool          `json:"keeps"`  // this limiter is an active acceptor
-	Phase        string        `json:"phase"`  // of its proposer
-	Holder       int           `json:"holder"` // as last learned here; -1 for none
-	Holds        bool          `json:"holds"`  // this limiter holds the lease
-	Token        uint64        `json:"token"`  // of this limiter's lease
-	ValidFor     time.Duration `json:"for"`    // how much longer it may act
-	HighestToken uint64        `json:"known"`  // the greatest token known here
-	Payload      uint64        `json:"mark"`   // the greatest payload known here
-	Counts       Counts        `json:"counts"`
+	Task           string        `json:"task"`
+	Acceptors      []Limiter     `json:"keepers"`
+	ActiveAcceptor bool          `json:"keeps"`  // this limiter is an active acceptor
+	Phase          string        `json:"phase"`  // of its proposer
+	Holder         int           `json:"holder"` // as last learned here; -1 for none
+	Holds          bool          `json:"holds"`  // this limiter holds the lease
+	Token          uint64        `json:"token"`  // of this limiter's lease
+	ValidFor       time.Duration `json:"for"`    // how much longer it may act
+	HighestToken   uint64        `json:"known"`  // the greatest token known here
+	Payload        uint64        `json:"mark"`   // the greatest payload known here
+	Counts         Counts        `json:"counts"`
 }
 
 // Views returns the state of all tasks.
@@ -38,14 +38,14 @@
 
 func (t *task) view(now time.Duration) View {
 	v := View{
-		Task:         t.name,
-		Acceptors:    t.config.Acceptors,
-		IsAcceptor:   t.acceptor != nil && t.acceptor.Active(now),
-		Phase:        t.proposer.Phase().String(),
-		Holder:       -1,
-		HighestToken: t.proposer.highestToken,
-		Payload:      t.proposer.payload,
-		Counts:       t.counts,
+		Task:           t.name,
+		Acceptors:      t.config.Acceptors,
+		ActiveAcceptor: t.acceptor != nil && t.acceptor.Active(now),
+		Phase:          t.proposer.Phase().String(),
+		Holder:         -1,
+		HighestToken:   t.proposer.highestToken,
+		Payload:        t.proposer.payload,
+		Counts:         t.counts,
 	}
 	if t.proposer.holderKnown {
 		v.Holder = int(t.proposer.holder)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -114,14 +114,14 @@
 	return a
 }
 
-// Level returns the units of an account's quota that may be consumed here.
-func (l *Ledger) Level(a *Account, now time.Duration) float64 {
+// QuotaLevel returns the units of an account's quota that may be consumed here.
+func (l *Ledger) QuotaLevel(a *Account, now time.Duration) float64 {
 	a.advance(now)
 	return a.quotaLevel
 }
 
-// Ceiling returns the units of an account's ceiling that may be consumed here.
-func (l *Ledger) Ceiling(a *Account, now time.Duration) float64 {
+// CeilingLevel returns the units of an account's ceiling that may be consumed here.
+func (l *Ledger) CeilingLevel(a *Account, now time.Duration) float64 {
 	a.advance(now)
 	return a.ceilingLevel
 }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -44,10 +44,10 @@
 		l.ObservePeer(peerID, 5, true, 40, 0, time.Hour)
 	}
 	a := l.Account(1, 0, 0, 3, time.Hour)
-	if level := l.Level(a, time.Hour); level != 0 {
+	if level := l.QuotaLevel(a, time.Hour); level != 0 {
 		t.Errorf("%.1f units at the start, want none", level)
 	}
-	if level := l.Level(a, time.Hour+3*time.Second); level != 5 {
+	if level := l.QuotaLevel(a, time.Hour+3*time.Second); level != 5 {
 		t.Errorf("%.1f units after 3 s, want a third of what the quota gained", level)
 	}
 }
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -202,7 +202,7 @@
 			tr.exchange()
 			past, held := (tr.now - from).Seconds(), 0.0
 			for i := range n {
-				held += tr.ledgers[i].Ceiling(tr.account(i), tr.now)
+				held += tr.ledgers[i].CeilingLevel(tr.account(i), tr.now)
 			}
 			if most := plan.Ceiling.Rate * past; float64(units)+held > most+1e-6 || held > plan.Ceiling.Burst { // all were empty at the start
 				t.Fatalf("seed %d: %d units granted and %.1f at hand after %.1f s, no more than %.1f were gained", seed, units, held, past, most)
@@ -232,14 +232,14 @@
 		t.Errorf("%d granted without a decision, want at most %.0f and one of most limiters", sum, most)
 	}
 	owner := tr.owner(0)
-	before := tr.ledgers[owner].Level(tr.account(owner), tr.now)
+	before := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now)
 	tr.cut = map[int]bool{}
 	tr.now += 2 * time.Second
 	requester := (owner + 40) % 80
 	debt := tr.account(requester).unreportedUnits
 	tr.ledgers[requester].ObservePeer(owner, tr.ledgers[owner].Epoch, true, 9, 9, tr.now)
 	tr.request(requester)
-	if after := tr.ledgers[owner].Level(tr.account(owner), tr.now); debt > 0 && after > before-debt+1 {
+	if after := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now); debt > 0 && after > before-debt+1 {
 		t.Errorf("level %.1f before, %.1f after a debt of %.1f was reported", before, after, debt)
 	}
 }
@@ -270,7 +270,7 @@
 	for range 3 {
 		l.HandleRequest(peerID, m, tr.now)
 	}
-	if level := l.Level(a, tr.now); level != 24-3 {
+	if level := l.QuotaLevel(a, tr.now); level != 24-3 {
 		t.Errorf("level %.1f after one request for 2 units with a debt of 1 that came three times", level)
 	}
 }
@@ -280,7 +280,7 @@
 	tr := newOwnedTier(80, quotaPlan)
 	owner := tr.owner(0)
 	peerID := (owner + 7) % 80
-	before := tr.ledgers[owner].Level(tr.account(owner), tr.now)
+	before := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now)
 	for range 4 {
 		if !tr.request(peerID) {
 			t.Fatal("rejected with a full quota")
@@ -289,7 +289,7 @@
 		tr.exchange()
 		tr.exchange()
 	}
-	if after := tr.ledgers[owner].Level(tr.account(owner), tr.now); after < before-0.1 || after > 24 {
+	if after := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now); after < before-0.1 || after > 24 {
 		t.Errorf("level %.1f before and %.1f after four requests that were not forwarded", before, after)
 	}
 }
@@ -303,14 +303,14 @@
 	owner := tr.owner(0)
 	l, a := tr.ledgers[owner], tr.account(owner)
 	tr.now += 20 * time.Second // its fraction is full
-	full := l.Ceiling(a, tr.now)
+	full := l.CeilingLevel(a, tr.now)
 	peerID := (owner + 1) % 80
 	l.ObservePeer(peerID, 5, true, 9, 9, tr.now)
 	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: 4 * gossip.UnitParts, CeilingWanted: 4 * gossip.UnitParts, TotalLevel: gossip.UnknownTotal}, tr.now)
-	if level := l.Ceiling(a, tr.now+requestTimeout); level > full-4+1e-9 {
+	if level := l.CeilingLevel(a, tr.now+requestTimeout); level > full-4+1e-9 {
 		t.Errorf("level %.1f while 4 units of %.1f are in transit", level, full)
 	}
-	if level := l.Ceiling(a, tr.now+2*time.Second); level < full-1e-9 || a.ceilingUnitsInTransit != 0 || len(a.ceilingInTransit) != 0 {
+	if level := l.CeilingLevel(a, tr.now+2*time.Second); level < full-1e-9 || a.ceilingUnitsInTransit != 0 || len(a.ceilingInTransit) != 0 {
 		t.Errorf("level %.1f and %.1f in transit long after, want %.1f", level, a.ceilingUnitsInTransit, full)
 	}
 }
@@ -328,7 +328,7 @@
 	back := int16(-9 * gossip.UnitParts)
 	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: gossip.UnitParts, Consumed: uint16(back), TotalLevel: gossip.UnknownTotal}, tr.now)
 	_, grants, _ := l.Compose(peerID, tr.now)
-	if level := l.Level(a, tr.now); level != 0 || len(grants) != 1 || grants[0].QuotaUnits != 0 {
+	if level := l.QuotaLevel(a, tr.now); level != 0 || len(grants) != 1 || grants[0].QuotaUnits != 0 {
 		t.Errorf("level %.1f, grants %+v", level, grants)
 	}
 }
@@ -339,12 +339,12 @@
 	peerID := tr.owner(1)
 	l, a := tr.ledgers[peerID], tr.account(peerID)
 	l.peer(tr.owner(0)).unresponsive = true
-	before := l.Level(a, tr.now)
+	before := l.QuotaLevel(a, tr.now)
 	if !tr.request(peerID) {
 		t.Fatal("rejected with a full quota and a silent owner")
 	}
 	l.Refund(a, 1, tr.now)
-	if level := l.Level(a, tr.now); level != before || a.unreportedUnits != 0 {
+	if level := l.QuotaLevel(a, tr.now); level != before || a.unreportedUnits != 0 {
 		t.Errorf("level %.1f, it was %.1f; debt %.1f", level, before, a.unreportedUnits)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	admission.Settings
 	ConnectTimeout time.Duration // a connection that takes longer to come up has failed
 	IdleClose      time.Duration // a backend closes a connection at the latest when idle for this long
-	MostUnits      float64       // the most that one request takes from a quota; 0 if not known
+	MaxUnits       float64       // the most that one request takes from a quota; 0 if not known
 }
 
 // Decode reads the settings, a JSON object. Keys that it does not know are skipped, and keys that are
@@ -45,7 +45,7 @@
 		Settings:       doc.admissionSettings(),
 		ConnectTimeout: Duration(doc.Allowed.ConnectTimeout),
 		IdleClose:      Duration(doc.Allowed.IdleClose),
-		MostUnits:      doc.Service.MostUnits,
+		MaxUnits:       doc.Service.MostUnits,
 	}
 	decoded.Classes = classes
 	decoded.Plans = doc.plans()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -87,7 +87,7 @@
 	},
 	ConnectTimeout: 251 * ms,
 	IdleClose:      15700 * ms,
-	MostUnits:      6.5,
+	MaxUnits:       6.5,
 }
 
 // Every name of the platform is mapped to the field that release 0.8.0 maps it to.
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -293,7 +293,7 @@
 	}
 	if s.sc.Leases != nil {
 		c.Leases, c.Epoch, c.UsagePeriod = s.leaseSettings(), s.epoch(), milliseconds(s.sc.Leases.Period)
-		c.RestartSlots = core.RestartSlots{MaxConcurrent: s.sc.Leases.Most, Duration: milliseconds(s.sc.Leases.Turn)}
+		c.RestartSlots = core.RestartSlotSettings{MaxConcurrent: s.sc.Leases.Most, Duration: milliseconds(s.sc.Leases.Turn)}
 	}
 	machine, effects := core.New(l.clock(), c)
 	l.machine = machine
--- a/internal/simulation/takeover.go
+++ b/internal/simulation/takeover.go
@@ -108,12 +108,12 @@
 		if l.kin.other != nil {
 			l.pass(core.LinkClosed{Epoch: s.epoch()})
 		}
-	case core.KillLinkedProcess:
+	case core.KillOtherProcess:
 		s.end1(l.kin.other)
 	case core.ReportAttemptStarted:
-		l.pass(&core.PeerAttemptStarted{OpenAttempt: e.OpenAttempt})
+		l.pass(&core.PredecessorAttemptStarted{OpenAttempt: e.OpenAttempt})
 	case core.ReportAttemptFinished:
-		l.pass(&core.PeerAttemptFinished{FinishedAttempt: e.FinishedAttempt})
+		l.pass(&core.PredecessorAttemptFinished{FinishedAttempt: e.FinishedAttempt})
 	case core.ForwardRequest:
 		l.pass(&core.ForwardedRequestReceived{ForwardedRequest: e.ForwardedRequest})
 	case core.CancelForwardedRequest:
--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -18,7 +18,7 @@
 type Collector struct {
 	Period          uint32
 	Previous        uint32 // the period before; 0 if unknown
-	MayBeReported   bool   // an earlier lease holder may have written a report of it
+	MayRepeat       bool   // an earlier lease holder may have written a report of it
 	KnowsAllReports bool   // the lease holder knows of all reports before
 	Token           uint64 // fencing token of the lease holder
 
@@ -63,7 +63,7 @@
 	return &Collector{
 		Period:        period,
 		Previous:      previous,
-		MayBeReported: mayBeReported,
+		MayRepeat:     mayBeReported,
 		Token:         token,
 		reportedUpTo:  reportedUpTo,
 		queryInterval: queryInterval,
@@ -144,7 +144,7 @@
 		ReportedUpTo:    c.reportedUpTo[n],
 		Token:           c.Token,
 		KnowsAllReports: c.KnowsAllReports,
-		MayBeReported:   c.MayBeReported,
+		MayRepeat:       c.MayRepeat,
 	}}
 }
 
@@ -172,7 +172,7 @@
 	if c.KnowsAllReports || int(from) >= len(c.sources) {
 		return // a late one
 	}
-	if !c.MayBeReported && pending.Period < c.Period {
+	if !c.MayRepeat && pending.Period < c.Period {
 		c.pendingPeriod = max(c.pendingPeriod, pending.Period)
 		return
 	}
@@ -210,7 +210,7 @@
 // Report returns the report of what was collected. Plans are the names of plans by their numbers. The
 // caller adds who wrote it, and when.
 func (c *Collector) Report(plans []string) Report {
-	r := Report{Period: c.Period, Previous: c.Previous, Token: c.Token, MayRepeat: c.MayBeReported}
+	r := Report{Period: c.Period, Previous: c.Previous, Token: c.Token, MayRepeat: c.MayRepeat}
 	var entries []Entry
 	for n := range c.sources {
 		s := &c.sources[n]
--- a/internal/usage/message.go
+++ b/internal/usage/message.go
@@ -16,7 +16,7 @@
 	ReportedUpTo    uint32 // the limiter's usage up to this period is in a report
 	Token           uint64 // fencing token of the lease holder
 	KnowsAllReports bool   // a closed period beyond ReportedUpTo is in no report, and becomes part of this one
-	MayBeReported   bool   // there may be a report of the period: a limiter that has not closed it leaves it open
+	MayRepeat       bool   // there may be a report of the period: a limiter that has not closed it leaves it open
 }
 
 // PendingReport is the reply of a limiter that has closed another period, to a lease holder that does
@@ -72,7 +72,7 @@
 	if p.KnowsAllReports {
 		flags |= flagKnowsAllReports
 	}
-	if p.MayBeReported {
+	if p.MayRepeat {
 		flags |= flagMayBeReported
 	}
 	order := binary.BigEndian
@@ -98,7 +98,7 @@
 		ReportedUpTo:    order.Uint32(data[6:]),
 		Token:           order.Uint64(data[10:]),
 		KnowsAllReports: data[18]&flagKnowsAllReports != 0,
-		MayBeReported:   data[18]&flagMayBeReported != 0,
+		MayRepeat:       data[18]&flagMayBeReported != 0,
 	}, true
 }
 
--- a/internal/usage/recorder.go
+++ b/internal/usage/recorder.go
@@ -61,7 +61,7 @@
 		switch {
 		case r.closed != nil && !p.KnowsAllReports:
 			return PendingReport{r.closed.Period}.Append(nil), true
-		case p.MayBeReported:
+		case p.MayRepeat:
 			return r.emptyPage(p), true
 		}
 		r.closePeriod(p.Period)
