--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -55,7 +55,7 @@
 
 // runControlLoop sets the shares of the next control period and the scale of the window.
 func (ctl *Controller) runControlLoop() {
-	ctl.resolveRecoveryByTime()
+	ctl.resolveStartByTime()
 	ctl.customers.ledger.Tick(ctl.now)
 	window := ctl.windowSize()
 	ctl.recordOpenAttempts()
@@ -79,13 +79,13 @@
 	ctl.window.measurePressure(totals.attempts, totals.latencySum, totals.targetSum)
 	room := min(totals.room, 1/max(ctl.window.pressure, minShare))
 	ctl.measureQuotaRate()
-	ctl.endpoints.medianLatency = ctl.measureMedianLatency()
+	ctl.endpoints.medianLatencyPerAttempt = ctl.measureMedianLatency()
 	ctl.scaleWindow(room, totals.attempts > 0)
 }
 
-// resolveRecoveryByTime takes the tier of limiters for new, so that customers have a full burst, if no
+// resolveStartByTime takes the tier of limiters for new, so that customers have a full burst, if no
 // backend has reported its utilization within one longest objective of the first request.
-func (ctl *Controller) resolveRecoveryByTime() {
+func (ctl *Controller) resolveStartByTime() {
 	first := ctl.customers.firstRequestAt
 	if first > 0 && ctl.now-first > ctl.classes.longestObjective {
 		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -46,7 +46,7 @@
 	customers  customerSet
 	window     concurrencyWindow
 	control    controlLoop
-	retries    retryQueue
+	retries    retryBudget
 	endpoints  endpointSet
 	reports    loadReports
 	slowStart  rate.Allowance // attempts, while all eligible backends are warming up
@@ -71,7 +71,7 @@
 		customers:     newCustomerSet(set.Plans),
 		window:        newConcurrencyWindow(),
 		control:       newControlLoop(classes.longestObjective),
-		retries:       newRetryQueue(set.Limiters),
+		retries:       newRetryBudget(set.Limiters),
 		endpoints:     newEndpointSet(classes.longestObjective),
 		gossip:        newGossipState(set),
 		recoveryUntil: math.MaxInt64,
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -233,16 +233,16 @@
 	return ctl.customers.ledger.Counters(ctl.now)
 }
 
-// IsLastOwner reports whether, with some other limiters restarting, this one is the last that holds
+// IsLastHolder reports whether, with some other limiters restarting, this one is the last that holds
 // the quota of some customer.
-func (ctl *Controller) IsLastOwner(restarting []int) bool {
-	return ctl.customers.ledger.IsLastOwner(restarting)
+func (ctl *Controller) IsLastHolder(restarting []int) bool {
+	return ctl.customers.ledger.IsLastHolder(restarting)
 }
 
-// OwnersOf returns the limiters that hold a customer's quota, of a set of setSize limiters in a row
+// HoldersOf returns the limiters that hold a customer's quota, of a set of setSize limiters in a row
 // from firstLimiter: the same at every limiter.
-func OwnersOf(customer string, firstLimiter, setSize, limiters int) []int {
-	return quota.OwnersOf(hashOf(customer), firstLimiter, setSize, limiters)
+func HoldersOf(customer string, firstLimiter, setSize, limiters int) []int {
+	return quota.HoldersOf(hashOf(customer), firstLimiter, setSize, limiters)
 }
 
 // hashOf is the FNV-1a hash that stands for a customer or a backend in messages between limiters.
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -22,17 +22,17 @@
 
 // endpointSet is all backends known.
 type endpointSet struct {
-	listed        []*backend // live; the subset of this limiter first
-	byID          map[string]*backend
-	byGossipKey   map[uint32]*backend // listed; nil where two share a key
-	medianLatency float64             // median latencyPerAttempt of the listed ones
-	forgetAfter   time.Duration       // time after which removed backends are forgotten
-	pollDue       bool                // the last poll failed or ended
+	listed                  []*backend // live; the subset of this limiter first
+	byID                    map[string]*backend
+	byGossipKey             map[uint32]*backend // listed; nil where two share a key
+	medianLatencyPerAttempt float64             // median latencyPerAttempt of the listed ones
+	forgetAfter             time.Duration       // time after which removed backends are forgotten
+	pollDue                 bool                // the last poll failed or ended
 }
 
 func newEndpointSet(longestObjective time.Duration) endpointSet {
 	return endpointSet{
-		byID: map[string]*backend{}, byGossipKey: map[uint32]*backend{}, medianLatency: 1,
+		byID: map[string]*backend{}, byGossipKey: map[uint32]*backend{}, medianLatencyPerAttempt: 1,
 		forgetAfter: forgetObjectives * longestObjective,
 	}
 }
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -15,9 +15,9 @@
 	ejectFailureRate = 0.4
 	// minUsableFraction is the fraction of the listed backends that failures leave in use.
 	minUsableFraction = 0.5
-	// rejectionBackoff is how long a kind of request stays away after its rejection, beyond a mean latency:
+	// rejectionLatencyFactor is how long a kind of request stays away after its rejection, beyond a mean latency:
 	// so many times as long as the rejection took.
-	rejectionBackoff = 4
+	rejectionLatencyFactor = 4
 )
 
 // backend is a backend of the endpoint list, or one that was removed and may come back.
@@ -34,7 +34,7 @@
 
 	// Health.
 	failureRate          float64       // 0 to 1, by own results and observations of other limiters
-	ejectedUntil         time.Duration // clock time of the next recovery attempt; 0 if not ejected
+	nextRecoveryAt       time.Duration // clock time of the next recovery attempt; 0 if not ejected
 	consecutiveEjections int
 	rejectedUntil        map[int]time.Duration // by kind of request, see rejectionKind
 
@@ -55,7 +55,7 @@
 	case Succeeded:
 		ctl.recordSuccess(b, r, ev)
 	case Rejected: // it has room for the rest: only this kind of request stays away
-		until := ctl.now + seconds(r.class.meanLatency) + rejectionBackoff*ev.Latency
+		until := ctl.now + seconds(r.class.meanLatency) + rejectionLatencyFactor*ev.Latency
 		b.avoidKind(ctl.rejectionKind(r), until)
 	case Unreachable: // nothing listens there: a failure rate would only delay this
 		b.failureRate = 1
@@ -110,14 +110,14 @@
 	usable, _ := ctl.countUsable()
 	spare := float64(usable-1) >= minUsableFraction*float64(len(ctl.endpoints.listed))
 	outlier := !b.ejected() && b.failureRate > ejectFailureRate && spare
-	recoveryFailed := b.ejected() && b.ejectedUntil <= ctl.now
+	recoveryFailed := b.ejected() && b.nextRecoveryAt <= ctl.now
 	if outlier || recoveryFailed {
 		ctl.eject(b)
 	}
 }
 
 // ejected reports whether a backend gets recovery attempts only.
-func (b *backend) ejected() bool { return b.ejectedUntil > 0 }
+func (b *backend) ejected() bool { return b.nextRecoveryAt > 0 }
 
 // countUsable counts the listed backends that are not ejected, and the attempts out at them.
 func (ctl *Controller) countUsable() (backends, open int) {
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -58,7 +58,7 @@
 	if !ok {
 		return
 	}
-	ctl.inferRecovery(b, report.utilization)
+	ctl.inferStartState(b, report.utilization)
 	load := report.load()
 	reports := &ctl.reports
 	if reports.meanLoad == 0 {
@@ -125,11 +125,11 @@
 	ctl.emit(ProbeBackend{Backend: b.ID})
 }
 
-// inferRecovery infers from the first reports whether the tier of limiters is new or has restarted: if
+// inferStartState infers from the first reports whether the tier of limiters is new or has restarted: if
 // backends are at work already, there were limiters before, which have lost what they knew of the use of
 // quotas. A tier that took itself for new would give each customer a fresh burst.
-func (ctl *Controller) inferRecovery(b *backend, utilization float64) {
-	if ctl.customers.ledger.Recovery() != quota.RecoveryUnknown || utilization < 0 || b.initialReportSeen {
+func (ctl *Controller) inferStartState(b *backend, utilization float64) {
+	if ctl.customers.ledger.StartState() != quota.StartUnknown || utilization < 0 || b.initialReportSeen {
 		return
 	}
 	b.initialReportSeen = true
--- a/internal/admission/recovery.go
+++ b/internal/admission/recovery.go
@@ -18,7 +18,7 @@
 
 // eject takes a backend out of use but for recovery attempts, the first of them after a backoff with jitter.
 func (ctl *Controller) eject(b *backend) {
-	if b.ejectedUntil > ctl.now {
+	if b.nextRecoveryAt > ctl.now {
 		return
 	}
 	doublings := min(b.consecutiveEjections, maxRecoveryDoublings)
@@ -27,20 +27,20 @@
 		backoff *= max(ctl.limitersPerBackend()/recoveryLimiters, 1)
 	}
 	backoff *= (1 + ctl.random.Float64()) / 1.5 // times 2/3 to 4/3
-	b.ejectedUntil = ctl.now + seconds(backoff)
+	b.nextRecoveryAt = ctl.now + seconds(backoff)
 	b.consecutiveEjections++
 }
 
 // recoverIfHealthy puts an ejected backend to use again once its failure rate has fallen.
 func (b *backend) recoverIfHealthy() {
 	if b.ejected() && b.failureRate < recoveredFailureRate {
-		b.ejectedUntil, b.consecutiveEjections = 0, 0
+		b.nextRecoveryAt, b.consecutiveEjections = 0, 0
 	}
 }
 
 // recoveryDue reports whether this limiter should make a recovery attempt at a backend now.
 func (ctl *Controller) recoveryDue(b *backend) bool {
-	return b.ejected() && ctl.now >= b.ejectedUntil && ctl.now < ctl.recoveryUntil
+	return b.ejected() && ctl.now >= b.nextRecoveryAt && ctl.now < ctl.recoveryUntil
 }
 
 // recoveryLeased reports whether one limiter makes the recovery attempts for all.
--- a/internal/admission/recovery_test.go
+++ b/internal/admission/recovery_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	backoff := f.ctl.endpoints.byID[id].ejectedUntil - f.now
+	backoff := f.ctl.endpoints.byID[id].nextRecoveryAt - f.now
 	if least := 2 * f.ctl.classes.longestObjective; backoff < least {
 		t.Errorf("recovery attempt after %v; by 80 limiters that is more often than each %v/80", backoff, least)
 	}
@@ -59,7 +59,7 @@
 		f.handle(lease)
 		ejected := f.ctl.endpoints.byID["a"]
 		f.ctl.eject(ejected)
-		f.now = ejected.ejectedUntil
+		f.now = ejected.nextRecoveryAt
 		f.takeActions()
 		recoveryAttempts := 0
 		for range 50 {
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -20,13 +20,13 @@
 	ended      bool // answered, or the client disconnected
 	responding bool // the client is being sent a response
 
-	attempts    int           // made so far
-	attemptedAt []*backend    // by attempt
-	backend     *backend      // where an attempt is out; nil for none
-	sentAt      time.Duration // clock time of the last attempt
-	openAtSend  int           // attempts out at the backend when it was sent, itself included
-	canceled    bool          // the attempt that is out has been canceled
-	ageRecorded bool          // the attempt that is out has counted by its age, see recordOpenAttempts
+	attempts          int           // made so far
+	attemptedBackends []*backend    // by attempt
+	backend           *backend      // where an attempt is out; nil for none
+	sentAt            time.Duration // clock time of the last attempt
+	openAtSend        int           // attempts out at the backend when it was sent, itself included
+	canceled          bool          // the attempt that is out has been canceled
+	ageRecorded       bool          // the attempt that is out has counted by its age, see recordOpenAttempts
 
 	retryPrepaid bool // the retry after a canceled attempt has been paid for
 
@@ -45,7 +45,7 @@
 	r.openAtSend = len(b.open)
 	r.canceled = false
 	r.ageRecorded = false
-	r.attemptedAt = append(r.attemptedAt, b)
+	r.attemptedBackends = append(r.attemptedBackends, b)
 	r.attempts++
 }
 
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -21,21 +21,21 @@
 	deduplicationMarginDivisor = 10
 )
 
-// retryQueue is the retry budget, and the requests whose retry waits for a backend.
-type retryQueue struct {
+// retryBudget is the retry budget, and the requests whose retry waits for a backend.
+type retryBudget struct {
 	waiting   []*request
 	tokens    float64 // retries that may be made
 	maxTokens float64
 }
 
-// newRetryQueue returns a full budget: one retry, and a part of the burst of all limiters.
-func newRetryQueue(limiters int) retryQueue {
+// newRetryBudget returns a full budget: one retry, and a part of the burst of all limiters.
+func newRetryBudget(limiters int) retryBudget {
 	most := 1 + retryBurst/float64(limiters)
-	return retryQueue{tokens: most, maxTokens: most}
+	return retryBudget{tokens: most, maxTokens: most}
 }
 
 // earn adds what a first attempt earns to the budget.
-func (q *retryQueue) earn() { q.tokens = min(q.tokens+retriesPerRequest, q.maxTokens) }
+func (q *retryBudget) earn() { q.tokens = min(q.tokens+retriesPerRequest, q.maxTokens) }
 
 // retry attempts a request again, lets it wait for a backend, or ends it. The cost is taken from the
 // retry budget.
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -106,7 +106,7 @@
 		cost = 0 // one idempotent request at a time makes the recovery attempt
 	case b.ejected():
 		cost += ejectedCost
-	case slices.Contains(r.attemptedAt, b):
+	case slices.Contains(r.attemptedBackends, b):
 		cost += triedCost
 	}
 	if cost < c.cost {
@@ -122,7 +122,7 @@
 	ownWeight := ctl.freshness(b)
 	ownWeight *= b.samples * ownWeight / (b.samples*ownWeight + priorResponses) // a single one says little
 	observedWeight := ctl.gossipFreshness(b)
-	unseen := unseenLatencyFactor * ctl.endpoints.medianLatency * (1 + observedWeight*(b.relativeLoad-1))
+	unseen := unseenLatencyFactor * ctl.endpoints.medianLatencyPerAttempt * (1 + observedWeight*(b.relativeLoad-1))
 	cost := (unseen*(1-ownWeight) + b.latencyPerAttempt*ownWeight) * float64(len(b.open)+1)
 	cost /= observedWeight + (1-observedWeight)*ctl.warmUpFraction(b) // an observed load includes that it warms up
 	cost *= ctl.oldestAttemptFactor(b)
--- a/internal/admission/snapshot_state.go
+++ b/internal/admission/snapshot_state.go
@@ -219,7 +219,7 @@
 		WindowScale:                x.window.scale,
 		UpstreamPressure:           x.window.pressure,
 		QuotaRate:                  x.window.quotaRate,
-		MedianLatencyPerAttempt:    x.endpoints.medianLatency,
+		MedianLatencyPerAttempt:    x.endpoints.medianLatencyPerAttempt,
 		WindowWasFull:              x.window.wasFull,
 		RetryTokens:                x.retries.tokens,
 		AttemptRate:                newRateState(x.window.attemptRate),
@@ -252,7 +252,7 @@
 	ctl.window.scale = s.WindowScale
 	ctl.window.pressure = s.UpstreamPressure
 	ctl.window.quotaRate = s.QuotaRate
-	ctl.endpoints.medianLatency = s.MedianLatencyPerAttempt
+	ctl.endpoints.medianLatencyPerAttempt = s.MedianLatencyPerAttempt
 	ctl.window.wasFull = s.WindowWasFull
 	ctl.retries.tokens = s.RetryTokens
 	ctl.window.attemptRate = s.AttemptRate.restore()
@@ -332,7 +332,7 @@
 		Samples:              x.samples,
 		LastResponseAt:       x.lastResponseAt,
 		FailureRate:          x.failureRate,
-		EjectedUntil:         x.ejectedUntil,
+		EjectedUntil:         x.nextRecoveryAt,
 		ConsecutiveEjections: x.consecutiveEjections,
 		RejectedUntil:        x.rejectedUntil,
 		Unavailable:          x.unavailable,
@@ -353,7 +353,7 @@
 		samples:              s.Samples,
 		lastResponseAt:       s.LastResponseAt,
 		failureRate:          s.FailureRate,
-		ejectedUntil:         s.EjectedUntil,
+		nextRecoveryAt:       s.EjectedUntil,
 		consecutiveEjections: s.ConsecutiveEjections,
 		rejectedUntil:        s.RejectedUntil,
 		unavailable:          s.Unavailable,
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -135,8 +135,8 @@
 	Reason string
 }
 
-// AcceptSuccessors lets successors connect to this process from now on.
-type AcceptSuccessors struct{}
+// ListenForSuccessors lets successors connect to this process from now on.
+type ListenForSuccessors struct{}
 
 // SendLinkMessage sends a message of the protocol.
 type SendLinkMessage struct{ Kind hotrestart.Kind }
@@ -217,7 +217,7 @@
 func (ConnectPredecessor) effect()     {}
 func (AcceptSuccessor) effect()        {}
 func (DenySuccessor) effect()          {}
-func (AcceptSuccessors) effect()       {}
+func (ListenForSuccessors) effect()    {}
 func (SendLinkMessage) effect()        {}
 func (TransferState) effect()          {}
 func (CloseLink) effect()              {}
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -144,7 +144,7 @@
 		m.startAdmitting()
 	case hotrestart.RunAlone:
 		m.emit(SetResourceShare{Fraction: 1})
-		m.emit(AcceptSuccessors{})
+		m.emit(ListenForSuccessors{})
 	case hotrestart.Finish:
 		m.finishHotRestart()
 	case hotrestart.StartFresh:
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -61,7 +61,7 @@
 // startFresh starts with nothing from a predecessor. One that ends may still hold the address if wait.
 func (m *Machine) startFresh(wait bool) {
 	m.emit(OpenListeners{Wait: wait})
-	m.emit(AcceptSuccessors{})
+	m.emit(ListenForSuccessors{})
 	m.phase = Starting
 	known := m.config.KnownEndpoints
 	timeout := discoveryTimeout
--- a/internal/core/restartslots.go
+++ b/internal/core/restartslots.go
@@ -154,7 +154,7 @@
 // isLastOwner reports whether this limiter is the last one that holds the quota of some customer, while
 // others restart.
 func (m *Machine) isLastOwner(restarting []rollingrestart.Limiter) bool {
-	return m.admission.controller.IsLastOwner(numbers(restarting))
+	return m.admission.controller.IsLastHolder(numbers(restarting))
 }
 
 // runRestartSlots does what is due, and returns the clock time at which it is to run again, 0 for never.
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -88,7 +88,7 @@
 	switch e := e.(type) {
 	case core.ConnectPredecessor:
 		l.connectPredecessor()
-	case core.AcceptSuccessors:
+	case core.ListenForSuccessors:
 		l.acceptSuccessors()
 	case core.AcceptSuccessor:
 		l.other.link = e.Link.(*link.Conn)
--- a/internal/httpserver/handover.go
+++ b/internal/httpserver/handover.go
@@ -30,9 +30,9 @@
 	s.resumed = nil
 }
 
-// moveIdle has connections between requests handed over to another process from now on. The read of one that
+// startHandover has connections between requests handed over to another process from now on. The read of one that
 // waits for its next request is interrupted.
-func (s *connSet) moveIdle(handOver func(syscall.Conn) error) {
+func (s *connSet) startHandover(handOver func(syscall.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handOver = handOver
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -216,7 +216,7 @@
 // HandOver returns once the connection may be closed here; with an error it stays.
 func (s *Server) MoveConns(handOver func(syscall.Conn) error) {
 	<-s.serving
-	s.conns.Load().moveIdle(handOver)
+	s.conns.Load().startHandover(handOver)
 }
 
 // SetResourceShare sets which fraction of Options.MaxConns may be open, while another process has the
--- a/internal/quota/debt.go
+++ b/internal/quota/debt.go
@@ -104,7 +104,7 @@
 	}
 	demand = min(a.demandRate(now)/2, unknownDemandFraction*fraction*plan.Quota.Rate)
 	level = full * unknownLevelFraction
-	if s := a.ledger.recovery; s == RecoveryUnknown || s == TierRestarted { // it started with nothing as well
+	if s := a.ledger.startState; s == StartUnknown || s == TierRestarted { // it started with nothing as well
 		level = min(level, fraction*plan.Quota.Rate*(now-a.ledger.startedAt).Seconds())
 	}
 	return level, demand
--- a/internal/quota/format_test.go
+++ b/internal/quota/format_test.go
@@ -11,7 +11,7 @@
 // Recovery states have the names that release 0.8.0 gave them.
 func TestRecoveryStateNamesOfEarlierRelease(t *testing.T) {
 	var b strings.Builder
-	for _, s := range []RecoveryState{RecoveryUnknown, TierStarted, LimiterRestarted, TierRestarted} {
+	for _, s := range []StartState{StartUnknown, TierStarted, LimiterRestarted, TierRestarted} {
 		fmt.Fprintf(&b, "%d %v\n", s, s)
 	}
 	golden.Equal(t, "standings.txt", []byte(b.String()))
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -35,7 +35,7 @@
 	Config
 	Counts Counters
 
-	recovery      RecoveryState
+	startState    StartState
 	startedAt     time.Duration
 	lastMessageAt time.Duration // when the last message of any peer came
 
@@ -60,7 +60,7 @@
 	c.Limiters = max(c.Limiters, 1)
 	l := &Ledger{Config: c, startedAt: now, accounts: map[uint32][]*Account{}, peers: map[int]*peer{}}
 	if !c.Gossips || c.Limiters == 1 {
-		l.recovery = TierStarted // no message will ever resolve it
+		l.startState = TierStarted // no message will ever resolve it
 	}
 	return l
 }
@@ -129,7 +129,7 @@
 // Counters returns the counters as of a clock time.
 func (l *Ledger) Counters(now time.Duration) Counters {
 	c := l.Counts
-	c.Accounts, c.RecoveryState = len(l.accountOrder), l.recovery.String()
+	c.Accounts, c.RecoveryState = len(l.accountOrder), l.startState.String()
 	for _, peer := range l.peers {
 		if peer.known && now-peer.lastReceivedAt > peerSilenceTimeout {
 			c.SilentPeers++
@@ -138,10 +138,10 @@
 	return c
 }
 
-// IsLastOwner reports whether, with some other limiters out of service, this one is the last that has
+// IsLastHolder reports whether, with some other limiters out of service, this one is the last that has
 // any of some customer's buckets: of a large set the last of its owners, else the last of the set.
 // A customer of this limiter alone does not count, as no other could ever have its buckets.
-func (l *Ledger) IsLastOwner(out []int) bool {
+func (l *Ledger) IsLastHolder(out []int) bool {
 	isIn := func(limiter int) bool { return !slices.Contains(out, limiter) }
 	for _, a := range l.accountOrder {
 		others := a.otherOwners()
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -8,7 +8,7 @@
 var quotaPlan = Plan{Quota: Bucket{Rate: 5, Burst: 24}, LeastProbability: 0.5}
 
 // newLedger starts the ledger of limiter 0 of three.
-func newLedger(s RecoveryState) *Ledger {
+func newLedger(s StartState) *Ledger {
 	l := New(Config{Limiters: 3, Gossips: true, Plans: []Plan{quotaPlan}}, time.Hour)
 	l.Resolve(s, time.Hour)
 	return l
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -84,10 +84,10 @@
 	}
 	full := plan.Quota.Burst
 	a.quotaLevel = full * restartLevelFraction
-	switch l.recovery {
+	switch l.startState {
 	case TierStarted:
 		a.quotaLevel = full
-	case RecoveryUnknown:
+	case StartUnknown:
 		a.unresolvedUnits = full - a.quotaLevel
 	}
 }
--- a/internal/quota/owner_transfer.go
+++ b/internal/quota/owner_transfer.go
@@ -125,7 +125,7 @@
 	switch {
 	case a.ownerRank > 0 && now-a.lastGrantAt > backupLevelDuration:
 		a.quotaLevel = min(a.quotaLevel, hint)
-	case a.ownerRank == 0 && !a.levelHintReceived && a.ledger.recovery != TierStarted:
+	case a.ownerRank == 0 && !a.levelHintReceived && a.ledger.startState != TierStarted:
 		a.quotaLevel = max(a.quotaLevel, hint)
 	}
 	a.levelHintReceived = true
--- a/internal/quota/rendezvous.go
+++ b/internal/quota/rendezvous.go
@@ -8,10 +8,10 @@
 // This file chooses the owners of a customer among the limiters of its set, by rendezvous hashing: the
 // same at every limiter, without a message.
 
-// OwnersOf returns the limiters that have a customer's buckets: of a large set the owner and its backups
+// HoldersOf returns the limiters that have a customer's buckets: of a large set the owner and its backups
 // in their order, of a small set all limiters. Its parameters are those of Ledger.Account, and the number
 // of limiters in the tier.
-func OwnersOf(hash uint32, first, size, limiters int) []int {
+func HoldersOf(hash uint32, first, size, limiters int) []int {
 	size = min(max(size, 1), limiters)
 	if size <= SmallSetSize {
 		return rank(hash, first%limiters, size, limiters, size)
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -89,7 +89,7 @@
 		return 0
 	}
 	probability := a.admissionProbability(units, lack.quota, now)
-	if l.recovery == RecoveryUnknown && !a.admittedWhileUnresolved && (last || l.allLendersKnown(a)) {
+	if l.startState == StartUnknown && !a.admittedWhileUnresolved && (last || l.allLendersKnown(a)) {
 		return 1
 	}
 	return probability
@@ -112,7 +112,7 @@
 	if l.requestTransfers(a, lack, now) {
 		return true
 	}
-	return l.recovery == RecoveryUnknown && lack.ceiling == 0 && lack.slots == 0 && a.unresolvedUnits >= lack.quota
+	return l.startState == StartUnknown && lack.ceiling == 0 && lack.slots == 0 && a.unresolvedUnits >= lack.quota
 }
 
 // retryAfter is how long it takes the allocation to gain what a request lacks.
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -28,7 +28,7 @@
 // next. Its field tags are a format that other releases read; a live field may be renamed freely.
 type LedgerState struct {
 	Counters       countersState             `json:"Count"`
-	Recovery       RecoveryState             `json:"standing"`
+	Recovery       StartState                `json:"standing"`
 	StartedAt      time.Duration             `json:"born"`
 	LastMessageAt  time.Duration             `json:"now"`
 	TotalDemand    rateState                 `json:"total"`
@@ -208,7 +208,7 @@
 func (l *Ledger) State() LedgerState {
 	return LedgerState{
 		Counters:       newCountersState(l.Counts),
-		Recovery:       l.recovery,
+		Recovery:       l.startState,
 		StartedAt:      l.startedAt,
 		LastMessageAt:  l.lastMessageAt,
 		TotalDemand:    newRateState(l.totalDemand),
@@ -228,7 +228,7 @@
 func (s LedgerState) restore() *Ledger {
 	return &Ledger{
 		Counts:         s.Counters.restore(),
-		recovery:       s.Recovery,
+		startState:     s.Recovery,
 		startedAt:      s.StartedAt,
 		lastMessageAt:  s.LastMessageAt,
 		totalDemand:    s.TotalDemand.restore(),
--- a/internal/quota/snapshot_test.go
+++ b/internal/quota/snapshot_test.go
@@ -45,7 +45,7 @@
 			"Count.standing":                               l.Counts.RecoveryState,
 			"Count.silent":                                 l.Counts.SilentPeers,
 			"Count.dead":                                   l.Counts.PeersDeclaredDead,
-			"standing":                                     l.recovery,
+			"standing":                                     l.startState,
 			"born":                                         l.startedAt,
 			"now":                                          l.lastMessageAt,
 			"total.rate":                                   l.totalDemand.PerSecond,
--- a/internal/quota/recovery.go
+++ b/internal/quota/start.go
@@ -8,15 +8,15 @@
 // then no limiter can have consumed units that it did not report yet.
 const tierStartDuration = 3 * time.Second
 
-// RecoveryState is what a limiter takes its own start for. With nothing in memory, the buckets may be
+// StartState is what a limiter takes its own start for. With nothing in memory, the buckets may be
 // full, as the tier is new, or consumed, as the tier was there before.
-type RecoveryState uint8
+type StartState uint8
 
 // Recovery states.
 const (
-	// RecoveryUnknown means that nothing is known yet. One request of each customer may be admitted
+	// StartUnknown means that nothing is known yet. One request of each customer may be admitted
 	// without a grant; others wait.
-	RecoveryUnknown RecoveryState = iota
+	StartUnknown StartState = iota
 	// TierStarted means that the tier is new: all buckets are full.
 	TierStarted
 	// LimiterRestarted means that the other limiters were there before. What this one had is lost, the
@@ -28,18 +28,18 @@
 )
 
 // String returns the name that counters and scripts use.
-func (s RecoveryState) String() string { return [...]string{"unsure", "fresh", "returned", "spent"}[s] }
+func (s StartState) String() string { return [...]string{"unsure", "fresh", "returned", "spent"}[s] }
 
-// Recovery returns what the limiter takes its own start for.
-func (l *Ledger) Recovery() RecoveryState { return l.recovery }
+// StartState returns what the limiter takes its own start for.
+func (l *Ledger) StartState() StartState { return l.startState }
 
 // Resolve sets what the limiter takes its own start for. Only the first state other than RecoveryUnknown
 // counts.
-func (l *Ledger) Resolve(s RecoveryState, now time.Duration) {
-	if l.recovery != RecoveryUnknown || s == RecoveryUnknown {
+func (l *Ledger) Resolve(s StartState, now time.Duration) {
+	if l.startState != StartUnknown || s == StartUnknown {
 		return
 	}
-	l.recovery = s
+	l.startState = s
 	for _, a := range l.accountOrder {
 		a.advance(now)
 		if s == TierStarted {
@@ -67,13 +67,13 @@
 func (a *Account) initialLevel(now time.Duration) {
 	l := a.ledger
 	full := a.baseFraction * a.plan().Quota.Burst
-	switch l.recovery {
+	switch l.startState {
 	case TierStarted:
 		a.quotaLevel = max(a.quotaLevel, full)
 		if now-l.startedAt < tierStartDuration {
 			a.assumeFull()
 		}
-	case RecoveryUnknown:
+	case StartUnknown:
 		a.unresolvedUnits = max(full-a.quotaLevel, 0)
 	}
 }
--- a/internal/rollingrestart/coordinator.go
+++ b/internal/rollingrestart/coordinator.go
@@ -57,11 +57,11 @@
 //
 // Payload 0 means that there is none, as all acceptors are new or have lost their memory. Then no slot
 // is granted until those of before have expired, which count from the requests before them.
-func NewCoordinator(token, payload uint64, maxConcurrent int, slotDuration, now time.Duration) *Coordinator {
+func NewCoordinator(token, payload uint64, maxConcurrent int, grantDuration, now time.Duration) *Coordinator {
 	c := &Coordinator{
 		token:         token,
 		maxConcurrent: min(maxConcurrent, MaxSlots),
-		slotDuration:  slotDuration,
+		slotDuration:  grantDuration,
 		grantsFrom:    now,
 		payload:       payload,
 		restarting:    DecodePayload(payload),
@@ -69,7 +69,7 @@
 		queryNonce:    uint32(now / time.Millisecond),
 	}
 	if payload == 0 {
-		c.grantsFrom = now + 2*slotDuration
+		c.grantsFrom = now + 2*grantDuration
 	}
 	return c
 }
--- a/internal/simulation/leases.go
+++ b/internal/simulation/leases.go
@@ -165,7 +165,7 @@
 	if j.out == nil {
 		j.out = map[int]bool{}
 		for _, c := range s.customers {
-			if list := admission.OwnersOf(c.name, c.first, c.spread, s.sc.Limiters); len(list) > 1 {
+			if list := admission.HoldersOf(c.name, c.first, c.spread, s.sc.Limiters); len(list) > 1 {
 				j.homes = append(j.homes, list)
 			}
 		}
