--- a/internal/simulation/backends.go
+++ b/internal/simulation/backends.go
@@ -8,201 +8,236 @@
 	"lemongate/internal/core"
 )
 
-// wayToBackend is how long a message takes between a limiter and a backend.
-const wayToBackend = 800 * time.Microsecond
-
-// A server is a backend: cores, a queue, a cold start, and a memory that drops
-// repeats of keyed reqs.
-type server struct {
-	sim     *sim
-	number  int
-	up      bool
-	refuses bool // though it is listed
-	silent  bool // its machine answers nothing
-	started time.Duration
-	life    int
-	busy    int
-	queue   []*attempt
-	keys    map[uint64]time.Duration
-	util    float64 // running mean of the busy part of its cores
-	utilAt  time.Duration
-	latency float64 // ms, running mean
-}
-
-// An attempt is a fetch on its way, at a backend or over.
-type attempt struct {
-	limiter *limiter
-	life    int
-	call    *call
-	id      core.AttemptID
-	server  *server
-	over    bool // an outcome was told, or nobody waits for one
-	token   uint64
-	began   time.Duration
+const (
+	// backendDelay is how long a message takes between a limiter and a backend.
+	backendDelay = 800 * time.Microsecond
+	// connectTimeout is how long a limiter waits for a connection to a machine that does not respond.
+	connectTimeout = 250 * time.Millisecond
+	// repeatWork is how long a backend takes to respond to the repeat of an idempotency key.
+	repeatWork = time.Millisecond
+	// utilizationMemory is the time constant of the utilization in load reports.
+	utilizationMemory = 400 * time.Millisecond
+	// latencyWeight is the weight of one response in the latency of load reports.
+	latencyWeight = 0.1
+)
+
+// backend has cores, a queue, a cold start, and a memory of idempotency keys.
+type backend struct {
+	world       *world
+	number      int
+	up          bool
+	refuses     bool // connections, while the endpoint list shows it
+	silent      bool // its machine does not respond
+	startedAt   time.Duration
+	incarnation int // crashes so far
+	busy        int // cores
+	queue       []*attempt
+	keys        map[uint64]time.Duration // when a request with an idempotency key ran
+
+	utilization   float64 // running mean of the busy fraction of the cores
+	utilizationAt time.Duration
+	latency       float64 // ms, running mean
 }
 
-func (a *attempt) stop() { a.over = true }
+// attempt is an attempt on its way, at a backend or finished.
+type attempt struct {
+	limiter     *limiter
+	incarnation int // of the limiter
+	request     *request
+	id          core.AttemptID
+	backend     *backend
+	over        bool   // finished, or no one waits for its result
+	token       uint64 // fencing token, 0 for none
+}
 
-// ended tells the limiter how a fetch ended, after the way back.
-func (a *attempt) ended(result admission.Result, report []float64) {
+// finish reports to the limiter how an attempt finished, after the way back.
+func (a *attempt) finish(result admission.Result, report []float64) {
 	if a.over {
 		return
 	}
 	a.over = true
-	a.limiter.sim.after(wayToBackend, func() {
-		if a.limiter.life == a.life {
-			a.limiter.post(&core.AttemptFinished{Attempt: a.id, Result: result, Report: report, Response: a.call.id})
+	a.limiter.world.after(backendDelay, func() {
+		if a.limiter.incarnation == a.incarnation {
+			a.limiter.post(&core.AttemptFinished{Attempt: a.id, Result: result, Report: report, Response: a.request.id})
 		}
 	})
 }
 
-// fetch sends a req on its way to a backend.
-func (s *sim) fetch(l *limiter, c *call, e core.StartAttempt) {
-	a := &attempt{limiter: l, life: l.life, call: c, id: e.Attempt, token: e.Token}
-	for _, b := range s.backends {
-		if e.Backend == b.name() {
-			a.server = b
-		}
-	}
-	c.fetches[e.Attempt.Number] = a
-	s.result.Fetches++
-	if a.server != nil && s.zone(a.server.number) == s.zone(l.number) {
-		s.result.Near++
+func (w *world) startBackends() {
+	for i := range w.scenario.Backends.Count {
+		w.backends = append(w.backends, &backend{world: w, number: i, up: true, keys: map[uint64]time.Duration{}})
 	}
-	if a.server == nil {
-		s.broken("a fetch to %q, which is no backend", e.Backend)
+}
+
+// startAttempt sends an attempt to its backend.
+func (w *world) startAttempt(l *limiter, r *request, e core.StartAttempt) {
+	a := &attempt{limiter: l, incarnation: l.incarnation, request: r, id: e.Attempt, token: e.Token}
+	a.backend = w.backendByName(e.Backend)
+	r.attempts[e.Attempt.Number] = a
+	w.result.Fetches++
+	if a.backend == nil {
+		w.breach("an attempt at %q, which is no backend", e.Backend)
 		return
 	}
-	s.after(wayToBackend, func() { a.server.take(a) })
+	if w.zone(a.backend.number) == w.zone(l.number) {
+		w.result.Near++
+	}
+	w.after(backendDelay, func() { a.backend.receive(a) })
+}
+
+// backendByName is the backend of a name, nil if there is none.
+func (w *world) backendByName(name string) *backend {
+	for _, b := range w.backends {
+		if b.name() == name {
+			return b
+		}
+	}
+	return nil
 }
 
-func (b *server) name() string { return fmt.Sprintf("b%02d", b.number) }
+func (b *backend) name() string { return fmt.Sprintf("b%02d", b.number) }
 
-// settle brings the running mean of the load up to now.
-func (b *server) settle() {
-	now := b.sim.now
-	left := decay(now-b.utilAt, 400*time.Millisecond)
-	b.util = b.util*left + (1-left)*float64(b.busy)/float64(b.sim.sc.Backends.Cores)
-	b.utilAt = now
+// updateUtilization brings the running mean of the utilization up to now.
+func (b *backend) updateUtilization() {
+	now := b.world.now
+	left := decay(now-b.utilizationAt, utilizationMemory)
+	b.utilization = b.utilization*left + (1-left)*float64(b.busy)/float64(b.world.scenario.Backends.Cores)
+	b.utilizationAt = now
 }
 
-func (b *server) take(a *attempt) {
+// receive takes in an attempt that has arrived: it is served, queued or rejected.
+func (b *backend) receive(a *attempt) {
+	w := b.world
 	if b.silent {
-		b.sim.result.Dead++
-		b.sim.after(connectTimeout, func() { a.ended(admission.ConnectFailed, nil) })
+		w.result.Dead++
+		w.after(connectTimeout, func() { a.finish(admission.ConnectFailed, nil) })
 		return
 	}
 	if !b.up || b.refuses {
-		b.sim.result.Dead++
-		a.ended(admission.Unreachable, nil)
+		w.result.Dead++
+		a.finish(admission.Unreachable, nil)
 		return
 	}
-	b.sim.leases.act(b.sim, a)
-	b.sim.reached(a.call, a)
-	if b.busy >= b.sim.sc.Backends.Cores {
-		if len(b.queue) >= b.sim.sc.Backends.Queue {
-			a.ended(admission.Rejected, nil)
-			return
-		}
+	w.judgeToken(a)
+	w.judgeQuota(a)
+	switch {
+	case b.busy < w.scenario.Backends.Cores:
+		b.serve(a)
+	case len(b.queue) < w.scenario.Backends.Queue:
 		b.queue = append(b.queue, a)
-		a.began = b.sim.now
-		return
+	default:
+		a.finish(admission.Rejected, nil)
 	}
-	a.began = b.sim.now
-	b.serve(a)
 }
 
-// capacity is the part of its full speed that a backend has by now.
-func (b *server) capacity() float64 {
-	sc := b.sim.sc.Backends
-	if b.started == 0 || sc.Warm <= 0 {
+// speed is the fraction of its full speed that a backend has by now.
+func (b *backend) speed() float64 {
+	sc := b.world.scenario.Backends
+	if b.startedAt == 0 || sc.Warm <= 0 {
 		return 1
 	}
-	return min(sc.Cold+(1-sc.Cold)*(b.sim.now-b.started).Seconds()/sc.Warm, 1)
+	return min(sc.Cold+(1-sc.Cold)*(b.world.now-b.startedAt).Seconds()/sc.Warm, 1)
 }
 
-func (b *server) serve(a *attempt) {
-	b.settle()
+// serve occupies a core with an attempt.
+func (b *backend) serve(a *attempt) {
+	w, incarnation := b.world, b.incarnation
+	b.updateUtilization()
 	b.busy++
-	s, life := b.sim, b.life
-	work := time.Duration(float64(s.exponential(milliseconds(s.sc.Backends.Work))) / b.capacity())
-	if c := a.call; c.keyed { // a repeat is dropped: answered from memory
-		if at, has := b.keys[c.key]; has && s.now-at < seconds(s.sc.Backends.Window) {
-			work = time.Millisecond
-		} else {
-			c.ran++
-			b.keys[c.key] = s.now
-		}
+	work := time.Duration(float64(w.exponential(milliseconds(w.scenario.Backends.Work))) / b.speed())
+	if b.isRepeat(a.request) {
+		work = repeatWork
 	}
-	s.after(work, func() {
-		if b.life != life {
-			return
-		}
-		b.settle()
-		b.busy--
-		b.latency += 0.1 * (work.Seconds()*1e3 - b.latency)
-		a.ended(admission.Succeeded, []float64{b.latency, b.util})
-		for len(b.queue) > 0 && b.busy < s.sc.Backends.Cores {
-			next := b.queue[0]
-			b.queue = b.queue[1:]
-			if !next.over {
-				b.serve(next)
-			}
+	w.after(work, func() {
+		if b.incarnation == incarnation {
+			b.complete(a, work)
 		}
 	})
 }
 
-// connectTimeout is how long a limiter waits for a connection to a machine that says nothing.
-const connectTimeout = 250 * time.Millisecond
+// isRepeat reports whether a request repeats an idempotency key within the window, and remembers the key
+// of one that does not.
+func (b *backend) isRepeat(r *request) bool {
+	if !r.keyed {
+		return false
+	}
+	ranAt, ran := b.keys[r.key]
+	if ran && b.world.now-ranAt < seconds(b.world.scenario.Backends.Window) {
+		return true
+	}
+	b.keys[r.key] = b.world.now
+	return false
+}
+
+// complete responds to an attempt, and serves what is queued.
+func (b *backend) complete(a *attempt, work time.Duration) {
+	b.updateUtilization()
+	b.busy--
+	b.latency += latencyWeight * (work.Seconds()*1e3 - b.latency)
+	a.finish(admission.Succeeded, []float64{b.latency, b.utilization})
+	for len(b.queue) > 0 && b.busy < b.world.scenario.Backends.Cores {
+		next := b.queue[0]
+		b.queue = b.queue[1:]
+		if !next.over {
+			b.serve(next)
+		}
+	}
+}
+
+// dropAll forgets all attempts at the backend.
+func (b *backend) dropAll() {
+	b.incarnation++
+	b.busy, b.queue, b.utilization = 0, nil, 0
+}
 
-// fallSilent leaves all that is open without an answer.
-func (b *server) fallSilent() {
+// fallSilent leaves all open attempts without a response.
+func (b *backend) fallSilent() {
 	b.silent = true
-	b.life++
-	b.busy, b.queue, b.util = 0, nil, 0
+	b.dropAll()
 }
 
-// die resets all that is open; the list tells of it late.
-func (b *server) die() {
+// crash resets the connections of all open attempts; the endpoint list shows it late.
+func (b *backend) crash() {
+	w := b.world
 	b.up = false
-	b.life++
-	b.busy, b.queue, b.util = 0, nil, 0
-	s := b.sim
-	for _, c := range s.calls {
-		for _, a := range c.fetches {
-			if a.server == b {
-				a.ended(admission.ConnectionLost, nil)
+	b.dropAll()
+	for _, r := range w.openRequests {
+		for _, a := range r.attempts {
+			if a.backend == b {
+				a.finish(admission.ConnectionLost, nil)
 			}
 		}
 	}
-	s.after(milliseconds(s.sc.Backends.ListLag), s.relist)
+	w.after(milliseconds(w.scenario.Backends.ListLag), w.publishEndpoints)
 }
 
-func (b *server) boot() {
-	b.up, b.started = true, b.sim.now
-	b.sim.after(milliseconds(b.sim.sc.Backends.ListLag), b.sim.relist)
+// boot starts a backend that crashed; the endpoint list shows it late.
+func (b *backend) boot() {
+	b.up, b.startedAt = true, b.world.now
+	b.world.after(milliseconds(b.world.scenario.Backends.ListLag), b.world.publishEndpoints)
 }
 
-// list is what discovery says now.
-func (s *sim) list() []core.Endpoint {
+// endpointList is the endpoint list of discovery.
+func (w *world) endpointList() []core.Endpoint {
 	var list []core.Endpoint
-	for _, b := range s.backends {
-		e := core.Endpoint{Addr: "127.0.0.1:1", Backend: admission.Backend{
-			ID: b.name(), Zone: s.zone(b.number), State: admission.Live, RelativeCapacity: 1, StartedAt: b.started,
-		}}
+	for _, b := range w.backends {
+		state := admission.Live
 		if !b.up {
-			e.State = admission.Removed
+			state = admission.Removed
 		}
-		list = append(list, e)
+		list = append(list, core.Endpoint{Addr: "127.0.0.1:1", Backend: admission.Backend{
+			ID: b.name(), Zone: w.zone(b.number), State: state, RelativeCapacity: 1, StartedAt: b.startedAt,
+		}})
 	}
 	return list
 }
 
-func (s *sim) relist() {
-	list := s.list()
-	for _, l := range s.limiters {
-		if o := l.kin.other; o != nil {
-			o.post(&core.EndpointsUpdated{Kind: admission.ListDelta, Endpoints: list})
+// publishEndpoints sends the endpoint list to all processes.
+func (w *world) publishEndpoints() {
+	list := w.endpointList()
+	for _, l := range w.limiters {
+		if peer := l.link.peer; peer != nil {
+			peer.post(&core.EndpointsUpdated{Kind: admission.ListDelta, Endpoints: list})
 		}
 		l.post(&core.EndpointsUpdated{Kind: admission.ListDelta, Endpoints: list})
 	}
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -2,304 +2,280 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"lemongate/internal/admission"
 	"lemongate/internal/core"
 )
 
-// wayToLimiter is how long a message takes between a client and a limiter.
-const wayToLimiter = 500 * time.Microsecond
-
-// A Store is the true one, as the rules define it.
-type Store struct {
-	rate, burst float64
-	level       float64
-	at          time.Duration
-}
-
-// NewStore returns one that is full.
-func NewStore(rate, burst float64, now time.Duration) Store {
-	return Store{rate: rate, burst: burst, level: burst, at: now}
-}
-
-// Fill brings the level up to now, and tells it.
-func (t *Store) Fill(now time.Duration) float64 {
-	t.level = min(t.level+(now-t.at).Seconds()*t.rate, t.burst)
-	t.at = now
-	return t.level
-}
-
-// Take draws units if the store has them.
-func (t *Store) Take(now time.Duration, units float64) bool {
-	if t.Fill(now) < units {
-		return false
-	}
-	t.level -= units
-	return true
-}
-
-// Draw draws units whether the store has them or not, and tells what is left.
-func (t *Store) Draw(now time.Duration, units float64) float64 {
-	t.Fill(now)
-	t.level -= units
-	return t.level
-}
+const (
+	// clientDelay is how long a request takes to a limiter.
+	clientDelay = 500 * time.Microsecond
+	// responseSlack is how much later than its deadline a response may be.
+	responseSlack = 100 * time.Millisecond
+)
 
-// A customer asks for units through the limiters of its set.
+// customer sends requests through the limiters of its set, with the reference buckets of its quota.
 type customer struct {
-	name    string
-	plan    int
-	first   int
-	spread  int
-	busiest int // place in the set
-	quota   Store
-	ceiling Store
-	ideal   Store // of one gateway that saw all first tries
-	tally   tally
+	name         string
+	plan         int // index
+	firstLimiter int
+	setSize      int
+	busiest      int   // index in the set
+	quota        Store // of what reaches the backends
+	ceiling      Store // of what reaches the backends
+	ideal        Store // of one limiter that receives all first tries
+	tally        tally
 }
 
-// tally is what one customer got, in units.
+// tally counts what one customer got, in units.
 type tally struct {
-	asked, due, inside, beyond, refusedRoom, refused, failed float64
-	under                                                    float64 // most that the ceiling's store was below nothing
+	requested           float64 // first tries
+	due                 float64 // see Result.Due
+	within, beyond      float64 // forwarded, within the quota and beyond it
+	rejected            float64 // tries rejected without an attempt
+	rejectedWithinQuota float64 // see Result.RefusedRoom
+	ceilingDebt         float64 // most that the ceiling's bucket was below zero
 }
 
-// A call is a client's try at a limiter.
-type call struct {
+// request is one try of a client at a limiter.
+type request struct {
 	id       uint64
 	customer *customer
 	limiter  *limiter
 	units    float64
 	keyed    bool
-	key      uint64
-	tries    int // further ones that the client has left
-	sent     time.Duration
-	deadline time.Duration
-	counted  bool // an attempt has come whole to a backend
+	key      uint64 // idempotency key
+	retries  int    // that the client has left
+	sentAt   time.Duration
+	counted  bool // an attempt has reached a backend
 	answered bool
-	lost     bool
-	ran      int
-	fetches  map[int]*attempt
+	lost     bool // with its limiter
+	attempts map[int]*attempt
 }
 
-type callKey struct {
+// requestKey identifies a request of a limiter, whichever of its processes has it.
+type requestKey struct {
 	limiter int
-	req     core.RequestID
+	id      core.RequestID
 }
 
-// people sets the customers up and starts their traffic.
-func (s *sim) people() {
-	for p, plan := range s.sc.Plans {
-		for i := range plan.Customers {
-			spread := s.sc.Traffic.Spread
-			if spread <= 0 || spread > s.sc.Limiters {
-				spread = s.sc.Limiters
-			}
-			c := &customer{
-				name: fmt.Sprintf("%s-%04d", plan.Name, i), plan: p, first: s.random.IntN(s.sc.Limiters), spread: spread,
-				busiest: s.random.IntN(spread),
-				quota:   NewStore(plan.Rate, plan.Burst, start), ideal: NewStore(plan.Rate, plan.Burst, start),
-				ceiling: NewStore(plan.CeilingRate, plan.CeilingBurst, start),
-			}
-			s.customers = append(s.customers, c)
-			s.arrivals(c)
-			if s.sc.Traffic.Moves > 0 {
-				s.move(c, seconds(s.sc.Traffic.Moves*s.random.Float64()))
+// cancelAttempt cancels an attempt, if there is one with the number.
+func (r *request) cancelAttempt(number int) {
+	if a := r.attempts[number]; a != nil {
+		a.over = true
+	}
+}
+
+// startTraffic creates the customers and starts their requests.
+func (w *world) startTraffic() {
+	for i, plan := range w.scenario.Plans {
+		for n := range plan.Customers {
+			c := w.newCustomer(i, n)
+			w.customers = append(w.customers, c)
+			w.scheduleArrival(c)
+			if moves := w.scenario.Traffic.Moves; moves > 0 {
+				w.scheduleMove(c, seconds(moves*w.random.Float64()))
 			}
 		}
 	}
 }
 
-func (s *sim) move(c *customer, wait time.Duration) {
-	s.after(wait, func() {
-		c.busiest = (c.busiest + 1 + s.random.IntN(max(c.spread-1, 1))) % c.spread
-		s.move(c, seconds(s.sc.Traffic.Moves))
+// newCustomer creates a customer of a plan.
+func (w *world) newCustomer(planIndex, number int) *customer {
+	plan := w.scenario.Plans[planIndex]
+	setSize := w.scenario.Traffic.Spread
+	if setSize <= 0 || setSize > w.scenario.Limiters {
+		setSize = w.scenario.Limiters
+	}
+	return &customer{
+		name:         fmt.Sprintf("%s-%04d", plan.Name, number),
+		plan:         planIndex,
+		firstLimiter: w.random.IntN(w.scenario.Limiters),
+		setSize:      setSize,
+		busiest:      w.random.IntN(setSize),
+		quota:        NewStore(plan.Rate, plan.Burst, start),
+		ideal:        NewStore(plan.Rate, plan.Burst, start),
+		ceiling:      NewStore(plan.CeilingRate, plan.CeilingBurst, start),
+	}
+}
+
+// scheduleMove has another limiter become the busiest of a customer, again and again.
+func (w *world) scheduleMove(c *customer, wait time.Duration) {
+	w.after(wait, func() {
+		c.busiest = (c.busiest + 1 + w.random.IntN(max(c.setSize-1, 1))) % c.setSize
+		w.scheduleMove(c, seconds(w.scenario.Traffic.Moves))
+	})
+}
+
+// scheduleArrival schedules the next request of a customer. Arrivals do not wait for responses.
+func (w *world) scheduleArrival(c *customer) {
+	plan := w.scenario.Plans[c.plan]
+	interval := w.exponential(seconds(w.meanUnits() / (plan.Rate * plan.Times)))
+	w.after(interval, func() {
+		w.sendFirstTry(c)
+		w.scheduleArrival(c)
 	})
 }
 
-// arrivals asks for the next req of a customer; they never wait for answers.
-func (s *sim) arrivals(c *customer) {
-	plan := s.sc.Plans[c.plan]
+// meanUnits is the mean number of units of a request.
+func (w *world) meanUnits() float64 {
+	units := w.scenario.Traffic.Units
 	mean := 0.0
-	for _, u := range s.sc.Traffic.Units {
-		mean += u / float64(len(s.sc.Traffic.Units))
+	for _, u := range units {
+		mean += u / float64(len(units))
 	}
-	s.after(s.exponential(seconds(mean/(plan.Rate*plan.Times))), func() {
-		units := s.sc.Traffic.Units[s.random.IntN(len(s.sc.Traffic.Units))]
-		c.tally.asked += units
-		if c.ideal.Take(s.now, units) {
-			c.tally.due += units
-		}
-		keyed := s.random.Float64() < s.sc.Traffic.Keyed
-		s.nextID++
-		s.try(&call{customer: c, units: units, keyed: keyed, key: s.nextID, tries: s.sc.Traffic.Retries}, s.pick(c))
-		s.arrivals(c)
-	})
+	return mean
+}
+
+// sendFirstTry sends a new request of a customer.
+func (w *world) sendFirstTry(c *customer) {
+	traffic := &w.scenario.Traffic
+	units := traffic.Units[w.random.IntN(len(traffic.Units))]
+	c.tally.requested += units
+	if c.ideal.Take(w.now, units) {
+		c.tally.due += units
+	}
+	keyed := w.random.Float64() < traffic.Keyed
+	w.lastID++
+	r := &request{customer: c, units: units, keyed: keyed, key: w.lastID, retries: traffic.Retries}
+	w.send(r, w.selectLimiter(c))
 }
 
-// pick chooses the limiter that a req comes in through. One that is down takes
-// nothing: the front sends its reqs to the next of the set.
-func (s *sim) pick(c *customer) *limiter {
-	place := c.busiest
-	if s.random.Float64() >= s.sc.Traffic.Busiest && c.spread > 1 {
-		place = (c.busiest + 1 + s.random.IntN(c.spread-1)) % c.spread
+// selectLimiter chooses the limiter for a request: the busiest of the customer's set or another one. If it
+// is down it is the next of the set that is not; nil if all are.
+func (w *world) selectLimiter(c *customer) *limiter {
+	index := c.busiest
+	if w.random.Float64() >= w.scenario.Traffic.Busiest && c.setSize > 1 {
+		index = (c.busiest + 1 + w.random.IntN(c.setSize-1)) % c.setSize
 	}
-	for i := range c.spread {
-		l := s.limiters[(c.first+(place+i)%c.spread)%s.sc.Limiters]
+	for i := range c.setSize {
+		l := w.limiters[(c.firstLimiter+(index+i)%c.setSize)%w.scenario.Limiters]
 		if l.machine != nil {
-			return l.process()
+			return l.selectProcess()
 		}
 	}
 	return nil
 }
 
-func (s *sim) try(c *call, l *limiter) {
-	s.nextID++
-	c.id, c.limiter, c.sent, c.fetches = s.nextID, l, s.now, map[int]*attempt{}
+// send sends a request to a limiter; nil for none that is up.
+func (w *world) send(r *request, l *limiter) {
+	w.lastID++
+	r.id, r.limiter, r.sentAt, r.attempts = w.lastID, l, w.now, map[int]*attempt{}
 	if l == nil {
-		s.result.NoLimiter++
+		w.result.NoLimiter++
 		return
 	}
-	s.result.Reqs++
-	class, budget := "read", milliseconds(s.sc.Traffic.Deadline)
-	if c.keyed {
-		class = "post"
-	}
-	c.deadline = s.now + wayToLimiter + budget
-	key := callKey{l.number, core.RequestID(c.id)}
-	s.calls[key] = c
-	life := l.life
-	s.after(wayToLimiter, func() {
-		if l.life != life {
-			return
-		}
-		l.post(&core.RequestReceived{
-			Request: admission.Request{
-				ID: key.req, Class: class, Plan: s.sc.Plans[c.customer.plan].Name, Customer: c.customer.name,
-				Units: c.units, Budget: budget, FirstLimiter: c.customer.first, SetSize: c.customer.spread,
-				IsRetry: c.tries < s.sc.Traffic.Retries,
-			},
-			ReceivedAt: l.clock(), CallID: fmt.Sprintf("%016x", c.id), Content: c.id,
-		})
-	})
-	s.at(c.deadline+s.slack(l), func() {
-		if !c.answered && !c.lost && s.now >= l.frozen {
-			s.broken("req %d at limiter %d has no answer at its deadline", c.id, l.number)
+	w.result.Reqs++
+	budget := milliseconds(w.scenario.Traffic.Deadline)
+	w.openRequests[requestKey{l.number, core.RequestID(r.id)}] = r
+	w.after(clientDelay, l.ifAlive(func() { l.post(w.requestReceived(r, budget)) }))
+	deadline := w.now + clientDelay + budget
+	w.at(deadline+w.slack(l), func() {
+		if !r.answered && !r.lost && w.now >= l.stalledUntil {
+			w.breach("request %d at limiter %d has no response at its deadline", r.id, l.number)
 		}
 	})
 }
 
-// slack is how much later an answer may be: a limiter that stood still gives it
-// when it runs again.
-func (s *sim) slack(l *limiter) time.Duration {
-	if l.frozen > s.now {
-		return l.frozen - s.now + 100*time.Millisecond
+// requestReceived is the event of a request that has arrived at its limiter.
+func (w *world) requestReceived(r *request, budget time.Duration) *core.RequestReceived {
+	class := classIdempotent
+	if r.keyed {
+		class = classKeyed
+	}
+	return &core.RequestReceived{
+		Request: admission.Request{
+			ID:           core.RequestID(r.id),
+			Class:        class,
+			Plan:         w.scenario.Plans[r.customer.plan].Name,
+			Customer:     r.customer.name,
+			Units:        r.units,
+			Budget:       budget,
+			FirstLimiter: r.customer.firstLimiter,
+			SetSize:      r.customer.setSize,
+			IsRetry:      r.retries < w.scenario.Traffic.Retries,
+		},
+		ReceivedAt: r.limiter.clock(),
+		CallID:     fmt.Sprintf("%016x", r.id),
+		Content:    r.id,
 	}
-	return 100 * time.Millisecond
 }
 
-// reached books the first attempt of a try that has come whole to a backend: it
-// takes its units from the true stores.
-func (s *sim) reached(c *call, a *attempt) {
-	if c.answered && !c.counted && a.over {
-		return // called off on its way
-	}
-	if c.counted {
-		return
+// slack is how much later than its deadline a response may be: a limiter that is stalled responds after
+// its stall.
+func (w *world) slack(l *limiter) time.Duration {
+	return max(l.stalledUntil-w.now, 0) + responseSlack
+}
+
+// judgeQuota counts the first attempt of a request that has reached a backend: the request consumes its
+// units from the reference buckets.
+func (w *world) judgeQuota(a *attempt) {
+	r := a.request
+	if r.counted || r.answered && a.over {
+		return // counted before, or canceled on its way
 	}
-	c.counted = true
-	s.leases.taken += c.units
-	s.waits = append(s.waits, (s.now-wayToBackend-c.sent-wayToLimiter).Seconds()*1e3)
-	t := &c.customer.tally
-	if c.customer.quota.Take(s.now, c.units) {
-		t.inside += c.units
+	r.counted = true
+	w.usage.unitsReached += r.units
+	w.queueTimes = append(w.queueTimes, (w.now-backendDelay-r.sentAt-clientDelay).Seconds()*1e3)
+	c := r.customer
+	if c.quota.Take(w.now, r.units) {
+		c.tally.within += r.units
 	} else {
-		t.beyond += c.units
+		c.tally.beyond += r.units
 	}
-	if plan := s.sc.Plans[c.customer.plan]; plan.CeilingRate > 0 {
-		left := c.customer.ceiling.Draw(s.now, c.units)
-		t.under = max(t.under, -left)
-		if -left > plan.Tolerance {
-			s.broken("the ceiling's store of %s is at %.1f, %.1f allowed", c.customer.name, left, -plan.Tolerance)
-		}
+	plan := w.scenario.Plans[c.plan]
+	if plan.CeilingRate <= 0 {
+		return
+	}
+	level := c.ceiling.Draw(w.now, r.units)
+	c.tally.ceilingDebt = max(c.tally.ceilingDebt, -level)
+	if -level > plan.Tolerance {
+		w.breach("the ceiling's bucket of %s is at %.1f, %.1f allowed", c.name, level, -plan.Tolerance)
 	}
 }
 
-// answered takes a limiter's answer to a client.
-func (s *sim) answered(l *limiter, e core.Respond) {
-	key := callKey{l.number, e.Request}
-	c := s.calls[key]
-	if c == nil || c.answered {
-		s.broken("limiter %d answers req %d, which is not open", l.number, e.Request)
+// respond delivers a limiter's response to the client.
+func (w *world) respond(l *limiter, e core.Respond) {
+	key := requestKey{l.number, e.Request}
+	r := w.openRequests[key]
+	if r == nil || r.answered {
+		w.breach("limiter %d responds to request %d, which is not open", l.number, e.Request)
 		return
 	}
-	c.answered = true
-	delete(s.calls, key)
-	t := &c.customer.tally
+	r.answered = true
+	delete(w.openRequests, key)
 	switch e.Kind {
 	case core.Served:
-		s.result.Served++
-		if id, ok := e.Response.(uint64); !ok || id != c.id {
-			s.broken("req %d was served with another's answer", c.id)
+		w.result.Served++
+		if id, ok := e.Response.(uint64); !ok || id != r.id {
+			w.breach("request %d got the response of another one", r.id)
 		}
-		return
 	case core.Failed:
-		s.result.Failed++
-		t.failed += c.units
-		return
+		w.result.Failed++
+	default:
+		w.result.Refused++
+		w.handleRejection(r, e.RetryAfter)
 	}
-	s.result.Refused++
-	if c.counted {
+}
+
+// handleRejection counts a rejected request, and has its client retry.
+func (w *world) handleRejection(r *request, retryAfter time.Duration) {
+	if r.counted {
 		return
 	}
-	t.refused += c.units
-	if c.customer.quota.Fill(s.now) > c.customer.quota.burst/2 {
-		t.refusedRoom += c.units
+	c := r.customer
+	c.tally.rejected += r.units
+	if c.quota.Fill(w.now) > c.quota.burst/2 {
+		c.tally.rejectedWithinQuota += r.units
 	}
-	if c.tries <= 0 {
+	if r.retries <= 0 {
 		return
 	}
-	wait := milliseconds(s.sc.Traffic.RetryWait)
-	if e.RetryAfter > 0 && s.random.Float64() < s.sc.Traffic.Heed {
-		wait = max(wait, e.RetryAfter)
-	}
-	again := &call{customer: c.customer, units: c.units, keyed: c.keyed, key: c.key, tries: c.tries - 1}
-	s.after(wait, func() { s.try(again, s.pick(c.customer)) })
-}
-
-// finish sums the run up.
-func (s *sim) finish() Result {
-	r := &s.result
-	n := float64(max(len(s.customers), 1))
-	var beyond, under []float64
-	for _, c := range s.customers {
-		t := c.tally
-		r.Asked += t.asked / n
-		r.Due += t.due / n
-		r.Inside += t.inside / n
-		r.Beyond += t.beyond / n
-		r.RefusedRoom += t.refusedRoom / n
-		r.RefusedUnits += t.refused / n
-		beyond, under = append(beyond, t.beyond), append(under, t.under)
-	}
-	slices.Sort(beyond)
-	slices.Sort(under)
-	r.BeyondWorst, r.Beyond99 = quantile(beyond, 1), quantile(beyond, 0.99)
-	r.UnderWorst, r.Under99 = quantile(under, 1), quantile(under, 0.99)
-	slices.Sort(s.waits)
-	r.Wait50, r.Wait99 = quantile(s.waits, 0.5), quantile(s.waits, 0.99)
-	reqs := float64(max(r.Reqs, 1))
-	r.MessagesPerReq, r.BytesPerReq = float64(r.Messages)/reqs, float64(r.Bytes)/reqs
-	s.leases.sum(s)
-	r.CPUPerReq = float64(s.cpu.Microseconds()) / reqs
-	return *r
-}
-
-func quantile(sorted []float64, q float64) float64 {
-	if len(sorted) == 0 {
-		return 0
+	wait := milliseconds(w.scenario.Traffic.RetryWait)
+	if retryAfter > 0 && w.random.Float64() < w.scenario.Traffic.Heed {
+		wait = max(wait, retryAfter)
 	}
-	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
+	retry := &request{customer: c, units: r.units, keyed: r.keyed, key: r.key, retries: r.retries - 1}
+	w.after(wait, func() { w.send(retry, w.selectLimiter(c)) })
 }
--- /dev/null
+++ b/internal/simulation/clock.go
@@ -0,0 +1,82 @@
+package simulation
+
+import (
+	"container/heap"
+	"math"
+	"time"
+)
+
+// start is the virtual time at which a run starts: late enough that the start of a backend long ago
+// still has a time.
+const start = time.Hour
+
+// scheduler is the virtual clock and the queue of what happens later.
+type scheduler struct {
+	now      time.Duration
+	queue    taskQueue
+	sequence uint64 // of the last task
+}
+
+// task is something that happens at a time. Tasks of the same time run in the order in which they were
+// scheduled.
+type task struct {
+	at       time.Duration
+	sequence uint64
+	run      func()
+}
+
+// at schedules a task for a time, at the earliest now.
+func (s *scheduler) at(at time.Duration, run func()) {
+	s.sequence++
+	heap.Push(&s.queue, task{at: max(at, s.now), sequence: s.sequence, run: run})
+}
+
+// after schedules a task for after a delay.
+func (s *scheduler) after(delay time.Duration, run func()) { s.at(s.now+delay, run) }
+
+// runUntil runs all tasks up to and including those of the time end.
+func (s *scheduler) runUntil(end time.Duration) {
+	for len(s.queue) > 0 {
+		next := heap.Pop(&s.queue).(task)
+		if next.at > end {
+			return
+		}
+		s.now = next.at
+		next.run()
+	}
+}
+
+// taskQueue is a heap of tasks, the earliest first; see container/heap.
+type taskQueue []task
+
+func (q taskQueue) Len() int { return len(q) }
+
+func (q taskQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
+}
+
+func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *taskQueue) Push(x any) { *q = append(*q, x.(task)) }
+
+func (q *taskQueue) Pop() any {
+	last := len(*q) - 1
+	next := (*q)[last]
+	(*q)[last] = task{} // frees what the task refers to
+	*q = (*q)[:last]
+	return next
+}
+
+// milliseconds converts a number of milliseconds to a Duration.
+func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+
+// seconds converts a number of seconds to a Duration.
+func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
+
+// decay is the weight that is left of a running mean after a time.
+func decay(elapsed, memory time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / memory.Seconds())
+}
--- /dev/null
+++ b/internal/simulation/hotrestart_test.go
@@ -0,0 +1,70 @@
+package simulation
+
+import (
+	"os"
+	"testing"
+)
+
+// Hot restarts of many limiters, one after another and at once, with one process dying at any point of
+// some: no ceiling is exceeded, no request but those of a process that died goes without a response, and none
+// gets the response of another. With no deaths the tier forwards as much of what is due, and as little
+// beyond it, as the same tier without hot restarts.
+func TestHotRestarts(t *testing.T) {
+	// LEMONGATE_LONG=1 plays the sizes that take minutes.
+	sizes, seedsOfThree := []int{3, 30}, uint64(8)
+	if os.Getenv("LEMONGATE_LONG") != "" {
+		sizes, seedsOfThree = []int{3, 80, 300}, 200
+	}
+	for _, n := range sizes {
+		seeds := map[int]uint64{3: seedsOfThree, 30: 1, 80: 2, 300: 1}[n]
+		all := everyNth(n, 1, 0)
+		for seed := range seeds {
+			undisturbed := Run(shortRun(n), seed)
+			sc := shortRun(n)
+			sc.Faults = []Fault{{Kind: FaultHotRestart, At: 1, For: 0.4, Every: 1.3, Limiters: all}}
+			r := Run(sc, seed)
+			if r.Breaches > 0 {
+				t.Errorf("%d limiters, seed %d: %d rules broken: %v", n, seed, r.Breaches, r.Broken)
+			}
+			if seed == 0 {
+				t.Logf("%d limiters: within %.3f of due (undisturbed %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.Inside/r.Due,
+					undisturbed.Inside/undisturbed.Due, r.Beyond/r.Due, undisturbed.Beyond/undisturbed.Due, r.Messages, undisturbed.Messages)
+			}
+			if r.Inside/r.Due < 0.95*undisturbed.Inside/undisturbed.Due || r.Beyond/r.Due > undisturbed.Beyond/undisturbed.Due+0.02 {
+				t.Errorf("%d limiters, seed %d: within %.3f, undisturbed %.3f; beyond %.3f, undisturbed %.3f", n, seed,
+					r.Inside/r.Due, undisturbed.Inside/undisturbed.Due, r.Beyond/r.Due, undisturbed.Beyond/undisturbed.Due)
+			}
+			for i, dies := range []Process{Predecessor, Successor, Predecessor, Successor} {
+				sc.Faults = []Fault{{
+					Kind: FaultHotRestart, At: 1, For: 0.6, Every: 1.1, Limiters: everyNth(n, 3, i%3), Dies: dies,
+					Down: 0.0005 * float64(1+seed+3*uint64(i)),
+				}}
+				if i > 1 {
+					sc.Faults[0].Down += 0.2 // during probation
+				}
+				r := Run(sc, seed)
+				if r.Breaches > 0 {
+					t.Errorf("%d limiters, seed %d, %s dies after %.1f ms: %d rules broken: %v", n, seed, dies,
+						1e3*sc.Faults[0].Down, r.Breaches, r.Broken)
+				}
+			}
+		}
+	}
+}
+
+// shortRun is a large tier of some size, or a small one, for a short time.
+func shortRun(n int) Scenario {
+	sc := largeTier(max(n, 30))
+	sc.Limiters, sc.Seconds = n, 6
+	sc.Traffic.Spread = max(n*3/4, 2)
+	if n > 100 {
+		sc.Seconds = 3.5
+	}
+	if n < 30 {
+		for i := range sc.Plans {
+			sc.Plans[i].Customers = max(sc.Plans[i].Customers/4, 1)
+		}
+		sc.Backends.Count = 4
+	}
+	return sc
+}
--- a/internal/simulation/tier_test.go
+++ b/internal/simulation/largetier_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// large is a tier with sets of three limiters in four, thin traffic, and customers of
-// which some ask for three times their quota.
-func large(limiters int) Scenario {
+// largeTier is a tier with sets of three limiters in four, low traffic, and customers of which some
+// request three times their quota or more.
+func largeTier(limiters int) Scenario {
 	sc := Scenario{
 		Limiters: limiters, Seconds: 9,
 		Traffic: Traffic{
@@ -27,10 +27,10 @@
 	return sc
 }
 
-// every gives the limiters whose number leaves one of the rests by n.
-func every(limiters, n int, rests ...int) (list []int) {
+// everyNth returns the limiters whose number leaves one of the remainders when divided by n.
+func everyNth(limiters, n int, remainders ...int) (list []int) {
 	for i := range limiters {
-		for _, r := range rests {
+		for _, r := range remainders {
 			if i%n == r {
 				list = append(list, i)
 			}
@@ -39,39 +39,38 @@
 	return list
 }
 
-// Whatever becomes of homes and those that stand in for them, no ceiling is passed and
-// every req has its answer; and most of what is due is sent on. The sim holds the true
-// stores.
-func TestLargeTierInTrouble(t *testing.T) {
+// Whatever fails of owners and their backups, no ceiling is exceeded, every request gets its response, and
+// most of what is due is forwarded.
+func TestLargeTierWithFaults(t *testing.T) {
 	const n = 30
-	cut := Fault{Kind: "cut", At: 4, For: 6}
+	partition := Fault{Kind: FaultPartition, At: 4, For: 6}
 	for r := range 3 {
-		cut.Groups = append(cut.Groups, every(n, 3, r))
+		partition.Groups = append(partition.Groups, everyNth(n, 3, r))
 	}
 	rolling := []Fault{}
 	for r := range 10 {
-		rolling = append(rolling, Fault{Kind: "restart", At: 1.5 + 0.5*float64(r), Down: 0.8, Limiters: every(n, 10, r)})
+		rolling = append(rolling, Fault{Kind: FaultRestart, At: 1.5 + 0.5*float64(r), Down: 0.8, Limiters: everyNth(n, 10, r)})
 	}
 	for _, c := range []struct {
 		name   string
 		faults []Fault
-		least  float64 // of what is due, sent on inside the quotas
+		least  float64 // of what is due, forwarded within the quotas
 	}{
-		{"calm", nil, 0.92},
-		{"seven in ten killed at once", []Fault{{Kind: "restart", At: 2, Down: 2, Limiters: every(n, 10, 0, 1, 2, 3, 4, 5, 6)}}, 0.8},
+		{"no fault", nil, 0.92},
+		{"seven in ten killed at once", []Fault{{Kind: FaultRestart, At: 2, Down: 2, Limiters: everyNth(n, 10, 0, 1, 2, 3, 4, 5, 6)}}, 0.8},
 		{"a tenth at a time", rolling, 0.8},
-		{"cut in three", []Fault{cut}, 0.8},
-		{"cut in three, and a tenth at a time", append([]Fault{cut}, rolling...), 0.75},
+		{"three partitions", []Fault{partition}, 0.8},
+		{"three partitions, and a tenth at a time", append([]Fault{partition}, rolling...), 0.75},
 	} {
-		sc := large(n)
+		sc := largeTier(n)
 		sc.Faults = c.faults
 		r := Run(sc, 7)
-		t.Logf("%s: %.3f inside, %.3f beyond, %.2f refused with room, of what is due", c.name, r.Inside/r.Due, r.Beyond/r.Due, r.RefusedRoom/r.Due)
+		t.Logf("%s: %.3f within, %.3f beyond, %.2f rejected within the quota, of what is due", c.name, r.Inside/r.Due, r.Beyond/r.Due, r.RefusedRoom/r.Due)
 		if r.Breaches > 0 {
 			t.Errorf("%s: %d rules broken: %v", c.name, r.Breaches, r.Broken)
 		}
 		if r.Inside < c.least*r.Due {
-			t.Errorf("%s: %.3f of what is due sent on, want %.2f", c.name, r.Inside/r.Due, c.least)
+			t.Errorf("%s: %.3f of what is due forwarded, want %.2f", c.name, r.Inside/r.Due, c.least)
 		}
 	}
 }
--- /dev/null
+++ b/internal/simulation/network.go
@@ -0,0 +1,80 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"lemongate/internal/core"
+)
+
+const (
+	// maxDatagramSize is the size in bytes that no datagram may exceed.
+	maxDatagramSize = 256
+	// receiveBurst is how much of its rate a limiter receives at once.
+	receiveBurst = 500 * time.Millisecond
+)
+
+// sendDatagram sends a datagram to one limiter, or to all others.
+func (w *world) sendDatagram(from *limiter, e core.SendToPeer) {
+	w.result.Messages++
+	w.result.Bytes += len(e.Data)
+	w.leases.recordDatagram(e)
+	if len(e.Data) > maxDatagramSize {
+		w.breach("a datagram of %d bytes", len(e.Data))
+	}
+	for to := range w.limiters {
+		if to != from.number && (e.Peer < 0 || e.Peer == to) {
+			w.transmit(from, to, e.Data)
+		}
+	}
+}
+
+// transmit sends a datagram over the network, which may lose, delay or duplicate it. The random draws are
+// the same whether limiters are separated or not.
+func (w *world) transmit(from *limiter, to int, data []byte) {
+	network := w.scenario.Network
+	if w.networkRandom.Float64() < network.Loss || from.muted {
+		return
+	}
+	copies := 1
+	if w.networkRandom.Float64() < network.Twice {
+		copies = 2
+	}
+	data = slices.Clone(data)
+	for range copies {
+		delay := milliseconds(network.DelayMin + w.networkRandom.Float64()*(network.DelayMax-network.DelayMin))
+		if w.networkRandom.Float64() < network.Old {
+			delay += seconds(network.OldFor) // sent before any partition
+		} else if w.separated(from, to) {
+			continue
+		}
+		w.after(delay, func() { w.receive(from.number, to, data) })
+	}
+}
+
+// separated reports whether a fault separates a sender from a receiver.
+func (w *world) separated(from *limiter, to int) bool {
+	return from.partition != w.limiters[to].partition || w.lostWays[[2]int{from.number, to}]
+}
+
+// receive hands a datagram to a limiter. What comes faster than the limiter receives is dropped.
+func (w *world) receive(from, number int, data []byte) {
+	to := w.limiters[number]
+	if to.deaf || to.machine == nil {
+		return
+	}
+	if rate := w.scenario.Network.InPerS; rate > 0 {
+		to.receiveAt = max(to.receiveAt, w.now-receiveBurst)
+		if to.receiveAt > w.now {
+			w.result.Dropped++
+			return
+		}
+		to.receiveAt += seconds(1 / rate)
+	}
+	deliver := func() { w.limiters[number].post(&core.PeerMessageReceived{From: from, Data: data}) }
+	if to.link.paused {
+		to.link.queued = append(to.link.queued, deliver)
+		return
+	}
+	deliver()
+}
--- /dev/null
+++ b/internal/simulation/restartjudge.go
@@ -0,0 +1,91 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+)
+
+// restartSlotPoll is how often it is looked whether a limiter has its restart slot.
+const restartSlotPoll = 50 * time.Millisecond
+
+// restartJudge judges rolling restarts: no more limiters restart at once than may, and never all that
+// have the buckets of a customer.
+type restartJudge struct {
+	waiting    int          // limiters that wait for a restart slot
+	restarting map[int]bool // by number: killed under a restart slot, and not serving yet
+	ownerSets  [][]int      // the limiters that have each customer's buckets, where more than one does
+}
+
+// requestRestart has a limiter restarted once it has a restart slot.
+func (w *world) requestRestart(number int, down time.Duration) {
+	if w.restarts.restarting == nil {
+		w.restarts = restartJudge{restarting: map[int]bool{}, ownerSets: w.ownerSets()}
+	}
+	w.restarts.waiting++
+	w.restartWithSlot(number, down)
+}
+
+// ownerSets are the limiters that have each customer's buckets, where more than one does.
+func (w *world) ownerSets() [][]int {
+	var sets [][]int
+	for _, c := range w.customers {
+		owners := admission.OwnersOf(c.name, c.firstLimiter, c.setSize, w.scenario.Limiters)
+		if len(owners) > 1 {
+			sets = append(sets, owners)
+		}
+	}
+	return sets
+}
+
+// restartWithSlot restarts a limiter if it has a restart slot, else looks again later.
+func (w *world) restartWithSlot(number int, down time.Duration) {
+	l := w.limiters[number]
+	if !l.hasRestartSlot() {
+		w.after(restartSlotPoll, func() { w.restartWithSlot(number, down) })
+		return
+	}
+	w.restarts.restarting[number] = true
+	w.restarts.waiting--
+	l.kill()
+	w.after(down, l.bootIfDown)
+}
+
+// hasRestartSlot reports whether a limiter has a restart slot; one that has not requested any does so.
+func (l *limiter) hasRestartSlot() bool {
+	if l.machine == nil || l.world.now < l.stalledUntil {
+		return false
+	}
+	slots := l.machine.RestartSlots()
+	if slots.Granted && slots.ValidFor > 0 {
+		return true
+	}
+	if !slots.Wanted {
+		l.post(core.RestartSlotRequested{Wanted: true})
+	}
+	return false
+}
+
+// judgeRestarts judges which limiters are restarting under restart slots now.
+func (w *world) judgeRestarts() {
+	restarting := w.restarts.restarting
+	for number := range restarting {
+		if l := w.limiters[number]; l.machine != nil && l.machine.Phase() == core.Serving {
+			delete(restarting, number)
+			w.result.Walked++
+		}
+	}
+	if len(restarting) > w.scenario.Leases.Most {
+		w.breach("%d limiters restart under restart slots", len(restarting))
+	}
+	if len(restarting) < 2 {
+		return
+	}
+	for _, owners := range w.restarts.ownerSets {
+		if !slices.ContainsFunc(owners, func(n int) bool { return !restarting[n] }) {
+			w.breach("limiters %v restart, which are all that have the buckets of a customer", owners)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/scenario.go
@@ -0,0 +1,146 @@
+package simulation
+
+// Scenario describes what is played. Times are in seconds unless the name of the field in files says
+// otherwise.
+type Scenario struct {
+	Limiters int     `json:"limiters"`
+	Seconds  float64 `json:"seconds"`
+	Plans    []Plan  `json:"plans"`
+	Traffic  Traffic `json:"traffic"`
+	Backends Backend `json:"backends"`
+	Network  Network `json:"network"`
+	Zones    int     `json:"zones"` // limiters and backends are assigned to them in turn; 0 for one
+	Leases   *Leases `json:"leases,omitempty"`
+	Faults   []Fault `json:"faults"`
+}
+
+// Leases describes the tasks that one limiter at a time does; see lease.Settings and core.RestartSlots.
+type Leases struct {
+	Tasks   []string `json:"tasks"`
+	Length  float64  `json:"length_ms"`
+	Keepers int      `json:"keepers"`             // acceptors of each task
+	Period  float64  `json:"rollup_ms,omitempty"` // of usage reports; 0 for none
+	Most    int      `json:"out_most,omitempty"`  // limiters that may restart at once
+	Turn    float64  `json:"turn_ms,omitempty"`   // how long a restart slot is valid
+}
+
+// Plan is a plan and the customers on it.
+type Plan struct {
+	Name         string  `json:"name"`
+	Rate         float64 `json:"rate"`          // units per second
+	Burst        float64 `json:"burst"`         // units
+	CeilingRate  float64 `json:"ceiling_rate"`  // units per second; 0 for no ceiling
+	CeilingBurst float64 `json:"ceiling_burst"` // units
+	Tolerance    float64 `json:"tolerance"`     // units by which the ceiling's bucket may fall below zero
+	Pays         float64 `json:"pays"`          // see admission.Plan.WeightFactor
+	ExcessWorth  float64 `json:"excess_worth"`  // see admission.Plan.ExcessFraction
+	OverCost     float64 `json:"over_cost"`     // see admission.Plan.OverQuotaCost
+	Customers    int     `json:"customers"`
+	Times        float64 `json:"times"` // units that a customer requests, in multiples of the rate
+}
+
+// Traffic describes how requests arrive.
+type Traffic struct {
+	Spread    int       `json:"spread"`      // limiters in a customer's set; 0 for all
+	Busiest   float64   `json:"busiest"`     // fraction of a customer's requests that its busiest limiter gets
+	Moves     float64   `json:"moves_s"`     // how long a limiter stays the busiest
+	Units     []float64 `json:"units"`       // units of requests, each equally likely
+	Retries   int       `json:"retries"`     // retries of a client after a rejection
+	RetryWait float64   `json:"retry_ms"`    // how long a client waits before one, unless it follows Retry-After
+	Heed      float64   `json:"heed"`        // fraction of the clients that follow Retry-After
+	Keyed     float64   `json:"keyed"`       // fraction of the requests that have an idempotency key
+	Deadline  float64   `json:"deadline_ms"` // how long a client waits for the response
+}
+
+// Backend describes the backends.
+type Backend struct {
+	Count   int     `json:"count"`
+	Cores   int     `json:"cores"`
+	Work    float64 `json:"work_ms"`     // mean, exponentially distributed
+	Queue   int     `json:"queue"`       // length of the queue, beyond which attempts are rejected
+	Cold    float64 `json:"cold"`        // fraction of full speed just after a start, growing linearly ...
+	Warm    float64 `json:"warm_s"`      // ... to 1 within this
+	Window  float64 `json:"window_s"`    // how long repeats of an idempotency key are dropped
+	ListLag float64 `json:"list_lag_ms"` // until the endpoint list shows a change
+}
+
+// Network describes how datagrams travel between limiters.
+type Network struct {
+	DelayMin float64 `json:"delay_min_ms"`
+	DelayMax float64 `json:"delay_max_ms"`
+	Loss     float64 `json:"loss"`     // fraction that is lost
+	Twice    float64 `json:"twice"`    // fraction that is duplicated
+	Old      float64 `json:"old"`      // fraction that arrives OldFor late
+	OldFor   float64 `json:"old_s"`    // see Old
+	InPerS   float64 `json:"in_per_s"` // datagrams per second that a limiter receives; 0 for no bound
+}
+
+// FaultKind is the kind of a Fault, as files name it.
+type FaultKind string
+
+// The kinds of faults.
+const (
+	// FaultPartition separates limiters in different Groups, and both ends of each pair of Ways, in that
+	// direction only.
+	FaultPartition FaultKind = "cut"
+	// FaultMute loses all datagrams that Limiters send.
+	FaultMute FaultKind = "mute"
+	// FaultDeaf loses all datagrams that are sent to Limiters.
+	FaultDeaf FaultKind = "deaf"
+	// FaultLoss loses the fraction Rate of all datagrams.
+	FaultLoss FaultKind = "loss"
+	// FaultClock has the clocks of Limiters run Rate times as fast, from then on.
+	FaultClock FaultKind = "clock"
+	// FaultStall stops Limiters; events that arrive meanwhile are handled at the end.
+	FaultStall FaultKind = "stall"
+	// FaultRestart kills Limiters, and starts them without any state after Down.
+	FaultRestart FaultKind = "restart"
+	// FaultHotRestart starts a successor of each of Limiters. Its predecessor is shut down after For. The
+	// process that Dies names is killed Down after the begin.
+	FaultHotRestart FaultKind = "takeover"
+	// FaultRollingRestart restarts Limiters once they have a restart slot, each down for Down.
+	FaultRollingRestart FaultKind = "walk"
+	// FaultBackendCrash kills Backends, and starts them cold at the end.
+	FaultBackendCrash FaultKind = "backend"
+	// FaultBackendRefuses has Backends refuse all connections, while the endpoint list shows no change.
+	FaultBackendRefuses FaultKind = "down"
+	// FaultBackendSilent has connections to Backends time out, while the endpoint list shows no change.
+	FaultBackendSilent FaultKind = "silent"
+)
+
+// Process is one of the two processes of a hot restart, as files name it.
+type Process string
+
+// The processes of a hot restart.
+const (
+	Predecessor Process = "elder"
+	Successor   Process = "heir"
+)
+
+// Role names limiters by what they are at the time of a fault, as files do.
+type Role string
+
+// The roles of limiters for the first task that is done under a lease.
+const (
+	RoleHolder      Role = "holder"
+	RoleAcceptors   Role = "keepers" // all of them
+	RoleOneAcceptor Role = "keeper"  // chosen by chance
+)
+
+// Fault is something that goes wrong at a time, for a time. Each kind uses the fields that its
+// constant names.
+type Fault struct {
+	Kind     FaultKind `json:"kind"`
+	At       float64   `json:"at_s"`
+	For      float64   `json:"for_s"`
+	Groups   [][]int   `json:"groups,omitempty"`   // of limiters
+	Ways     [][]int   `json:"ways,omitempty"`     // sender and receiver
+	Limiters []int     `json:"limiters,omitempty"` // replaced by Who, if that is set
+	Backends []int     `json:"backends,omitempty"` // replaced by Zone, if that is set
+	Down     float64   `json:"down_s,omitempty"`
+	Every    float64   `json:"every_s,omitempty"` // the fault begins again after this; 0 for never
+	Rate     float64   `json:"rate,omitempty"`
+	Dies     Process   `json:"dies,omitempty"`
+	Who      Role      `json:"who,omitempty"`
+	Zone     int       `json:"zone,omitempty"` // from 1: all backends of this zone
+}
--- /dev/null
+++ b/internal/simulation/smalltier_test.go
@@ -0,0 +1,44 @@
+package simulation
+
+import "testing"
+
+// smallTier is a tier of few limiters, each of which gets requests of every customer often.
+func smallTier(limiters, setSize int) Scenario {
+	sc := Scenario{
+		Limiters: limiters, Seconds: 20,
+		Traffic: Traffic{
+			Spread: setSize, Busiest: 0.4, Moves: 10, Units: []float64{1, 2}, Retries: 1, RetryWait: 150, Heed: 0.5,
+			Keyed: 0.46, Deadline: 1000,
+		},
+		Backends: Backend{Count: 2 * limiters, Cores: 2, Work: 60, Queue: 30, Cold: 0.2, Warm: 15, Window: 3, ListLag: 700},
+		Network:  Network{DelayMin: 1.8, DelayMax: 16, Loss: 0.05, InPerS: 40},
+	}
+	for _, p := range []Plan{
+		{Name: "district", Rate: 3, Burst: 10, Pays: 0.8, OverCost: 0.5, Customers: 3, Times: 0.7},
+		{Name: "city", Rate: 6, Burst: 23, CeilingRate: 12, CeilingBurst: 56, Pays: 1.1, OverCost: 1, Customers: 5, Times: 0.7},
+		{Name: "provincial", Rate: 25, Burst: 67, Pays: 1.4, OverCost: 0.5, Customers: 2, Times: 0.7},
+	} {
+		p.Tolerance = 4
+		sc.Plans = append(sc.Plans, p)
+	}
+	return sc
+}
+
+// In a tier of few limiters nearly all that is due is forwarded, also in sets of five and six, where a
+// customer's buckets have one owner.
+func TestSmallTierForwardsWhatIsDue(t *testing.T) {
+	for _, c := range []struct{ limiters, setSize int }{{3, 3}, {6, 3}, {6, 5}, {6, 6}, {9, 8}} {
+		var due, within, rejected, beyond float64
+		for seed := range uint64(4) {
+			r := Run(smallTier(c.limiters, c.setSize), seed)
+			if r.Breaches > 0 {
+				t.Errorf("%+v: %v", c, r.Broken)
+			}
+			due, within, rejected, beyond = due+r.Due, within+r.Inside, rejected+r.RefusedRoom, beyond+r.Beyond
+		}
+		t.Logf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota, of what is due", c, within/due, beyond/due, rejected/due)
+		if within < 0.95*due || rejected > 0.12*due || beyond > 0.02*due {
+			t.Errorf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota", c, within/due, beyond/due, rejected/due)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/usagejudge.go
@@ -0,0 +1,91 @@
+package simulation
+
+import (
+	"bytes"
+	"strings"
+	"time"
+
+	"lemongate/internal/core"
+	"lemongate/internal/usage"
+)
+
+const (
+	// diskDelay is how long a usage report takes to be written, and again the notice of it to come back.
+	diskDelay = 3 * time.Millisecond
+	// maxUnitsInTransit is how many units may be with backends at the end: they are not recorded yet.
+	maxUnitsInTransit = 10
+)
+
+// usageJudge judges the usage reports by what reached the backends.
+type usageJudge struct {
+	reports      []usage.Report // as written
+	unitsReached float64        // units that reached backends
+}
+
+// writeUsage writes a usage report, unless the process dies before or its lease expires.
+func (l *limiter) writeUsage(e core.WriteUsage) {
+	l.world.after(diskDelay, l.ifAlive(func() { l.finishWrite(e) }))
+}
+
+// finishWrite writes a usage report, after a stall of the limiter.
+func (l *limiter) finishWrite(e core.WriteUsage) {
+	w := l.world
+	written := core.UsageWritten{Token: e.Token}
+	switch {
+	case w.now < l.stalledUntil:
+		w.at(l.stalledUntil, l.ifAlive(func() { l.finishWrite(e) }))
+		return
+	case l.clock() >= e.StartBefore:
+		written.LeaseExpired = true
+	default:
+		reports, _, _ := usage.ReadReports(bytes.NewReader(e.Report)) // what is torn is missing in the summary
+		w.usage.reports = append(w.usage.reports, reports...)
+	}
+	w.after(diskDelay, l.ifAlive(func() { l.post(written) }))
+}
+
+// summarizeUsage puts the figures of the usage reports into the result. A period that is in two reports
+// which do not say so breaks a rule, and so do units that are in no report without one that says so.
+func (w *world) summarizeUsage() {
+	if w.scenario.Leases.Period <= 0 {
+		return
+	}
+	r, summary := &w.result, usage.Merge(w.usage.reports)
+	r.Periods = len(summary.Reports)
+	r.UseFaults = len(summary.Faults)
+	for _, fault := range summary.Faults {
+		if strings.Contains(fault, "twice") {
+			r.UseTwice++
+			w.breach("%s", fault)
+		}
+	}
+	for _, report := range summary.Reports {
+		if report.MayRepeat {
+			r.UseAgain++
+		}
+	}
+	reported := 0.0
+	for _, u := range summary.Usage {
+		reported += u.Units
+	}
+	r.UseOver = max(reported-w.usage.unitsReached, 0)
+	r.UseUnder = max(w.usage.unitsReached-reported-w.unreportedUnits(summary), 0)
+	if r.UseUnder > maxUnitsInTransit && r.UseFaults == 0 {
+		w.breach("%.0f units are in no report, and no report says so", r.UseUnder)
+	}
+}
+
+// unreportedUnits are the units that limiters have recorded since the last period reported.
+func (w *world) unreportedUnits(summary usage.Summary) float64 {
+	var last uint32
+	if n := len(summary.Reports); n > 0 {
+		last = summary.Reports[n-1].Period
+	}
+	units := 0.0
+	for _, l := range w.limiters {
+		if l.machine != nil {
+			units += l.machine.UnreportedUsage(last)
+		}
+	}
+	return units
+}
