--- a/internal/experiment/equivalence_test.go
+++ b/internal/experiment/equivalence_test.go
@@ -36,8 +36,8 @@
 // largeTierSeconds is how much is recorded of a tier of 80 limiters.
 const largeTierSeconds = 2
 
-// Every limiter of every case of the experiments takes in the same events and asks for the same
-// effects as 0.8.0 did (with open attempts handed over in order). A run is closed: one decision that
+// Every limiter of every case of the experiments handles the same events and returns the same effects as
+// 0.8.0 did (with open attempts handed over in order). A run is closed: one decision that
 // differs changes what comes after it. The digest is over kinds and values; no name of a type or
 // field enters it. Texts for people are left out.
 func TestSameDecisionsAsEarlierRelease(t *testing.T) {
@@ -65,7 +65,7 @@
 			if sc.Limiters >= 80 {
 				sc.Seconds = largeTierSeconds
 			}
-			runs = append(runs, &run{name: r.name + ": " + c.Name, scenario: x.shifted(sc, equivalenceSeed)})
+			runs = append(runs, &run{name: r.name + ": " + c.Name, scenario: x.withShiftedFaults(sc, equivalenceSeed)})
 		}
 	}
 	var wait sync.WaitGroup
@@ -84,7 +84,7 @@
 	golden.Equal(t, "decisions.txt", []byte(b.String()))
 }
 
-// A digest is taken of the events and effects of a run.
+// digest is taken of the events and effects of a run.
 type digest struct {
 	hash            hash.Hash64
 	events, effects int
@@ -114,8 +114,8 @@
 	d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
 }
 
-// value takes in all that a value holds, in the order of its fields. What the edges pass through
-// unread is left out, and so is text that tells people why.
+// value adds all fields of a value, in their order. What the core passes through unread is left out, and so
+// is text for people.
 func (d *digest) value(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -157,13 +157,13 @@
 				d.value(v.Field(i))
 			}
 		}
-	case reflect.Interface: // contents and links
+	case reflect.Interface: // contents and links, which the core passes through
 	default:
 		panic(fmt.Sprintf("no digest of a %v", v.Kind()))
 	}
 }
 
-// reasons are the names of fields that tell people why.
+// reasons are the names of fields with text for people.
 var reasons = map[string]bool{"Why": true, "Reason": true}
 
 var (
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// small is an experiment that takes no time.
+// small is an experiment that takes a few milliseconds.
 const small = `{"name": "small", "scenario": {"limiters": 3, "seconds": 4,
 	"plans": [{"name": "p", "rate": 5, "burst": 10, "customers": 2, "times": 3}],
 	"traffic": {"busiest": 0.8, "moves_s": 1, "units": [1], "deadline_ms": 1000},
 	"backends": {"count": 3, "cores": 2, "work_ms": 20, "queue": 10},
 	"network": {"delay_min_ms": 1, "delay_max_ms": 9, "loss": 0.1, "in_per_s": 40}},
-	"cases": [{"name": "whole", "expect": [{"measure": "beyond", "most": 100}]}]}`
+	"cases": [{"name": "one case", "expect": [{"measure": "beyond", "most": 100}]}]}`
 
-func TestFiles(t *testing.T) {
+func TestExperimentFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files: %v", len(files), err)
@@ -32,8 +32,8 @@
 	}
 }
 
-// What is wrong with a file is told in one line that names the field.
-func TestBadFiles(t *testing.T) {
+// The error of an invalid file is one line that names the field.
+func TestParseErrorNamesTheField(t *testing.T) {
 	for _, c := range []struct{ from, to, names string }{
 		{`"limiters": 3`, `"limiters": 0`, "/scenario/limiters"},
 		{`"limiters": 3`, `"limiters": "3"`, "/scenario/limiters"},
@@ -41,14 +41,14 @@
 		{`"loss": 0.1`, `"loss": 1.1`, "/scenario/network/loss"},
 		{`"beyond"`, `"beyondd"`, "/cases/0/expect/0"},
 		{`, "most": 100`, ``, "/cases/0/expect/0"},
-		{`"name": "whole"`, `"name": "whole", "faults": [{"kind": "fire", "at_s": 1}]`, "/cases/0/faults/0/kind"},
-		{`"name": "whole"`, `"name": "whole", "faults": [{"kind": "stall", "at_s": 1, "limiters": [3]}]`, "/cases/0/faults/0"},
+		{`"name": "one case"`, `"name": "one case", "faults": [{"kind": "fire", "at_s": 1}]`, "/cases/0/faults/0/kind"},
+		{`"name": "one case"`, `"name": "one case", "faults": [{"kind": "stall", "at_s": 1, "limiters": [3]}]`, "/cases/0/faults/0"},
 		{`{"name": "small"`, `{"name": "small`, "JSON"},
 	} {
 		text := strings.Replace(small, c.from, c.to, 1)
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v, want a line with %s", c.to, c.from, err, c.names)
+			t.Errorf("%s in place of %s: %v, want one line with %s", c.to, c.from, err, c.names)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	}
 	most := 1.0
 	x.Cases[0].Expect = []Bound{{Measure: "served", Most: &most}}
-	if line, held := Verdict(x.Run(1, 1)); held || !strings.HasPrefix(line, "verdict: broken: whole: mean served") {
+	if line, held := Verdict(x.Run(1, 1)); held || !strings.HasPrefix(line, "verdict: broken: one case: mean served") {
 		t.Error(line)
 	}
 }
--- a/internal/experiment/format_test.go
+++ b/internal/experiment/format_test.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/golden"
 )
 
-// An experiment that 0.8.0 wrote is read into the fields that it was written from, and written as
-// then; so are outcomes.
+// An experiment that 0.8.0 wrote is read into the fields that it was written from, and written with the
+// same bytes; so are outcomes.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var x Experiment
 	(&golden.Filler{}).Fill(&x)
--- /dev/null
+++ b/internal/experiment/outcome.go
@@ -0,0 +1,118 @@
+package experiment
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"lemongate/internal/simulation"
+)
+
+// Outcome is what came of a case over its seeds. Measures are fields of simulation.Result, as they are
+// named in files.
+type Outcome struct {
+	Case    string             `json:"case"`
+	Runs    int                `json:"runs"`
+	Mean    map[string]float64 `json:"mean"`
+	Worst   map[string]float64 `json:"worst"` // the largest of all runs
+	P99     map[string]float64 `json:"p99"`
+	Least   map[string]float64 `json:"least"`
+	Broken  []string           `json:"broken,omitempty"`   // rules
+	Missed  []string           `json:"missed,omitempty"`   // bounds
+	BadSeed uint64             `json:"bad_seed,omitempty"` // the first whose run broke a rule
+}
+
+// summarize is the outcome of a case; first is the seed of the first result.
+func summarize(c Case, bounds []Bound, results []simulation.Result, first uint64) Outcome {
+	o := Outcome{
+		Case:  c.Name,
+		Runs:  len(results),
+		Mean:  map[string]float64{},
+		Worst: map[string]float64{},
+		P99:   map[string]float64{},
+		Least: map[string]float64{},
+	}
+	values := map[string][]float64{}
+	for i, r := range results {
+		for measure, v := range measures(r) {
+			values[measure] = append(values[measure], v)
+		}
+		o.recordBreach(r, first+uint64(i))
+	}
+	for measure, list := range values {
+		o.recordMeasure(measure, list)
+	}
+	for _, b := range bounds {
+		o.checkBound(b)
+	}
+	return o
+}
+
+// measures are the numbers of a result by their names in files.
+func measures(r simulation.Result) map[string]float64 {
+	data, _ := json.Marshal(r) // numbers and texts, which cannot fail
+	var fields map[string]any
+	_ = json.Unmarshal(data, &fields) // of what was marshaled just before
+	numbers := map[string]float64{}
+	for name, v := range fields {
+		if number, ok := v.(float64); ok {
+			numbers[name] = number
+		}
+	}
+	return numbers
+}
+
+// recordBreach records the first rule that a run broke, if any.
+func (o *Outcome) recordBreach(r simulation.Result, seed uint64) {
+	if r.Breaches == 0 {
+		return
+	}
+	if len(o.Broken) == 0 {
+		o.BadSeed = seed
+	}
+	o.Broken = append(o.Broken, fmt.Sprintf("seed %d: %s", seed, r.Broken[0]))
+}
+
+// recordMeasure records the values of a measure, one of each run.
+func (o *Outcome) recordMeasure(measure string, values []float64) {
+	total := 0.0
+	for _, v := range values {
+		total += v
+	}
+	count := len(values)
+	o.Mean[measure] = total / float64(count)
+	sorted := slices.Sorted(slices.Values(values))
+	o.Least[measure] = sorted[0]
+	o.Worst[measure] = sorted[count-1]
+	o.P99[measure] = sorted[min(int(0.99*float64(count)), count-1)]
+}
+
+// checkBound records whether a bound is missed. A measure that is not a number misses each bound.
+func (o *Outcome) checkBound(b Bound) {
+	high, low, prefix := o.Mean[b.Measure], o.Mean[b.Measure], "mean "
+	if b.Over == overEach {
+		high, low, prefix = o.Worst[b.Measure], o.Least[b.Measure], ""
+	}
+	if b.Most != nil && !(high <= *b.Most) {
+		o.Missed = append(o.Missed, fmt.Sprintf("%s%s %.2f, at most %g", prefix, b.Measure, high, *b.Most))
+	}
+	if b.Least != nil && !(low >= *b.Least) {
+		o.Missed = append(o.Missed, fmt.Sprintf("%s%s %.2f, at least %g", prefix, b.Measure, low, *b.Least))
+	}
+}
+
+// Verdict is the last line of a run: whether all held, or the first that did not.
+func Verdict(outcomes []Outcome) (line string, held bool) {
+	for _, o := range outcomes {
+		if len(o.Broken) > 0 {
+			return fmt.Sprintf("verdict: broken: %s: %s", o.Case, o.Broken[0]), false
+		}
+		if len(o.Missed) > 0 {
+			return fmt.Sprintf("verdict: broken: %s: %s", o.Case, o.Missed[0]), false
+		}
+	}
+	if len(outcomes) == 0 {
+		return "verdict: broken: no case was played", false
+	}
+	return "verdict: held", true
+}
--- /dev/null
+++ b/internal/experiment/parse.go
@@ -0,0 +1,99 @@
+package experiment
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"lemongate/internal/schema"
+	"lemongate/internal/simulation"
+)
+
+// Parse reads an experiment. The error is one line that names the field that is wrong.
+func Parse(data []byte) (*Experiment, error) {
+	if err := schema.Validate("experiment.schema.json", Schema, data); err != nil {
+		return nil, err
+	}
+	var e Experiment
+	if err := json.Unmarshal(data, &e); err != nil {
+		return nil, fmt.Errorf("bad JSON: %w", err)
+	}
+	known := measures(simulation.Result{})
+	for i, c := range e.Cases {
+		if err := e.checkCase(c, known); err != nil {
+			return nil, fmt.Errorf("/cases/%d%w", i, err)
+		}
+	}
+	if err := checkBounds(e.All, known); err != nil {
+		return nil, err
+	}
+	return &e, nil
+}
+
+// checkCase checks what the schema cannot. Its error begins with the path of the field within the case.
+func (e *Experiment) checkCase(c Case, known map[string]float64) error {
+	sc, err := e.scenario(c)
+	if err != nil {
+		return fmt.Errorf("/change: %w", err)
+	}
+	if err := checkBounds(c.Expect, known); err != nil {
+		return err
+	}
+	for i, f := range c.Faults {
+		if err := checkFault(f, sc); err != nil {
+			return fmt.Errorf("/faults/%d: %w", i, err)
+		}
+	}
+	return nil
+}
+
+// checkBounds checks bounds. Its error begins with the path of the field.
+func checkBounds(bounds []Bound, known map[string]float64) error {
+	for i, b := range bounds {
+		if err := b.check(known); err != nil {
+			return fmt.Errorf("/expect/%d: %w", i, err)
+		}
+	}
+	return nil
+}
+
+func (b Bound) check(known map[string]float64) error {
+	if _, ok := known[b.Measure]; !ok {
+		return fmt.Errorf("measure: no measure %q", b.Measure)
+	}
+	if b.Most == nil && b.Least == nil {
+		return errors.New("neither most nor least")
+	}
+	return nil
+}
+
+// checkFault checks that a fault fits the scenario that it is played in.
+func checkFault(f simulation.Fault, sc simulation.Scenario) error {
+	if err := checkNumbers("limiters", f.Limiters, sc.Limiters); err != nil {
+		return err
+	}
+	if err := checkNumbers("backends", f.Backends, sc.Backends.Count); err != nil {
+		return err
+	}
+	if err := checkNumbers("ways", slices.Concat(f.Ways...), sc.Limiters); err != nil {
+		return err
+	}
+	if f.Who != "" && sc.Leases == nil {
+		return errors.New("who: there are no leases")
+	}
+	if f.Kind == simulation.FaultClock && f.Rate <= 0 {
+		return errors.New("rate: a clock runs at more than 0")
+	}
+	return nil
+}
+
+// checkNumbers checks that all numbers of a field are below a count.
+func checkNumbers(field string, numbers []int, count int) error {
+	for _, n := range numbers {
+		if n >= count {
+			return fmt.Errorf("%s: number %d of %d", field, n, count)
+		}
+	}
+	return nil
+}
