--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -84,10 +84,7 @@
 // newCustomer creates a customer of a plan.
 func (w *world) newCustomer(planIndex, number int) *customer {
 	plan := w.scenario.Plans[planIndex]
-	setSize := w.scenario.Traffic.Spread
-	if setSize <= 0 || setSize > w.scenario.Limiters {
-		setSize = w.scenario.Limiters
-	}
+	setSize := w.scenario.SetSize()
 	return &customer{
 		name:         fmt.Sprintf("%s-%04d", plan.Name, number),
 		plan:         planIndex,
@@ -111,23 +108,13 @@
 // scheduleArrival schedules the next request of a customer. Arrivals do not wait for responses.
 func (w *world) scheduleArrival(c *customer) {
 	plan := w.scenario.Plans[c.plan]
-	interval := w.exponential(seconds(w.meanUnits() / (plan.Rate * plan.Times)))
+	interval := w.exponential(seconds(w.scenario.Traffic.MeanUnits() / (plan.Rate * plan.Times)))
 	w.after(interval, func() {
 		w.sendFirstTry(c)
 		w.scheduleArrival(c)
 	})
 }
 
-// meanUnits is the mean number of units of a request.
-func (w *world) meanUnits() float64 {
-	units := w.scenario.Traffic.Units
-	mean := 0.0
-	for _, u := range units {
-		mean += u / float64(len(units))
-	}
-	return mean
-}
-
 // sendFirstTry sends a new request of a customer.
 func (w *world) sendFirstTry(c *customer) {
 	traffic := &w.scenario.Traffic
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,7 +1,5 @@
 package simulation
 
-import "lemongate/internal/lease"
-
 // faultStarters starts each kind of fault, for the limiters and backends that it names, and schedules its
 // end.
 var faultStarters = map[FaultKind]func(*world, Fault){
@@ -53,10 +51,7 @@
 		}
 		return nil
 	}
-	var acceptors []int
-	for _, n := range lease.AcceptorsOf(lease.TaskID(w.leases.task), w.scenario.Limiters, w.scenario.Leases.Keepers) {
-		acceptors = append(acceptors, int(n))
-	}
+	acceptors := w.scenario.Acceptors()
 	if f.Who == RoleOneAcceptor {
 		return acceptors[w.random.IntN(len(acceptors)):][:1]
 	}
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -1,6 +1,11 @@
 package simulation
 
-import "slices"
+import (
+	"slices"
+	"strings"
+
+	"lemongate/internal/usage"
+)
 
 // Result is what came of a run. Units are those of a customer, on average, unless the name says Worst
 // or 99 (over the customers). The names in files are kept: "refused" are rejections, "fetches" attempts,
@@ -62,6 +67,35 @@
 	Broken   []string `json:"broken,omitempty"`
 }
 
+// maxBreachesKept is how many breaches of rules a Result describes.
+const maxBreachesKept = 5
+
+// RecordBreach counts a breach of a rule, and keeps the description of the first ones.
+func (r *Result) RecordBreach(description string) {
+	r.Breaches++
+	if len(r.Broken) < maxBreachesKept {
+		r.Broken = append(r.Broken, description)
+	}
+}
+
+// RecordUsage records the summary of all usage reports, and returns the units that they report. breach is
+// called for each period that is in two reports which do not say so.
+func (r *Result) RecordUsage(summary usage.Summary, breach func(format string, args ...any)) float64 {
+	r.Periods = len(summary.Reports)
+	r.UseFaults = len(summary.Faults)
+	for _, fault := range summary.Faults {
+		if strings.Contains(fault, "twice") {
+			r.UseTwice++
+			breach("%s", fault)
+		}
+	}
+	reported := 0.0
+	for _, u := range summary.Usage {
+		reported += u.Units
+	}
+	return reported
+}
+
 // finish summarizes the run.
 func (w *world) finish() Result {
 	w.summarizeCustomers()
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "lemongate/internal/lease"
+
 // Scenario describes what is played. Times are in seconds unless the name of the field in files says
 // otherwise.
 type Scenario struct {
@@ -14,6 +16,24 @@
 	Faults   []Fault `json:"faults"`
 }
 
+// SetSize is the number of limiters in a customer's set.
+func (sc *Scenario) SetSize() int {
+	if sc.Traffic.Spread <= 0 {
+		return sc.Limiters
+	}
+	return min(sc.Traffic.Spread, sc.Limiters)
+}
+
+// Acceptors are the numbers of the acceptors of the first task that is done under a lease. The scenario
+// must have leases.
+func (sc *Scenario) Acceptors() []int {
+	var numbers []int
+	for _, n := range lease.AcceptorsOf(lease.TaskID(sc.Leases.Tasks[0]), sc.Limiters, sc.Leases.Keepers) {
+		numbers = append(numbers, int(n))
+	}
+	return numbers
+}
+
 // Leases describes the tasks that one limiter at a time does; see lease.Settings and core.RestartSlots.
 type Leases struct {
 	Tasks   []string `json:"tasks"`
@@ -52,6 +72,15 @@
 	Deadline  float64   `json:"deadline_ms"` // how long a client waits for the response
 }
 
+// MeanUnits is the mean number of units of a request.
+func (t *Traffic) MeanUnits() float64 {
+	mean := 0.0
+	for _, u := range t.Units {
+		mean += u / float64(len(t.Units))
+	}
+	return mean
+}
+
 // Backend describes the backends.
 type Backend struct {
 	Count   int     `json:"count"`
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -84,15 +84,8 @@
 // epoch is the epoch of a limiter that starts now.
 func (w *world) epoch() uint32 { return uint32(w.now/time.Millisecond) + 1 }
 
-// maxBreachesKept is how many breaches of rules a Result describes.
-const maxBreachesKept = 5
-
-// breach counts a breach of a rule and keeps the first ones.
+// breach records a breach of a rule, which happens now.
 func (w *world) breach(format string, args ...any) {
-	w.result.Breaches++
-	if len(w.result.Broken) >= maxBreachesKept {
-		return
-	}
 	at := fmt.Sprintf("%.3f s: ", (w.now - start).Seconds())
-	w.result.Broken = append(w.result.Broken, at+fmt.Sprintf(format, args...))
+	w.result.RecordBreach(at + fmt.Sprintf(format, args...))
 }
--- a/internal/simulation/usagejudge.go
+++ b/internal/simulation/usagejudge.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"strings"
 	"time"
 
 	"lemongate/internal/core"
@@ -51,23 +50,12 @@
 		return
 	}
 	r, summary := &w.result, usage.Merge(w.usage.reports)
-	r.Periods = len(summary.Reports)
-	r.UseFaults = len(summary.Faults)
-	for _, fault := range summary.Faults {
-		if strings.Contains(fault, "twice") {
-			r.UseTwice++
-			w.breach("%s", fault)
-		}
-	}
+	reported := r.RecordUsage(summary, w.breach)
 	for _, report := range summary.Reports {
 		if report.MayRepeat {
 			r.UseAgain++
 		}
 	}
-	reported := 0.0
-	for _, u := range summary.Usage {
-		reported += u.Units
-	}
 	r.UseOver = max(reported-w.usage.unitsReached, 0)
 	r.UseUnder = max(w.usage.unitsReached-reported-w.unreportedUnits(summary), 0)
 	if r.UseUnder > maxUnitsInTransit && r.UseFaults == 0 {
