--- /dev/null
+++ b/internal/processharness/clientconn.go
@@ -0,0 +1,58 @@
+package processharness
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"time"
+)
+
+const (
+	// dialTimeout is how long a client waits for a connection.
+	dialTimeout = 2 * time.Second
+	// openCheckTimeout is how long a client looks whether an idle connection was closed.
+	openCheckTimeout = 50 * time.Microsecond
+)
+
+// clientConn is a client's connection to a limiter.
+type clientConn struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+func dialClient(addr string) (*clientConn, error) {
+	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
+}
+
+// readResponse reads a response and its body.
+func (c *clientConn) readResponse() (*http.Response, string, error) {
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return nil, "", err
+	}
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
+}
+
+// isOpen reports whether an idle connection is neither closed nor has something to read.
+func (c *clientConn) isOpen() bool {
+	_ = c.SetReadDeadline(time.Now().Add(openCheckTimeout)) // a closed connection shows at the read
+	_, err := c.reader.Peek(1)
+	return errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+// setDeadline sets the deadline of reads and writes.
+func (c *clientConn) setDeadline(at time.Time) {
+	_ = c.SetDeadline(at) // a closed connection shows at the write
+}
+
+func (c *clientConn) close() {
+	_ = c.Close() // nothing is to be read or written any more
+}
--- /dev/null
+++ b/internal/processharness/discovery.go
@@ -0,0 +1,132 @@
+package processharness
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"time"
+)
+
+// watchPoll is how often a watch looks whether the endpoint list has changed. It sends an empty line if
+// not.
+const watchPoll = 500 * time.Millisecond
+
+// discovery is the stand-in of endpoint discovery.
+type discovery struct {
+	tier   *Tier
+	server *httptest.Server
+
+	mu       sync.Mutex
+	watches  []chan struct{} // closed to end a watch
+	unlisted map[*Backend]bool
+	changes  int // of the list
+}
+
+// newDiscovery starts the stand-in, which ends with the test.
+func newDiscovery(tier *Tier) *discovery {
+	d := &discovery{tier: tier, unlisted: map[*Backend]bool{}}
+	d.server = httptest.NewServer(http.HandlerFunc(d.serveWatch))
+	tier.T.Cleanup(d.close)
+	return d
+}
+
+// close ends all watches and the server.
+func (d *discovery) close() {
+	d.mu.Lock()
+	for _, end := range d.watches {
+		close(end)
+	}
+	d.watches = nil
+	d.mu.Unlock()
+	d.server.Close()
+}
+
+// addr is where the stand-in listens.
+func (d *discovery) addr() string { return strings.TrimPrefix(d.server.URL, "http://") }
+
+// List adds a backend to the endpoint list, or removes it.
+func (tier *Tier) List(b *Backend, listed bool) {
+	d := tier.discovery
+	d.mu.Lock()
+	d.unlisted[b] = !listed
+	d.changes++
+	d.mu.Unlock()
+}
+
+// changeCount is how many times the list has changed.
+func (d *discovery) changeCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.changes
+}
+
+// instances is the endpoint list, as discovery sends it.
+func (d *discovery) instances() []map[string]any {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var list []map[string]any
+	for _, b := range d.tier.Backends {
+		if d.unlisted[b] {
+			continue
+		}
+		list = append(list, map[string]any{
+			"instanceId":  b.ID,
+			"hostPort":    b.addr,
+			"zone":        "a",
+			"cell":        1,
+			"lifecycle":   "up",
+			"weight":      1.0,
+			"startedAtMs": 0,
+		})
+	}
+	return list
+}
+
+// generation is the generation of the list after a number of changes.
+func generation(changes int) int { return changes + 1 }
+
+// snapshot is the endpoint list with its generation; reset if it replaces what was sent before.
+func (d *discovery) snapshot(changes int, reset bool) map[string]any {
+	return map[string]any{"generation": generation(changes), "reset": reset, "instances": d.instances()}
+}
+
+// serveWatch answers a watch: the list, then each change of it, and empty lines in between.
+func (d *discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
+	sent := d.changeCount()
+	isKnown := r.URL.Query().Get("index") == fmt.Sprint(generation(sent))
+	writeSnapshot(w, d.snapshot(sent, !isKnown))
+	end := make(chan struct{})
+	d.mu.Lock()
+	d.watches = append(d.watches, end)
+	d.mu.Unlock()
+	for {
+		select {
+		case <-end:
+			return
+		case <-r.Context().Done():
+			return
+		case <-time.After(watchPoll):
+		}
+		changes := d.changeCount()
+		if changes == sent {
+			writeKeepalive(w)
+			continue
+		}
+		sent = changes
+		writeSnapshot(w, d.snapshot(sent, true))
+	}
+}
+
+func writeSnapshot(w http.ResponseWriter, snapshot map[string]any) {
+	_ = json.NewEncoder(w).Encode(snapshot) // the watch ends by its context if its client has left
+	w.(http.Flusher).Flush()
+}
+
+func writeKeepalive(w http.ResponseWriter) {
+	_, _ = io.WriteString(w, "\n") // as with writeSnapshot
+	w.(http.Flusher).Flush()
+}
--- /dev/null
+++ b/internal/processharness/host.go
@@ -0,0 +1,80 @@
+package processharness
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"sync/atomic"
+	"time"
+)
+
+// Host is what a tier runs in: a test, or a command that stands in for one.
+type Host interface {
+	Helper()
+	Fatal(args ...any) // does not return
+	Errorf(format string, args ...any)
+	Logf(format string, args ...any)
+	Failed() bool
+	Cleanup(func()) // the last one runs first
+	TempDir() string
+}
+
+const (
+	// waitTimeout is how long Until and Process.Wait wait.
+	waitTimeout = 20 * time.Second
+	// waitPoll is how often Until looks.
+	waitPoll = 5 * time.Millisecond
+)
+
+// Until waits until a condition holds, and ends the test if it does not soon; what describes it.
+func Until(t Host, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(waitPoll) {
+		if time.Now().After(end) {
+			t.Fatal("did not come: ", what)
+		}
+	}
+}
+
+const (
+	// firstPort and portCount are the ports that freeAddr returns.
+	firstPort, portCount = 10000, 20000
+	// addrAttempts is how many of them it tries.
+	addrAttempts = 1000
+)
+
+// portsTried counts the ports that freeAddr tried.
+var portsTried atomic.Uint32
+
+// freeAddr is an address on loopback where nothing listens, nor will: on an IP of this process's own, so
+// that no socket with a port of the kernel's choice takes it before a limiter does.
+func freeAddr(t Host, network string) string {
+	pid := os.Getpid()
+	ip := fmt.Sprintf("127.%d.%d.1", 64+((pid>>8)&63), pid&255)
+	for range addrAttempts {
+		addr := fmt.Sprintf("%s:%d", ip, firstPort+portsTried.Add(1)%portCount)
+		if isFree(network, addr) {
+			return addr
+		}
+	}
+	t.Fatal("no free address")
+	return ""
+}
+
+// isFree reports whether nothing listens at an address.
+func isFree(network, addr string) bool {
+	if network == "udp" {
+		conn, err := net.ListenPacket("udp4", addr)
+		if err != nil {
+			return false
+		}
+		_ = conn.Close() // it was only to be opened
+		return true
+	}
+	listener, err := net.Listen("tcp4", addr)
+	if err != nil {
+		return false
+	}
+	_ = listener.Close() // it was only to be opened
+	return true
+}
--- /dev/null
+++ b/internal/processharness/limiter.go
@@ -0,0 +1,149 @@
+package processharness
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+)
+
+// Limiter is a limiter of a tier, whatever processes it has.
+type Limiter struct {
+	Number int
+	Addr   string   // where clients connect
+	Dir    string   // its TMPDIR
+	Env    []string // of its processes, in addition
+	tier   *Tier
+}
+
+// Config returns the limiter's configuration, with the fields of the platform's file.
+func (l *Limiter) Config() map[string]any {
+	tier := l.tier
+	return map[string]any{
+		"name":        fmt.Sprintf("n%d", l.Number),
+		"listen":      l.Addr,
+		"discovery":   tier.discovery.addr(),
+		"seed":        "8c1f30d27a5be964",
+		"limits":      map[string]any{"cores": 1, "memory_mb": tier.MemoryMB, "sockets": tier.Sockets},
+		"peer_listen": tier.Net.Real(l.Number),
+		"peers":       tier.Net.Seen(l.Number),
+		"known":       tier.discovery.snapshot(0, true),
+		"settings":    l.settings(),
+	}
+}
+
+// settings is the part of the configuration that the simulator's limiters have, too.
+func (l *Limiter) settings() map[string]any {
+	limiters := len(l.tier.Limiters)
+	settings := map[string]any{
+		"siblings":         limiters,
+		"me":               l.Number,
+		"zone":             "a",
+		"granularity_s":    0.002,
+		"classes":          requestClasses(),
+		"tiers_of_service": l.tier.plans(),
+		"family_info":      map[string]any{"most_units": 4, "peer_in_per_s": 60},
+		"allowed": map[string]any{
+			"peers":             limiters > 1,
+			"connect_timeout_s": 0.25,
+			"idle_close_s":      15,
+			"max_attempts":      3,
+			"may_cancel":        true,
+			"retry_after":       true,
+			"max_retry_after_s": 1,
+		},
+	}
+	if l.tier.Util {
+		settings["feedback"] = map[string]any{"fields": []string{"util"}}
+	}
+	return settings
+}
+
+// The request classes of each tier.
+const (
+	classIdempotent = "read"
+	classKeyed      = "post"
+)
+
+// requestClasses are the request classes, as the platform's file has them.
+func requestClasses() []map[string]any {
+	return []map[string]any{
+		{
+			"name": classIdempotent, "effect": "idempotent", "group": "all",
+			"on_time_s": 0.7, "deadline_s": 2, "importance": 2,
+		},
+		{
+			"name": classKeyed, "effect": "deduplicated", "group": "all", "window_s": keyWindow.Seconds(),
+			"on_time_s": 1, "deadline_s": 3, "importance": 3,
+		},
+	}
+}
+
+// plans are the plans, as the platform's file has them.
+func (tier *Tier) plans() []map[string]any {
+	var plans []map[string]any
+	for _, p := range tier.Plans {
+		plans = append(plans, map[string]any{
+			"name":             p.Name,
+			"refill":           p.Rate,
+			"depth":            p.Burst,
+			"concurrency":      p.Open,
+			"pays":             1,
+			"never_over_rate":  p.CeilRate,
+			"never_over_depth": p.Ceil,
+		})
+	}
+	return plans
+}
+
+// Start starts a process of the limiter, which is killed at the end of the test. The functions may change
+// its configuration.
+func (l *Limiter) Start(change ...func(map[string]any)) *Process {
+	host := l.tier.T
+	host.Helper()
+	p := &Process{Console: freeAddr(host, "tcp"), Ended: make(chan error, 1), log: &lockedBuffer{}}
+	config := l.Config()
+	config["console"] = p.Console
+	for _, f := range change {
+		f(config)
+	}
+	p.Cmd = l.command(l.writeConfig(config))
+	p.Cmd.Stdout, p.Cmd.Stderr = p.log, p.log
+	if err := p.Cmd.Start(); err != nil {
+		host.Fatal(err)
+	}
+	go func() { p.Ended <- p.Cmd.Wait() }() // ends with the process
+	host.Cleanup(func() {
+		_ = p.Cmd.Process.Kill() // it may have ended
+		if host.Failed() {
+			host.Logf("n%d, process %d:\n%s", l.Number, p.Cmd.Process.Pid, p.log)
+		}
+	})
+	return p
+}
+
+// command is the command that starts a process with the configuration of a file.
+func (l *Limiter) command(configPath string) *exec.Cmd {
+	program := l.tier.Program
+	cmd := exec.Command(program[0], program[1:]...)
+	cmd.Env = slices.Concat(os.Environ(), l.tier.Env, l.Env)
+	cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+configPath, "TMPDIR="+l.Dir)
+	return cmd
+}
+
+// writeConfig writes a configuration to a file of its own, and returns the path.
+func (l *Limiter) writeConfig(config map[string]any) string {
+	host := l.tier.T
+	host.Helper()
+	data, err := json.Marshal(config)
+	if err != nil {
+		host.Fatal(err)
+	}
+	path := filepath.Join(host.TempDir(), "config.json")
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		host.Fatal(err)
+	}
+	return path
+}
--- /dev/null
+++ b/internal/processharness/linkpeer.go
@@ -0,0 +1,184 @@
+package processharness
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"strings"
+	"syscall"
+	"time"
+
+	"lemongate/internal/hotrestart"
+	"lemongate/internal/hotrestart/link"
+)
+
+// This file plays one side of a hot restart that fails at a step, as a process of its own. Its script is
+// STEP:FAILURE.
+
+// The failures of a script.
+const (
+	failureEnd  = "end"  // the process exits
+	failureStop = "stop" // the process is stopped, and hangs if it is continued
+	// Any other text: the process hangs.
+)
+
+const (
+	// linkFormat is the version of the link's messages.
+	linkFormat = 1
+	// heartbeatCount and heartbeatInterval: PlayHeir sends so many heartbeats before its last step.
+	heartbeatCount    = 5
+	heartbeatInterval = 20 * time.Millisecond
+	// flushDelay is how long a queued message takes to be written.
+	flushDelay = 5 * time.Millisecond
+	// exitLinkClosed is the exit code of a process whose link was closed by the other side.
+	exitLinkClosed = 3
+)
+
+// limiterAddresses is what the configuration says of a limiter's own addresses.
+type limiterAddresses struct {
+	Name       string `json:"name"`
+	Listen     string `json:"listen"`
+	PeerListen string `json:"peer_listen"`
+}
+
+// readAddresses reads the configuration of this process.
+func readAddresses() limiterAddresses {
+	data, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
+	if err != nil {
+		panic(err)
+	}
+	var addresses limiterAddresses
+	if err := json.Unmarshal(data, &addresses); err != nil {
+		panic(err)
+	}
+	return addresses
+}
+
+// linkPath is where the limiter's processes find each other.
+func (a limiterAddresses) linkPath() string { return link.Path(os.TempDir(), a.Name) }
+
+// hello is the body of a successor's first message.
+func (a limiterAddresses) hello() []byte {
+	body, err := json.Marshal(map[string]any{
+		"Format": linkFormat, "Name": a.Name, "Listen": a.Listen, "Peers": a.PeerListen,
+	})
+	if err != nil {
+		panic(err)
+	}
+	return body
+}
+
+// failingPeer is one end of the link of a hot restart, with a script.
+type failingPeer struct {
+	conn    *link.Conn
+	step    string // at which it fails
+	failure string
+}
+
+func newFailingPeer(conn *link.Conn, script string) *failingPeer {
+	step, failure, _ := strings.Cut(script, ":")
+	return &failingPeer{conn: conn, step: step, failure: failure}
+}
+
+// failAt fails if the script says so for a step, and does not return then.
+func (p *failingPeer) failAt(step string) {
+	if p.step != step {
+		return
+	}
+	fmt.Println("at", step)
+	switch p.failure {
+	case failureEnd:
+		os.Exit(1)
+	case failureStop:
+		_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP) // cannot fail
+	}
+	select {} // until the test kills the process
+}
+
+// await reads messages up to one of a kind. The process exits if the link is closed.
+func (p *failingPeer) await(kind hotrestart.Kind) {
+	for {
+		frame, err := p.conn.Read()
+		if err != nil {
+			os.Exit(exitLinkClosed)
+		}
+		if frame.Kind == uint8(kind) {
+			return
+		}
+	}
+}
+
+// queue queues a message for writing.
+func (p *failingPeer) queue(kind hotrestart.Kind, body []byte) {
+	p.conn.Send(uint8(kind), body)
+}
+
+// write writes a message.
+func (p *failingPeer) write(kind hotrestart.Kind, body []byte, sockets ...syscall.Conn) {
+	_ = p.conn.SendSync(uint8(kind), body, sockets...) // a closed link shows at the next read
+}
+
+// PlayHeir is a successor that fails at a step: hello, offer, prepared, transfer, taken, commit or beats.
+func PlayHeir(script string) {
+	addresses := readAddresses()
+	conn, err := link.Dial(addresses.linkPath())
+	if err != nil {
+		panic(err)
+	}
+	p := newFailingPeer(conn, script)
+	p.failAt("hello")
+	p.queue(hotrestart.Hello, addresses.hello())
+	p.await(hotrestart.Offer)
+	p.failAt("offer")
+	p.queue(hotrestart.Prepared, nil)
+	if p.step == "prepared" {
+		time.Sleep(flushDelay)
+	}
+	p.failAt("prepared")
+	p.await(hotrestart.Transfer)
+	p.failAt("transfer")
+	p.write(hotrestart.Adopted, nil)
+	p.failAt("taken")
+	p.await(hotrestart.Commit)
+	p.failAt("commit")
+	for range heartbeatCount {
+		p.write(hotrestart.Heartbeat, nil)
+		time.Sleep(heartbeatInterval)
+	}
+	p.failAt("beats")
+}
+
+// PlayElder is a predecessor that accepts no clients but has their address, and fails at a step:
+// listening, hello, offer, prepared, transfer, taken or commit. It prints "ready" once it listens.
+func PlayElder(script string) {
+	addresses := readAddresses()
+	clients, err := net.Listen("tcp", addresses.Listen)
+	if err != nil {
+		panic(err)
+	}
+	successors, err := link.Listen(addresses.linkPath())
+	if err != nil {
+		panic(err)
+	}
+	fmt.Println("ready")
+	conn, err := successors.Accept()
+	if err != nil {
+		panic(err)
+	}
+	p := newFailingPeer(conn, script)
+	p.failAt("listening")
+	p.await(hotrestart.Hello)
+	p.failAt("hello")
+	p.write(hotrestart.Offer, nil)
+	p.failAt("offer")
+	p.await(hotrestart.Prepared)
+	p.failAt("prepared")
+	p.write(hotrestart.Transfer, []byte(`{"Now":7200000000000}`), clients.(*net.TCPListener))
+	p.failAt("transfer")
+	p.await(hotrestart.Adopted)
+	p.failAt("taken")
+	p.write(hotrestart.Commit, nil)
+	p.failAt("commit")
+	select {} // until the test kills the process
+}
--- a/internal/processharness/load.go
+++ b/internal/processharness/load.go
@@ -1,10 +1,8 @@
 package processharness
 
 import (
-	"bufio"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -12,217 +10,239 @@
 	"time"
 )
 
-// A Load sends reqs at a steady pace whatever becomes of them, over connections that are kept
-// and used again, the longest unused first, so that all of them are used.
+const (
+	// requestTimeout is how long a client waits for a response.
+	requestTimeout = 5 * time.Second
+	// budgetIdempotent and budgetKeyed are the budgets of requests in ms, by their class.
+	budgetIdempotent = 2000
+	budgetKeyed      = 3000
+)
+
+// Load sends requests at a constant rate whatever comes of them, over connections that are kept. The one
+// that is idle longest is used first, so that all of them are used.
 type Load struct {
-	tier *Tier
-	gap  time.Duration
-	ask  func(n int) Req
-	stop chan struct{}
-	all  sync.WaitGroup
-
-	// Resends has a req sent once more, on a new connection, where a kept one ended without a byte of
-	// an answer: a limiter may end one between reqs while the next is on its way to it.
+	// Resends has a request sent again, on a new connection, where a kept one was closed without a byte of a
+	// response: a limiter may close one between requests while the next is on its way to it.
 	Resends bool
-
-	mu      sync.Mutex
-	Resent  int
-	idle    [][]*session // by limiter
+	// Resent counts these.
+	Resent int
+	// Results are those so far, in no order.
 	Results []Result
-	each    func(Result)
+
+	tier        *Tier
+	interval    time.Duration
+	makeRequest func(n int) Req
+	stop        chan struct{} // closed by End
+	running     sync.WaitGroup
+
+	mu   sync.Mutex      // of Resent, Results and what follows
+	idle [][]*clientConn // by limiter, the one idle longest first
+	each func(Result)    // nil to keep Results
 }
 
-// A Req is one to be sent.
+// Req is a request to be sent.
 type Req struct {
-	Limiter  int
+	Limiter  int // that it is sent to
 	Class    string
 	Plan     string
 	Customer uint64
-	Key      string
-	First    int
-	Spread   int
-	Body     int
-	Units    int // 0 for one
+	Key      string // idempotency key, "" for none
+	First    int    // first limiter of the customer's set
+	Spread   int    // limiters in the customer's set, 0 for one
+	Body     int    // bytes
+	Units    int    // 0 for one
 }
 
-// A Result is what came of it.
+// Result is what came of a request.
 type Result struct {
 	Req
 	ID     string
 	At     time.Time // when its last byte was written
 	Took   time.Duration
-	Status int    // 0 where no whole answer came
-	Fault  string // what happened to the connection, empty for nothing
+	Status int    // 0 without a complete response
+	Fault  string // what happened to the connection, "" for nothing
 	Body   string
 }
 
-type session struct {
-	net.Conn
-	r *bufio.Reader
-}
-
-// Begin sends so many reqs a second until End.
-func (x *Tier) Begin(perSecond float64, ask func(n int) Req) *Load {
+// Begin sends requests until End, at a rate per second. makeRequest makes the request of each number.
+func (tier *Tier) Begin(perSecond float64, makeRequest func(n int) Req) *Load {
 	l := &Load{
-		tier: x, gap: time.Duration(float64(time.Second) / perSecond), ask: ask, stop: make(chan struct{}),
-		idle: make([][]*session, len(x.Limiters)),
+		tier:        tier,
+		interval:    time.Duration(float64(time.Second) / perSecond),
+		makeRequest: makeRequest,
+		stop:        make(chan struct{}),
+		idle:        make([][]*clientConn, len(tier.Limiters)),
 	}
-	l.all.Add(1)
-	go l.run()
+	l.running.Go(l.run)
 	return l
 }
 
-// Each hands each result on as it comes, in place of keeping it, and from any goroutine.
+// Each hands over each result as it comes instead of keeping it, from any goroutine.
 func (l *Load) Each(f func(Result)) {
 	l.mu.Lock()
 	l.each = f
 	l.mu.Unlock()
 }
 
+// run starts a goroutine for each request, until End.
 func (l *Load) run() {
-	defer l.all.Done()
 	begin := time.Now()
 	for n := 0; ; n++ {
-		if wait := time.Until(begin.Add(time.Duration(n) * l.gap)); wait > 0 {
+		if wait := time.Until(begin.Add(time.Duration(n) * l.interval)); wait > 0 {
 			select {
 			case <-l.stop:
 				return
 			case <-time.After(wait):
 			}
 		}
-		l.all.Add(1)
-		go func() {
-			defer l.all.Done()
-			res := l.one(n)
-			l.mu.Lock()
-			each := l.each
-			if each == nil {
-				l.Results = append(l.Results, res)
-			}
-			l.mu.Unlock()
-			if each != nil {
-				each(res)
-			}
-		}()
+		l.running.Go(func() { l.record(l.sendNumber(n)) })
 	}
 }
 
-// End stops sending and returns what came of all, in the order of their sending.
+// record keeps a result, or hands it over.
+func (l *Load) record(result Result) {
+	l.mu.Lock()
+	each := l.each
+	if each == nil {
+		l.Results = append(l.Results, result)
+	}
+	l.mu.Unlock()
+	if each != nil {
+		each(result)
+	}
+}
+
+// End stops sending, waits for all responses and returns the results in the order of their sending.
 func (l *Load) End() []Result {
 	close(l.stop)
-	l.all.Wait()
-	for _, list := range l.idle {
-		for _, s := range list {
-			s.Close()
+	l.running.Wait()
+	for _, conns := range l.idle {
+		for _, c := range conns {
+			c.close()
 		}
 	}
 	slices.SortFunc(l.Results, func(a, b Result) int { return a.At.Compare(b.At) })
 	return l.Results
 }
 
-func (l *Load) one(n int) Result {
-	q := l.ask(n)
+// sendNumber sends the request of a number, once more if it is to be resent.
+func (l *Load) sendNumber(n int) Result {
+	request := l.makeRequest(n)
 	id := fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, n)
-	s, kept, err := l.session(q.Limiter)
+	conn, kept, err := l.connection(request.Limiter)
 	if err != nil {
-		return Result{Req: q, ID: id, At: time.Now(), Fault: "connect: " + err.Error()}
+		return Result{Req: request, ID: id, At: time.Now(), Fault: "connect: " + err.Error()}
 	}
-	res, ended := l.send(q, id, s)
-	if !ended || !kept || !l.Resends {
-		return res
+	result, closed := l.send(request, id, conn)
+	if !closed || !kept || !l.Resends {
+		return result
 	}
 	l.mu.Lock()
 	l.Resent++
 	l.mu.Unlock()
-	c, err := net.DialTimeout("tcp", l.tier.Limiters[q.Limiter].Addr, 2*time.Second)
+	conn, err = l.connect(request.Limiter)
 	if err != nil {
-		return res
+		return result
 	}
-	res, _ = l.send(q, id, &session{c, bufio.NewReader(c)})
-	return res
+	result, _ = l.send(request, id, conn)
+	return result
 }
 
-// send sends a req on a connection. Ended tells that this ended with no byte of an answer.
-func (l *Load) send(q Req, id string, s *session) (res Result, ended bool) {
-	res = Result{Req: q, ID: id, At: time.Now()}
-	s.SetDeadline(time.Now().Add(5 * time.Second))
-	method, budget := "GET", 2000
-	if q.Class == "post" {
-		method, budget = "POST", 3000
+// send sends a request on a connection. closed reports that this was closed without a byte of a response.
+func (l *Load) send(request Req, id string, conn *clientConn) (result Result, closed bool) {
+	result = Result{Req: request, ID: id, At: time.Now()}
+	conn.setDeadline(time.Now().Add(requestTimeout))
+	if _, err := io.WriteString(conn, requestText(request, id)); err != nil {
+		result.Fault = "write: " + err.Error()
+		conn.close()
+		return result, true
 	}
-	text := fmt.Sprintf("%s /%s/%016x HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: %s\r\nPlan: %s\r\nX-Budget: %dm\r\nQuota-Info: units=%d,spread=%d,first=%d\r\n",
-		method, q.Class, q.Customer, res.ID, q.Plan, budget, max(q.Units, 1), max(q.Spread, 1), q.First)
-	if q.Key != "" {
-		text += "Idempotency-Key: " + q.Key + "\r\n"
+	result.At = time.Now()
+	_, firstByteErr := conn.reader.Peek(1)
+	resp, body, err := conn.readResponse()
+	result.Took = time.Since(result.At)
+	if err != nil {
+		result.Fault = "read: " + err.Error()
+		conn.close()
+		return result, firstByteErr != nil
 	}
-	if method == "POST" {
-		text += fmt.Sprintf("Content-Length: %d\r\n", q.Body)
+	result.Status, result.Body = resp.StatusCode, body
+	if resp.Close {
+		conn.close()
+	} else {
+		l.keep(request.Limiter, conn)
 	}
-	if _, err := io.WriteString(s, text+"\r\n"+strings.Repeat("x", q.Body)); err != nil {
-		res.Fault = "write: " + err.Error()
-		s.Close()
-		return res, true
+	return result, false
+}
+
+// requestText is a request as it is written to a connection.
+func requestText(r Req, id string) string {
+	method, budget := http.MethodGet, budgetIdempotent
+	if r.Class == classKeyed {
+		method, budget = http.MethodPost, budgetKeyed
 	}
-	res.At = time.Now()
-	_, none := s.r.Peek(1)
-	resp, err := http.ReadResponse(s.r, nil)
-	var body []byte
-	if err == nil {
-		body, err = io.ReadAll(resp.Body)
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s /%s/%016x HTTP/1.1\r\nHost: backend.local\r\n", method, r.Class, r.Customer)
+	fmt.Fprintf(&b, "X-Call-Id: %s\r\nPlan: %s\r\nX-Budget: %dm\r\n", id, r.Plan, budget)
+	fmt.Fprintf(&b, "Quota-Info: units=%d,spread=%d,first=%d\r\n", max(r.Units, 1), max(r.Spread, 1), r.First)
+	if r.Key != "" {
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Key)
 	}
-	res.Took = time.Since(res.At)
-	if err != nil {
-		res.Fault = "read: " + err.Error()
-		s.Close()
-		return res, none != nil
+	if method == http.MethodPost {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", r.Body)
 	}
-	res.Status, res.Body = resp.StatusCode, string(body)
-	if resp.Close {
-		s.Close()
-		return res, false
+	b.WriteString("\r\n" + strings.Repeat("x", r.Body))
+	return b.String()
+}
+
+// Warm opens connections to a limiter and keeps them idle.
+func (l *Load) Warm(limiter, count int) error {
+	for range count {
+		conn, err := l.connect(limiter)
+		if err != nil {
+			return err
+		}
+		l.keep(limiter, conn)
 	}
-	l.mu.Lock()
-	l.idle[q.Limiter] = append(l.idle[q.Limiter], s)
-	l.mu.Unlock()
-	return res, false
+	return nil
 }
 
-// session gives the connection longest unused, which is a kept one, or a new one. One that was closed in between is
-// no fault: a limiter may do so, and the client sees it before it writes.
-func (l *Load) session(limiter int) (s *session, kept bool, err error) {
+// connection returns the connection that is idle longest, or a new one. It is no fault if a kept one was
+// closed: a limiter may do so between requests, and the client sees it before it writes.
+func (l *Load) connection(limiter int) (conn *clientConn, kept bool, err error) {
 	for {
-		l.mu.Lock()
-		if len(l.idle[limiter]) == 0 {
-			l.mu.Unlock()
-			c, err := net.DialTimeout("tcp", l.tier.Limiters[limiter].Addr, 2*time.Second)
-			if err != nil {
-				return nil, false, err
-			}
-			return &session{c, bufio.NewReader(c)}, false, nil
+		conn := l.takeIdle(limiter)
+		if conn == nil {
+			conn, err := l.connect(limiter)
+			return conn, false, err
 		}
-		s := l.idle[limiter][0]
-		l.idle[limiter] = l.idle[limiter][1:]
-		l.mu.Unlock()
-		s.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-		if _, err := s.r.Peek(1); err != nil {
-			if e, ok := err.(net.Error); ok && e.Timeout() {
-				return s, true, nil
-			}
+		if conn.isOpen() {
+			return conn, true, nil
 		}
-		s.Close()
+		conn.close()
 	}
 }
 
-// Warm opens connections to a limiter and leaves them unused.
-func (l *Load) Warm(limiter, n int) error {
-	for range n {
-		c, err := net.DialTimeout("tcp", l.tier.Limiters[limiter].Addr, 2*time.Second)
-		if err != nil {
-			return err
-		}
-		l.mu.Lock()
-		l.idle[limiter] = append(l.idle[limiter], &session{c, bufio.NewReader(c)})
-		l.mu.Unlock()
+// takeIdle takes the connection that is idle longest, nil if there is none.
+func (l *Load) takeIdle(limiter int) *clientConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	conns := l.idle[limiter]
+	if len(conns) == 0 {
+		return nil
 	}
-	return nil
+	l.idle[limiter] = conns[1:]
+	return conns[0]
+}
+
+// keep keeps an idle connection.
+func (l *Load) keep(limiter int, conn *clientConn) {
+	l.mu.Lock()
+	l.idle[limiter] = append(l.idle[limiter], conn)
+	l.mu.Unlock()
+}
+
+// connect opens a connection to a limiter.
+func (l *Load) connect(limiter int) (*clientConn, error) {
+	return dialClient(l.tier.Limiters[limiter].Addr)
 }
--- /dev/null
+++ b/internal/processharness/network.go
@@ -0,0 +1,179 @@
+package processharness
+
+import (
+	"maps"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"slices"
+	"sync"
+	"time"
+
+	"lemongate/internal/gossip"
+	"lemongate/internal/lease"
+)
+
+// maxDatagramSize is more bytes than any datagram of a limiter has.
+const maxDatagramSize = 2048
+
+// way is the way of datagrams from one limiter to another.
+type way struct{ from, to int }
+
+// Net carries the datagrams between limiters, each pair over sockets of its own, and can lose, delay,
+// duplicate and block them.
+type Net struct {
+	listen []string // where the limiters listen
+	// relays[i][j] is where limiter i sends what is for j; what it sends to j leaves from relays[j][i].
+	relays [][]*net.UDPConn
+
+	mu        sync.Mutex
+	random    *rand.Rand
+	loss      float64
+	duplicate float64
+	maxDelay  time.Duration // delays are random, so that some datagrams overtake others
+	blocked   map[way]bool
+
+	epochs        []map[uint32]bool // of each sender
+	datagrams     int
+	leaseMessages []int // by receiver
+	leaseBytes    int
+}
+
+// newNet starts a network, which ends with the test.
+func newNet(t Host, limiters int) *Net {
+	n := &Net{random: rand.New(rand.NewPCG(1, 2)), blocked: map[way]bool{}, leaseMessages: make([]int, limiters)}
+	for range limiters {
+		n.listen = append(n.listen, freeAddr(t, "udp"))
+		n.epochs = append(n.epochs, map[uint32]bool{})
+	}
+	for range limiters {
+		n.relays = append(n.relays, openRelays(t, limiters))
+	}
+	for from := range limiters {
+		for to := range limiters {
+			if from != to {
+				go n.relay(way{from, to}) // until its socket is closed
+			}
+		}
+	}
+	return n
+}
+
+// openRelays opens sockets that are closed at the end of the test.
+func openRelays(t Host, count int) []*net.UDPConn {
+	var relays []*net.UDPConn
+	for range count {
+		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = conn.Close() }) // ends its goroutine
+		relays = append(relays, conn)
+	}
+	return relays
+}
+
+// Real returns the address where a limiter listens for its peers.
+func (n *Net) Real(limiter int) string { return n.listen[limiter] }
+
+// Seen returns the addresses at which a limiter reaches all limiters, itself included.
+func (n *Net) Seen(limiter int) []string {
+	var addrs []string
+	for to := range n.listen {
+		if to == limiter {
+			addrs = append(addrs, n.listen[limiter])
+		} else {
+			addrs = append(addrs, n.relays[limiter][to].LocalAddr().String())
+		}
+	}
+	return addrs
+}
+
+// Bad sets the fractions of datagrams that are lost and duplicated, and the longest delay.
+func (n *Net) Bad(loss, duplicate float64, maxDelay time.Duration) {
+	n.mu.Lock()
+	n.loss, n.duplicate, n.maxDelay = loss, duplicate, maxDelay
+	n.mu.Unlock()
+}
+
+// Cut blocks or unblocks datagrams from one limiter to another, in that direction only.
+func (n *Net) Cut(from, to int, blocked bool) {
+	n.mu.Lock()
+	n.blocked[way{from, to}] = blocked
+	n.mu.Unlock()
+}
+
+// Say sends a limiter a datagram as if it came from another one.
+func (n *Net) Say(from, to int, data []byte) { n.deliver(way{from, to}, data) }
+
+// Epochs returns the epochs that were in the gossip of a limiter.
+func (n *Net) Epochs(limiter int) []uint32 {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return slices.Collect(maps.Keys(n.epochs[limiter]))
+}
+
+// Leases returns how many datagrams about leases were sent to each limiter, and how many bytes in all.
+func (n *Net) Leases() (messages []int, bytes int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return slices.Clone(n.leaseMessages), n.leaseBytes
+}
+
+// Passed returns how many datagrams were sent.
+func (n *Net) Passed() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.datagrams
+}
+
+// relay carries the datagrams of one way until its socket is closed.
+func (n *Net) relay(w way) {
+	buffer := make([]byte, maxDatagramSize)
+	for {
+		size, err := n.relays[w.from][w.to].Read(buffer)
+		if err != nil {
+			return
+		}
+		n.transmit(w, slices.Clone(buffer[:size]))
+	}
+}
+
+// transmit delivers a datagram never, once or twice, late.
+func (n *Net) transmit(w way, data []byte) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.record(w, data)
+	copies := 1
+	if n.random.Float64() < n.duplicate {
+		copies = 2
+	}
+	if n.random.Float64() < n.loss || n.blocked[w] {
+		copies = 0
+	}
+	for range copies {
+		delay := time.Duration(0)
+		if n.maxDelay > 0 {
+			delay = time.Duration(n.random.Int64N(int64(n.maxDelay)))
+		}
+		time.AfterFunc(delay, func() { n.deliver(w, data) })
+	}
+}
+
+// record counts a datagram. The caller has locked the network.
+func (n *Net) record(w way, data []byte) {
+	n.datagrams++
+	if message, ok := gossip.Parse(data); ok {
+		n.epochs[w.from][message.Epoch] = true
+	}
+	if lease.IsMessage(data) {
+		n.leaseMessages[w.to]++
+		n.leaseBytes += len(data)
+	}
+}
+
+// deliver sends a datagram to its receiver, from the address that this knows its sender by.
+func (n *Net) deliver(w way, data []byte) {
+	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(n.listen[w.to]))
+	_, _ = n.relays[w.to][w.from].WriteToUDP(data, to) // the socket may be closed; datagrams may be lost
+}
--- /dev/null
+++ b/internal/processharness/run.go
@@ -0,0 +1,173 @@
+package processharness
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"time"
+
+	"lemongate/internal/simulation"
+)
+
+// This file plays a scenario of the simulation on processes: the same limiters, customers, backends and
+// faults, in real time.
+
+const (
+	// settlePeriods is how many periods after the last request all usage is reported.
+	settlePeriods = 3
+	// clockRateVariable is the environment variable with the rate of a limiter's clock.
+	clockRateVariable = "LEMONGATE_LAB_CLOCK"
+)
+
+// tierRun is a run of a scenario on processes.
+type tierRun struct {
+	*Tier
+	scenario  simulation.Scenario
+	random    *rand.Rand
+	startedAt time.Time
+	customers []customer
+	result    simulation.Result
+
+	stop    chan struct{} // closed at the end of the scenario
+	running sync.WaitGroup
+
+	mu        sync.Mutex
+	processes []*Process // by limiter; nil for one that is down
+	away      [][]period // by limiter; when it was down or stopped
+}
+
+// period is from one time to another; it lasts while to is zero.
+type period struct{ from, to time.Time }
+
+// Plays returns the reason why a fault cannot be played on processes, nil if it can.
+func Plays(f simulation.Fault) error {
+	switch {
+	case f.Kind == simulation.FaultHotRestart || f.Kind == simulation.FaultRollingRestart:
+		return fmt.Errorf("kind: no %q on processes; see cmd/lemongate", f.Kind)
+	case f.Kind == simulation.FaultBackendSilent || f.Zone > 0:
+		return errors.New("kind: silent backends and zones are played in virtual time only")
+	case f.Kind == simulation.FaultClock && (f.At > 0 || f.Who != ""):
+		return errors.New("at_s: a process has the rate of its clock from its start on")
+	}
+	return nil
+}
+
+// Play plays a scenario once, with limiters that a program starts.
+func Play(h Host, sc simulation.Scenario, seed uint64, program ...string) simulation.Result {
+	usageDir := h.TempDir()
+	if sc.Leases != nil {
+		program = append(slices.Clone(program), "--operator", writeOperatorFile(h, sc.Leases, usageDir))
+	}
+	r := newTierRun(h, sc, seed, program)
+	r.startProcesses()
+	units := r.judge(r.play())
+	if sc.Leases != nil && sc.Leases.Period > 0 {
+		time.Sleep(milliseconds(settlePeriods * sc.Leases.Period))
+		r.judgeUsage(usageDir, units)
+	}
+	return r.result
+}
+
+// newTierRun is a run whose limiters are not started.
+func newTierRun(h Host, sc simulation.Scenario, seed uint64, program []string) *tierRun {
+	r := &tierRun{
+		Tier:      New(h, sc.Limiters, sc.Backends.Count, program...),
+		scenario:  sc,
+		random:    rand.New(rand.NewPCG(seed, 11)),
+		stop:      make(chan struct{}),
+		processes: make([]*Process, sc.Limiters),
+		away:      make([][]period, sc.Limiters),
+	}
+	r.Util = true
+	r.Plans = nil
+	for _, p := range sc.Plans {
+		r.Plans = append(r.Plans, Plan{
+			Name: p.Name, Rate: p.Rate, Burst: p.Burst, CeilRate: p.CeilingRate, Ceil: p.CeilingBurst,
+		})
+	}
+	for _, b := range r.Backends {
+		b.Delay(milliseconds(sc.Backends.Work))
+	}
+	r.setClocks()
+	r.restoreNetwork()
+	return r
+}
+
+// setClocks sets the rates of the limiters' clocks.
+func (r *tierRun) setClocks() {
+	for _, f := range r.scenario.Faults {
+		if f.Kind != simulation.FaultClock {
+			continue
+		}
+		for _, n := range f.Limiters {
+			l := r.Limiters[n]
+			l.Env = append(l.Env, fmt.Sprintf("%s=%g", clockRateVariable, f.Rate))
+		}
+	}
+}
+
+// startProcesses starts all limiters, and waits until they accept clients.
+func (r *tierRun) startProcesses() {
+	for i, l := range r.Limiters {
+		r.processes[i] = l.Start()
+	}
+	for _, p := range r.processes {
+		p.Await(r.T)
+	}
+}
+
+// play sends requests and plays the faults for the time of the scenario.
+func (r *tierRun) play() []Result {
+	r.startedAt = time.Now()
+	load := r.startLoad()
+	load.Resends = true
+	for _, f := range r.scenario.Faults {
+		r.running.Go(func() { r.repeatFault(f) }) // until r.stop
+	}
+	r.sleep(seconds(r.scenario.Seconds))
+	close(r.stop)
+	r.running.Wait()
+	results := load.End()
+	r.result.Resent = load.Resent
+	return results
+}
+
+// sleep waits, and reports whether the run goes on.
+func (r *tierRun) sleep(d time.Duration) bool {
+	select {
+	case <-r.stop:
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
+
+// writeOperatorFile writes the operators' file of a scenario, and returns the path.
+func writeOperatorFile(h Host, leases *simulation.Leases, usageDir string) string {
+	file := map[string]any{"leases": map[string]any{
+		"on": true, "tasks": leases.Tasks, "length_ms": int(leases.Length), "keepers": leases.Keepers,
+	}}
+	if leases.Period > 0 {
+		file["rollup"] = map[string]any{"dir": usageDir, "period_s": int(leases.Period / 1000)}
+	}
+	data, err := json.Marshal(file)
+	if err != nil {
+		h.Fatal(err)
+	}
+	path := filepath.Join(h.TempDir(), "operator.json")
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		h.Fatal(err)
+	}
+	return path
+}
+
+// milliseconds converts a number of milliseconds to a Duration.
+func milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+
+// seconds converts a number of seconds to a Duration.
+func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- /dev/null
+++ b/internal/processharness/run_test.go
@@ -0,0 +1,44 @@
+package processharness
+
+import (
+	"testing"
+	"time"
+
+	"lemongate/internal/simulation"
+)
+
+// Plays returns an error for each fault that cannot be played on processes.
+func TestPlaysRejectsFaultsOfVirtualTime(t *testing.T) {
+	for _, c := range []struct {
+		fault    simulation.Fault
+		playable bool
+	}{
+		{simulation.Fault{Kind: simulation.FaultRestart}, true},
+		{simulation.Fault{Kind: simulation.FaultClock, Rate: 1.01}, true},
+		{simulation.Fault{Kind: simulation.FaultClock, At: 2, Rate: 1.01}, false},
+		{simulation.Fault{Kind: simulation.FaultHotRestart}, false},
+		{simulation.Fault{Kind: simulation.FaultRollingRestart}, false},
+		{simulation.Fault{Kind: simulation.FaultBackendSilent}, false},
+		{simulation.Fault{Kind: simulation.FaultBackendRefuses, Zone: 1}, false},
+	} {
+		if err := Plays(c.fault); (err == nil) != c.playable {
+			t.Errorf("%+v: %v", c.fault, err)
+		}
+	}
+}
+
+// A missing response is excused while the limiter is down or stopped, and shortly before and after; no
+// other is.
+func TestMissingResponseExcusedWhileLimiterIsAway(t *testing.T) {
+	at := func(ms int) time.Time { return time.Unix(100, int64(ms)*1e6) }
+	r := &tierRun{away: [][]period{{{at(1000), at(2000)}}, {{from: at(5000)}}}}
+	for _, c := range []struct {
+		limiter, at, took int
+		want              bool
+	}{{0, 100, 200, false}, {0, 700, 200, true}, {0, 1500, 10, true}, {0, 2100, 10, true}, {0, 2300, 10, false}, {1, 9000, 10, true}} {
+		q := Result{Req: Req{Limiter: c.limiter}, At: at(c.at), Took: time.Duration(c.took) * time.Millisecond}
+		if r.excused(q) != c.want {
+			t.Errorf("%+v: want %v", c, c.want)
+		}
+	}
+}
