--- a/cmd/lemongate-experiment/town_test.go
+++ b/cmd/lemongate-experiment/demo_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// The town plays to its end with every req answered, and says so a line a second.
-func TestTown(t *testing.T) {
+// The demo plays to its end with a response to every request, and prints a line each second; it has its
+// former name, too.
+func TestDemo(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lemongate")
 	if out, err := exec.Command("go", "build", "-o", program, "lemongate/cmd/lemongate").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -18,7 +19,7 @@
 	var out bytes.Buffer
 	cmd := command()
 	cmd.Writer = &out
-	if err := cmd.Run(context.Background(), []string{"lemongate-experiment", "town", "--for", "4s", "--program", program}); err != nil {
+	if err := cmd.Run(context.Background(), []string{"lemongate-experiment", "demo", "--for", "4s", "--program", program}); err != nil {
 		t.Errorf("%v\n%s", err, &out)
 	}
 	for _, want := range []string{"\n       1 ", "a backend is killed", "it is back", "  in all "} {
@@ -27,6 +28,6 @@
 		}
 	}
 	if err := command().Run(context.Background(), []string{"lemongate-experiment", "town", "--program", "no such file"}); err == nil {
-		t.Error("a town without limiters")
+		t.Error("a demo without limiters")
 	}
 }
--- a/cmd/lemongate-experiment/format_test.go
+++ b/cmd/lemongate-experiment/format_test.go
@@ -12,7 +12,7 @@
 	"lemongate/internal/golden"
 )
 
-// Subcommands, flags and the file of outcomes, as scripts use them of 0.8.0. Further ones may come.
+// Subcommands, flags and the file of outcomes are those that scripts of 0.8.0 use. There may be more.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var now []string
 	for _, c := range command().Commands {
@@ -29,7 +29,7 @@
 	}
 	for line := range strings.Lines(string(golden.Read(t, "commands.txt"))) {
 		if line = strings.TrimSpace(line); !slices.Contains(now, line) {
-			t.Errorf("no longer there: %s", line)
+			t.Errorf("missing: %s", line)
 		}
 	}
 	var r report
--- a/cmd/lemongate-experiment/host.go
+++ b/cmd/lemongate-experiment/host.go
@@ -8,16 +8,17 @@
 	"os"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"sync"
 
 	"github.com/urfave/cli/v3"
 )
 
-// errStopped ends what could not go on; why was told.
-var errStopped = errors.New("did not come to its end")
+// errStopped is the error of a run that Fatal ended; the reason was printed.
+var errStopped = errors.New("the run could not go on")
 
-// A host is what processes of the program are played in: a command's stand-in for a test. All that
-// was started in it ends with it, also after a panic or Ctrl-C.
+// host is what processes of the limiter are played in: a command's stand-in for a test. All that was
+// started in it ends with it, also after a panic or an interrupt.
 type host struct {
 	out    io.Writer
 	parent *host
@@ -26,29 +27,26 @@
 	mu      sync.Mutex
 	cleanup []func()
 	failed  bool
-	ended   sync.Once
-	stopped sync.Once
+
+	endOnce  sync.Once
+	failOnce sync.Once
 }
 
 func newHost(out io.Writer) *host { return &host{out: out, fatal: make(chan struct{})} }
 
 // within returns a host that ends before this one does.
 func (h *host) within() *host {
-	in := &host{out: h.out, parent: h, fatal: make(chan struct{})}
-	h.Cleanup(in.end)
-	return in
+	inner := &host{out: h.out, parent: h, fatal: make(chan struct{})}
+	h.Cleanup(inner.end)
+	return inner
 }
 
-// run does something, and ends all that it started.
+// run calls a function, and ends all that it started. It returns early if the context is done or the host
+// fails; the goroutine of the function then ends with the program.
 func (h *host) run(ctx context.Context, do func() error) error {
 	done := make(chan error, 1)
 	go func() {
-		defer func() {
-			if p := recover(); p != nil {
-				h.end()
-				panic(p)
-			}
-		}()
+		defer h.endAfterPanic()
 		done <- do()
 	}()
 	defer h.end()
@@ -62,66 +60,74 @@
 	}
 }
 
-// Helper is a test's.
+// endAfterPanic ends the host and panics again, if the goroutine panics.
+func (h *host) endAfterPanic() {
+	if reason := recover(); reason != nil {
+		h.end()
+		panic(reason)
+	}
+}
+
+// Helper does nothing; it is part of a test.
 func (h *host) Helper() {}
 
-// Fatal ends the host, and the goroutine that calls it.
+// Fatal fails the host and those around it, and ends the goroutine that calls it.
 func (h *host) Fatal(args ...any) {
 	h.Errorf("%s", fmt.Sprint(args...))
 	for up := h; up != nil; up = up.parent {
-		up.stopped.Do(func() { close(up.fatal) })
+		up.failOnce.Do(func() { close(up.fatal) })
 	}
 	runtime.Goexit()
 }
 
-// Errorf tells that something failed.
+// Errorf prints a failure.
 func (h *host) Errorf(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failed = true
-	fmt.Fprintf(h.out, format+"\n", args...)
+	printf(h.out, format+"\n", args...)
 }
 
-// Logf tells something.
-func (h *host) Logf(format string, args ...any) { fmt.Fprintf(h.out, format+"\n", args...) }
+// Logf prints a line.
+func (h *host) Logf(format string, args ...any) { printf(h.out, format+"\n", args...) }
 
-// Failed tells whether anything failed.
+// Failed reports whether anything failed.
 func (h *host) Failed() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.failed
 }
 
-// Cleanup has something done at the end, the last one first.
+// Cleanup registers a function that is called at the end, the last one first.
 func (h *host) Cleanup(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.cleanup = append(h.cleanup, f)
 }
 
-// TempDir is a folder that goes with the host.
+// TempDir returns a new directory that is removed with the host.
 func (h *host) TempDir() string {
 	dir, err := os.MkdirTemp("", "lemongate-experiment")
 	if err != nil {
 		h.Fatal(err)
 	}
-	h.Cleanup(func() { os.RemoveAll(dir) })
+	h.Cleanup(func() { _ = os.RemoveAll(dir) }) // what is left is in the system's directory for temporary files
 	return dir
 }
 
 // end ends all that was started, once.
 func (h *host) end() {
-	h.ended.Do(func() {
+	h.endOnce.Do(func() {
 		h.mu.Lock()
-		list := h.cleanup
+		cleanup := h.cleanup
 		h.mu.Unlock()
-		for i := len(list) - 1; i >= 0; i-- {
-			list[i]()
+		for _, f := range slices.Backward(cleanup) {
+			f()
 		}
 	})
 }
 
-// limiterProgram is the limiter's program that a command is to start.
+// limiterProgram is the path of the limiter's program that a command is to start.
 func limiterProgram(cmd *cli.Command) (string, error) {
 	program := cmd.String("program")
 	if program == "" {
--- /dev/null
+++ b/cmd/lemongate-experiment/run.go
@@ -0,0 +1,216 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"strconv"
+	"strings"
+	"syscall"
+
+	"github.com/urfave/cli/v3"
+
+	"lemongate/internal/experiment"
+	"lemongate/internal/processharness"
+	"lemongate/internal/simulation"
+)
+
+// errBroken ends the program with exit code 1 after a verdict that says so.
+var errBroken = errors.New("broken")
+
+const (
+	// maxSeeds is how many seeds one command plays.
+	maxSeeds = 100_000
+	// breachesShown is how many breaches of rules are shown of each case.
+	breachesShown = 3
+)
+
+// runCommand plays an experiment.
+func runCommand() *cli.Command {
+	return &cli.Command{
+		Name:      "run",
+		Usage:     "play an experiment and print the verdict",
+		ArgsUsage: "FILE.json",
+		Flags: []cli.Flag{
+			&cli.Uint64Flag{Name: "seed", Usage: "play this seed only"},
+			&cli.StringFlag{Name: "seeds", Usage: "play the seeds `N..M`"},
+			&cli.StringFlag{Name: "json", Usage: "write the outcomes to `FILE`"},
+			&cli.BoolFlag{Name: "processes", Usage: "on processes of the program, in real time"},
+			&cli.IntFlag{Name: "at-once", Usage: "with --processes, play `N` runs at once", Value: 1},
+			programFlag(),
+		},
+		Action: run,
+	}
+}
+
+// seedRange is the first and the last seed that are played.
+type seedRange struct{ first, last uint64 }
+
+// run plays the experiment that a command names, and prints its outcomes.
+func run(ctx context.Context, cmd *cli.Command) error {
+	if cmd.Args().Len() != 1 {
+		return errors.New("run: one experiment file is wanted")
+	}
+	e, err := readExperiment(cmd.Args().First())
+	if err != nil {
+		return err
+	}
+	seeds, err := parseSeeds(cmd, e)
+	if err != nil {
+		return err
+	}
+	outcomes, err := play(ctx, cmd, e, seeds)
+	if err != nil {
+		return err
+	}
+	out := cmd.Root().Writer
+	printf(out, "%s, seeds %d to %d\n%s\n", e.Name, seeds.first, seeds.last, experiment.Table(outcomes))
+	printFailures(out, outcomes)
+	verdict, held := experiment.Verdict(outcomes)
+	if path := cmd.String("json"); path != "" {
+		if err := writeReport(path, e, seeds, outcomes, verdict); err != nil {
+			return fmt.Errorf("json: %w", err)
+		}
+	}
+	printf(out, "%s\n", verdict)
+	if !held {
+		return errBroken
+	}
+	return nil
+}
+
+func readExperiment(path string) (*experiment.Experiment, error) {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	e, err := experiment.Parse(data)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return e, nil
+}
+
+// parseSeeds are the seeds that the flags name; by default those of the experiment.
+func parseSeeds(cmd *cli.Command, e *experiment.Experiment) (seedRange, error) {
+	if cmd.IsSet("seed") && cmd.IsSet("seeds") {
+		return seedRange{}, errors.New("seed, seeds: only one of the two")
+	}
+	if cmd.IsSet("seed") {
+		return seedRange{cmd.Uint64("seed"), cmd.Uint64("seed")}, nil
+	}
+	if text := cmd.String("seeds"); text != "" {
+		return parseSeedRange(text)
+	}
+	return seedRange{1, uint64(max(e.Seeds, 1))}, nil
+}
+
+// parseSeedRange reads N..M.
+func parseSeedRange(text string) (seedRange, error) {
+	firstText, lastText, _ := strings.Cut(text, "..")
+	first, firstErr := strconv.ParseUint(firstText, 10, 64)
+	last, lastErr := strconv.ParseUint(lastText, 10, 64)
+	if firstErr != nil || lastErr != nil || last < first || last-first >= maxSeeds {
+		return seedRange{}, fmt.Errorf("seeds: want N..M, got %q", text)
+	}
+	return seedRange{first, last}, nil
+}
+
+// play plays an experiment in virtual time or on processes, as the flags say. On processes it plays the
+// first seed only, if no flag names any.
+func play(ctx context.Context, cmd *cli.Command, e *experiment.Experiment, seeds seedRange) ([]experiment.Outcome, error) {
+	if !cmd.Bool("processes") {
+		return e.Run(seeds.first, seeds.last), nil
+	}
+	program, err := limiterProgram(cmd)
+	if err != nil {
+		return nil, err
+	}
+	if !cmd.IsSet("seeds") && !cmd.IsSet("seed") {
+		seeds.last = seeds.first
+	}
+	if err := e.Playable(processharness.Plays); err != nil {
+		return nil, err
+	}
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	h := newHost(cmd.Root().Writer)
+	var outcomes []experiment.Outcome
+	err = h.run(ctx, func() error {
+		outcomes = e.RunOn(seeds.first, seeds.last, playerOnProcesses(h, program), max(cmd.Int("at-once"), 1))
+		return nil
+	})
+	return outcomes, err
+}
+
+// playerOnProcesses plays scenarios on processes that end with each run.
+func playerOnProcesses(h *host, program string) experiment.Player {
+	return func(sc simulation.Scenario, seed uint64) simulation.Result {
+		inner := h.within()
+		defer inner.end()
+		return processharness.Play(inner, sc, seed, program, "serve", "--log-level", "error")
+	}
+}
+
+// printFailures prints the bounds that were missed and the first rules that were broken.
+func printFailures(out io.Writer, outcomes []experiment.Outcome) {
+	for _, o := range outcomes {
+		for _, line := range o.Missed {
+			printf(out, "%s: missed: %s\n", o.Case, line)
+		}
+		for _, line := range o.Broken[:min(len(o.Broken), breachesShown)] {
+			printf(out, "%s: broken: %s\n", o.Case, line)
+		}
+	}
+}
+
+// report is the form of the file that --json writes.
+type report struct {
+	Experiment string               `json:"experiment"`
+	First      uint64               `json:"first_seed"`
+	Last       uint64               `json:"last_seed"`
+	Build      string               `json:"build"`
+	Machine    string               `json:"machine"`
+	Outcomes   []experiment.Outcome `json:"outcomes"`
+	Verdict    string               `json:"verdict"`
+}
+
+func writeReport(path string, e *experiment.Experiment, seeds seedRange, outcomes []experiment.Outcome, verdict string) error {
+	data, err := json.MarshalIndent(report{
+		Experiment: e.Name,
+		First:      seeds.first,
+		Last:       seeds.last,
+		Build:      buildRevision(),
+		Machine:    fmt.Sprintf("%s/%s, %d cores", runtime.GOOS, runtime.GOARCH, runtime.NumCPU()),
+		Outcomes:   outcomes,
+		Verdict:    verdict,
+	}, "", "  ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, append(data, '\n'), 0o644)
+}
+
+// buildRevision is the revision of the sources that the program was built from, with a + for changes.
+func buildRevision() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	revision := "unknown"
+	for _, s := range info.Settings {
+		switch {
+		case s.Key == "vcs.revision":
+			revision = s.Value
+		case s.Key == "vcs.modified" && s.Value == "true":
+			revision += "+"
+		}
+	}
+	return revision
+}
