--- a/internal/processharness/run_test.go
+++ b/internal/processharness/run_test.go
@@ -42,3 +42,18 @@
 		}
 	}
 }
+
+// Each kind of fault that can be played on processes has a player, but for clocks, which are set at the start.
+func TestEachPlayableFaultKindHasPlayer(t *testing.T) {
+	kinds := []simulation.FaultKind{
+		simulation.FaultPartition, simulation.FaultMute, simulation.FaultDeaf, simulation.FaultLoss, simulation.FaultClock,
+		simulation.FaultStall, simulation.FaultRestart, simulation.FaultHotRestart, simulation.FaultRollingRestart,
+		simulation.FaultBackendCrash, simulation.FaultBackendRefuses, simulation.FaultBackendSilent,
+	}
+	for _, kind := range kinds {
+		playable := Plays(simulation.Fault{Kind: kind}) == nil && kind != simulation.FaultClock
+		if hasPlayer := faultPlayers[kind] != nil; hasPlayer != playable {
+			t.Errorf("%q: playable %v, has a player %v", kind, playable, hasPlayer)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/clock_test.go
@@ -0,0 +1,29 @@
+package simulation
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Tasks run in the order of their times, those of the same time in the order in which they were scheduled,
+// and none after the end. What is scheduled for the past runs now.
+func TestSchedulerRunsTasksInOrder(t *testing.T) {
+	s := scheduler{now: start}
+	var ran []string
+	task := func(name string) func() { return func() { ran = append(ran, name) } }
+	s.after(2*time.Second, task("second"))
+	s.after(time.Second, task("first"))
+	s.after(2*time.Second, task("third"))
+	s.after(2*time.Second, func() { s.at(start, task("of the past")) })
+	s.after(3*time.Second, task("at the end"))
+	s.after(3*time.Second+1, task("after the end"))
+	s.runUntil(start + 3*time.Second)
+	want := []string{"first", "second", "third", "of the past", "at the end"}
+	if !slices.Equal(ran, want) {
+		t.Errorf("ran %q, want %q", ran, want)
+	}
+	if s.now != start+3*time.Second {
+		t.Errorf("the clock is at %v", s.now)
+	}
+}
