--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -26,10 +26,10 @@
 	m.hotRestart.forwarding = true
 	m.emit(SetAcceptingClients{Accepting: false})
 	m.emit(SetResourceShare{Fraction: sharedFraction})
-	for _, r := range m.hotRestart.parked {
+	for _, r := range m.hotRestart.undecided {
 		m.forward(r)
 	}
-	m.hotRestart.parked = nil
+	m.hotRestart.undecided = nil
 }
 
 // forward has the successor decide a request. Until its response it may have run, as far as known here.
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -67,7 +67,7 @@
 	for _, r := range m.requests.inOrder() {
 		if !r.answered && r.attempts == 0 {
 			m.decide(&admission.RequestEnded{Request: r.ID})
-			m.hotRestart.parked = append(m.hotRestart.parked, r)
+			m.hotRestart.undecided = append(m.hotRestart.undecided, r)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	if newEpoch {
 		m.renewEpoch()
 	}
-	m.submitParked()
+	m.submitUndecided()
 	if m.hotRestart.shutdownRequested {
 		m.hotRestart.protocol.ShutdownRequested(m.now)
 		m.enterPhase(Draining)
@@ -140,14 +140,14 @@
 	}
 }
 
-// submitParked has the requests decided that came while no process admitted.
-func (m *Machine) submitParked() {
-	for _, r := range m.hotRestart.parked {
+// submitUndecided has the requests decided that came while no process admitted.
+func (m *Machine) submitUndecided() {
+	for _, r := range m.hotRestart.undecided {
 		if !r.answered {
 			m.submit(r)
 		}
 	}
-	m.hotRestart.parked = nil
+	m.hotRestart.undecided = nil
 }
 
 // startAdmitting starts from what the predecessor sent.
@@ -163,7 +163,7 @@
 	m.requests.lastID = state.LastRequest + requestIDGap
 	m.restoreController(state)
 	for i := range state.OpenAttempts {
-		m.onPeerAttemptStarted(&state.OpenAttempts[i])
+		m.onPredecessorAttemptStarted(&state.OpenAttempts[i])
 	}
 	m.emit(SetResourceShare{Fraction: sharedFraction})
 	m.emit(AdoptSockets{
@@ -214,9 +214,9 @@
 	m.decide(admission.TimerFired{})
 }
 
-// onPeerAttemptStarted adopts an attempt that the predecessor has in flight. It counts at its backend
+// onPredecessorAttemptStarted adopts an attempt that the predecessor has in flight. It counts at its backend
 // and for its customer until it ends.
-func (m *Machine) onPeerAttemptStarted(open *OpenAttempt) {
+func (m *Machine) onPredecessorAttemptStarted(open *OpenAttempt) {
 	if state := m.hotRestart.received; state != nil {
 		state.OpenAttempts = append(state.OpenAttempts, *open)
 		return
@@ -228,8 +228,8 @@
 	m.decide(&admission.AttemptAdopted{Request: open.Request, Attempt: open.Attempt, Backend: open.Backend})
 }
 
-// onPeerAttemptFinished ends an attempt of the predecessor's.
-func (m *Machine) onPeerAttemptFinished(finished *FinishedAttempt) {
+// onPredecessorAttemptFinished ends an attempt of the predecessor's.
+func (m *Machine) onPredecessorAttemptFinished(finished *FinishedAttempt) {
 	if m.hotRestart.received != nil {
 		m.removeReceivedAttempt(finished)
 	}
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -26,7 +26,7 @@
 	// As the predecessor.
 	stateSent      bool                  // the successor speaks to peers, and follows the attempts here
 	forwarding     bool                  // the successor admits: what comes in is forwarded
-	parked         []*request            // came while no process admits
+	undecided      []*request            // came while no process admits
 	leaseAcceptors []lease.AcceptorState // to be sent with the state
 
 	// As the successor.
@@ -57,9 +57,9 @@
 	case LinkClosed:
 		m.onLinkClosed(ev)
 	case *PredecessorAttemptStarted:
-		m.onPeerAttemptStarted(&ev.OpenAttempt)
+		m.onPredecessorAttemptStarted(&ev.OpenAttempt)
 	case *PredecessorAttemptFinished:
-		m.onPeerAttemptFinished(&ev.FinishedAttempt)
+		m.onPredecessorAttemptFinished(&ev.FinishedAttempt)
 	case *ForwardedRequestReceived:
 		m.onForwardedRequest(ev)
 	case ForwardedRequestCanceled:
@@ -103,7 +103,7 @@
 	m.config.Epoch = ev.Epoch
 	m.applyHotRestart(m.hotRestart.protocol.LinkClosed(m.now))
 	for id, open := range m.hotRestart.adopted {
-		m.onPeerAttemptFinished(&FinishedAttempt{Attempt: id, Backend: open.Backend, Result: admission.Canceled})
+		m.onPredecessorAttemptFinished(&FinishedAttempt{Attempt: id, Backend: open.Backend, Result: admission.Canceled})
 	}
 }
 
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -47,9 +47,9 @@
 	acceptGrace = 500 * time.Millisecond
 	// killAfter is the time from the longest deadline of a class, counted as killAfterLeast at least,
 	// to SIGKILL; killMargin is how long before that the process ends.
-	killAfter      = 700 * time.Millisecond
-	killAfterLeast = 3 * time.Second
-	killMargin     = 200 * time.Millisecond
+	killAfter          = 700 * time.Millisecond
+	minLongestDeadline = 3 * time.Second
+	killMargin         = 200 * time.Millisecond
 	// exitMargin is how long before its end the process has answered all, for the responses to leave
 	// the sockets.
 	exitMargin = 50 * time.Millisecond
@@ -124,7 +124,7 @@
 
 // longestDeadline is the longest time for which a client may wait.
 func (m *Machine) longestDeadline() time.Duration {
-	longest := killAfterLeast
+	longest := minLongestDeadline
 	for _, class := range m.config.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -95,7 +95,7 @@
 	case m.hotRestart.forwarding:
 		m.forward(r)
 	case m.phase == TransferringState:
-		m.hotRestart.parked = append(m.hotRestart.parked, r)
+		m.hotRestart.undecided = append(m.hotRestart.undecided, r)
 	default:
 		m.submit(r)
 	}
--- a/internal/core/restartslots.go
+++ b/internal/core/restartslots.go
@@ -128,7 +128,7 @@
 func (m *Machine) handleSlotMessage(from lease.Limiter, message rollingrestart.Message) {
 	switch message.Kind {
 	case rollingrestart.SlotGrant:
-		m.restartSlots.requester.HandleGrant(m.now, message, m.config.Leases.ClockDrift, m.isLastOwner)
+		m.restartSlots.requester.HandleGrant(m.now, message, m.config.Leases.ClockDrift, m.isLastHolder)
 	case rollingrestart.StatusQuery:
 		m.sendSlotMessage(from, m.restartSlots.requester.HandleQuery(m.now, message, m.phase == Serving))
 	default:
@@ -151,9 +151,9 @@
 	}
 }
 
-// isLastOwner reports whether this limiter is the last one that holds the quota of some customer, while
+// isLastHolder reports whether this limiter is the last one that holds the quota of some customer, while
 // others restart.
-func (m *Machine) isLastOwner(restarting []rollingrestart.Limiter) bool {
+func (m *Machine) isLastHolder(restarting []rollingrestart.Limiter) bool {
 	return m.admission.controller.IsLastHolder(numbers(restarting))
 }
 
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -50,12 +50,12 @@
 	startedFull             bool    // the bucket was full when the tier started: peers' counts start at 0
 
 	// The customer's complete quota as far as known here, see reconcile.go.
-	consumed         uint16  // units consumed here in this epoch, in gossip.UnitParts, modulo 2^16
-	totalLevel       float64 // units; below 0 while there is debt
-	totalKnown       bool
-	unallocatedUnits float64 // least units of late that are in the bucket and in no allocation
-	unallocatedTicks int     // observations of that
-	unallocatedSince time.Duration
+	consumed           uint16  // units consumed here in this epoch, in gossip.UnitParts, modulo 2^16
+	totalLevel         float64 // units; below 0 while there is debt
+	totalKnown         bool
+	unallocatedUnits   float64 // least units of late that are in the bucket and in no allocation
+	unallocatedReports int     // observations of that
+	unallocatedSince   time.Duration
 
 	// Of a set with an owner alone, see owner.go.
 	owners                []int          // the owner and its backups, in their order
@@ -64,8 +64,8 @@
 	credit                rate.Allowance // units that may be consumed here without a decision
 	unreportedUnits       float64        // units so consumed and not reported to the owner
 	unreportedDemand      float64        // units of requests here, not reported to the owner
-	requestAllowance      float64        // requests to the owner about a hot customer that may be sent
-	requestOutstanding    bool           // the next request waits for a decision
+	transferAllowance     float64        // requests to the owner about a hot customer that may be sent
+	transferOutstanding   bool           // the next request waits for a decision
 	ownerDecision         ownerDecision  // that came since
 	levelHintReceived     bool           // a requester reported what the level was
 	lastGrantAt           time.Duration
@@ -141,7 +141,7 @@
 		}
 	}
 	plan := a.plan()
-	return a.SlotsInUse == 0 && a.reservedUnits == 0 && now >= a.loansSettledAt() &&
+	return a.SlotsInUse == 0 && a.reservedUnits == 0 && now >= a.earlierLoansEndedAt() &&
 		isFull(a.quotaLevel, a.baseFraction, plan.Quota) && isFull(a.ceilingLevel, a.ceilingFraction, plan.Ceiling)
 }
 
--- a/internal/quota/debt.go
+++ b/internal/quota/debt.go
@@ -11,8 +11,8 @@
 const (
 	// maxDebtFraction bounds the debt of a limiter, as a fraction of its even part of the burst.
 	maxDebtFraction = 1.0
-	// debtSettlementTime is the time in which grants and refills are expected to settle a debt.
-	debtSettlementTime = 500 * time.Millisecond
+	// debtRepaymentTime is the time in which grants and refills are expected to settle a debt.
+	debtRepaymentTime = 500 * time.Millisecond
 	// immediateProbability is the probability from which on a request is admitted at once, without
 	// waiting for a grant.
 	immediateProbability = 0.9
@@ -49,7 +49,7 @@
 	for _, peerID := range a.lenders {
 		lk := a.link(peerID)
 		level, demand := a.estimatePeer(lk, now)
-		spare += max(level-peerDemand(lk, demand)*debtSettlementTime.Seconds(), 0)
+		spare += max(level-peerDemand(lk, demand)*debtRepaymentTime.Seconds(), 0)
 		unseen += a.unseenConsumption(lk, peerDemand(lk, demand), now)
 		allReported = allReported && lk.known
 	}
@@ -75,7 +75,7 @@
 // it never reported, to consume until a debt is settled.
 func (a *Account) unseenConsumption(lk *link, demand float64, now time.Duration) float64 {
 	plan := a.plan()
-	age := debtSettlementTime
+	age := debtRepaymentTime
 	if lk.known {
 		age = min(now-lk.reportedAt+reportDelay, unseenMaxAge)
 	}
--- a/internal/quota/encoding.go
+++ b/internal/quota/encoding.go
@@ -20,12 +20,12 @@
 // roundToParts is the amount that a message with these units carries.
 func roundToParts(units float64) float64 { return decodeUnits(encodeUnits(units)) }
 
-// encodeDebt encodes units that may be below zero, as an int16 in gossip.UnitParts.
-func encodeDebt(units float64) uint16 {
+// encodeSigned encodes units that may be below zero, as an int16 in gossip.UnitParts.
+func encodeSigned(units float64) uint16 {
 	return uint16(int16(min(max(units*gossip.UnitParts, math.MinInt16), math.MaxInt16)))
 }
 
-func decodeDebt(parts uint16) float64 { return float64(int16(parts)) / gossip.UnitParts }
+func decodeSigned(parts uint16) float64 { return float64(int16(parts)) / gossip.UnitParts }
 
 func decodeShare(steps uint8) float64 { return float64(steps) / gossip.ShareSteps }
 
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -144,7 +144,7 @@
 func (l *Ledger) IsLastHolder(out []int) bool {
 	isIn := func(limiter int) bool { return !slices.Contains(out, limiter) }
 	for _, a := range l.accountOrder {
-		others := a.otherOwners()
+		others := a.otherHolders()
 		if len(others) > 0 && !slices.ContainsFunc(others, isIn) {
 			return true
 		}
@@ -152,9 +152,9 @@
 	return false
 }
 
-// otherOwners are the other limiters that have any of the account's buckets, none if this one has
+// otherHolders are the other limiters that have any of the account's buckets, none if this one has
 // nothing of them.
-func (a *Account) otherOwners() []int {
+func (a *Account) otherHolders() []int {
 	if a.isAllocated() {
 		return a.lenders
 	}
@@ -212,7 +212,7 @@
 
 // adopt adds a restored account to the lists that are not stored.
 func (l *Ledger) adopt(a *Account) {
-	a.ledger, a.requestOutstanding, a.ownerDecision = l, false, ownerUndecided
+	a.ledger, a.transferOutstanding, a.ownerDecision = l, false, ownerUndecided
 	l.accountOrder = append(l.accountOrder, a)
 	if a.ownerRank == 0 && !a.isAllocated() {
 		l.ownedAccounts = append(l.ownedAccounts, a)
@@ -221,7 +221,7 @@
 		lk := &a.links[i]
 		if lk.queued {
 			peer := l.peer(lk.peerID)
-			peer.queuedRequests = append(peer.queuedRequests, a)
+			peer.queuedTransferRequests = append(peer.queuedTransferRequests, a)
 			l.markReady(lk.peerID, peer)
 		}
 	}
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -23,7 +23,7 @@
 	lenderLoanDuration = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
 	// grantDeliveryTimeout is the time after which the units of a grant have arrived or never will, by
 	// the lender's clock.
-	grantDeliveryTimeout = requestTimeout + time.Duration(float64(requestTimeout)*2*ClockDrift)
+	grantDeliveryTimeout = transferTimeout + time.Duration(float64(transferTimeout)*2*ClockDrift)
 	// loanRenewalMargin is how long before its end a loan that is still needed is requested again.
 	loanRenewalMargin = 800 * time.Millisecond
 	// lenderDemandFactor times its demand is the rate that a lender keeps.
@@ -80,9 +80,9 @@
 	return slots
 }
 
-// settleGrants books that a peer sent a new request: the units of earlier grants have arrived by now or
+// acknowledgeGrants books that a peer sent a new request: the units of earlier grants have arrived by now or
 // never will, and of the slots lent it still uses some.
-func (lk *link) settleGrants(slotsHeld int) {
+func (lk *link) acknowledgeGrants(slotsHeld int) {
 	for i := range lk.lent {
 		lent := &lk.lent[i]
 		lent.quotaUnits, lent.ceilingUnits = 0, 0
@@ -99,23 +99,23 @@
 			lk.borrowed = loan{}
 		}
 		for j := range lk.lent {
-			a.settleDelivery(&lk.lent[j])
+			a.endTransit(&lk.lent[j])
 		}
 		lk.lent = slices.DeleteFunc(lk.lent, func(lent grantRecord) bool { return lent.expiresAt <= a.advancedTo })
 	}
 }
 
-// settleDelivery ends the transit of a grant's units once they have arrived or never will.
-func (a *Account) settleDelivery(lent *grantRecord) {
+// endTransit ends the transit of a grant's units once they have arrived or never will.
+func (a *Account) endTransit(lent *grantRecord) {
 	if lent.deliveredBy <= a.advancedTo && lent.quotaUnits+lent.ceilingUnits > 0 {
 		a.ledger.Counts.UnitsUnacknowledged += lent.quotaUnits
 		lent.quotaUnits, lent.ceilingUnits = 0, 0
 	}
 }
 
-// loansSettledAt is the clock time from which on no peer can still use what an earlier epoch of this
+// earlierLoansEndedAt is the clock time from which on no peer can still use what an earlier epoch of this
 // limiter lent it: all of the set know of this epoch, or every loan has ended.
-func (a *Account) loansSettledAt() time.Duration {
+func (a *Account) earlierLoansEndedAt() time.Duration {
 	l := a.ledger
 	latest := l.startedAt + lenderLoanDuration
 	if a.advancedTo >= latest || !a.isAllocated() {
@@ -138,33 +138,33 @@
 
 // lending is what one decision about a transfer request goes by.
 type lending struct {
-	account      *Account
-	link         *link
-	request      gossip.TransferRequest
-	settled      bool // no peer can still use a loan of an earlier epoch
-	ownDemand    float64
-	peerDemand   float64
-	demandWeight float64 // the peer's part of both demands
-	fractions    fractions
-	lentToOthers float64 // shares
-	lentToPeer   float64
+	account           *Account
+	link              *link
+	request           gossip.TransferRequest
+	earlierLoansEnded bool // no peer can still use a loan of an earlier epoch
+	ownDemand         float64
+	peerDemand        float64
+	demandWeight      float64 // the peer's part of both demands
+	fractions         fractions
+	lentToOthers      float64 // shares
+	lentToPeer        float64
 }
 
 func (a *Account) newLending(lk *link, request gossip.TransferRequest, now time.Duration) lending {
 	g := lending{
-		account:      a,
-		link:         lk,
-		request:      request,
-		settled:      now >= a.loansSettledAt(),
-		ownDemand:    a.demandRate(now),
-		peerDemand:   lk.demand,
-		demandWeight: 1,
-		lentToPeer:   lk.lentShare(),
+		account:           a,
+		link:              lk,
+		request:           request,
+		earlierLoansEnded: now >= a.earlierLoansEndedAt(),
+		ownDemand:         a.demandRate(now),
+		peerDemand:        lk.demand,
+		demandWeight:      1,
+		lentToPeer:        lk.lentShare(),
 	}
 	if sum := g.ownDemand + g.peerDemand; sum > 0 {
 		g.demandWeight = g.peerDemand / sum
 	}
-	g.fractions = a.fractions(g.settled)
+	g.fractions = a.fractions(g.earlierLoansEnded)
 	for i := range a.links {
 		if other := &a.links[i]; other != lk {
 			g.lentToOthers += other.lentShare()
@@ -185,7 +185,7 @@
 		record.share = decision.share()
 		record.quotaUnits = decision.quotaUnits(record.share)
 	}
-	if decision.settled && a.plan().Ceiling.Rate > 0 && request.CeilingWanted > 0 {
+	if decision.earlierLoansEnded && a.plan().Ceiling.Rate > 0 && request.CeilingWanted > 0 {
 		record.ceilingUnits = decision.ceilingUnits(record.share)
 	}
 	record.slots = decision.slots()
@@ -201,7 +201,7 @@
 func (g *lending) share() float64 {
 	rate := g.account.plan().Quota.Rate
 	spare := 0.0
-	if g.settled {
+	if g.earlierLoansEnded {
 		notNeeded := g.fractions.quota + g.lentToPeer - g.ownDemand*lenderDemandFactor/rate
 		spare = min(notNeeded, MaxLentFraction*g.account.baseFraction-g.lentToOthers)
 	}
@@ -231,10 +231,10 @@
 func (g *lending) ceilingUnits(share float64) float64 {
 	a, ceiling := g.account, g.account.plan().Ceiling
 	lent := (g.lentToOthers + max(share, g.lentToPeer)) * ceiling.Burst
-	room := MaxLentFraction*a.evenFraction*ceiling.Burst - lent - g.fractions.ceilingInTransit
+	headroom := MaxLentFraction*a.evenFraction*ceiling.Burst - lent - g.fractions.ceilingInTransit
 	ownNeed := g.ownDemand / max(g.ownDemand+g.fractions.ceiling*ceiling.Rate, minDemandSum)
 	spare := a.ceilingLevel * max(g.demandWeight, 1-ownNeed)
-	return roundToParts(min(spare, decodeUnits(g.request.CeilingWanted), max(room, 0)))
+	return roundToParts(min(spare, decodeUnits(g.request.CeilingWanted), max(headroom, 0)))
 }
 
 // slots is how many slots are lent to the peer, with those it has already.
--- a/internal/quota/link.go
+++ b/internal/quota/link.go
@@ -14,17 +14,17 @@
 	epoch  uint32 // of the peer: what was agreed with an earlier one is void
 
 	// The transfer request that is out, and what it requested.
-	pending       bool
-	nonce         uint16
-	requestedAt   time.Duration // when it was first sent
-	lastSentAt    time.Duration
-	queued        bool // a message about the account is to be sent
-	quotaWanted   float64
-	ceilingWanted float64
-	slotsWanted   int
-	returnDue     bool          // slots or units are to be given back, by a message that requests nothing
-	nextRequestAt time.Duration // no new request before
-	borrowed      loan          // what the last grant lent
+	pending               bool
+	nonce                 uint16
+	requestedAt           time.Duration // when it was first sent
+	lastSentAt            time.Duration
+	queued                bool // a message about the account is to be sent
+	quotaWanted           float64
+	ceilingWanted         float64
+	slotsWanted           int
+	returnDue             bool          // slots or units are to be given back, by a message that requests nothing
+	nextTransferRequestAt time.Duration // no new request before
+	borrowed              loan          // what the last grant lent
 
 	// The grants to the peer. It uses one of them, and which one is not known for sure.
 	lent      []grantRecord
@@ -36,7 +36,7 @@
 	level      float64 // units
 	consumed   uint16  // in gossip.UnitParts, modulo 2^16; to an owner: the debt that the request reports
 	demand     float64 // units per second
-	reclaimed  bool    // what it had was reclaimed
+	recovered  bool    // what it had was reclaimed
 	restarted  bool    // it was known in an earlier epoch: what it reports next was consumed since
 
 	// Of a set with an owner alone.
@@ -51,7 +51,7 @@
 
 // isPending reports whether a reply to the request that is out may still come.
 func (lk *link) isPending(now time.Duration) bool {
-	return lk.pending && now-lk.requestedAt < requestTimeout
+	return lk.pending && now-lk.requestedAt < transferTimeout
 }
 
 // accepts reports whether a grant replies to the request that is out, and in time.
--- a/internal/quota/liveness.go
+++ b/internal/quota/liveness.go
@@ -42,9 +42,9 @@
 	unresponsive   bool          // no message came since: requests are sent, but nothing waits for a grant
 	dead           bool          // it left, or is silent and its clients come here
 
-	queuedRequests []*Account // to be requested, or given back to the peer
-	queuedGrants   []gossip.Grant
-	queuedForSend  bool // is in Ledger.readyPeers
+	queuedTransferRequests []*Account // to be requested, or given back to the peer
+	queuedGrants           []gossip.Grant
+	queuedForSend          bool // is in Ledger.readyPeers
 }
 
 // available reports whether requests are sent to a peer now.
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -102,13 +102,13 @@
 		}
 		a.refill((next - a.advancedTo).Seconds(), true)
 		a.advancedTo = next
-		a.settleInTransit()
+		a.endTransits()
 	}
 	a.expireLoans()
 }
 
-// settleInTransit forgets the units whose transit has ended.
-func (a *Account) settleInTransit() {
+// endTransits forgets the units whose transit has ended.
+func (a *Account) endTransits() {
 	ended := 0
 	for ended < len(a.ceilingInTransit) && a.ceilingInTransit[ended].arrivesBy <= a.advancedTo {
 		a.ceilingUnitsInTransit -= a.ceilingInTransit[ended].units
--- a/internal/quota/owner_ceiling.go
+++ b/internal/quota/owner_ceiling.go
@@ -33,8 +33,8 @@
 func (a *Account) ceilingNeed(now time.Duration) float64 {
 	plan := a.plan()
 	target := a.demandRate(now)*prefetchDuration.Seconds() + a.largestRequest
-	room := a.ceilingFraction*plan.Ceiling.Burst - a.ceilingUnitsInTransit - a.reservedUnits
-	need := min(target, room) - a.ceilingLevel
+	capacity := a.ceilingFraction*plan.Ceiling.Burst - a.ceilingUnitsInTransit - a.reservedUnits
+	need := min(target, capacity) - a.ceilingLevel
 	if plan.Quota.Rate > 0 {
 		need = min(need, a.quotaLevel-a.ceilingLevel)
 	}
@@ -53,9 +53,9 @@
 	if units < minBorrowedCeiling {
 		return 0
 	}
-	l.startRequest(lk, amounts{ceiling: units}, now)
+	l.startTransferRequest(lk, amounts{ceiling: units}, now)
 	lk.consumed, lk.demandToReport = 0, 0
 	lk.ceilingBorrowedUntil += time.Duration(units / gainRate * float64(time.Second))
-	l.queueRequest(a, lk)
+	l.queueTransferRequest(a, lk)
 	return units
 }
--- a/internal/quota/owner_reserve.go
+++ b/internal/quota/owner_reserve.go
@@ -8,9 +8,9 @@
 const (
 	// creditRateFactor times its even part of the rate is what a limiter may consume without a decision.
 	creditRateFactor = 2.0
-	// hotRequestFactor times the rate is what the limiters of a hot customer request together: a little
+	// hotTransferFactor times the rate is what the limiters of a hot customer request together: a little
 	// more than its owner may grant.
-	hotRequestFactor = 1.3
+	hotTransferFactor = 1.3
 )
 
 // reserveOwned is Reserve for a customer with an owner.
@@ -27,21 +27,21 @@
 	l.borrowCeiling(a, now)
 	retryAfter := time.Duration(units / max(a.plan().Quota.Rate, minDivisor) * float64(time.Second))
 	if decides || decision != ownerUndecided {
-		a.requestOutstanding = false
+		a.transferOutstanding = false
 		return Rejected, retryAfter
 	}
 	view := a.predictOwnerView(now)
-	if a.skipsRequest(view, units, now) {
+	if a.skipsTransferRequest(view, units, now) {
 		return Rejected, retryAfter
 	}
 	if !last && l.requestFromOwner(a, units, now) {
-		a.requestOutstanding = true
+		a.transferOutstanding = true
 		return Pending, 0
 	}
 	if l.decides(a, now) { // the request found all owners before this one silent
 		return l.reserveOwned(a, units, last, now)
 	}
-	a.requestOutstanding = false
+	a.transferOutstanding = false
 	if !a.takeCredit(view, units, now) {
 		return Rejected, retryAfter
 	}
@@ -50,20 +50,20 @@
 	return Granted, 0
 }
 
-// skipsRequest reports whether a request of a hot customer is rejected without a request to its owner,
+// skipsTransferRequest reports whether a request of a hot customer is rejected without a request to its owner,
 // which need not reject each of them. The owner gets more of them the older its last report is, as the
 // demand may have gone.
-func (a *Account) skipsRequest(view ownerView, units float64, now time.Duration) bool {
-	target := hotRequestFactor * a.plan().Quota.Rate
-	if !view.known || a.requestOutstanding || view.level >= units || view.demand <= target {
+func (a *Account) skipsTransferRequest(view ownerView, units float64, now time.Duration) bool {
+	target := hotTransferFactor * a.plan().Quota.Rate
+	if !view.known || a.transferOutstanding || view.level >= units || view.demand <= target {
 		return false
 	}
 	age := (now - view.receivedAt).Seconds() / ownerViewDuration.Seconds()
-	a.requestAllowance += target/view.demand + age*age
-	if a.requestAllowance < 1 {
+	a.transferAllowance += target/view.demand + age*age
+	if a.transferAllowance < 1 {
 		return true
 	}
-	a.requestAllowance--
+	a.transferAllowance--
 	return false
 }
 
@@ -91,7 +91,7 @@
 // consumeOwned takes units that are granted.
 func (l *Ledger) consumeOwned(a *Account, units float64, now time.Duration) {
 	plan := a.plan()
-	a.requestOutstanding = false
+	a.transferOutstanding = false
 	if plan.Quota.Rate > 0 {
 		a.quotaLevel -= units
 	}
@@ -118,6 +118,6 @@
 	if decider != notOwner {
 		lk := a.link(a.owners[decider])
 		lk.returnDue = true
-		l.queueRequest(a, lk)
+		l.queueTransferRequest(a, lk)
 	}
 }
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -124,7 +124,7 @@
 		l.Reserve(a, 1, false, tr.now)
 		tr.exchange()
 	}
-	tr.now += requestTimeout
+	tr.now += transferTimeout
 	sum := 0
 	for i := range 80 {
 		if i != owner && tr.request(i) {
@@ -307,7 +307,7 @@
 	peerID := (owner + 1) % 80
 	l.ObservePeer(peerID, 5, true, 9, 9, tr.now)
 	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: 4 * gossip.UnitParts, CeilingWanted: 4 * gossip.UnitParts, TotalLevel: gossip.UnknownTotal}, tr.now)
-	if level := l.CeilingLevel(a, tr.now+requestTimeout); level > full-4+1e-9 {
+	if level := l.CeilingLevel(a, tr.now+transferTimeout); level > full-4+1e-9 {
 		t.Errorf("level %.1f while 4 units of %.1f are in transit", level, full)
 	}
 	if level := l.CeilingLevel(a, tr.now+2*time.Second); level < full-1e-9 || a.ceilingUnitsInTransit != 0 || len(a.ceilingInTransit) != 0 {
--- a/internal/quota/owner_transfer.go
+++ b/internal/quota/owner_transfer.go
@@ -30,11 +30,11 @@
 			continue
 		}
 		lk := a.link(owner)
-		switch l.checkRequest(a, lk, ownerRetransmitAfter, now) {
-		case requestTimedOut:
+		switch l.checkTransferRequest(a, lk, ownerRetransmitAfter, now) {
+		case transferTimedOut:
 			continue
-		case noRequest:
-			l.startOwnedRequest(a, lk, units, now)
+		case noTransferRequest:
+			l.startOwnedTransferRequest(a, lk, units, now)
 		}
 		if !peer.unresponsive {
 			return true
@@ -43,13 +43,13 @@
 	return false
 }
 
-// startOwnedRequest requests what a request for units needs, and reports what the owner does not know.
-func (l *Ledger) startOwnedRequest(a *Account, lk *link, units float64, now time.Duration) {
-	l.startRequest(lk, a.ownedNeed(units), now)
+// startOwnedTransferRequest requests what a request for units needs, and reports what the owner does not know.
+func (l *Ledger) startOwnedTransferRequest(a *Account, lk *link, units float64, now time.Duration) {
+	l.startTransferRequest(lk, a.ownedNeed(units), now)
 	lk.demandToReport = uint8(min(max(a.unreportedDemand-units, 0), math.MaxUint8))
 	a.unreportedDemand = 0
 	a.attachDebt(lk)
-	l.queueRequest(a, lk)
+	l.queueTransferRequest(a, lk)
 }
 
 // ownedNeed is what a request for units needs beyond what was granted before and not used.
@@ -71,7 +71,7 @@
 // attachDebt adds to a request to the owner what was consumed here without a decision, less what was
 // granted and not used.
 func (a *Account) attachDebt(lk *link) {
-	lk.consumed = encodeDebt(a.unreportedUnits)
+	lk.consumed = encodeSigned(a.unreportedUnits)
 	a.unreportedUnits = 0
 }
 
@@ -102,7 +102,7 @@
 	if !ofOwner {
 		a.recordRequestedDemand(request, now)
 	}
-	a.settleDebt(request)
+	a.applyDebt(request)
 	grant := lk.lastGrant
 	if l.grantOwned(a, lk, request, &grant, now) && !ofOwner {
 		a.lastGrantAt = now
@@ -137,11 +137,11 @@
 	a.demand.Add(now, units+float64(request.Share), demandMemorySeconds)
 }
 
-// settleDebt takes units that the requester consumed without a grant, or returns what it did not use. The
+// applyDebt takes units that the requester consumed without a grant, or returns what it did not use. The
 // quota holds no more than its burst, and no more debt than that.
-func (a *Account) settleDebt(request gossip.TransferRequest) {
+func (a *Account) applyDebt(request gossip.TransferRequest) {
 	burst := a.plan().Quota.Burst
-	level := a.quotaLevel - decodeDebt(request.Consumed)
+	level := a.quotaLevel - decodeSigned(request.Consumed)
 	a.quotaLevel = min(max(level, -burst), max(burst, a.quotaLevel))
 }
 
--- a/internal/quota/reclaim.go
+++ b/internal/quota/reclaim.go
@@ -2,8 +2,8 @@
 
 // This file is what becomes of the exchange with a peer that restarted, left or died.
 
-// maxUnseenSeconds bounds the time in seconds that a peer is assumed to have gone on after its last report.
-const maxUnseenSeconds = 1.0
+// maxUnreportedSeconds bounds the time in seconds that a peer is assumed to have gone on after its last report.
+const maxUnreportedSeconds = 1.0
 
 // dropStaleLinks ends what was agreed with earlier epochs of peers. What these borrowed is available here
 // again, and what they lent is their new epoch's.
@@ -18,7 +18,7 @@
 			lk.epoch = peer.epoch
 		}
 		if peer.dead {
-			a.reclaim(lk)
+			a.recoverUnits(lk)
 		}
 		if peer.epoch != lk.epoch {
 			a.dropEpoch(lk, peer)
@@ -33,23 +33,23 @@
 	if lk.known { // what the earlier epoch consumed after its last report nobody will ever report
 		a.totalLevel -= min(lk.demand, a.evenFraction*rate) * a.unreportedSeconds(lk)
 	}
-	a.reclaim(lk)
+	a.recoverUnits(lk)
 	*lk = link{peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, restarted: lk.known}
 }
 
 // unreportedSeconds is the time that a peer may have gone on after its last report.
 func (a *Account) unreportedSeconds(lk *link) float64 {
-	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnseenSeconds)
+	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnreportedSeconds)
 }
 
-// reclaim takes up this limiter's part of the units that a peer had when it left or died. The customer's
+// recoverUnits takes up this limiter's part of the units that a peer had when it left or died. The customer's
 // bucket still has them, and the peer's next epoch starts without them. Debt is taken over likewise.
-func (a *Account) reclaim(lk *link) {
+func (a *Account) recoverUnits(lk *link) {
 	plan := a.plan()
-	if !lk.known || lk.reclaimed || a.baseFraction <= 0 || plan.Quota.Rate <= 0 {
+	if !lk.known || lk.recovered || a.baseFraction <= 0 || plan.Quota.Rate <= 0 {
 		return
 	}
-	lk.reclaimed = true
+	lk.recovered = true
 	gained := (a.evenFraction*plan.Quota.Rate - lk.demand) * a.unreportedSeconds(lk)
 	level := min(max(lk.level+gained, 0), a.evenFraction*plan.Quota.Burst)
 	if lk.level < 0 {
--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -17,9 +17,9 @@
 	idleReportMaxAge = 3 * time.Second
 	// idleReportUnits is what counts as next to nothing.
 	idleReportUnits = 1.0
-	// Units are recovered once they were unallocated at unallocatedMinTicks reports over
+	// Units are recovered once they were unallocated at unallocatedMinReports reports over
 	// unallocatedMinDuration: units in transit between two peers look unallocated for a while.
-	unallocatedMinTicks    = 3
+	unallocatedMinReports  = 3
 	unallocatedMinDuration = 500 * time.Millisecond
 )
 
@@ -43,7 +43,7 @@
 		return
 	}
 	if !a.totalKnown || a.totalLevel < allocated { // the allocations never hold more than there is
-		a.totalLevel, a.totalKnown, a.unallocatedTicks = allocated, true, 0
+		a.totalLevel, a.totalKnown, a.unallocatedReports = allocated, true, 0
 		return
 	}
 	a.recoverUnallocated(allocated, now)
@@ -57,7 +57,7 @@
 		lk.known, lk.consumed = true, report.consumed
 	}
 	if lk.known || lk.restarted || a.startedFull { // a new epoch counts from 0
-		a.totalLevel -= decodeDebt(report.consumed - lk.consumed)
+		a.totalLevel -= decodeSigned(report.consumed - lk.consumed)
 	}
 	lk.known, lk.restarted, lk.reportedAt, lk.consumed = true, false, now, report.consumed
 	lk.level = a.decodeLevel(report.level)
@@ -104,15 +104,15 @@
 	burst := a.plan().Quota.Burst
 	rounding := burst / gossip.LevelSteps * float64(a.setSize) // of the levels in reports
 	unallocated := a.totalLevel - allocated - a.largestRequest - rounding
-	if a.unallocatedTicks == 0 || now-a.unallocatedSince > idleReportMaxAge {
-		a.unallocatedUnits, a.unallocatedSince, a.unallocatedTicks = unallocated, now, 0
+	if a.unallocatedReports == 0 || now-a.unallocatedSince > idleReportMaxAge {
+		a.unallocatedUnits, a.unallocatedSince, a.unallocatedReports = unallocated, now, 0
 	}
 	a.unallocatedUnits = min(a.unallocatedUnits, unallocated)
-	a.unallocatedTicks++
-	if a.unallocatedTicks < unallocatedMinTicks || now-a.unallocatedSince < unallocatedMinDuration {
+	a.unallocatedReports++
+	if a.unallocatedReports < unallocatedMinReports || now-a.unallocatedSince < unallocatedMinDuration {
 		return
 	}
-	a.unallocatedTicks = 0
+	a.unallocatedReports = 0
 	if a.unallocatedUnits <= 0 {
 		return
 	}
--- a/internal/quota/refill.go
+++ b/internal/quota/refill.go
@@ -21,9 +21,9 @@
 func (a *Account) advanceAllocated(now time.Duration) {
 	a.dropStaleLinks()
 	for a.advancedTo < now {
-		settledAt := a.loansSettledAt()
-		next := a.nextChange(settledAt, now)
-		a.refill((next - a.advancedTo).Seconds(), a.advancedTo >= settledAt)
+		earlierLoansEndedAt := a.earlierLoansEndedAt()
+		next := a.nextChange(earlierLoansEndedAt, now)
+		a.refill((next - a.advancedTo).Seconds(), a.advancedTo >= earlierLoansEndedAt)
 		a.advancedTo = next
 		a.expireLoans()
 	}
@@ -31,14 +31,14 @@
 
 // nextChange is the first clock time, now at the latest, at which a loan or a grant ends or the loans of
 // earlier epochs have ended.
-func (a *Account) nextChange(settledAt, now time.Duration) time.Duration {
+func (a *Account) nextChange(earlierLoansEndedAt, now time.Duration) time.Duration {
 	next := now
 	consider := func(at time.Duration) {
 		if at > a.advancedTo && at < next {
 			next = at
 		}
 	}
-	consider(settledAt)
+	consider(earlierLoansEndedAt)
 	for i := range a.links {
 		consider(a.links[i].borrowed.expiresAt)
 		for _, lent := range a.links[i].lent {
@@ -52,30 +52,30 @@
 // refill adds what some seconds bring. An allocation that holds more than its room, as one that lent a
 // share or whose loan ended, drains as fast as the others may fill: so all allocations together never
 // gain while they hold as much as the bucket can.
-func (a *Account) refill(seconds float64, loansSettled bool) {
+func (a *Account) refill(seconds float64, earlierLoansEnded bool) {
 	plan := a.plan()
-	f := a.fractions(loansSettled)
+	f := a.fractions(earlierLoansEnded)
 	if plan.Quota.Rate > 0 {
 		gain := seconds * plan.Quota.Rate
-		room := f.quota*plan.Quota.Burst - f.quotaInTransit
+		capacity := f.quota*plan.Quota.Burst - f.quotaInTransit
 		a.totalLevel = min(a.totalLevel+gain, plan.Quota.Burst)
-		a.quotaLevel = refilled(a.quotaLevel, room, gain, f.quota, 1)
+		a.quotaLevel = refilled(a.quotaLevel, capacity, gain, f.quota, 1)
 	}
 	if plan.Ceiling.Rate > 0 {
 		gain := seconds * plan.Ceiling.Rate
-		room := f.ceiling*plan.Ceiling.Burst - f.ceilingInTransit - a.reservedUnits
-		a.ceilingLevel = refilled(a.ceilingLevel, room, gain, f.ceiling, 1-ClockDrift)
+		capacity := f.ceiling*plan.Ceiling.Burst - f.ceilingInTransit - a.reservedUnits
+		a.ceilingLevel = refilled(a.ceilingLevel, capacity, gain, f.ceiling, 1-ClockDrift)
 	}
 }
 
 // refilled returns the level of an allocation after the complete bucket gained some units. Share is the
 // allocation's fraction of the rate, and slowdown a factor on it.
-func refilled(level, room, gain, share, slowdown float64) float64 {
-	room = max(room, 0)
-	if level > room {
-		return max(room, level-gain*(1-share))
+func refilled(level, capacity, gain, fraction, slowdown float64) float64 {
+	capacity = max(capacity, 0)
+	if level > capacity {
+		return max(capacity, level-gain*(1-fraction))
 	}
-	return min(level+gain*share*slowdown, room)
+	return min(level+gain*fraction*slowdown, capacity)
 }
 
 // fractions are the parts of the two buckets that are this limiter's to fill, and the units of its
@@ -87,9 +87,9 @@
 
 // fractions returns what is this limiter's now. Until the loans of earlier epochs are settled, those may
 // have lent MaxLentFraction of the ceiling.
-func (a *Account) fractions(loansSettled bool) fractions {
+func (a *Account) fractions(earlierLoansEnded bool) fractions {
 	f := fractions{quota: a.baseFraction, ceiling: a.ceilingFraction}
-	if !loansSettled {
+	if !earlierLoansEnded {
 		f.ceiling *= 1 - MaxLentFraction
 	}
 	if !a.isAllocated() {
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -15,7 +15,7 @@
 	// maxRetryAfter bounds the wait that a rejection recommends, in seconds.
 	maxRetryAfter = 3600
 	// slotRetryAfter is the least wait after a rejection for want of a slot.
-	slotRetryAfter = debtSettlementTime / 4
+	slotRetryAfter = debtRepaymentTime / 4
 )
 
 // Decision is the reply of Reserve.
@@ -176,7 +176,7 @@
 		if lk.borrowed.slots > 0 {
 			lk.borrowed.slots--
 			lk.returnDue = true
-			l.queueRequest(a, lk)
+			l.queueTransferRequest(a, lk)
 			return
 		}
 	}
--- a/internal/quota/sendqueue.go
+++ b/internal/quota/sendqueue.go
@@ -10,14 +10,14 @@
 
 // This file queues what is to be sent to each peer, and composes messages of it.
 
-// queueRequest queues a message to a peer about an account.
-func (l *Ledger) queueRequest(a *Account, lk *link) {
+// queueTransferRequest queues a message to a peer about an account.
+func (l *Ledger) queueTransferRequest(a *Account, lk *link) {
 	if lk.queued {
 		return
 	}
 	lk.queued = true
 	peer := l.peer(lk.peerID)
-	peer.queuedRequests = append(peer.queuedRequests, a)
+	peer.queuedTransferRequests = append(peer.queuedTransferRequests, a)
 	l.markReady(lk.peerID, peer)
 }
 
@@ -56,29 +56,29 @@
 // HasRequestsFor reports whether a transfer request to a peer is queued.
 func (l *Ledger) HasRequestsFor(peerID int) bool {
 	peer := l.peers[peerID]
-	return peer != nil && len(peer.queuedRequests) > 0
+	return peer != nil && len(peer.queuedTransferRequests) > 0
 }
 
 // Compose takes as much of what is queued for a peer as fits into one message, and reports whether there
 // is more.
 func (l *Ledger) Compose(peerID int, now time.Duration) (requests []gossip.TransferRequest, grants []gossip.Grant, more bool) {
 	peer := l.peer(peerID)
-	requests = l.takeRequests(peerID, peer, now)
+	requests = l.takeTransferRequests(peerID, peer, now)
 	n := min(len(peer.queuedGrants), gossip.MaxGrants)
 	grants, peer.queuedGrants = peer.queuedGrants[:n:n], peer.queuedGrants[n:]
 	l.Counts.GrantsSent += uint64(n)
 	if l.Limiters > SmallSetSize && n < hotUpdatesPerMessage {
 		grants = append(grants, l.hotCustomerUpdates(hotUpdatesPerMessage-n, now)...)
 	}
-	return requests, grants, len(peer.queuedRequests)+len(peer.queuedGrants) > 0
+	return requests, grants, len(peer.queuedTransferRequests)+len(peer.queuedGrants) > 0
 }
 
-// takeRequests takes the requests of a message out of a peer's queue. What a queued account requests is
+// takeTransferRequests takes the requests of a message out of a peer's queue. What a queued account requests is
 // decided only now, but for its amounts.
-func (l *Ledger) takeRequests(peerID int, peer *peer, now time.Duration) (requests []gossip.TransferRequest) {
-	for len(peer.queuedRequests) > 0 && len(requests) < gossip.MaxRequests {
-		a := peer.queuedRequests[0]
-		peer.queuedRequests = peer.queuedRequests[1:]
+func (l *Ledger) takeTransferRequests(peerID int, peer *peer, now time.Duration) (requests []gossip.TransferRequest) {
+	for len(peer.queuedTransferRequests) > 0 && len(requests) < gossip.MaxRequests {
+		a := peer.queuedTransferRequests[0]
+		peer.queuedTransferRequests = peer.queuedTransferRequests[1:]
 		lk := a.link(peerID)
 		lk.queued = false
 		if !lk.pending && !lk.returnDue {
@@ -89,11 +89,11 @@
 		}
 		lk.returnDue = false
 		lk.lastSentAt = now
-		requests = append(requests, l.buildRequest(a, lk, now))
+		requests = append(requests, l.buildTransferRequest(a, lk, now))
 		l.Counts.RequestsSent++
 	}
-	if len(peer.queuedRequests) == 0 {
-		peer.queuedRequests = nil
+	if len(peer.queuedTransferRequests) == 0 {
+		peer.queuedTransferRequests = nil
 	}
 	return requests
 }
@@ -106,8 +106,8 @@
 	}
 }
 
-// buildRequest returns the message of a link's request, with a report of the account here.
-func (l *Ledger) buildRequest(a *Account, lk *link, now time.Duration) gossip.TransferRequest {
+// buildTransferRequest returns the message of a link's request, with a report of the account here.
+func (l *Ledger) buildTransferRequest(a *Account, lk *link, now time.Duration) gossip.TransferRequest {
 	a.advance(now)
 	request := gossip.TransferRequest{
 		Customer:      a.CustomerHash,
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -12,15 +12,15 @@
 const (
 	// prefetchDuration is how long what a busy limiter has at hand lasts at its demand.
 	prefetchDuration = 250 * time.Millisecond
-	// requestInterval is the least time between requests to one peer about one customer.
-	requestInterval = 150 * time.Millisecond
+	// transferInterval is the least time between requests to one peer about one customer.
+	transferInterval = 150 * time.Millisecond
 	// emptyGrantBackoff takes its place after a grant that brought next to nothing.
 	emptyGrantBackoff = 500 * time.Millisecond
-	// requestRetransmitAfter is the time without a grant after which a request is sent again.
-	requestRetransmitAfter = 70 * time.Millisecond
-	// requestTimeout is the time after which no grant is accepted any longer; a peer that sent nothing
+	// transferRetransmitAfter is the time without a grant after which a request is sent again.
+	transferRetransmitAfter = 70 * time.Millisecond
+	// transferTimeout is the time after which no grant is accepted any longer; a peer that sent nothing
 	// in this time is silent.
-	requestTimeout = 500 * time.Millisecond
+	transferTimeout = 500 * time.Millisecond
 	// reportStaleAfter is the age of a report from which on a peer that had nothing is requested again.
 	reportStaleAfter = time.Second
 	// borrowerDemandFactor times its demand is the rate that a borrower wants.
@@ -37,9 +37,9 @@
 	busy   bool // the demand is more than the allocation gains without loans
 }
 
-// transferNeed is what an account lacks: for a request that waits, and ahead of need for a busy
+// newTransferNeed is what an account lacks: for a request that waits, and ahead of need for a busy
 // customer.
-func (a *Account) transferNeed(lack amounts, now time.Duration) transferNeed {
+func (a *Account) newTransferNeed(lack amounts, now time.Duration) transferNeed {
 	plan := a.plan()
 	demand := a.demandRate(now)
 	target := demand*prefetchDuration.Seconds() + a.largestRequest
@@ -60,7 +60,7 @@
 // requestTransfers requests from the other limiters what an account needs. It reports whether a request
 // may wait for a grant.
 func (l *Ledger) requestTransfers(a *Account, lack amounts, now time.Duration) (wait bool) {
-	need := a.transferNeed(lack, now)
+	need := a.newTransferNeed(lack, now)
 	needsRenewal := need.busy && a.loanExpiring(now)
 	if need.amounts == (amounts{}) && !needsRenewal {
 		return false
@@ -71,16 +71,16 @@
 		if !peer.available(now) {
 			continue
 		}
-		switch l.checkRequest(a, lk, requestRetransmitAfter, now) {
-		case requestTimedOut:
+		switch l.checkTransferRequest(a, lk, transferRetransmitAfter, now) {
+		case transferTimedOut:
 			continue
-		case noRequest:
+		case noTransferRequest:
 			if !a.worthRequesting(lk, need, now) {
 				continue
 			}
-			l.startRequest(lk, need.amounts, now)
-			lk.nextRequestAt = now + requestInterval
-			l.queueRequest(a, lk)
+			l.startTransferRequest(lk, need.amounts, now)
+			lk.nextTransferRequestAt = now + transferInterval
+			l.queueTransferRequest(a, lk)
 		}
 		wait = wait || need.urgent && !peer.unresponsive
 	}
@@ -90,7 +90,7 @@
 // worthRequesting reports whether a peer may have something of what an account needs, or has to be
 // requested to learn whether it has.
 func (a *Account) worthRequesting(lk *link, need transferNeed, now time.Duration) bool {
-	if now < lk.nextRequestAt {
+	if now < lk.nextTransferRequestAt {
 		return false
 	}
 	plan := a.plan()
@@ -109,38 +109,38 @@
 	return hasRate && need.busy || needsCeiling || need.urgent
 }
 
-// requestStatus is what became of the transfer request on a link.
-type requestStatus uint8
+// transferStatus is what became of the transfer request on a link.
+type transferStatus uint8
 
 const (
-	noRequest       requestStatus = iota // none is out
-	requestPending                       // a grant may still come
-	requestTimedOut                      // nothing came of the peer: it is silent
+	noTransferRequest transferStatus = iota // none is out
+	transferPending                         // a grant may still come
+	transferTimedOut                        // nothing came of the peer: it is silent
 )
 
-// checkRequest returns what became of the request on a link. It sends it again if a time has passed
+// checkTransferRequest returns what became of the request on a link. It sends it again if a time has passed
 // since it was last sent, and gives it up after requestTimeout.
-func (l *Ledger) checkRequest(a *Account, lk *link, retransmitAfter, now time.Duration) requestStatus {
+func (l *Ledger) checkTransferRequest(a *Account, lk *link, retransmitAfter, now time.Duration) transferStatus {
 	if lk.isPending(now) {
 		if now-lk.lastSentAt > retransmitAfter {
-			l.queueRequest(a, lk)
+			l.queueTransferRequest(a, lk)
 		}
-		return requestPending
+		return transferPending
 	}
 	if !lk.pending {
-		return noRequest
+		return noTransferRequest
 	}
 	lk.pending = false
 	peer := l.peer(lk.peerID)
 	if peer.lastReceivedAt >= lk.requestedAt {
-		return noRequest
+		return noTransferRequest
 	}
 	peer.silentUntil, peer.unresponsive = now+peerSilenceTimeout, true
-	return requestTimedOut
+	return transferTimedOut
 }
 
-// startRequest makes a link's request one for some amounts.
-func (l *Ledger) startRequest(lk *link, wanted amounts, now time.Duration) {
+// startTransferRequest makes a link's request one for some amounts.
+func (l *Ledger) startTransferRequest(lk *link, wanted amounts, now time.Duration) {
 	lk.pending, lk.nonce, lk.requestedAt, lk.lastSentAt = true, l.nextNonce(), now, now
 	lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = wanted.quota, wanted.ceiling, wanted.slots
 }
@@ -174,7 +174,7 @@
 			return
 		}
 	}
-	lk.settleGrants(int(request.SlotsHeld))
+	lk.acknowledgeGrants(int(request.SlotsHeld))
 	l.queueGrant(peerID, l.lend(a, lk, request, now))
 }
 
@@ -208,7 +208,7 @@
 	l.takeGrant(a, lk, grant)
 	a.reconcile(lk, peerReport{grant.Level, grant.Consumed, grant.Demand, grant.TotalLevel}, now)
 	if decodeUnits(grant.QuotaUnits) < min(lk.quotaWanted, a.largestRequest) {
-		lk.nextRequestAt = now + emptyGrantBackoff
+		lk.nextTransferRequestAt = now + emptyGrantBackoff
 	}
 	return a
 }
