--- a/internal/gossip/encode.go
+++ b/internal/gossip/encode.go
@@ -5,6 +5,7 @@
 // A message is a header, the requests, the grants and the observations, each of a fixed size in bytes and
 // with its fields in the order of the struct. Numbers are big-endian.
 const (
+	// version is to be raised with each change of the layout or of the meaning of a field.
 	version         = 6
 	headerSize      = 18
 	requestSize     = 23
@@ -13,7 +14,8 @@
 	maxSize         = 256
 )
 
-// Append appends the encoded message to data.
+// Append appends the encoded message to data. The message has at most MaxRequests, MaxGrants and
+// MaxObservations entries; Append does not check that.
 func (m Message) Append(data []byte) []byte {
 	data = m.appendHeader(data)
 	for _, request := range m.Requests {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -11,30 +11,41 @@
 // LeavingAge is the ServingAge of a limiter that is shutting down and forwards no new requests.
 const LeavingAge = 255
 
-// Most entries of each kind in a message; all together fit.
+// Maximum numbers of entries in a message, with which it fits into 256 bytes. Whoever builds a Message keeps
+// to them: Append does not check, and Parse rejects a message that is larger.
 const (
 	MaxRequests     = 5
 	MaxGrants       = 5
 	MaxObservations = 6
 )
 
-// UnitParts is how many parts, in which messages count, are one unit of a quota.
+// UnitParts is the number of parts in a unit. Messages carry integer numbers of parts.
 const UnitParts = 16
 
 // Scales of the fields of one byte.
 const (
-	LevelSteps  = 127 // are the burst of a quota
-	ShareSteps  = 255 // are a complete bucket
-	DemandSteps = 16  // are the rate of a quota
-	TotalSteps  = 254 // are the burst of a quota
+	LevelSteps  = 127 // steps of a Level that are the burst of a quota
+	ShareSteps  = 255 // steps of a Share that are a complete bucket
+	DemandSteps = 16  // steps of a Demand that are the rate of a quota
+	TotalSteps  = 254 // steps of a TotalLevel that are the burst of a quota
 	// UnknownTotal is the TotalLevel of a sender that does not know it.
 	UnknownTotal = 255
 )
 
 // TransferRequest requests units and slots of the receiver, and reports a customer's quota at the sender.
 //
-// In a set with an owner it is a request to the owner: Demand and Level are 0, and Consumed and Share have
-// other meanings.
+// Some fields differ by the kind of set:
+//
+//	            small set                           to an owner
+//	Consumed    consumed by the sender in this      int16: consumed without a grant since the last
+//	            epoch, in parts modulo 2^16         request, less what was granted and not used, in parts
+//	Demand      at the sender, in DemandSteps       0
+//	Level       at the sender, in LevelSteps        0
+//	Share       the sender's fraction of the rate   demand at the sender since the last request that was
+//	            without loans of the receiver,      not requested, in units
+//	            in ShareSteps
+//	TotalLevel  of the complete quota as far as     of the owner's quota as far as the sender knows
+//	            the sender knows
 type TransferRequest struct {
 	Customer      uint32 // hash of the customer's name
 	Plan          uint8  // index of the customer's plan in the settings
@@ -43,18 +54,13 @@
 	Nonce         uint16 // names the request, not 0; a repeated request has the same
 	QuotaWanted   uint16 // of the quota, in parts of a unit
 	CeilingWanted uint16 // of the ceiling, in parts of a unit
-	// Consumed is how much the sender consumed in this epoch, in parts of a unit modulo 2^16. To an owner
-	// it is an int16: what was consumed without a grant since the last request, in parts of a unit, or
-	// below 0 what was granted and not used.
-	Consumed uint16
-	Demand   uint8 // at the sender, in DemandSteps of the rate
-	Level    int8  // at the sender, in LevelSteps of the burst
-	// Share is the sender's fraction of the rate without loans of the receiver, in ShareSteps. To an owner
-	// it is the demand at the sender since the last request that was not requested, in units.
-	Share       uint8
-	SlotsHeld   uint8 // slots lent by the receiver that the sender still uses
-	SlotsWanted uint8 // slots wanted beyond these
-	TotalLevel  uint8 // of the complete quota as far as the sender knows, in TotalSteps of the burst, or UnknownTotal
+	Consumed      uint16 // see above
+	Demand        uint8  // see above, of the rate
+	Level         int8   // see above, of the burst
+	Share         uint8  // see above
+	SlotsHeld     uint8  // slots lent by the receiver that the sender still uses
+	SlotsWanted   uint8  // slots wanted beyond SlotsHeld
+	TotalLevel    uint8  // see above, in TotalSteps of the burst, or UnknownTotal
 }
 
 // Grant moves units to the receiver and lends a share and slots, and reports a customer's quota at the
@@ -68,7 +74,7 @@
 	Share        uint8  // of the rate and burst of both buckets, lent, in ShareSteps
 	Level        int8   // left at the sender, in LevelSteps of the burst
 	Demand       uint8  // at the sender, in DemandSteps of the rate; of an owner, that of all limiters
-	Slots        uint8  // lent, with those lent before
+	Slots        uint8  // lent in total, those of earlier grants included
 	TotalLevel   uint8  // as in a TransferRequest; of an owner, its level
 }
 
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -11,15 +11,15 @@
 
 const demandMemorySeconds = float64(demandMemory) / float64(time.Second)
 
-// largestRequestDecay is the divisor by which the units of the larger requests follow each smaller one.
+// largestRequestDecay is the divisor of the step by which largestRequest falls with each smaller request.
 const largestRequestDecay = 16
 
-// Account is what this limiter knows and has of one customer's buckets, as of the last call that was
-// given it.
+// Account is this limiter's part of one customer's buckets, and what it knows of the rest. Levels are as of
+// the last call with a clock time.
 type Account struct {
 	CustomerHash uint32 // hash of the customer's name
 	PlanIndex    int    // in Config.Plans
-	SlotsInUse   int    // attempts in flight here; the caller sets it
+	SlotsInUse   int    // attempts in flight and requests queued for one, here; the caller sets it before Reserve and ReleaseSlot
 	Forgotten    bool   // by Sweep: the caller has to get a new one from Ledger.Account
 
 	ledger       *Ledger
@@ -29,22 +29,29 @@
 	lastSeen     time.Duration // clock time of the last request
 
 	// The buckets here, in units. A quota's level is below zero while there is debt.
-	quotaLevel      float64
-	ceilingLevel    float64
-	reservedUnits   float64 // reserved and not sent yet: they keep their room in the ceiling
-	baseFraction    float64 // of the quota, without loans; 0 where this limiter has no allocation
-	ceilingFraction float64 // of the ceiling, without loans
-	evenFraction    float64 // one over the size of the set
-	baseSlots       int     // without loans
+	quotaLevel    float64
+	ceilingLevel  float64
+	reservedUnits float64 // reserved and not sent yet: they count against the ceiling's capacity
+	evenFraction  float64 // one over the size of the set
+
+	// What this limiter has without loans, by its role in the set:
+	//
+	//	                 small set     owner                backup owner         other
+	//	baseFraction     evenFraction  1                    1                    0
+	//	ceilingFraction  evenFraction  ceilingFractions[0]  ceilingFractions[i]  0
+	//	baseSlots        even part     all                  0                    0
+	baseFraction    float64 // of the quota
+	ceilingFraction float64 // of the ceiling
+	baseSlots       int
 
 	demand         rate.Decaying // units per second, granted or not
-	largestRequest float64       // units of the larger requests of late
+	largestRequest float64       // decaying maximum of the units of one request
 
 	// The exchange with other limiters.
-	lenders []int // the limiters of a small set but this one: those that may lend
+	lenders []int // all other limiters of a small set; each may lend to this one
 	links   []link
 
-	// What the start left open, see RecoveryState.
+	// What the start left open, see StartState.
 	unresolvedUnits         float64 // that the quota has here if the tier is new
 	admittedWhileUnresolved bool    // one request was
 	startedFull             bool    // the bucket was full when the tier started: peers' counts start at 0
@@ -53,24 +60,24 @@
 	consumed           uint16  // units consumed here in this epoch, in gossip.UnitParts, modulo 2^16
 	totalLevel         float64 // units; below 0 while there is debt
 	totalKnown         bool
-	unallocatedUnits   float64 // least units of late that are in the bucket and in no allocation
-	unallocatedReports int     // observations of that
+	unallocatedUnits   float64 // least units since unallocatedSince that are in the bucket and in no allocation
+	unallocatedReports int     // peers' reports since unallocatedSince
 	unallocatedSince   time.Duration
 
-	// Of a set with an owner alone, see owner.go.
+	// Only in a set with an owner, see owner.go.
 	owners                []int          // the owner and its backups, in their order
-	ownerRank             int            // of this limiter among the owners; notOwner if it is none
+	ownerRank             int            // of this limiter: 0 the owner, above it a backup owner, or notOwner
 	ownerView             ownerView      // as the owner reported last
 	credit                rate.Allowance // units that may be consumed here without a decision
-	unreportedUnits       float64        // units so consumed and not reported to the owner
+	unreportedUnits       float64        // units consumed that way and not reported to the owner, less those not used
 	unreportedDemand      float64        // units of requests here, not reported to the owner
-	transferAllowance     float64        // requests to the owner about a hot customer that may be sent
-	transferOutstanding   bool           // the next request waits for a decision
-	ownerDecision         ownerDecision  // that came since
-	levelHintReceived     bool           // a requester reported what the level was
+	transferAllowance     float64        // transfer requests to the owner of a hot customer that may be sent
+	transferOutstanding   bool           // a request waits for the owner's decision
+	ownerDecision         ownerDecision  // the owner's last reply that Reserve did not use yet
+	levelHintReceived     bool           // a requester reported the quota's level
 	lastGrantAt           time.Duration
-	ceilingInTransit      []inTransit // granted of the ceiling, and maybe not arrived yet
-	ceilingUnitsInTransit float64     // their sum
+	ceilingInTransit      []inTransit // grants of the ceiling that may not have arrived yet
+	ceilingUnitsInTransit float64     // sum of ceilingInTransit
 }
 
 // isAllocated reports whether every limiter of the set has an allocation of both buckets. In a larger
--- a/internal/quota/config.go
+++ b/internal/quota/config.go
@@ -41,8 +41,8 @@
 // durations since an origin of the caller's choice.
 package quota
 
-// SmallSetSize is how many limiters of a set have an allocation of a customer's buckets at most. In a
-// larger set one owner has them complete: with more allocations each would hold less than a request
+// SmallSetSize is the size up to which each limiter of a set has an allocation of a customer's buckets. In
+// a larger set one owner has the complete quota: with more allocations each would hold less than a request
 // takes. A smaller set meets a customer too often for an owner to decide on each of its requests.
 const SmallSetSize = 8
 
--- a/internal/quota/debt.go
+++ b/internal/quota/debt.go
@@ -11,7 +11,7 @@
 const (
 	// maxDebtFraction bounds the debt of a limiter, as a fraction of its even part of the burst.
 	maxDebtFraction = 1.0
-	// debtRepaymentTime is the time in which grants and refills are expected to settle a debt.
+	// debtRepaymentTime is the time in which grants and refills are expected to repay a debt.
 	debtRepaymentTime = 500 * time.Millisecond
 	// immediateProbability is the probability from which on a request is admitted at once, without
 	// waiting for a grant.
@@ -24,9 +24,10 @@
 	// allocation; unknownDemandFraction bounds its demand, as a fraction of its part of the rate.
 	unknownLevelFraction  = 0.8
 	unknownDemandFraction = 0.5
-	// reportDelay is how old a report is when it comes.
+	// reportDelay is how old a report is assumed to be when it comes.
 	reportDelay = 100 * time.Millisecond
-	// unseenMaxAge bounds the age at which a report counts: by then buckets are full again.
+	// unseenMaxAge bounds the age of a report in admissionProbability: by then buckets are full again. What
+	// a lost peer consumed is assumed for a shorter time, see maxUnreportedSeconds.
 	unseenMaxAge = 5 * time.Second
 	// unseenMinFraction is the least rate at which a peer is assumed to consume without a report, as a
 	// fraction of its part of the rate.
@@ -72,7 +73,7 @@
 }
 
 // unseenConsumption is the units that a peer is expected to have consumed since its last report, or, if
-// it never reported, to consume until a debt is settled.
+// it never reported, to consume until a debt is repaid.
 func (a *Account) unseenConsumption(lk *link, demand float64, now time.Duration) float64 {
 	plan := a.plan()
 	age := debtRepaymentTime
--- a/internal/quota/encoding.go
+++ b/internal/quota/encoding.go
@@ -20,7 +20,7 @@
 // roundToParts is the amount that a message with these units carries.
 func roundToParts(units float64) float64 { return decodeUnits(encodeUnits(units)) }
 
-// encodeSigned encodes units that may be below zero, as an int16 in gossip.UnitParts.
+// encodeSigned encodes units that may be below 0, as an int16 in gossip.UnitParts.
 func encodeSigned(units float64) uint16 {
 	return uint16(int16(min(max(units*gossip.UnitParts, math.MinInt16), math.MaxInt16)))
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -19,9 +19,9 @@
 	GrantsSent           uint64  `json:"answers"`   // grants, retransmissions included
 	UnitsReceived        float64 `json:"got"`       // units of quotas that grants brought
 	UnitsSent            float64 `json:"moved"`     // units of quotas that grants took away
-	UnitsUnacknowledged  float64 `json:"unheard"`   // of these, units that arrived or were lost: no message said which
-	RateReclaimed        float64 `json:"reclaimed"` // units per second taken back from earlier epochs of peers
-	UnitsRecovered       float64 `json:"strayed"`   // units taken up that were in no allocation
+	UnitsUnacknowledged  float64 `json:"unheard"`   // of UnitsSent, units that arrived or were lost: no message said which
+	RateReclaimed        float64 `json:"reclaimed"` // units per second of shares taken back from earlier epochs of peers
+	UnitsRecovered       float64 `json:"strayed"`   // units taken up that were unallocated or at a lost peer
 	AdmittedWithoutGrant uint64  `json:"on_chance"` // requests
 	Waited               uint64  `json:"waited"`    // requests that waited for a grant
 	Accounts             int     `json:"accounts"`  // accounts in memory now
@@ -30,7 +30,7 @@
 	PeersDeclaredDead    uint64  `json:"dead"`      // times that a silent peer was declared dead
 }
 
-// Ledger is what one limiter knows and has of all customers' quotas and ceilings.
+// Ledger is one limiter's part of all customers' quotas and ceilings, and what it knows of the rest.
 type Ledger struct {
 	Config
 	Counts Counters
@@ -138,8 +138,9 @@
 	return c
 }
 
-// IsLastHolder reports whether, with some other limiters out of service, this one is the last that has
-// any of some customer's buckets: of a large set the last of its owners, else the last of the set.
+// IsLastHolder reports whether, with some other limiters out of service, this one is the last that holds
+// any of some customer's buckets: of a large set the last of owner and backup owners, else the last of the
+// set.
 // A customer of this limiter alone does not count, as no other could ever have its buckets.
 func (l *Ledger) IsLastHolder(out []int) bool {
 	isIn := func(limiter int) bool { return !slices.Contains(out, limiter) }
@@ -152,8 +153,7 @@
 	return false
 }
 
-// otherHolders are the other limiters that have any of the account's buckets, none if this one has
-// nothing of them.
+// otherHolders are the other limiters that hold any of the account's buckets, none if this one does not.
 func (a *Account) otherHolders() []int {
 	if a.isAllocated() {
 		return a.lenders
@@ -227,8 +227,8 @@
 	}
 }
 
-// accountOfGrant returns the account that a grant is about: the one whose request it replies to, or, of
-// a grant that nobody requested, the only one with that hash. It returns nil if there is none.
+// accountOfGrant returns the account that a grant is about: the one whose transfer request it replies to, or,
+// of a grant that nobody requested, the only one with that hash. It returns nil if there is none.
 func (l *Ledger) accountOfGrant(peerID int, grant gossip.Grant) *Account {
 	list := l.accounts[grant.Customer]
 	for _, a := range list {
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -12,7 +12,7 @@
 // and slots on loan.
 
 const (
-	// LoanDuration is how long a share is lent, from the request on.
+	// LoanDuration is how long a share is lent, from the transfer request on.
 	LoanDuration = 2 * time.Second
 	// MaxLentFraction bounds what a limiter lends of its allocation. What is left can be used at once
 	// after a restart, when it is not known what was lent before.
@@ -80,8 +80,8 @@
 	return slots
 }
 
-// acknowledgeGrants books that a peer sent a new request: the units of earlier grants have arrived by now or
-// never will, and of the slots lent it still uses some.
+// acknowledgeGrants records that a peer sent a new transfer request: the units of earlier grants have arrived
+// by now or never will, and of the slots lent to it the peer still uses slotsHeld.
 func (lk *link) acknowledgeGrants(slotsHeld int) {
 	for i := range lk.lent {
 		lent := &lk.lent[i]
@@ -114,7 +114,7 @@
 }
 
 // earlierLoansEndedAt is the clock time from which on no peer can still use what an earlier epoch of this
-// limiter lent it: all of the set know of this epoch, or every loan has ended.
+// limiter lent it: all peers of the set know of this epoch, or every loan has ended.
 func (a *Account) earlierLoansEndedAt() time.Duration {
 	l := a.ledger
 	latest := l.startedAt + lenderLoanDuration
@@ -136,7 +136,7 @@
 	return settledAt
 }
 
-// lending is what one decision about a transfer request goes by.
+// lending is what a decision about a transfer request depends on.
 type lending struct {
 	account           *Account
 	link              *link
@@ -213,8 +213,9 @@
 	return share
 }
 
-// quotaUnits is the units of the quota to move: what makes the levels of both limiters as their demands,
-// and with a share that is lent what the smaller allocation has no room for.
+// quotaUnits is the units of the quota to move: as many as bring the levels of both limiters to the
+// proportion of their demands, or, if a share is lent, at least those beyond what the smaller allocation
+// can hold.
 func (g *lending) quotaUnits(share float64) float64 {
 	a := g.account
 	both := a.quotaLevel + max(g.link.level, -a.quotaLevel)
@@ -226,8 +227,8 @@
 	return roundToParts(min(units, a.quotaLevel))
 }
 
-// ceilingUnits is the units of the ceiling to move: what is not needed here, as far as the units in
-// transit keep their room after a restart too.
+// ceilingUnits is the units of the ceiling to move: those not needed here, up to the headroom. What is lent
+// and in transit together stays within MaxLentFraction, which is left unused after a restart.
 func (g *lending) ceilingUnits(share float64) float64 {
 	a, ceiling := g.account, g.account.plan().Ceiling
 	lent := (g.lentToOthers + max(share, g.lentToPeer)) * ceiling.Burst
--- a/internal/quota/link.go
+++ b/internal/quota/link.go
@@ -11,9 +11,9 @@
 // A link is the exchange between this limiter and one peer about an account.
 type link struct {
 	peerID int
-	epoch  uint32 // of the peer: what was agreed with an earlier one is void
+	epoch  uint32 // of the peer: transfer requests, grants and loans of an earlier one are void
 
-	// The transfer request that is out, and what it requested.
+	// The last transfer request, and what it requested.
 	pending               bool
 	nonce                 uint16
 	requestedAt           time.Duration // when it was first sent
@@ -31,17 +31,24 @@
 	lastGrant gossip.Grant // of an owner: the last one
 
 	// What the peer reported.
-	known      bool // it reported something in this epoch; of an owner's link, it requested something
+	//
+	//	            small set                        with an owner
+	//	known       it reported in this epoch        at the owner: it sent a transfer request in this epoch
+	//	reportedAt  when known was last set          the same
+	//	consumed    consumed there, in               at the requester: debt that the last transfer request
+	//	            gossip.UnitParts modulo 2^16     reports, int16 in gossip.UnitParts
+	//	the others  as below                         not used
+	known      bool
 	reportedAt time.Duration
 	level      float64 // units
-	consumed   uint16  // in gossip.UnitParts, modulo 2^16; to an owner: the debt that the request reports
+	consumed   uint16
 	demand     float64 // units per second
-	recovered  bool    // what it had was reclaimed
+	recovered  bool    // this limiter took up its part of the units there, see recoverUnits
 	restarted  bool    // it was known in an earlier epoch: what it reports next was consumed since
 
-	// Of a set with an owner alone.
+	// Only in a set with an owner.
 	ceilingBorrowedUntil time.Duration // what a backup owner gained of the ceiling until then was requested
-	demandToReport       uint8         // units of requests here that the owner does not know of
+	demandToReport       uint8         // units of client requests here that the owner does not know of
 }
 
 // inUse reports whether anything is lent, borrowed or requested by a link.
@@ -49,12 +56,12 @@
 	return lk.borrowed.expiresAt > now || len(lk.lent) > 0 || lk.queued || lk.isPending(now)
 }
 
-// isPending reports whether a reply to the request that is out may still come.
+// isPending reports whether a grant for the last transfer request may still come.
 func (lk *link) isPending(now time.Duration) bool {
 	return lk.pending && now-lk.requestedAt < transferTimeout
 }
 
-// accepts reports whether a grant replies to the request that is out, and in time.
+// accepts reports whether a grant replies to the last transfer request, and in time.
 func (lk *link) accepts(grant gossip.Grant, now time.Duration) bool {
 	return lk.isPending(now) && lk.nonce == grant.Nonce
 }
@@ -84,7 +91,7 @@
 	if a.isAllocated() || peer == nil || peer.epoch == lk.epoch {
 		return
 	}
-	if lk.epoch == 0 { // no message had come before: the request that is out stays valid
+	if lk.epoch == 0 { // no message had come before: the last transfer request stays valid
 		lk.epoch = peer.epoch
 		return
 	}
--- a/internal/quota/liveness.go
+++ b/internal/quota/liveness.go
@@ -20,7 +20,7 @@
 	// before its start, in quarters of a second.
 	olderServingAge = 2
 	// earlierEpochDuration is how long after the last message of a peer one of an earlier epoch is
-	// rejected. Later the epochs may have started anew.
+	// rejected. After that any epoch is accepted: they grow modulo 2^32, and a later one may look earlier.
 	earlierEpochDuration = 10 * time.Second
 	// demandTickWeight is the weight of one tick in the mean and variance of the demand, and
 	// demandMinTicks how many ticks they take to mean something.
@@ -38,16 +38,16 @@
 	acked          bool // the peer knows of this limiter's epoch
 	ackedAt        time.Duration
 	lastReceivedAt time.Duration // when its last message came
-	silentUntil    time.Duration // it did not reply: no request is sent to it until then
-	unresponsive   bool          // no message came since: requests are sent, but nothing waits for a grant
+	silentUntil    time.Duration // it did not reply: no transfer request is sent to it until then
+	unresponsive   bool          // no message came since: transfer requests are sent, but nothing waits for a grant
 	dead           bool          // it left, or is silent and its clients come here
 
-	queuedTransferRequests []*Account // to be requested, or given back to the peer
+	queuedTransferRequests []*Account // about which a message to the peer is due
 	queuedGrants           []gossip.Grant
 	queuedForSend          bool // is in Ledger.readyPeers
 }
 
-// available reports whether requests are sent to a peer now.
+// available reports whether transfer requests are sent to a peer now.
 func (p *peer) available(now time.Duration) bool { return now >= p.silentUntil && !p.dead }
 
 // peer returns what is known of a limiter, nothing at first.
@@ -144,7 +144,7 @@
 	return rise >= significantDeviations*deviation && demand-l.meanDemand >= rise/2
 }
 
-// activeAccounts is one more than the number of accounts with a request of late.
+// activeAccounts is one more than the number of accounts with a request within demandMemory.
 func (l *Ledger) activeAccounts(now time.Duration) int {
 	active := 1
 	for _, a := range l.accountOrder {
--- a/internal/quota/reclaim.go
+++ b/internal/quota/lostpeers.go
@@ -1,12 +1,13 @@
 package quota
 
-// This file is what becomes of the exchange with a peer that restarted, left or died.
+// This file recovers units and ends loans after a peer restarted, left or died.
 
-// maxUnreportedSeconds bounds the time in seconds that a peer is assumed to have gone on after its last report.
+// maxUnreportedSeconds bounds the time in seconds that a lost peer is assumed to have served after its last
+// report. Reports of peers that are not lost count for longer, see unseenMaxAge.
 const maxUnreportedSeconds = 1.0
 
-// dropStaleLinks ends what was agreed with earlier epochs of peers. What these borrowed is available here
-// again, and what they lent is their new epoch's.
+// dropStaleLinks ends the loans, grants and transfer requests of earlier epochs of peers. Shares that were
+// lent to them are available here again, and those borrowed of them belong to their new epochs.
 func (a *Account) dropStaleLinks() {
 	for i := range a.links {
 		lk := &a.links[i]
@@ -37,12 +38,12 @@
 	*lk = link{peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, restarted: lk.known}
 }
 
-// unreportedSeconds is the time that a peer may have gone on after its last report.
+// unreportedSeconds is the time that a peer may have served after its last report.
 func (a *Account) unreportedSeconds(lk *link) float64 {
 	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnreportedSeconds)
 }
 
-// recoverUnits takes up this limiter's part of the units that a peer had when it left or died. The customer's
+// recoverUnits takes up this limiter's part of the units that a peer had when it left, died or restarted. The customer's
 // bucket still has them, and the peer's next epoch starts without them. Debt is taken over likewise.
 func (a *Account) recoverUnits(lk *link) {
 	plan := a.plan()
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -8,9 +8,10 @@
 	"lemongate/internal/rate"
 )
 
-// This file is the accounts of large sets: who their owners are, what the owner has and what the others
-// know of it. owner_reserve.go decides on requests, owner_transfer.go is the exchange with the owner, and
-// owner_ceiling.go what an owner borrows of a ceiling.
+// This file is the accounts of large sets: their owner and backup owners, what these have, and what the
+// others know of it. owner_reserve.go decides on requests, owner_transfer.go is the exchange with the owner,
+// and owner_ceiling.go what an owner borrows of a ceiling. Account.owners and "owners" in names are the owner
+// and its backup owners together; HoldersOf also covers small sets, in which all limiters are holders.
 //
 // The owner has the customer's complete quota, and two backup owners decide, in their order, while those
 // before them are silent: a limiter sends its request to the first that is not.
@@ -23,15 +24,15 @@
 const (
 	// ownerCount is the number of owners of a customer: the owner and its backups.
 	ownerCount = 3
-	// notOwner is the rank of a limiter that is none of them.
+	// notOwner is the rank of a limiter that is neither the owner nor a backup owner.
 	notOwner = -1
 	// restartLevelFraction of the burst is what an owner that lost its state assumes the quota to hold.
 	restartLevelFraction = 0.5
-	// ownerViewDuration is how long what an owner reported of its level means something.
+	// ownerViewDuration is how long an owner's report of its level is used.
 	ownerViewDuration = 5 * time.Second
 	// A hot customer is one whose demand is more than hotDemandFactor times its rate while its level is
-	// below hotLevelFraction of the burst. Its owner reports it in messages that have room, up to
-	// hotUpdatesPerMessage of them, for hotCustomerDuration after its last request.
+	// below hotLevelFraction of the burst. Its owner reports it, in messages with fewer than
+	// hotUpdatesPerMessage grants, for hotCustomerDuration after its last request.
 	hotDemandFactor      = 1.2
 	hotLevelFraction     = 1.0 / 4
 	hotUpdatesPerMessage = 2
@@ -42,7 +43,7 @@
 // the quota, the owner's part is the quota's rate and more.
 var ceilingFractions = [ownerCount]float64{0.6, 0.3, 0.1}
 
-// An ownerDecision is what the owner replied to the request that waits.
+// An ownerDecision is the owner's reply to a transfer request.
 type ownerDecision int
 
 const (
@@ -59,15 +60,15 @@
 	receivedAt time.Duration
 }
 
-// inTransit is units that an owner granted of a ceiling, until they have arrived or never will. They keep
-// their room at the owner: else its part would fill again meanwhile, and all parts together could hold
-// more than the ceiling.
+// inTransit is units that an owner or a backup owner granted of a ceiling, until they have arrived or never
+// will. They count against its capacity: else its part would fill again meanwhile, and all parts together
+// could hold more than the ceiling.
 type inTransit struct {
 	units     float64
 	arrivesBy time.Duration
 }
 
-// initOwned makes an account one of a large set.
+// initOwned gives an account of a large set what this limiter's rank among its owners brings.
 func (a *Account) initOwned() {
 	l := a.ledger
 	plan := a.plan()
@@ -92,8 +93,8 @@
 	}
 }
 
-// advanceOwned refills the parts of an owner, from one end of a transit to the next. Nothing but slots is
-// lent.
+// advanceOwned refills the parts of an owner or a backup owner, from one end of a transit to the next. Only
+// slots are lent.
 func (a *Account) advanceOwned(now time.Duration) {
 	for a.advancedTo < now {
 		next := now
@@ -126,8 +127,8 @@
 	return a.ownerRank == 0 || a.ownerRank > 0 && l.firstLiveOwner(a, now) == notOwner
 }
 
-// firstLiveOwner is the rank of the first owner before this limiter that is not silent, notOwner if there
-// is none.
+// firstLiveOwner is the rank of the first owner or backup owner before this limiter that is not silent,
+// notOwner if there is none.
 func (l *Ledger) firstLiveOwner(a *Account, now time.Duration) int {
 	for i, owner := range a.owners {
 		if owner == l.Self {
@@ -141,8 +142,8 @@
 	return notOwner
 }
 
-// predictOwnerView is what the owner's quota is expected to be now, by its last report; not known if
-// there is none, or an old one.
+// predictOwnerView is the level at the owner expected now from its last report. It is not known if there
+// was none within ownerViewDuration.
 func (a *Account) predictOwnerView(now time.Duration) ownerView {
 	view := a.ownerView
 	age := now - view.receivedAt
@@ -154,13 +155,13 @@
 	return view
 }
 
-// addOwnerView adds to a grant what the customer's quota is at this owner.
+// addOwnerView adds this owner's level and demand to a grant.
 func (a *Account) addOwnerView(grant *gossip.Grant, now time.Duration) {
 	grant.TotalLevel = uint8(min(a.relativeToBurst(max(a.quotaLevel, 0)), 1) * gossip.TotalSteps)
 	grant.Demand = a.encodeDemand(now)
 }
 
-// recordOwnerView takes over what an owner reported in a grant.
+// recordOwnerView records the level and demand that an owner reported in a grant.
 func (a *Account) recordOwnerView(grant gossip.Grant, now time.Duration) {
 	if a.ownerRank == 0 || grant.TotalLevel == gossip.UnknownTotal {
 		return
@@ -174,7 +175,8 @@
 }
 
 // hotCustomerUpdates returns grants that nobody requested and that move nothing: they report hot
-// customers of this owner. Limiters that receive them need not request the units of each request.
+// customers of this owner. Limiters that receive them need not send a transfer request for each
+// client request.
 func (l *Ledger) hotCustomerUpdates(most int, now time.Duration) (list []gossip.Grant) {
 	for range l.ownedAccounts {
 		if len(list) >= most {
--- a/internal/quota/owner_ceiling.go
+++ b/internal/quota/owner_ceiling.go
@@ -10,7 +10,7 @@
 
 // borrowCeiling requests of the backup owners what they gained of the ceiling since the last request:
 // while the owner lives they have no use for it. No unit is made so: it leaves one part before it comes
-// to the other, and the owner requests no more than its own part has room for.
+// to the other, and the owner requests no more than its own part can hold.
 func (l *Ledger) borrowCeiling(a *Account, now time.Duration) {
 	if a.ownerRank != 0 || a.plan().Ceiling.Rate <= 0 {
 		return
@@ -28,8 +28,8 @@
 	}
 }
 
-// ceilingNeed is what an owner can use of the ceiling beyond its level: what its demand takes, as far as
-// there is room for it and the quota does not bind first.
+// ceilingNeed is the units of the ceiling that an owner can use beyond its level: what its demand takes, as
+// far as its part can hold it and the quota does not bind first.
 func (a *Account) ceilingNeed(now time.Duration) float64 {
 	plan := a.plan()
 	target := a.demandRate(now)*prefetchDuration.Seconds() + a.largestRequest
--- a/internal/quota/owner_reserve.go
+++ b/internal/quota/owner_reserve.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// This file decides on requests of customers with an owner: at the owner itself, at the limiters that
-// request the units from it, and at those that get no decision.
+// This file decides on client requests of customers with an owner: at the owner itself, at the limiters
+// that request the units from it, and at those that get no decision.
 
 const (
 	// creditRateFactor times its even part of the rate is what a limiter may consume without a decision.
@@ -13,7 +13,14 @@
 	hotTransferFactor = 1.3
 )
 
-// reserveOwned is Reserve for a customer with an owner.
+// reserveOwned is Reserve for a customer with an owner. Its decisions in their order:
+//
+//  1. Nothing is lacking here, and this limiter decides, has only units that were granted to it, or just
+//     got the owner's grant: granted.
+//  2. This limiter decides, or the owner has replied: rejected.
+//  3. The customer is hot by the owner's last report: mostly rejected without a transfer request.
+//  4. Not last, and one of the owners is available: it is sent a transfer request, and the request waits.
+//  5. Nobody can decide: granted within the credit, else rejected.
 func (l *Ledger) reserveOwned(a *Account, units float64, last bool, now time.Duration) (Decision, time.Duration) {
 	lacking := a.lack(units) != amounts{}
 	decides := l.decides(a, now)
@@ -50,9 +57,10 @@
 	return Granted, 0
 }
 
-// skipsTransferRequest reports whether a request of a hot customer is rejected without a request to its owner,
-// which need not reject each of them. The owner gets more of them the older its last report is, as the
-// demand may have gone.
+// skipsTransferRequest reports whether a client request of a hot customer is rejected without a transfer
+// request, which its owner would reject too. Of the others all limiters together send as many as the owner
+// can grant, and more as its last report grows older, as the demand may have gone: one for each client
+// request where the report is ownerViewDuration old.
 func (a *Account) skipsTransferRequest(view ownerView, units float64, now time.Duration) bool {
 	target := hotTransferFactor * a.plan().Quota.Rate
 	if !view.known || a.transferOutstanding || view.level >= units || view.demand <= target {
@@ -67,8 +75,8 @@
 	return false
 }
 
-// takeCredit admits a request without a decision, as none came or there is no owner to make one. The
-// owner gets to know the units as debt. There is no credit for a ceiling and for slots.
+// takeCredit admits a client request without a decision, as none came or there is no owner to make one. The
+// units are reported to the owner as debt. There is no credit for a ceiling and for slots.
 func (a *Account) takeCredit(view ownerView, units float64, now time.Duration) bool {
 	plan := a.plan()
 	if plan.Ceiling.Rate > 0 || plan.Slots > 0 {
@@ -84,7 +92,7 @@
 	}
 	a.credit.Amount -= units
 	a.unreportedUnits += units
-	a.quotaLevel += units
+	a.quotaLevel += units // consumeOwned takes them again: they count at the owner, as debt
 	return true
 }
 
@@ -102,8 +110,8 @@
 	a.lastGrantAt = now
 }
 
-// refundOwned returns units of a quota whose request was not forwarded: to the owner, by a message soon,
-// as no other limiter could use them, or to this limiter's own level where it decides itself. If the
+// refundOwned returns units of a quota whose client request was not forwarded: to the owner, by a message
+// soon, as no other limiter could use them, or to this limiter's own level where it decides itself. If the
 // message is lost, so are the units.
 func (l *Ledger) refundOwned(a *Account, units float64, now time.Duration) {
 	decider := notOwner
--- a/internal/quota/owner_transfer.go
+++ b/internal/quota/owner_transfer.go
@@ -7,19 +7,21 @@
 	"lemongate/internal/gossip"
 )
 
-// This file is the exchange between the limiters of a large set and the owner: the requests for units of
-// each request, and what the owner grants.
+// This file is the exchange between the limiters of a large set and the owner: a transfer request for the
+// units of each client request, and the owner's grant.
 
 const (
-	// ownerRetransmitAfter is the time without a grant after which a request to an owner is sent again.
+	// ownerRetransmitAfter is the time without a grant after which a transfer request to an owner is sent
+	// again.
 	ownerRetransmitAfter = 50 * time.Millisecond
-	// backupLevelDuration is how long after its last grant a backup owner's level is what it assumes.
+	// backupLevelDuration is how long after its last grant a backup owner takes no level hint: until then
+	// its own level is the newer one.
 	backupLevelDuration = 2 * time.Second
 )
 
-// requestFromOwner requests a request's units from the first owner that is not silent, and reports
-// whether there is one. One that was silent before gets the request as well, as it may be back, but
-// nothing waits for its grant.
+// requestFromOwner sends a transfer request for a client request's units to the first of the owners that
+// is available, and reports whether its grant is worth waiting for. An unresponsive one gets a transfer
+// request as well, as it may be back, but nothing waits for its grant.
 func (l *Ledger) requestFromOwner(a *Account, units float64, now time.Duration) bool {
 	for _, owner := range a.owners {
 		if owner == l.Self {
@@ -43,7 +45,8 @@
 	return false
 }
 
-// startOwnedTransferRequest requests what a request for units needs, and reports what the owner does not know.
+// startOwnedTransferRequest requests what a client request for units needs, and reports the demand and
+// the debt that the owner does not know of.
 func (l *Ledger) startOwnedTransferRequest(a *Account, lk *link, units float64, now time.Duration) {
 	l.startTransferRequest(lk, a.ownedNeed(units), now)
 	lk.demandToReport = uint8(min(max(a.unreportedDemand-units, 0), math.MaxUint8))
@@ -52,7 +55,7 @@
 	l.queueTransferRequest(a, lk)
 }
 
-// ownedNeed is what a request for units needs beyond what was granted before and not used.
+// ownedNeed is what a client request for units needs beyond what was granted before and not used.
 func (a *Account) ownedNeed(units float64) amounts {
 	plan := a.plan()
 	var need amounts
@@ -68,14 +71,14 @@
 	return need
 }
 
-// attachDebt adds to a request to the owner what was consumed here without a decision, less what was
-// granted and not used.
+// attachDebt adds to a transfer request to the owner what was consumed here without a decision, less what
+// was granted and not used.
 func (a *Account) attachDebt(lk *link) {
 	lk.consumed = encodeSigned(a.unreportedUnits)
 	a.unreportedUnits = 0
 }
 
-// addOwnedReport adds to a request to an owner what the owner does not know.
+// addOwnedReport adds to a transfer request to an owner what the owner does not know.
 func (a *Account) addOwnedReport(request *gossip.TransferRequest, lk *link, now time.Duration) {
 	request.Consumed, request.Share = lk.consumed, lk.demandToReport
 	request.TotalLevel = gossip.UnknownTotal
@@ -93,18 +96,18 @@
 	}
 	lk.known, lk.reportedAt = true, now
 	lk.lastGrant = gossip.Grant{Customer: a.CustomerHash, Nonce: request.Nonce}
-	if a.ownerRank == notOwner { // sent here in error: there is nothing to grant, nor to give back to
+	if a.ownerRank == notOwner { // sent here in error: this limiter has nothing of the quota
 		l.queueGrant(peerID, lk.lastGrant)
 		return
 	}
 	a.adoptLevelHint(request, now)
-	ofOwner := a.ownerRank > 0 && peerID == a.owners[0] // borrows, see borrowCeiling
-	if !ofOwner {
+	fromOwner := a.ownerRank > 0 && peerID == a.owners[0] // it borrows, see borrowCeiling
+	if !fromOwner {
 		a.recordRequestedDemand(request, now)
 	}
 	a.applyDebt(request)
 	grant := lk.lastGrant
-	if l.grantOwned(a, lk, request, &grant, now) && !ofOwner {
+	if l.grantOwned(a, lk, request, &grant, now) && !fromOwner {
 		a.lastGrantAt = now
 	}
 	l.borrowCeiling(a, now)
@@ -116,7 +119,7 @@
 }
 
 // adoptLevelHint takes over what a requester knows of the quota's level, where this limiter knows less: a
-// backup owner that has not granted of late, and an owner that restarted.
+// backup owner without a grant for backupLevelDuration, and an owner that restarted.
 func (a *Account) adoptLevelHint(request gossip.TransferRequest, now time.Duration) {
 	if request.TotalLevel == gossip.UnknownTotal || a.plan().Quota.Rate <= 0 {
 		return
@@ -131,21 +134,23 @@
 	a.levelHintReceived = true
 }
 
-// recordRequestedDemand counts a request, and those that the requester rejected itself, as demand.
+// recordRequestedDemand counts as demand the units requested, and those of client requests that the
+// requester sent no transfer request for.
 func (a *Account) recordRequestedDemand(request gossip.TransferRequest, now time.Duration) {
 	units := max(decodeUnits(request.QuotaWanted), decodeUnits(request.CeilingWanted))
 	a.demand.Add(now, units+float64(request.Share), demandMemorySeconds)
 }
 
 // applyDebt takes units that the requester consumed without a grant, or returns what it did not use. The
-// quota holds no more than its burst, and no more debt than that.
+// quota's level stays within its burst above and below 0.
 func (a *Account) applyDebt(request gossip.TransferRequest) {
 	burst := a.plan().Quota.Burst
 	level := a.quotaLevel - decodeSigned(request.Consumed)
 	a.quotaLevel = min(max(level, -burst), max(burst, a.quotaLevel))
 }
 
-// grantOwned decides on a request, moves what it grants into the grant, and reports whether it does.
+// grantOwned decides on a transfer request, moves what it grants into the grant, and reports whether it
+// granted it.
 func (l *Ledger) grantOwned(a *Account, lk *link, request gossip.TransferRequest, grant *gossip.Grant, now time.Duration) bool {
 	quota, ceiling := decodeUnits(request.QuotaWanted), decodeUnits(request.CeilingWanted)
 	slotsHeld := lk.takeBackSlots(int(request.SlotsHeld))
@@ -172,7 +177,7 @@
 	return true
 }
 
-// takeBackSlots ends the loans of slots to a peer, and returns how many of them it still uses.
+// takeBackSlots ends the loans of slots to a peer, and returns how many slots the peer still uses.
 func (lk *link) takeBackSlots(slotsHeld int) int {
 	held := 0
 	for i := range lk.lent {
--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -12,10 +12,10 @@
 
 const (
 	// busyReportMaxAge is the age up to which a report counts in the sum of all allocations;
-	// idleReportMaxAge is that of a peer that is expected to have consumed next to nothing since.
+	// idleReportMaxAge is that of a peer that is expected to have consumed at most idleReportUnits since.
 	busyReportMaxAge = 400 * time.Millisecond
 	idleReportMaxAge = 3 * time.Second
-	// idleReportUnits is what counts as next to nothing.
+	// idleReportUnits is how much such a peer is expected to have consumed at most.
 	idleReportUnits = 1.0
 	// Units are recovered once they were unallocated at unallocatedMinReports reports over
 	// unallocatedMinDuration: units in transit between two peers look unallocated for a while.
@@ -49,15 +49,15 @@
 	a.recoverUnallocated(allocated, now)
 }
 
-// recordReport takes over what a peer reported of itself, and what it consumed since its last report out
-// of the customer's complete quota.
+// recordReport records what a peer reported of its allocation, and takes what it consumed since its last
+// report out of the customer's complete quota.
 func (a *Account) recordReport(lk *link, report peerReport, now time.Duration) {
 	if report.totalLevel != gossip.UnknownTotal && !a.totalKnown { // the peer knows more than this epoch
 		a.totalLevel, a.totalKnown = a.decodeTotal(report.totalLevel), true
 		lk.known, lk.consumed = true, report.consumed
 	}
 	if lk.known || lk.restarted || a.startedFull { // a new epoch counts from 0
-		a.totalLevel -= decodeSigned(report.consumed - lk.consumed)
+		a.totalLevel -= decodeSigned(report.consumed - lk.consumed) // below 0 after refunds
 	}
 	lk.known, lk.restarted, lk.reportedAt, lk.consumed = true, false, now, report.consumed
 	lk.level = a.decodeLevel(report.level)
--- a/internal/quota/refill.go
+++ b/internal/quota/refill.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// This file is the arithmetic of allocations: what part of each bucket is this limiter's, and how levels
-// change with time.
+// This file is the arithmetic of allocations: which fraction of each bucket is this limiter's, and how
+// levels change with time.
 
 // ClockDrift is the most that a clock may run fast or slow, as a fraction.
 const ClockDrift = 0.01
@@ -49,8 +49,8 @@
 	return next
 }
 
-// refill adds what some seconds bring. An allocation that holds more than its room, as one that lent a
-// share or whose loan ended, drains as fast as the others may fill: so all allocations together never
+// refill adds what some seconds bring. An allocation that holds more than its capacity, as after lending a
+// share or at the end of a loan, drains as fast as the others may fill: so all allocations together never
 // gain while they hold as much as the bucket can.
 func (a *Account) refill(seconds float64, earlierLoansEnded bool) {
 	plan := a.plan()
@@ -68,8 +68,8 @@
 	}
 }
 
-// refilled returns the level of an allocation after the complete bucket gained some units. Share is the
-// allocation's fraction of the rate, and slowdown a factor on it.
+// refilled returns the level of an allocation after the complete bucket gained some units. Fraction is the
+// allocation's part of the rate, and slowdown a factor on it.
 func refilled(level, capacity, gain, fraction, slowdown float64) float64 {
 	capacity = max(capacity, 0)
 	if level > capacity {
@@ -79,14 +79,14 @@
 }
 
 // fractions are the parts of the two buckets that are this limiter's to fill, and the units of its
-// grants that are in transit and keep their room here.
+// grants that are in transit and count against its capacity.
 type fractions struct {
 	quota, ceiling                   float64
 	quotaInTransit, ceilingInTransit float64 // units
 }
 
-// fractions returns what is this limiter's now. Until the loans of earlier epochs are settled, those may
-// have lent MaxLentFraction of the ceiling.
+// fractions returns the fractions of this limiter now. Until the loans of its earlier epochs have ended,
+// peers may use MaxLentFraction of its ceiling. A quota is not reduced for that, as it may be exceeded.
 func (a *Account) fractions(earlierLoansEnded bool) fractions {
 	f := fractions{quota: a.baseFraction, ceiling: a.ceilingFraction}
 	if !earlierLoansEnded {
@@ -112,8 +112,8 @@
 	return f
 }
 
-// fractionOfDead is this limiter's part of the quota allocations of dead peers. Ceilings are not shared
-// out: a peer that counts as dead may live.
+// fractionOfDead is this limiter's part of the quota allocations of dead peers. Ceilings are not
+// divided up: a peer that counts as dead may live.
 func (a *Account) fractionOfDead() float64 {
 	dead := 0
 	for _, peerID := range a.lenders {
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -27,8 +27,8 @@
 	Rejected Decision = iota
 	// Granted means that the units are reserved.
 	Granted
-	// Pending means that the units are requested from other limiters. Reserve has to be called again
-	// when HandleGrant returns the account.
+	// Pending means that the units are requested from other limiters, or that the start state is unknown.
+	// The caller calls Reserve again after each message of a peer, and with last at its deadline.
 	Pending
 )
 
@@ -38,9 +38,9 @@
 	slots          int
 }
 
-// Reserve takes the units of a request out of the customer's buckets if it may be admitted. With last,
-// no further grant is waited for and the decision is not Pending. For a rejection the duration is how
-// long it takes until the units may be there.
+// Reserve takes the units of a request out of the customer's buckets if it may be admitted. With last, it
+// decides by what is known here, and the decision is not Pending. With Rejected, the duration is how long
+// it takes until the units may be there. The caller sets Account.SlotsInUse first.
 func (l *Ledger) Reserve(a *Account, units float64, last bool, now time.Duration) (Decision, time.Duration) {
 	a.advance(now)
 	if !a.isAllocated() {
@@ -83,7 +83,7 @@
 
 // probabilityWithoutGrant is the probability that a request may be admitted with what it lacks of the
 // quota: 0 where it lacks anything of the ceiling or a slot, or where its debt would be too large. While
-// the start is unresolved, one request goes once there is nobody left to learn from.
+// the start state is unknown, one request is admitted once no message can resolve it any more.
 func (l *Ledger) probabilityWithoutGrant(a *Account, units float64, lack amounts, last bool, now time.Duration) float64 {
 	if lack.ceiling > 0 || lack.slots > 0 || a.quotaLevel-units < -a.maxDebt() {
 		return 0
@@ -107,7 +107,7 @@
 }
 
 // shouldWait requests from other limiters what a request lacks, and reports whether anything can come of
-// waiting: a grant, or the resolution of the start.
+// waiting: a grant, or the start state.
 func (l *Ledger) shouldWait(a *Account, lack amounts, now time.Duration) bool {
 	if l.requestTransfers(a, lack, now) {
 		return true
@@ -166,7 +166,8 @@
 	}
 }
 
-// ReleaseSlot reports that an attempt ended and its slot is free: a borrowed one goes back at once.
+// ReleaseSlot reports that an attempt ended and its slot is free: a borrowed one goes back at once. The
+// caller sets Account.SlotsInUse first, without the slot.
 func (l *Ledger) ReleaseSlot(a *Account, _ time.Duration) {
 	if a.plan().Slots <= 0 || a.SlotsInUse >= a.slotLimit() {
 		return
--- a/internal/quota/sendqueue.go
+++ b/internal/quota/sendqueue.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/gossip"
 )
 
-// This file queues what is to be sent to each peer, and composes messages of it.
+// This file queues transfer requests and grants for each peer, and composes messages of them.
 
 // queueTransferRequest queues a message to a peer about an account.
 func (l *Ledger) queueTransferRequest(a *Account, lk *link) {
@@ -46,8 +46,8 @@
 	return list
 }
 
-// HasGrantsFor reports whether a grant to a peer is queued. There are no more grants than requests that
-// came in.
+// HasGrantsFor reports whether a grant to a peer is queued. There are no more grants than transfer requests
+// that came in.
 func (l *Ledger) HasGrantsFor(peerID int) bool {
 	peer := l.peers[peerID]
 	return peer != nil && len(peer.queuedGrants) > 0
@@ -67,14 +67,14 @@
 	n := min(len(peer.queuedGrants), gossip.MaxGrants)
 	grants, peer.queuedGrants = peer.queuedGrants[:n:n], peer.queuedGrants[n:]
 	l.Counts.GrantsSent += uint64(n)
-	if l.Limiters > SmallSetSize && n < hotUpdatesPerMessage {
+	if l.Limiters > SmallSetSize && n < hotUpdatesPerMessage { // a smaller tier has no set with an owner
 		grants = append(grants, l.hotCustomerUpdates(hotUpdatesPerMessage-n, now)...)
 	}
 	return requests, grants, len(peer.queuedTransferRequests)+len(peer.queuedGrants) > 0
 }
 
-// takeTransferRequests takes the requests of a message out of a peer's queue. What a queued account requests is
-// decided only now, but for its amounts.
+// takeTransferRequests takes the transfer requests of a message out of a peer's queue. They are built only
+// now, from the amounts recorded in the link and the state of the account as it is sent.
 func (l *Ledger) takeTransferRequests(peerID int, peer *peer, now time.Duration) (requests []gossip.TransferRequest) {
 	for len(peer.queuedTransferRequests) > 0 && len(requests) < gossip.MaxRequests {
 		a := peer.queuedTransferRequests[0]
@@ -98,7 +98,7 @@
 	return requests
 }
 
-// startReturn makes a link's request one that only gives back slots or units. No grant is expected.
+// startReturn makes a link's transfer request one that only gives back slots or units. No grant is expected.
 func (l *Ledger) startReturn(a *Account, lk *link) {
 	lk.nonce, lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = l.nextNonce(), 0, 0, 0
 	if !a.isAllocated() {
@@ -106,7 +106,7 @@
 	}
 }
 
-// buildTransferRequest returns the message of a link's request, with a report of the account here.
+// buildTransferRequest returns the message of a link's transfer request, with a report of the account here.
 func (l *Ledger) buildTransferRequest(a *Account, lk *link, now time.Duration) gossip.TransferRequest {
 	a.advance(now)
 	request := gossip.TransferRequest{
--- a/internal/quota/start.go
+++ b/internal/quota/start.go
@@ -12,12 +12,13 @@
 // full, as the tier is new, or consumed, as the tier was there before.
 type StartState uint8
 
-// Recovery states.
+// Start states.
 const (
 	// StartUnknown means that nothing is known yet. One request of each customer may be admitted
 	// without a grant; others wait.
 	StartUnknown StartState = iota
-	// TierStarted means that the tier is new: all buckets are full.
+	// TierStarted means that the tier is new: all quotas are full. A ceiling starts empty in any state,
+	// and in a small set it fills more slowly until earlierLoansEndedAt.
 	TierStarted
 	// LimiterRestarted means that the other limiters were there before. What this one had is lost, the
 	// rest is theirs.
@@ -33,7 +34,7 @@
 // StartState returns what the limiter takes its own start for.
 func (l *Ledger) StartState() StartState { return l.startState }
 
-// Resolve sets what the limiter takes its own start for. Only the first state other than RecoveryUnknown
+// Resolve sets what the limiter takes its own start for. Only the first state other than StartUnknown
 // counts.
 func (l *Ledger) Resolve(s StartState, now time.Duration) {
 	if l.startState != StartUnknown || s == StartUnknown {
@@ -62,8 +63,8 @@
 	}
 }
 
-// initialLevel gives a new allocation what the recovery state allows beyond what it gained since the
-// start.
+// initialLevel gives a new allocation of a quota what the start state allows beyond what it gained since
+// the start.
 func (a *Account) initialLevel(now time.Duration) {
 	l := a.ledger
 	full := a.baseFraction * a.plan().Quota.Burst
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -10,13 +10,14 @@
 // what is done with the messages that come. sendqueue.go composes those that are sent.
 
 const (
-	// prefetchDuration is how long what a busy limiter has at hand lasts at its demand.
+	// prefetchDuration is how long the units that a busy limiter requests ahead of need last at its
+	// demand.
 	prefetchDuration = 250 * time.Millisecond
-	// transferInterval is the least time between requests to one peer about one customer.
+	// transferInterval is the least time between transfer requests to one peer about one customer.
 	transferInterval = 150 * time.Millisecond
 	// emptyGrantBackoff takes its place after a grant that brought next to nothing.
 	emptyGrantBackoff = 500 * time.Millisecond
-	// transferRetransmitAfter is the time without a grant after which a request is sent again.
+	// transferRetransmitAfter is the time without a grant after which a transfer request is sent again.
 	transferRetransmitAfter = 70 * time.Millisecond
 	// transferTimeout is the time after which no grant is accepted any longer; a peer that sent nothing
 	// in this time is silent.
@@ -25,20 +26,19 @@
 	reportStaleAfter = time.Second
 	// borrowerDemandFactor times its demand is the rate that a borrower wants.
 	borrowerDemandFactor = 1.15
-	// spareLevelFraction of the larger requests is the least level at which a peer may have units to
-	// spare.
+	// spareLevelFraction of largestRequest is the least level at which a peer may have units to spare.
 	spareLevelFraction = 3.0 / 4
 )
 
 // transferNeed is what an account is to request from its peers.
 type transferNeed struct {
 	amounts
-	urgent bool // a request waits for it
+	urgent bool // a client request waits for it
 	busy   bool // the demand is more than the allocation gains without loans
 }
 
-// newTransferNeed is what an account lacks: for a request that waits, and ahead of need for a busy
-// customer.
+// newTransferNeed returns what an account lacks: for a client request that waits, and ahead of need for a
+// busy customer.
 func (a *Account) newTransferNeed(lack amounts, now time.Duration) transferNeed {
 	plan := a.plan()
 	demand := a.demandRate(now)
@@ -57,8 +57,8 @@
 	return need
 }
 
-// requestTransfers requests from the other limiters what an account needs. It reports whether a request
-// may wait for a grant.
+// requestTransfers requests from the other limiters what an account needs. It reports whether a client
+// request may wait for a grant.
 func (l *Ledger) requestTransfers(a *Account, lack amounts, now time.Duration) (wait bool) {
 	need := a.newTransferNeed(lack, now)
 	needsRenewal := need.busy && a.loanExpiring(now)
@@ -97,12 +97,20 @@
 	level, demand := a.estimatePeer(lk, now)
 	hasUnits := level > a.largestRequest*spareLevelFraction && (need.urgent || level > demand*prefetchDuration.Seconds())
 	renewal := need.busy && lk.borrowed.expiresWithin(loanRenewalMargin, now)
-	if !lk.known || hasUnits || renewal || need.slots > 0 {
+	switch {
+	case !lk.known: // whether it has anything is not known
 		return true
-	}
-	if now-lk.reportedAt <= reportStaleAfter {
+	case hasUnits: // about those of a request, and unless one waits here more than its own demand takes soon
+		return true
+	case renewal: // it lent a share that is still needed and is about to end
+		return true
+	case need.slots > 0: // reports do not show free slots
+		return true
+	case now-lk.reportedAt <= reportStaleAfter: // it had nothing a moment ago
 		return false
 	}
+	// Its report is old: it may have a share to lend, something of the ceiling, or for a request that
+	// waits anything at all.
 	spareRate := demand*lenderDemandFactor + minLoanShare*plan.Quota.Rate
 	hasRate := plan.Quota.Rate > 0 && a.evenFraction*plan.Quota.Rate > spareRate
 	needsCeiling := plan.Ceiling.Rate > 0 && need.ceiling > 0
@@ -118,8 +126,8 @@
 	transferTimedOut                        // nothing came of the peer: it is silent
 )
 
-// checkTransferRequest returns what became of the request on a link. It sends it again if a time has passed
-// since it was last sent, and gives it up after requestTimeout.
+// checkTransferRequest returns what became of the transfer request on a link. It sends it again if
+// retransmitAfter has passed since it was last sent, and gives it up after transferTimeout.
 func (l *Ledger) checkTransferRequest(a *Account, lk *link, retransmitAfter, now time.Duration) transferStatus {
 	if lk.isPending(now) {
 		if now-lk.lastSentAt > retransmitAfter {
@@ -139,13 +147,13 @@
 	return transferTimedOut
 }
 
-// startTransferRequest makes a link's request one for some amounts.
+// startTransferRequest starts a new transfer request on a link.
 func (l *Ledger) startTransferRequest(lk *link, wanted amounts, now time.Duration) {
 	lk.pending, lk.nonce, lk.requestedAt, lk.lastSentAt = true, l.nextNonce(), now, now
 	lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = wanted.quota, wanted.ceiling, wanted.slots
 }
 
-// nextNonce returns a new nonce of a request. None is 0, which marks a grant that nobody requested.
+// nextNonce returns a new nonce of a transfer request. None is 0, which marks a grant that nobody requested.
 func (l *Ledger) nextNonce() uint16 {
 	l.lastNonce++
 	if l.lastNonce == 0 {
@@ -155,7 +163,7 @@
 }
 
 // HandleRequest takes in a peer's report of an account, and queues a grant of what this limiter can
-// give. A request that does not fit the configuration is dropped.
+// give. A transfer request that does not fit the configuration is dropped.
 func (l *Ledger) HandleRequest(peerID int, request gossip.TransferRequest, now time.Duration) {
 	if !l.isValid(peerID, request) {
 		return
@@ -178,8 +186,8 @@
 	l.queueGrant(peerID, l.lend(a, lk, request, now))
 }
 
-// isValid reports whether a peer's request names a plan and a set that there is, of which both limiters
-// are.
+// isValid reports whether a transfer request names a plan and a set that exist, and whether the peer and
+// this limiter are in that set.
 func (l *Ledger) isValid(peerID int, request gossip.TransferRequest) bool {
 	first, size := int(request.FirstLimiter), int(request.SetSize)
 	if int(request.Plan) >= len(l.Plans) || first >= l.Limiters || size == 0 || size > l.Limiters {
@@ -189,8 +197,8 @@
 	return inSet(peerID) && inSet(l.Self)
 }
 
-// HandleGrant takes in what a peer granted and reported. It returns the account if requests may wait for
-// the grant, else nil.
+// HandleGrant takes in what a peer granted and reported. It returns the account that the grant is
+// about; nil if there is none, or in a small set if no transfer request waits for the grant.
 func (l *Ledger) HandleGrant(peerID int, grant gossip.Grant, now time.Duration) *Account {
 	a := l.accountOfGrant(peerID, grant)
 	if a == nil {
