--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -6,7 +6,7 @@
 	"lemongate/internal/admission"
 )
 
-// This file starts attempts, bounds them, and takes their results in.
+// This file starts attempts, bounds their duration, and takes in their results.
 
 // attempt is an attempt in flight.
 type attempt struct {
@@ -58,7 +58,7 @@
 	return token, until, ok
 }
 
-// mayAttempt reports whether a request, of which the attempt in question is counted, may have it.
+// mayAttempt reports whether a request may have the attempt that was just counted.
 func (m *Machine) mayAttempt(r *request) bool {
 	return !r.answered && r.attempts <= max(m.config.Settings.MaxAttempts, 1)
 }
@@ -86,8 +86,8 @@
 	m.attempts[id] = &attempt{request: r, backend: action.Backend, startedAt: m.now, underLease: action.Recovery}
 }
 
-// onAttemptFinished takes the result of an attempt in, unless it was given up before: then it has had
-// its result.
+// onAttemptFinished takes in the result of an attempt, unless the attempt was given up before: then it has
+// had its result.
 func (m *Machine) onAttemptFinished(ev *AttemptFinished) {
 	a := m.attempts[ev.Attempt]
 	if a == nil {
@@ -100,7 +100,7 @@
 	if ev.Result == admission.Succeeded {
 		m.respond(a.request, Respond{Kind: Served, Response: ev.Response})
 	}
-	m.closeAttempt(ev.Attempt, ev.Result, ev.Report, a.request.answered)
+	m.closeAttempt(ev.Attempt, ev.Result, ev.Report)
 }
 
 func (m *Machine) countAttemptResult(ev *AttemptFinished) {
@@ -126,7 +126,7 @@
 func (m *Machine) onAttemptTimeout(id AttemptID) {
 	m.emit(CancelAttempt{Attempt: id})
 	m.counters.TimedOut++
-	m.closeAttempt(id, admission.TimedOut, nil, false)
+	m.closeAttempt(id, admission.TimedOut, nil)
 }
 
 // cancelAttempt gives up an attempt that the admission controller no longer wants, if it is in flight.
@@ -135,7 +135,7 @@
 		return
 	}
 	m.emit(CancelAttempt{Attempt: id})
-	m.closeAttempt(id, admission.Canceled, nil, false)
+	m.closeAttempt(id, admission.Canceled, nil)
 }
 
 // withdrawAttempts ends the attempts of a request of which no byte is written. The admission
@@ -149,8 +149,9 @@
 	}
 }
 
-// closeAttempt ends an attempt and notifies the admission controller. The request is over if final.
-func (m *Machine) closeAttempt(id AttemptID, result admission.Result, report []float64, final bool) {
+// closeAttempt ends an attempt and notifies the admission controller. The attempt is the final one of its
+// request if that is answered.
+func (m *Machine) closeAttempt(id AttemptID, result admission.Result, report []float64) {
 	a := m.attempts[id]
 	r := a.request
 	latency := m.now - a.startedAt
@@ -167,7 +168,7 @@
 	}
 	m.decide(&admission.AttemptFinished{
 		Request: id.Request, Attempt: id.Number, Backend: a.backend, Result: result,
-		Latency: latency, Final: final || r.answered, Report: report,
+		Latency: latency, Final: r.answered, Report: report,
 	})
 	m.removeIfFinished(r)
 }
--- a/internal/core/collection.go
+++ b/internal/core/collection.go
@@ -14,7 +14,7 @@
 const (
 	// writeRetryDelay is the time after which a report that could not be written is retried.
 	writeRetryDelay = time.Second
-	// writeStuckLeases is how many lease durations a write may take; then the task is left to others.
+	// writeStuckLeases is how many lease durations a write may take. After that the lease is released.
 	writeStuckLeases = 4
 	// usageReplyFraction is the fraction of the messages that a limiter may receive that may be replies
 	// to usage queries.
@@ -25,7 +25,7 @@
 type collectionPhase uint8
 
 const (
-	collectionIdle       collectionPhase = iota // until the period is over
+	collectionIdle       collectionPhase = iota // waits for the next collection
 	collectionOpening                           // sets the payload: the period is being collected
 	collectionQuerying                          // queries all limiters
 	collectionClaiming                          // sets the payload: the report is being written
@@ -37,10 +37,10 @@
 type collection struct {
 	phase        collectionPhase
 	collector    *usage.Collector // of the period; nil while idle
-	token        uint64           // of the lease that all this is under; 0 for none
-	reportedUpTo []uint32         // by limiter: the last period of which a report with its usage is known
+	token        uint64           // of the lease under which the period is collected; 0 for none
+	reportedUpTo []uint32         // by limiter: the last period that has a known report with its usage
 	startedAt    time.Duration    // clock time at which the collection of the period began
-	nextAt       time.Duration    // clock time at which something is due
+	nextAt       time.Duration    // clock time at which the phase goes on: the next collection, a retry, or writeStuck
 	writeStuck   bool             // a write did not finish in time, and the lease was released for it
 }
 
@@ -161,15 +161,15 @@
 	}
 }
 
-// startNextPeriod starts to collect the period that is over: that of the wall clock, or the one after
-// the last if that is later.
+// startNextPeriod starts to collect the usage up to now. Its period number is that of the wall-clock period
+// in which the collection starts, or the one after the last number if that is later.
 func (m *Machine) startNextPeriod() (due time.Duration) {
 	if m.now < m.usage.collection.nextAt {
 		return m.usage.collection.nextAt
 	}
 	last := m.usagePayload().period
-	current := uint32(m.wallClock() / uint64(m.config.UsagePeriod/time.Millisecond))
-	m.startCollection(max(last+1, current), last, false)
+	wallClockPeriod := uint32(m.wallClock() / uint64(m.config.UsagePeriod/time.Millisecond))
+	m.startCollection(max(last+1, wallClockPeriod), last, false)
 	return 0
 }
 
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -13,13 +13,13 @@
 type controllerBridge struct {
 	controller *admission.Controller
 	timerAt    time.Duration      // clock time of its timer in force; 0 for none
-	events     []admission.Event  // not handled to the end; the first is in hand
-	actions    []admission.Action // of the event in hand
+	events     []admission.Event  // queued; the first is being handled
+	actions    []admission.Action // of the event that is being handled
 }
 
-// decide hands an event to the admission controller and carries out its actions. Events that these
-// bring about at once, as an attempt that is not sent, follow once all actions are carried out, as
-// they would if they came from outside.
+// decide hands an event to the admission controller and carries out its actions. An event that an action
+// brings about at once, such as an attempt that is not sent, is handled after all actions, as if it came
+// from outside.
 func (m *Machine) decide(ev admission.Event) {
 	c := &m.admission
 	c.events = append(c.events, ev)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -22,24 +22,35 @@
 }
 
 // Counters count from the start of the process what it received, forwarded and answered.
+//
+// The field tags are the names of 0.8.0, which operators and scripts read. Of those that mislead:
+//
+//	fetched, open_fetches  attempts at backends
+//	turned_away            attempts that a backend rejected
+//	refused                requests with a local reply that they may be sent again
+//	turned                 requests that the admission controller ended without a response of a backend,
+//	                       by cause; each is in refused too, or in failed if it must not be repeated
+//	broken, spoilt         attempts that lost their connection; those of them whose response had begun
+//	rollup                 usage reports, the task of the lease of that name; trials is the lease for
+//	                       recovery attempts
 type Counters struct {
 	Received             uint64        `json:"received"`      // requests
-	Malformed            CountsByCause `json:"malformed"`     // what was no valid request, answered with 4xx
+	Malformed            CountsByCause `json:"malformed"`     // invalid requests, answered with 4xx
 	ClosedUnread         uint64        `json:"closed_unread"` // client connections closed with no complete request read
 	ClosedIdle           uint64        `json:"closed_idle"`   // client connections closed between requests
 	ConnsRejected        uint64        `json:"full"`          // new client connections beyond the limit, answered with Retry-After
 	AttemptsStarted      uint64        `json:"fetched"`       // attempts started
-	Retries              uint64        `json:"retries"`       // of these, retries
+	Retries              uint64        `json:"retries"`       // retries among AttemptsStarted
 	NotSent              uint64        `json:"not_sent"`      // attempts that came too late or one too many, or were withdrawn
 	Served               uint64        `json:"served"`        // responses of backends passed on
 	Rejected             uint64        `json:"refused"`       // local replies: the request may be sent again
 	Failed               uint64        `json:"failed"`        // local replies: the request may have run
-	Overdue              uint64        `json:"overdue"`       // local replies at the deadline, of these two
+	Overdue              uint64        `json:"overdue"`       // local replies at the deadline, among Rejected and Failed
 	ClientsDisconnected  uint64        `json:"left"`          // clients that disconnected before their response
 	TimedOut             uint64        `json:"timed_out"`     // attempts
 	ConnectsFailed       uint64        `json:"unreachable"`   // attempts that got no connection
 	ConnsLost            uint64        `json:"broken"`        // attempts whose connection was lost
-	ResponsesInvalid     uint64        `json:"spoilt"`        // of these, those whose response had begun
+	ResponsesInvalid     uint64        `json:"spoilt"`        // those of ConnsLost whose response had begun
 	StaleConns           uint64        `json:"stale"`         // backend connections found closed before an attempt used them
 	Errored              uint64        `json:"errored"`       // attempts that the backend failed
 	AttemptsRejected     uint64        `json:"turned_away"`   // attempts that the backend rejected
@@ -48,14 +59,14 @@
 	Reloads              uint64        `json:"reloads"`       // of the configuration
 	ReloadsFailed        uint64        `json:"reloads_bad"`   // of a configuration that could not be read or is not valid
 	PeerMessagesSent     uint64        `json:"peer_out"`      // datagrams sent
-	PeerMessagesReceived uint64        `json:"peer_in"`       // datagrams received
-	PeerMessagesInvalid  uint64        `json:"peer_bad"`      // datagrams dropped as malformed or of unknown origin
+	PeerMessagesReceived uint64        `json:"peer_in"`       // valid datagrams, also those dropped later by their epoch or Seq
+	PeerMessagesInvalid  uint64        `json:"peer_bad"`      // datagrams of another format version, malformed or of unknown origin
 	OpenRequests         int           `json:"open_reqs"`     // requests without a response, now
 	OpenAttempts         int           `json:"open_fetches"`  // attempts in flight, now
 	LiveBackends         int           `json:"live_backends"` // listed and live, now
 
 	Rejections admission.RejectionCounts `json:"turned"` // local replies by cause
-	Quota      quota.Counters            `json:"quota"`  // of customers
+	Quota      quota.Counters            `json:"quota"`  // of customers' quotas and ceilings
 	Usage      UsageCounts               `json:"rollup"` // of usage reports
 }
 
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -73,8 +73,9 @@
 	Addr    string // host:port
 }
 
-// CloseBackendConns keeps new attempts off the connections to a backend that drains, was removed or
-// restarted, or moved: no first byte of a request may be written on one that is open now.
+// CloseBackendConns closes the idle connections to a backend that drains, was removed or restarted, or
+// moved. Attempts that have begun go on on theirs; no first byte of another request may be written on a
+// connection that is open now.
 type CloseBackendConns struct {
 	Backend string // ID
 }
@@ -108,7 +109,7 @@
 	Report      []byte // a line
 }
 
-// PublishMetrics publishes metrics, which are the receiver's to keep.
+// PublishMetrics publishes metrics. The receiver may keep them.
 type PublishMetrics struct{ Metrics Metrics }
 
 // Log writes a message to the log.
@@ -126,7 +127,7 @@
 // LinkMessageReceived follows, or LinkClosed where there is none.
 type ConnectPredecessor struct{}
 
-// AcceptSuccessor makes the link of a SuccessorConnected the one that events count from.
+// AcceptSuccessor takes the link of a SuccessorConnected: only events of this link count from now on.
 type AcceptSuccessor struct{ Link Content }
 
 // DenySuccessor sends Deny on the link of a SuccessorConnected and closes it.
@@ -141,7 +142,8 @@
 // SendLinkMessage sends a message of the protocol.
 type SendLinkMessage struct{ Kind hotrestart.Kind }
 
-// TransferState sends Transfer with the state and the sockets of the clients' listener and the peers.
+// TransferState sends Transfer with the state and the sockets of the listener for clients and of the
+// transport to other limiters.
 type TransferState struct{ State HandoverState }
 
 // CloseLink closes the link after what was sent.
@@ -159,7 +161,7 @@
 // ForwardRequest has the successor decide a request. ForwardedResponseReceived follows.
 type ForwardRequest struct{ ForwardedRequest }
 
-// CancelForwardedRequest notifies the successor that a request it is to decide is over.
+// CancelForwardedRequest notifies the successor that a request it is to decide needs no decision.
 type CancelForwardedRequest struct{ Request RequestID }
 
 // SendForwardedResponse sends the predecessor the response to a request that it forwarded.
@@ -167,9 +169,9 @@
 
 // Effects of a hot restart on sockets and connections.
 
-// OpenListeners starts to listen to clients and peers, with nothing from a predecessor.
+// OpenListeners starts to listen to clients and other limiters, with nothing from a predecessor.
 type OpenListeners struct {
-	Wait bool // a process that ends may hold the addresses for a while
+	Wait bool // another process that ends may hold the addresses for a while
 }
 
 // AdoptSockets serves on the predecessor's sockets, and goes on with its clock.
@@ -181,10 +183,10 @@
 	LastRequest RequestID     // requests are numbered from beyond this
 }
 
-// PauseListeners stops to accept clients and to receive from peers.
+// PauseListeners stops accepting clients and receiving from other limiters.
 type PauseListeners struct{}
 
-// ResumeListeners goes on with both.
+// ResumeListeners ends PauseListeners.
 type ResumeListeners struct{}
 
 // MoveClientConns moves each client connection to the successor once it is between requests.
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -35,8 +35,8 @@
 }
 
 // applyEndpoints updates the list. A backend that drains, was removed or restarted, or moved keeps no
-// connection that a new attempt could use. Removed ones are forgotten: backends are replaced under new
-// IDs, and never come back.
+// connection that a new attempt could use. Removed backends are forgotten here: most are replaced under new
+// IDs, and one that comes back is listed again. The admission controller remembers them for longer.
 func (m *Machine) applyEndpoints(ev *EndpointsUpdated) {
 	m.counters.EndpointUpdates++
 	m.endpoints.generation = ev.Generation
@@ -71,7 +71,7 @@
 	for i := range listed {
 		named[listed[i].ID] = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.endpoints.byID)) { // in the same order every time
+	for _, id := range slices.Sorted(maps.Keys(m.endpoints.byID)) { // for the same order of effects every time
 		if !named[id] {
 			delete(m.endpoints.byID, id)
 			m.emit(CloseBackendConns{Backend: id})
@@ -79,7 +79,7 @@
 	}
 }
 
-// liveBackends is how many backends take requests, as far as the list says.
+// liveBackends is the number of backends that take requests according to the list.
 func (m *Machine) liveBackends() int {
 	live := 0
 	for _, endpoint := range m.endpoints.byID {
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -9,7 +9,7 @@
 	"lemongate/internal/admission"
 )
 
-// A connection of before a drain, a removal, a restart or a move must carry no new request; a backend
+// A connection opened before a drain, a removal, a restart or a move must carry no new request; a backend
 // that is merely listed again keeps its connections.
 func TestConnsOfChangedBackendsAreClosed(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -39,7 +39,7 @@
 // The request ends with a local reply and no further attempts. It may name any request.
 type ClientDisconnected struct{ Request RequestID }
 
-// RequestMalformed counts what was answered with 4xx as no valid request.
+// RequestMalformed counts an invalid request that was answered with 4xx.
 type RequestMalformed struct{ Cause MalformedCause }
 
 // MalformedCause says what is wrong with a request.
@@ -70,11 +70,11 @@
 	return [...]string{"target", "method", "id", "plan", "budget", "quota", "framing", "open_id"}[c]
 }
 
-// ClientConnClosed counts a client connection that the server closed by itself, as it was idle or to
-// make room for others.
+// ClientConnClosed counts a client connection that the server closed by itself, as it was idle, or as there
+// were too many.
 type ClientConnClosed struct {
-	Unread bool // no complete request had come on it, or part of one
-	Full   bool // it was beyond the limit, and was answered with Retry-After
+	Unread bool // no request had come on it, or part of one was unread
+	Full   bool // it was new and beyond the limit, and was answered with Retry-After
 }
 
 // ServerClosed notifies that the server has closed, as CloseServer requested. The process stops.
@@ -151,8 +151,7 @@
 	Limiter int // number
 }
 
-// Events of the link to the other process of a hot restart. A predecessor and its successor send each
-// other what is meant for them.
+// Events of the link to the other process of a hot restart.
 
 // SuccessorConnected notifies that a process connected as a successor. AcceptSuccessor or DenySuccessor
 // follows.
@@ -182,7 +181,7 @@
 // ForwardedRequestReceived brings a request of the predecessor. SendForwardedResponse follows.
 type ForwardedRequestReceived struct{ ForwardedRequest }
 
-// ForwardedRequestCanceled notifies that the client of such a request disconnected, or that the
+// ForwardedRequestCanceled notifies that the client of a forwarded request disconnected, or that the
 // predecessor has answered it.
 type ForwardedRequestCanceled struct{ Request RequestID }
 
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -9,8 +9,8 @@
 // This file forwards requests between the two processes of a hot restart: the predecessor has the
 // clients, the successor admits.
 
-// forwardMargin is how much earlier the successor answers a forwarded request than its client needs it,
-// so that the response is with the predecessor before that one gives up.
+// forwardMargin is how much earlier a successor answers a forwarded request than a request of its own, so
+// that the response is with the predecessor before that one answers in its place; see responseMargin.
 const forwardMargin = 20 * time.Millisecond
 
 // ForwardedRequest is a request that a predecessor forwards to its successor.
@@ -20,8 +20,8 @@
 	Content           Content
 }
 
-// forwardRequests forwards what is parked, and all that comes from now on. The client connections stay
-// here: with a successor that fails in its probation all requests on them would be lost.
+// forwardRequests forwards the undecided requests, and all that come from now on. The client connections
+// stay here: if the successor failed in its probation, all requests on them would be lost.
 func (m *Machine) forwardRequests() {
 	m.hotRestart.forwarding = true
 	m.emit(SetAcceptingClients{Accepting: false})
@@ -32,7 +32,8 @@
 	m.hotRestart.undecided = nil
 }
 
-// forward has the successor decide a request. Until its response it may have run, as far as known here.
+// forward has the successor decide a request. Until its response the request may have run, as far as known
+// here.
 func (m *Machine) forward(r *request) {
 	if r.answered {
 		return
@@ -53,7 +54,7 @@
 	m.acceptRequest(received, true)
 }
 
-// onForwardedResponse passes the successor's response on.
+// onForwardedResponse passes on the successor's response.
 func (m *Machine) onForwardedResponse(ev *ForwardedResponseReceived) {
 	r := m.requests.byID[ev.Request]
 	if r != nil && r.forwarded {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -41,7 +41,7 @@
 	UsageRecorded bool   // the predecessor recorded the request's units
 }
 
-// FinishedAttempt is how such an attempt ended.
+// FinishedAttempt is how an attempt of a predecessor ended.
 type FinishedAttempt struct {
 	Attempt AttemptID
 	Backend string // ID
@@ -59,8 +59,8 @@
 	}
 }
 
-// stopAdmitting parks what is not forwarded to a backend yet for whichever process admits next. Units
-// reserved for it go back.
+// stopAdmitting keeps the requests without an attempt for whichever process admits next. Units reserved
+// for them go back.
 func (m *Machine) stopAdmitting() {
 	m.releaseLeases()
 	m.emit(PauseListeners{})
@@ -72,7 +72,7 @@
 	}
 }
 
-// packState returns the state for the successor, which speaks to peers from now on.
+// packState returns the state for the successor, which from now on exchanges messages with other limiters.
 func (m *Machine) packState() HandoverState {
 	m.hotRestart.stateSent = true
 	state := HandoverState{
@@ -113,7 +113,7 @@
 	m.emit(SetResourceShare{Fraction: 1})
 	m.emit(ResumeListeners{})
 	m.emit(SetAcceptingClients{Accepting: true})
-	m.phase = Serving
+	m.phase = Serving // not enterPhase: the process was ready all along
 	m.startLeases()
 	m.logf("no successor took over, this process admits again")
 	if newEpoch {
@@ -126,8 +126,8 @@
 	}
 }
 
-// renewEpoch goes on as a limiter that starts anew, and answers what the successor was to decide: it
-// is not known whether that ran.
+// renewEpoch starts a new epoch of the limiter, and answers the requests that the successor was to decide:
+// it is not known whether they ran.
 func (m *Machine) renewEpoch() {
 	if m.usage.recorder != nil {
 		m.usage.recorder.Reset(m.config.Epoch)
@@ -140,7 +140,7 @@
 	}
 }
 
-// submitUndecided has the requests decided that came while no process admitted.
+// submitUndecided has the admission controller decide the requests that came while no process admitted.
 func (m *Machine) submitUndecided() {
 	for _, r := range m.hotRestart.undecided {
 		if !r.answered {
@@ -150,7 +150,7 @@
 	m.hotRestart.undecided = nil
 }
 
-// startAdmitting starts from what the predecessor sent.
+// startAdmitting starts with the state and the sockets that the predecessor sent.
 func (m *Machine) startAdmitting() {
 	state := m.takeReceivedState()
 	m.now = max(m.now, state.Now)
@@ -179,8 +179,8 @@
 	m.emit(SetAcceptingClients{Accepting: true})
 }
 
-// takeReceivedState returns the state that the predecessor sent, with what is missing from the
-// configuration: all of it where the state could not be read.
+// takeReceivedState returns the state that the predecessor sent. What it lacks is taken from the
+// configuration, all of it where the state could not be read.
 func (m *Machine) takeReceivedState() *HandoverState {
 	state := m.hotRestart.received
 	m.hotRestart.received = nil
@@ -228,7 +228,7 @@
 	m.decide(&admission.AttemptAdopted{Request: open.Request, Attempt: open.Attempt, Backend: open.Backend})
 }
 
-// onPredecessorAttemptFinished ends an attempt of the predecessor's.
+// onPredecessorAttemptFinished ends an attempt of the predecessor.
 func (m *Machine) onPredecessorAttemptFinished(finished *FinishedAttempt) {
 	if m.hotRestart.received != nil {
 		m.removeReceivedAttempt(finished)
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -10,9 +10,10 @@
 )
 
 // This file is the hot restart as the program sees it: of the two processes of one limiter, one admits.
-// Package hotrestart decides which, and this file carries that out. What the predecessor has open
-// stays with it until it is answered. What it receives once it has stopped admitting it forwards to
-// the successor, which decides it, and passes the response on to its client.
+// Package hotrestart decides which, and this file carries that out. Requests with an
+// attempt of the predecessor stay with it until they are answered. Other requests, and those it receives
+// after it has stopped admitting, it forwards to the successor, which decides them, and passes the
+// responses on to its clients.
 
 // sharedFraction is the fraction of the platform's limits that each process may use while there are two.
 const sharedFraction = 0.5
@@ -24,14 +25,14 @@
 	shutdownRequested bool
 
 	// As the predecessor.
-	stateSent      bool                  // the successor speaks to peers, and follows the attempts here
-	forwarding     bool                  // the successor admits: what comes in is forwarded
-	undecided      []*request            // came while no process admits
+	stateSent      bool                  // the successor exchanges messages with other limiters, and follows the attempts here
+	forwarding     bool                  // the successor admits: requests are forwarded to it
+	undecided      []*request            // requests to be decided by whichever process admits next
 	leaseAcceptors []lease.AcceptorState // to be sent with the state
 
 	// As the successor.
-	received *HandoverState             // not applied yet; nil for none
-	sockets  Content                    // that came with it
+	received *HandoverState             // state that is not applied yet; nil for none
+	sockets  Content                    // that came with the state
 	adopted  map[AttemptID]*OpenAttempt // the predecessor's attempts in flight
 }
 
@@ -97,8 +98,8 @@
 	m.applyHotRestart(m.hotRestart.protocol.MessageReceived(m.now, ev.Kind))
 }
 
-// onLinkClosed goes on without the other process, and ends the attempts that a predecessor had, in no
-// particular order.
+// onLinkClosed goes on without the other process, and ends the attempts that a predecessor had. Their
+// order is that of a map, and with it the order of the effects: a known fault, see the package comment.
 func (m *Machine) onLinkClosed(ev LinkClosed) {
 	m.config.Epoch = ev.Epoch
 	m.applyHotRestart(m.hotRestart.protocol.LinkClosed(m.now))
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -22,12 +22,12 @@
 // leaseState is the leases of this limiter.
 type leaseState struct {
 	agent         *lease.Agent  // nil where there are none, or another process of this limiter has them
-	startedAt     time.Duration // clock time at which the wall clock was at the settings' MinToken
+	startedAt     time.Duration // clock time of the start, at which the wall clock was Config.Leases.MinToken ms
 	random        *rand.Rand    // spreads the attempts of many limiters
 	dueAt         time.Duration // clock time of the timer in force; 0 for none
 	recoveryUntil time.Duration // clock time up to which the admission controller may make recovery attempts
 	lastRequestAt time.Duration // clock time
-	idle          bool          // no request came for long: recovery is left to other limiters
+	idle          bool          // no request came for idleLeases: recovery is left to other limiters
 }
 
 // Holds returns the token of a task's lease if this limiter holds it at a clock time.
@@ -68,7 +68,7 @@
 	m.runLeases()
 }
 
-// releaseLeases releases all leases: what this process did under them is over.
+// releaseLeases releases all leases, and keeps the acceptors' state for a successor.
 func (m *Machine) releaseLeases() {
 	if m.leases.agent == nil {
 		return
@@ -90,7 +90,8 @@
 // random returns a number from 0 to below 1.
 func (m *Machine) random() float64 { return m.leases.random.Float64() }
 
-// wallClock returns the wall clock in milliseconds: what it was at the start, and the time since.
+// wallClock returns the wall clock in milliseconds: Config.Leases.MinToken, which is the wall clock at the
+// start of the process, and the time since.
 func (m *Machine) wallClock() uint64 {
 	return m.config.Leases.MinToken + uint64((m.now-m.leases.startedAt)/time.Millisecond)
 }
@@ -101,7 +102,7 @@
 	}
 }
 
-// onLeaseMessage takes a datagram about leases in.
+// onLeaseMessage takes in a datagram about leases.
 func (m *Machine) onLeaseMessage(ev *PeerMessageReceived) {
 	message, ok := lease.Parse(ev.Data)
 	if !ok || !m.isPeer(ev.From) {
@@ -166,8 +167,9 @@
 	m.setLeaseWanted(TaskRecovery, !idle)
 }
 
-// noteTraffic records that a request came in.
-func (m *Machine) noteTraffic() {
+// recordTraffic records that a request came in, and competes for the recovery lease again after an idle
+// time.
+func (m *Machine) recordTraffic() {
 	if m.leases.agent == nil {
 		return
 	}
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -6,63 +6,74 @@
 	"lemongate/internal/admission"
 )
 
-// This file is the life cycle of the process: its phases, and what each begins with.
+// This file is the life cycle of the process: its phases, and the effects at the beginning of each.
 
-// Phase is a stage of the life of the process.
+// Phase is a stage of the life of the process. The order of the values counts: conditions compare phases
+// by < and >=. Package hotrestart ends the phases of a hot restart, within hotrestart.Limits. A request to
+// shut down ends any of the others before Draining.
 type Phase uint8
 
 const (
-	// Starting lasts until discovery has brought an endpoint list, or a short while.
+	// Starting waits for the first endpoint list, for discoveryTimeout or cachedListTimeout at most.
 	Starting Phase = iota
-	// AwaitingPredecessor looks for a process to take over from, or takes over from it.
+	// AwaitingPredecessor connects to a process to take over from, and takes over from it. It ends with
+	// Starting if there is none, else with Serving. hotrestart: HelloTimeout until a predecessor has
+	// replied, then its PrepareTimeout and TransferTimeout, and CommitTimeout with its state.
 	AwaitingPredecessor
-	// Serving accepts clients and admits their requests.
+	// Serving accepts clients and admits their requests, until a hot restart or a shutdown.
 	Serving
-	// TransferringState sends the state to a successor; no process admits meanwhile.
+	// TransferringState sends the state to a successor; no process admits meanwhile. It ends with
+	// HandedOver, or with Serving if the successor fails. hotrestart: TransferTimeout.
 	TransferringState
-	// HandedOver forwards requests to the successor, which admits; what is open here goes on.
+	// HandedOver forwards requests to the successor, which admits. Attempts that are in flight here go on.
+	// It ends with Closing, or with Serving if the successor fails. hotrestart: ProbationDuration, or
+	// HeartbeatTimeout without a heartbeat.
 	HandedOver
-	// Draining is the beginning of the shutdown: it still accepts, and closes client connections
-	// between requests.
+	// Draining begins the shutdown: it still accepts, and closes client connections between requests, for
+	// acceptGrace.
 	Draining
-	// Closing accepts nothing more and answers what it has received.
+	// Closing accepts nothing more and answers the requests that it has received. The server ends it by
+	// ServerClosed, within CloseServer.Within.
 	Closing
-	// Stopped has nothing left to do.
+	// Stopped is the end of the process.
 	Stopped
 )
 
-// String returns the name that the log, the counters and the operators' calls use.
+// String returns the name that the log, the counters and the operators' calls use. They keep the names of
+// 0.8.0: awaiting is AwaitingPredecessor, handing is TransferringState, handed is HandedOver.
 func (p Phase) String() string {
 	return [...]string{"starting", "awaiting", "serving", "handing", "handed", "draining", "closing", "stopped"}[p]
 }
 
 // Bounds of the life cycle. They are the platform's, not an operator's.
 const (
-	// discoveryTimeout is when a limiter with no endpoint list is ready, whatever discovery does, and
-	// cachedListTimeout likewise with a known one: what drained since may still be in it.
+	// discoveryTimeout is the time after which a limiter without an endpoint list is ready even if
+	// discovery has not replied, and cachedListTimeout that with a known list, which may still name
+	// backends that drain.
 	discoveryTimeout  = 2 * time.Second
 	cachedListTimeout = time.Second
 	// acceptGrace is how long new connections are accepted after SIGTERM: clients go on opening them
 	// for 0.4 s.
 	acceptGrace = 500 * time.Millisecond
-	// killAfter is the time from the longest deadline of a class, counted as killAfterLeast at least,
-	// to SIGKILL; killMargin is how long before that the process ends.
+	// SIGKILL follows SIGTERM after the longest deadline of a class, at least minLongestDeadline, and
+	// killAfter; killMargin is how long before SIGKILL the process ends.
 	killAfter          = 700 * time.Millisecond
 	minLongestDeadline = 3 * time.Second
 	killMargin         = 200 * time.Millisecond
-	// exitMargin is how long before its end the process has answered all, for the responses to leave
-	// the sockets.
+	// exitMargin is how long before its end the process has answered all requests, for the responses to
+	// leave the sockets.
 	exitMargin = 50 * time.Millisecond
 )
 
 // Phase returns the phase of the process.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// startFresh starts with nothing from a predecessor. One that ends may still hold the address if wait.
+// startFresh starts with nothing from a predecessor. With wait, a process that ends may still hold the
+// addresses.
 func (m *Machine) startFresh(wait bool) {
 	m.emit(OpenListeners{Wait: wait})
 	m.emit(ListenForSuccessors{})
-	m.phase = Starting
+	m.phase = Starting // without a log message, unlike enterPhase
 	known := m.config.KnownEndpoints
 	timeout := discoveryTimeout
 	if len(known) > 0 {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -3,8 +3,9 @@
 //
 // A caller creates one Machine, hands every event to Step in the order of its clock, and carries out
 // the effects that come back. A Machine starts no goroutine, does no I/O and reads no clock: the same
-// configuration and events always give the same effects. It knows nothing of HTTP or sockets; what
-// is on the wire is read and written by those who raise the events and carry out the effects. Clock
+// configuration and events give the same effects. One known fault is left: when the link of a hot restart
+// closes, the attempts of the predecessor end in a random order. A Machine knows nothing of HTTP or sockets;
+// what is on the wire is read and written by those who raise the events and carry out the effects. Clock
 // times are durations since an origin of the caller's choice.
 //
 // Each concern has a file of its own, with its state: the life cycle of the process (lifecycle.go),
@@ -28,7 +29,7 @@
 // Config is what a Machine is started with.
 type Config struct {
 	Settings       admission.Settings
-	Seed           uint64     // fixes all choices made by chance
+	Seed           uint64     // fixes all random choices
 	KnownEndpoints []Endpoint // the backends as last known, which may be old
 
 	Discovery        string // address at which the endpoint list is watched
@@ -36,8 +37,11 @@
 
 	KnownGeneration int64              // of KnownEndpoints
 	HotRestart      *hotrestart.Limits // of taking over from a predecessor and handing over to a successor; nil for neither
-	Epoch           uint32             // of this start of the limiter
-	Leases          *lease.Settings    // of tasks that one limiter does at a time; nil for none
+	// Epoch is of this start of the limiter, for leases, usage and restart slots. It starts equal to
+	// Settings.Epoch, that of the admission controller's messages. It changes with each LinkClosed, the
+	// controller's only with renewEpoch, and a successor's controller keeps that of its predecessor.
+	Epoch  uint32
+	Leases *lease.Settings // of tasks that one limiter does at a time; nil for none
 
 	UsagePeriod  time.Duration       // that one usage report covers, where TaskUsage is among the tasks
 	RestartSlots RestartSlotSettings // of the rolling restart, where TaskRestarts is among the tasks
@@ -51,7 +55,7 @@
 	counters Counters
 
 	phase     Phase
-	exitBy    time.Duration // clock time by which the process ends, whatever is open then; from Closing on
+	exitBy    time.Duration // clock time by which the process ends, whatever is open then; 0 before Closing
 	timers    timerQueue
 	admission controllerBridge
 	requests  requestSet
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -27,7 +27,7 @@
 	Classes      []ClassCounts   // in the order of the settings
 	Pending      int             // requests without a response
 	Members      int             // backends in the list, draining ones included
-	Unavailable  int             // of these, those that drain or are avoided by the admission controller
+	Unavailable  int             // those of Members that drain or that the admission controller avoids
 	Leases       []lease.View    // by task
 	RestartSlots RestartSlotView // of the rolling restart
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/usage"
 )
 
-// This file sends datagrams to other limiters, and hands those received to what they are about.
+// This file sends datagrams to other limiters, and hands those received to the concern of their message.
 
 // isLimiter reports whether a number is that of a limiter of the tier.
 func (m *Machine) isLimiter(number int) bool {
@@ -20,8 +20,8 @@
 	return m.isLimiter(number) && number != m.config.Settings.Self
 }
 
-// onPeerMessage hands a datagram to what it is about. It may hold anything: what is no message of a
-// peer is counted and dropped.
+// onPeerMessage hands a datagram to the concern of its message. It may hold anything: invalid ones are
+// counted and dropped.
 func (m *Machine) onPeerMessage(ev *PeerMessageReceived) {
 	switch {
 	case lease.IsMessage(ev.Data):
@@ -46,7 +46,7 @@
 	m.decide(&admission.PeerMessage{From: ev.From, Data: ev.Data})
 }
 
-// sendGossip sends a message of the admission controller, unless a successor speaks for this limiter.
+// sendGossip sends a message of the admission controller, unless the successor sends those of this limiter.
 func (m *Machine) sendGossip(action admission.SendToPeer) {
 	if !m.hotRestart.stateSent {
 		m.sendToPeer(action.Peer, action.Data)
--- a/internal/core/reload.go
+++ b/internal/core/reload.go
@@ -1,7 +1,7 @@
 package core
 
-// This file has the configuration read again on request, of which the address of discovery may
-// change while the program runs.
+// This file reloads the configuration on request. Only the address of discovery may change while the
+// program runs.
 
 // reloadState is the reload that is under way.
 type reloadState struct {
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -10,8 +10,12 @@
 
 // This file gives each request exactly one response, by its deadline at the latest.
 
-// responseMargin is how long before its deadline a request is answered at the latest, so that the
-// response is with the client in time.
+// responseMargin is how long before the end of a request's budget it is answered at the latest, so that
+// the response is with the client in time. With D the end of the budget:
+//
+//	D - responseMargin - forwardMargin  the successor has answered a forwarded request
+//	D - responseMargin                  the process that has the client has answered it
+//	D                                   the client gives up
 const responseMargin = 10 * time.Millisecond
 
 // noClass is the class index of a request whose class is none of the settings'.
@@ -26,12 +30,12 @@
 	attempts        int           // started so far
 	openAttempts    int           // of these, in flight
 	mayHaveRun      bool          // at a backend
-	answered        bool          // or its client has disconnected
+	answered        bool          // a response was given, or the client has disconnected
 	fromPredecessor bool          // the predecessor received it, and answers its client
 	forwarded       bool          // the successor decides it
 }
 
-// requestSet is all requests that are not over.
+// requestSet is all requests without a response or with an attempt in flight.
 type requestSet struct {
 	byID     map[RequestID]*request
 	byCallID map[string]RequestID // also of attempts adopted from a predecessor
@@ -66,7 +70,7 @@
 // onRequestReceived accepts a request, unless its client has disconnected already.
 func (m *Machine) onRequestReceived(ev *RequestReceived) {
 	m.requests.lastID = max(m.requests.lastID, ev.ID)
-	m.noteTraffic()
+	m.recordTraffic()
 	if ev.Disconnected {
 		m.counters.Received++
 		m.counters.ClientsDisconnected++
@@ -120,7 +124,7 @@
 		deadline:        min(ev.ReceivedAt, m.now) + ev.Budget - responseMargin,
 		fromPredecessor: fromPredecessor,
 	}
-	if m.phase >= Closing { // on a connection of before: no longer than there is a process to answer
+	if m.phase >= Closing { // on a connection that was accepted before: the process ends by exitBy
 		r.deadline = min(r.deadline, m.exitBy-exitMargin)
 	}
 	if fromPredecessor {
--- a/internal/core/restartslots.go
+++ b/internal/core/restartslots.go
@@ -36,7 +36,7 @@
 	enabled     bool
 	requester   rollingrestart.Requester
 	coordinator *rollingrestart.Coordinator // nil where this limiter does not hold the lease
-	token       uint64                      // of that lease
+	token       uint64                      // of the lease of TaskRestarts; 0 for none
 }
 
 func newRestartSlotState(config Config) restartSlotState {
@@ -74,7 +74,7 @@
 	return list
 }
 
-// onRestartSlotRequested takes an operator's request in, or its withdrawal.
+// onRestartSlotRequested takes in that an operator wants a slot, or no longer.
 func (m *Machine) onRestartSlotRequested(ev RestartSlotRequested) {
 	if !m.restartSlots.enabled {
 		return
@@ -110,7 +110,7 @@
 	m.sendToPeer(int(to), message.Append(nil))
 }
 
-// onSlotMessage takes a datagram about restart slots in.
+// onSlotMessage takes in a datagram about restart slots.
 func (m *Machine) onSlotMessage(ev *PeerMessageReceived) {
 	message, ok := rollingrestart.Parse(ev.Data)
 	if !ok || !m.isPeer(ev.From) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// handleSlotMessage takes a message in as the requester or the coordinator.
+// handleSlotMessage takes in a message as the requester or the coordinator.
 func (m *Machine) handleSlotMessage(from lease.Limiter, message rollingrestart.Message) {
 	switch message.Kind {
 	case rollingrestart.SlotGrant:
@@ -152,7 +152,7 @@
 }
 
 // isLastHolder reports whether this limiter is the last one that holds the quota of some customer, while
-// others restart.
+// others restart: the last of owner and backup owners, or of a small set.
 func (m *Machine) isLastHolder(restarting []rollingrestart.Limiter) bool {
 	return m.admission.controller.IsLastHolder(numbers(restarting))
 }
@@ -167,8 +167,8 @@
 	return earlier(requesterDue, m.runCoordinator())
 }
 
-// updateCoordinator makes this limiter the coordinator while it holds the lease. It is made anew with
-// each lease, from what the acceptors keep.
+// updateCoordinator makes this limiter the coordinator while it holds the lease. Each lease begins with
+// a new coordinator, from the payload that the acceptors keep.
 func (m *Machine) updateCoordinator() {
 	s := &m.restartSlots
 	token, _, holds := m.leases.agent.Holds(m.now, TaskRestarts)
@@ -196,8 +196,8 @@
 	return due
 }
 
-// runCoordinator grants slots once the acceptors keep who restarts. It runs once more if that changes,
-// as they may keep it at once.
+// runCoordinator grants slots once the acceptors keep which limiters restart. It runs once more if those
+// change, as the acceptors may keep the change at once.
 func (m *Machine) runCoordinator() (due time.Duration) {
 	coordinator := m.restartSlots.coordinator
 	if coordinator == nil {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -8,14 +8,15 @@
 
 // This file holds the timers of all concerns. One SetTimer is in force: that of the earliest.
 
-// noTimer is the clock time of a timer that is not set.
+// noTimer is the armedAt of a timerQueue without a timer. Where a concern keeps the clock time of its own
+// timer, none is 0.
 const noTimer time.Duration = math.MaxInt64
 
 // timer is something that is due at a clock time.
 type timer struct {
 	at   time.Duration
 	kind timerKind
-	id   AttemptID // of a deadlineTimer its request, of an attemptTimer all of it
+	id   AttemptID // the attempt of an attemptTimer; for a deadlineTimer, only the request is set
 }
 
 type timerKind uint8
@@ -31,7 +32,7 @@
 	metricsTimer                     // metrics changed since they were last published
 )
 
-// timerQueue is all timers, also those that no longer mean anything.
+// timerQueue is all timers, those that are no longer valid included.
 type timerQueue struct {
 	heap    timerHeap
 	armedAt time.Duration // clock time of the SetTimer in force; noTimer for none
@@ -43,9 +44,9 @@
 
 func (q *timerQueue) removeEarliest() { heap.Pop(&q.heap) }
 
-// nextTimer returns the earliest timer that still means something, and drops those before it. Most
-// timers do not live to their time, as requests are answered and attempts end long before; to be
-// woken for them would be half of all wake-ups.
+// nextTimer returns the earliest valid timer, and drops those before it. Most timers become invalid before
+// their time, as requests are answered and attempts end long before; to be woken for them would be half of
+// all wake-ups.
 func (m *Machine) nextTimer() (t timer, ok bool) {
 	for len(m.timers.heap) > 0 {
 		t = m.timers.heap[0]
@@ -57,7 +58,7 @@
 	return timer{}, false
 }
 
-// timerValid reports whether a timer still means something.
+// timerValid reports whether a timer's cause still holds.
 func (m *Machine) timerValid(t timer) bool {
 	switch t.kind {
 	case controllerTimer:
--- a/internal/core/usage.go
+++ b/internal/core/usage.go
@@ -22,10 +22,10 @@
 
 // UsageCounts count from the start of the process what this limiter did for usage reports.
 type UsageCounts struct {
-	Pages    uint64 `json:"pages"`   // sent to lease holders
+	Pages    uint64 `json:"pages"`   // replies sent to lease holders
 	Written  uint64 `json:"written"` // reports
-	Repeated uint64 `json:"again"`   // of these, of periods that an earlier lease holder may have written
-	Missing  uint64 `json:"missing"` // limiters that are in none of these reports
+	Repeated uint64 `json:"again"`   // those of Written whose period an earlier lease holder may have written
+	Missing  uint64 `json:"missing"` // limiters missing in a report, over all reports written
 	Failed   uint64 `json:"failed"`  // reports that could not be written, and were retried
 	Late     uint64 `json:"late"`    // reports that were not written, as the lease had ended
 }
@@ -59,7 +59,7 @@
 	return usage.Key{Customer: r.Customer, Plan: uint8(max(plan, 0))}
 }
 
-// onUsageMessage takes a datagram of usage accounting in.
+// onUsageMessage takes in a datagram about usage.
 func (m *Machine) onUsageMessage(ev *PeerMessageReceived) {
 	if !m.isPeer(ev.From) {
 		m.counters.PeerMessagesInvalid++
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -121,7 +121,7 @@
 	if a.advancedTo >= latest || !a.isAllocated() {
 		return l.startedAt
 	}
-	settledAt := l.startedAt
+	endedAt := l.startedAt
 	for i := range a.setSize {
 		limiter := (a.firstLimiter + i) % l.Limiters
 		if limiter == l.Self {
@@ -131,9 +131,9 @@
 		if peer == nil || !peer.acked {
 			return latest
 		}
-		settledAt = max(settledAt, min(peer.ackedAt, latest))
+		endedAt = max(endedAt, min(peer.ackedAt, latest))
 	}
-	return settledAt
+	return endedAt
 }
 
 // lending is what a decision about a transfer request depends on.
