--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -138,7 +138,7 @@
 	m.closeAttempt(id, admission.Canceled, nil)
 }
 
-// withdrawAttempts ends the attempts of a request of which no byte is written. The admission
+// withdrawAttempts ends the attempts of a request that have written no byte. The admission
 // controller has canceled them already where the settings allow to cancel.
 func (m *Machine) withdrawAttempts(r *request) {
 	for number := range r.attempts {
--- a/internal/core/collection.go
+++ b/internal/core/collection.go
@@ -8,8 +8,8 @@
 )
 
 // This file collects the tier's usage by periods and has a report of each written, where this limiter
-// holds the lease of TaskUsage. What is to outlive the lease holder is in the lease's payload, which
-// the acceptors keep; docs/design/leases.md says why no period counts twice.
+// holds the lease of TaskUsage. The lease's payload, which the acceptors keep, carries the state on to
+// the next lease holder; docs/design/leases.md says why no period counts twice.
 
 const (
 	// writeRetryDelay is the time after which a report that could not be written is retried.
@@ -139,8 +139,8 @@
 	return 0
 }
 
-// onUsageLeaseWon starts from what the acceptors keep: a period that is not known to be written is
-// collected again, and its report says so if there may be one already.
+// onUsageLeaseWon starts from the payload that the acceptors keep: a period that is not known to be written
+// is collected again, and its report says so if there may be one already.
 func (m *Machine) onUsageLeaseWon(token uint64) {
 	payload := m.usagePayload()
 	reported := payload.period
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -9,7 +9,7 @@
 // This file is the bridge to the admission controller, which decides which requests are forwarded,
 // when and to which backend: events go to it, and its actions become effects.
 
-// controllerBridge is the admission controller and what is on its way to and from it.
+// controllerBridge is the admission controller, with its timer, queued events and actions.
 type controllerBridge struct {
 	controller *admission.Controller
 	timerAt    time.Duration      // clock time of its timer in force; 0 for none
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -7,10 +7,10 @@
 	"lemongate/internal/quota"
 )
 
-// CountsByCause counts malformed requests by what was wrong with them.
+// CountsByCause counts malformed requests by cause.
 type CountsByCause [numCauses]uint64
 
-// MarshalJSON writes an object of counts by the causes' names; those that never came are left out.
+// MarshalJSON writes an object of counts by the causes' names, without zero counts.
 func (c CountsByCause) MarshalJSON() ([]byte, error) {
 	named := map[string]uint64{}
 	for cause, count := range c {
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -39,7 +39,7 @@
 // DrainClientConns closes each client connection between requests.
 type DrainClientConns struct{}
 
-// CloseServer accepts nothing more and answers what was received. ServerClosed follows, within the time
+// CloseServer closes the listener and answers the requests received. ServerClosed follows, within the time
 // given.
 type CloseServer struct{ Within time.Duration }
 
@@ -63,8 +63,8 @@
 // CancelAttempt gives an attempt up: its connection is closed, and its result is not wanted.
 type CancelAttempt struct{ Attempt AttemptID }
 
-// WithdrawAttempt ends an attempt of which no byte is written yet, with the result NotSent. One of
-// which a byte is written goes on.
+// WithdrawAttempt ends an attempt with the result NotSent, unless a byte of its request is written already:
+// then the attempt goes on.
 type WithdrawAttempt struct{ Attempt AttemptID }
 
 // ProbeBackend requests a load report of a backend. ProbeFinished follows.
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -46,13 +46,13 @@
 type MalformedCause uint8
 
 const (
-	// BadTarget means that there is no such class or customer.
+	// BadTarget means that the class or customer does not exist.
 	BadTarget MalformedCause = iota
 	// BadMethod is not the method of the class, or has a body where that has none.
 	BadMethod
 	// BadID means that X-Call-Id or Idempotency-Key is missing, given twice or not well-formed.
 	BadID
-	// BadPlan means that there is no such plan.
+	// BadPlan means that the plan does not exist.
 	BadPlan
 	// BadBudget is no number, or longer than any client waits.
 	BadBudget
@@ -82,8 +82,8 @@
 
 // Events of the HTTP client of the backends.
 
-// AttemptFinished brings the result of an attempt that StartAttempt started. One that was canceled
-// or has timed out has had its result; what comes later is dropped.
+// AttemptFinished brings the result of an attempt that StartAttempt started. It is dropped if the attempt was
+// canceled or has timed out.
 type AttemptFinished struct {
 	Attempt         AttemptID
 	Result          admission.Result
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -36,8 +36,8 @@
 	adopted  map[AttemptID]*OpenAttempt // the predecessor's attempts in flight
 }
 
-// newHotRestartState returns a process that looks for a predecessor, or one that is alone for good where
-// limits is nil.
+// newHotRestartState returns the state of a process that looks for a predecessor, or where limits is nil
+// of one that never does a hot restart.
 func newHotRestartState(limits *hotrestart.Limits, now time.Duration) hotRestartState {
 	s := hotRestartState{adopted: map[AttemptID]*OpenAttempt{}}
 	if limits == nil {
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -1,5 +1,5 @@
-// Package core is the one pure state machine of lemongate: all that the program remembers while it
-// runs, and every change of it.
+// Package core is the one pure state machine of lemongate: the complete state of the running program, and
+// every change of that state.
 //
 // A caller creates one Machine, hands every event to Step in the order of its clock, and carries out
 // the effects that come back. A Machine starts no goroutine, does no I/O and reads no clock: the same
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -32,7 +32,7 @@
 	RestartSlots RestartSlotView // of the rolling restart
 }
 
-// metricsState is what is counted for metrics, and when they were published.
+// metricsState is the counts of metrics, and the time at which they were published.
 type metricsState struct {
 	classes      []ClassCounts // in the order of the settings
 	publishedAt  time.Duration
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -18,7 +18,7 @@
 //	D                                   the client gives up
 const responseMargin = 10 * time.Millisecond
 
-// noClass is the class index of a request whose class is none of the settings'.
+// noClass is the class index of a request whose class is not in the settings.
 const noClass = -1
 
 // request is a request that has no response yet or has an attempt in flight.
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/admission"
 )
 
-// No timer is set for what is over: a request that is answered, an attempt that ended, a timer of the
+// No timer is set without a cause: for a request that is answered, an attempt that ended, a timer of the
 // admission controller that a later one replaced.
 func TestStaleTimersAreDropped(t *testing.T) {
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
--- a/internal/core/usage.go
+++ b/internal/core/usage.go
@@ -13,7 +13,7 @@
 // TaskUsage is the task of writing the tier's usage reports.
 const TaskUsage = "rollup"
 
-// usageState is what was used here, and the collection where this limiter does it.
+// usageState is the usage recorded here, and the collection where this limiter does it.
 type usageState struct {
 	recorder   *usage.Recorder // nil where usage is not accounted for
 	collection collection
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -164,8 +164,8 @@
 	return slices.DeleteFunc(slices.Clone(a.owners), func(limiter int) bool { return limiter == a.ledger.Self })
 }
 
-// Sweep forgets some of the accounts that were not used for some time and from which nothing would be
-// lost. A customer that is met again gets a new account with full buckets.
+// Sweep forgets some of the accounts that were not used for the idle time, if nothing is lost by that. A
+// customer that is met again gets a new account.
 func (l *Ledger) Sweep(idle, now time.Duration) {
 	for range min(accountsPerSweep, len(l.accountOrder)) {
 		if l.sweepIndex >= len(l.accountOrder) {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// The allocation of a limiter that left is shared out until it is back.
+// The allocation of a limiter that left is divided up until it is back.
 func TestAllocationOfDeadPeerIsShared(t *testing.T) {
 	l := newLedger(TierStarted)
 	now := time.Hour
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -24,7 +24,7 @@
 	// grantDeliveryTimeout is the time after which the units of a grant have arrived or never will, by
 	// the lender's clock.
 	grantDeliveryTimeout = transferTimeout + time.Duration(float64(transferTimeout)*2*ClockDrift)
-	// loanRenewalMargin is how long before its end a loan that is still needed is requested again.
+	// loanRenewalMargin is how long before its end the renewal of a loan is requested, if still needed.
 	loanRenewalMargin = 800 * time.Millisecond
 	// lenderDemandFactor times its demand is the rate that a lender keeps.
 	lenderDemandFactor = 1.2
--- a/internal/quota/link.go
+++ b/internal/quota/link.go
@@ -26,7 +26,7 @@
 	nextTransferRequestAt time.Duration // no new request before
 	borrowed              loan          // what the last grant lent
 
-	// The grants to the peer. It uses one of them, and which one is not known for sure.
+	// The grants to the peer. It uses one of them; a lost message leaves open which one.
 	lent      []grantRecord
 	lastGrant gossip.Grant // of an owner: the last one
 
@@ -84,7 +84,8 @@
 	return &a.links[len(a.links)-1]
 }
 
-// renewOwnerLink drops what was agreed with an earlier epoch of a peer, in a set with an owner. Links of
+// renewOwnerLink drops transfer requests, grants and loans of an earlier epoch of a peer, in a set with an
+// owner. Links of
 // allocated accounts are renewed by dropStaleLinks.
 func (a *Account) renewOwnerLink(lk *link) {
 	peer := a.ledger.peers[lk.peerID]
--- a/internal/quota/liveness.go
+++ b/internal/quota/liveness.go
@@ -23,7 +23,7 @@
 	// rejected. After that any epoch is accepted: they grow modulo 2^32, and a later one may look earlier.
 	earlierEpochDuration = 10 * time.Second
 	// demandTickWeight is the weight of one tick in the mean and variance of the demand, and
-	// demandMinTicks how many ticks they take to mean something.
+	// demandMinTicks the number of ticks from which on these are used.
 	demandTickWeight = 0.05
 	demandMinTicks   = 10
 	// significantDeviations is how many standard deviations a rise of the demand has to be to show that
@@ -91,8 +91,8 @@
 // Tick declares silent peers dead, if they are; it is to be called every fraction of a second.
 //
 // The clients of a peer that died go to the other limiters, and the demand here rises by one part in as
-// many as are left; those of one that is cut off do not. Where half of the tier or more is silent it is
-// this limiter that is cut off. Where the expected rise would not stand out from the usual variation,
+// many as are left; those of one that is cut off do not. Where half of the tier or more is silent, this
+// limiter counts as the one that is cut off. Where the expected rise would not stand out from the usual variation,
 // the peer counts as cut off, and its allocations of quotas stay with it.
 func (l *Ledger) Tick(now time.Duration) {
 	silent := l.countSilent(now)
@@ -123,7 +123,7 @@
 	return silent
 }
 
-// recordUsualDemand takes the demand of one tick into its mean and variance.
+// recordUsualDemand adds the demand of one tick to the mean and variance.
 func (l *Ledger) recordUsualDemand(demand float64) {
 	l.ticks++
 	if l.ticks == 1 {
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -14,7 +14,7 @@
 // and its backup owners together; HoldersOf also covers small sets, in which all limiters are holders.
 //
 // The owner has the customer's complete quota, and two backup owners decide, in their order, while those
-// before them are silent: a limiter sends its request to the first that is not.
+// before them are silent: a limiter sends its transfer request to the first that is not.
 //
 // A quota may be exceeded by what a backup owner grants while the owner grants too, at most its level; by
 // restartLevelFraction of the burst at each start of an owner; and by credit: a limiter that gets no
--- a/internal/quota/owner_ceiling.go
+++ b/internal/quota/owner_ceiling.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// This file lets an owner use the complete ceiling of a customer. The owners have fixed parts of it,
-// whoever is silent, and an owner whose part runs short borrows out of those of its backups.
+// This file lets an owner use the complete ceiling of a customer. The owner and its backup owners have fixed
+// parts of the ceiling, whoever is silent. An owner whose part runs short borrows from its backup owners.
 
 // minBorrowedCeiling is the least that an owner requests of a backup owner, in units.
 const minBorrowedCeiling = 1.0
 
 // borrowCeiling requests of the backup owners what they gained of the ceiling since the last request:
-// while the owner lives they have no use for it. No unit is made so: it leaves one part before it comes
-// to the other, and the owner requests no more than its own part can hold.
+// while the owner lives they have no use for it. No unit is made by that: it leaves one part before it joins
+// the other, and the owner requests no more than its own part can hold.
 func (l *Ledger) borrowCeiling(a *Account, now time.Duration) {
 	if a.ownerRank != 0 || a.plan().Ceiling.Rate <= 0 {
 		return
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -294,9 +294,9 @@
 	}
 }
 
-// Units in transit to a limiter keep their room at the owner: else that fills again meanwhile, and all
-// parts together hold more than the ceiling.
-func TestUnitsInTransitKeepTheirRoom(t *testing.T) {
+// Units in transit to a limiter count against the owner's capacity: else its part would fill again
+// meanwhile, and all parts together would hold more than the ceiling.
+func TestUnitsInTransitCountAgainstCapacity(t *testing.T) {
 	plan := quotaPlan
 	plan.Ceiling = Bucket{Rate: 10, Burst: 48}
 	tr := newOwnedTier(80, plan)
@@ -315,7 +315,8 @@
 	}
 }
 
-// A limiter that is no owner has nothing to grant, and takes no units that a request gives back.
+// A limiter that is neither owner nor backup owner has nothing to grant, and takes no units that a transfer
+// request gives back.
 func TestRequestToNonOwnerGetsNothing(t *testing.T) {
 	tr := newOwnedTier(80, quotaPlan)
 	other := 0
--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -7,15 +7,15 @@
 )
 
 // This file takes in what peers report of an account, and recovers unallocated units: those that are in
-// the customer's bucket and in no allocation. An allocation was full while the bucket was not, a message
-// with units was lost, or a limiter died with units at hand.
+// the customer's bucket and in no allocation, because an allocation was full while the bucket was not, a
+// message with units was lost, or a limiter died with units at hand.
 
 const (
 	// busyReportMaxAge is the age up to which a report counts in the sum of all allocations;
 	// idleReportMaxAge is that of a peer that is expected to have consumed at most idleReportUnits since.
 	busyReportMaxAge = 400 * time.Millisecond
 	idleReportMaxAge = 3 * time.Second
-	// idleReportUnits is how much such a peer is expected to have consumed at most.
+	// idleReportUnits is in units.
 	idleReportUnits = 1.0
 	// Units are recovered once they were unallocated at unallocatedMinReports reports over
 	// unallocatedMinDuration: units in transit between two peers look unallocated for a while.
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/gossip"
 )
 
-// This file decides whether a request gets its units and its slot, and books what becomes of them.
+// This file decides whether a request gets its units and its slot, and records whether they are used.
 
 const (
 	// minDivisor keeps a rate in units per second, or a burst in units, that is divided by from being zero.
@@ -106,8 +106,8 @@
 	return true
 }
 
-// shouldWait requests from other limiters what a request lacks, and reports whether anything can come of
-// waiting: a grant, or the start state.
+// shouldWait requests from other limiters what a request lacks, and reports whether waiting can
+// help: a grant may come, or the start state become known.
 func (l *Ledger) shouldWait(a *Account, lack amounts, now time.Duration) bool {
 	if l.requestTransfers(a, lack, now) {
 		return true
--- a/internal/quota/sendqueue.go
+++ b/internal/quota/sendqueue.go
@@ -59,8 +59,8 @@
 	return peer != nil && len(peer.queuedTransferRequests) > 0
 }
 
-// Compose takes as much of what is queued for a peer as fits into one message, and reports whether there
-// is more.
+// Compose takes the queued transfer requests and grants for a peer that fit into one message, and reports
+// whether more are queued.
 func (l *Ledger) Compose(peerID int, now time.Duration) (requests []gossip.TransferRequest, grants []gossip.Grant, more bool) {
 	peer := l.peer(peerID)
 	requests = l.takeTransferRequests(peerID, peer, now)
--- a/internal/quota/start.go
+++ b/internal/quota/start.go
@@ -4,12 +4,12 @@
 
 // This file decides what a limiter that starts with nothing in memory assumes of the customers' buckets.
 
-// tierStartDuration is how long after the start of a tier an account that is met counts as full: until
-// then no limiter can have consumed units that it did not report yet.
+// tierStartDuration is how long after the start of a tier a new account counts as full: until then no
+// limiter can have consumed units that it did not report yet.
 const tierStartDuration = 3 * time.Second
 
-// StartState is what a limiter takes its own start for. With nothing in memory, the buckets may be
-// full, as the tier is new, or consumed, as the tier was there before.
+// StartState is what a limiter takes its own start for. With nothing in memory, the buckets may be full, if
+// the tier is new, or consumed, if the tier served before.
 type StartState uint8
 
 // Start states.
@@ -20,11 +20,11 @@
 	// TierStarted means that the tier is new: all quotas are full. A ceiling starts empty in any state,
 	// and in a small set it fills more slowly until earlierLoansEndedAt.
 	TierStarted
-	// LimiterRestarted means that the other limiters were there before. What this one had is lost, the
-	// rest is theirs.
+	// LimiterRestarted means that other limiters were serving before this start. The state of this one is
+	// lost: its allocations start empty, and a quota that it owns with restartLevelFraction of the burst.
 	LimiterRestarted
-	// TierRestarted means that all limiters were there before and lost what they had. The buckets
-	// certainly hold what they gained since.
+	// TierRestarted means that all limiters served before and lost their state. The buckets hold at least
+	// what they gained since.
 	TierRestarted
 )
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// assumeFull takes the customer's bucket for full at the start of the tier.
+// assumeFull assumes that the customer's quota was full at the start of the tier.
 func (a *Account) assumeFull() {
 	a.totalLevel = a.plan().Quota.Burst - decodeUnits(a.consumed)
 	a.totalKnown, a.startedFull = true, true
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -7,7 +7,7 @@
 )
 
 // This file is the exchange of transfer requests and grants: when units are requested of which peer, and
-// what is done with the messages that come. sendqueue.go composes those that are sent.
+// how received messages are handled. sendqueue.go composes those that are sent.
 
 const (
 	// prefetchDuration is how long the units that a busy limiter requests ahead of need last at its
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -1,5 +1,5 @@
-// Package rate has the two counters that decisions over time are made with: a rate that forgets and
-// an allowance that refills. Neither reads a clock.
+// Package rate has two counters that change with time: a decaying rate and an allowance that refills.
+// Neither reads a clock.
 package rate
 
 import (
@@ -33,7 +33,7 @@
 	UpdatedAt time.Duration // clock time
 }
 
-// Refill adds what the time since the last call brings, up to the limit, and returns the amount.
+// Refill adds the refill since the last call, up to the limit, and returns the amount.
 func (a *Allowance) Refill(now time.Duration, perSecond, limit float64) float64 {
 	a.Amount = min(a.Amount+(now-a.UpdatedAt).Seconds()*perSecond, limit)
 	a.UpdatedAt = now
