--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -19,7 +19,7 @@
 type Account struct {
 	CustomerHash uint32 // hash of the customer's name
 	PlanIndex    int    // in Config.Plans
-	SlotsInUse   int    // attempts in flight and requests queued for one, here; the caller sets it before Reserve and ReleaseSlot
+	SlotsInUse   int    // attempts in flight and requests queued for one; set by the caller, see Reserve
 	Forgotten    bool   // by Sweep: the caller has to get a new one from Ledger.Account
 
 	ledger       *Ledger
@@ -40,6 +40,8 @@
 	//	baseFraction     evenFraction  1                    1                    0
 	//	ceilingFraction  evenFraction  ceilingFractions[0]  ceilingFractions[i]  0
 	//	baseSlots        even part     all                  0                    0
+	//
+	// A limiter outside of a small set has the ceilingFraction of one inside, and nothing else.
 	baseFraction    float64 // of the quota
 	ceilingFraction float64 // of the ceiling
 	baseSlots       int
@@ -48,7 +50,7 @@
 	largestRequest float64       // decaying maximum of the units of one request
 
 	// The exchange with other limiters.
-	lenders []int // all other limiters of a small set; each may lend to this one
+	lenders []int // all other limiters of a small set, each of which may lend; none without gossip
 	links   []link
 
 	// What the start left open, see StartState.
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -100,7 +100,7 @@
 	switch {
 	case !lk.known: // whether it has anything is not known
 		return true
-	case hasUnits: // about those of a request, and unless one waits here more than its own demand takes soon
+	case hasUnits: // enough for most of a request, and if none waits here, beyond its own demand
 		return true
 	case renewal: // it lent a share that is still needed and is about to end
 		return true
