--- a/internal/core/collection.go
+++ b/internal/core/collection.go
@@ -8,13 +8,13 @@
 )
 
 // This file collects the tier's usage by periods and has a report of each written, where this limiter
-// holds the lease of TaskUsage. What is to outlive the lease holder is in the lease's payload, which
-// the acceptors keep; docs/design/leases.md says why no period counts twice.
+// holds the lease of TaskUsage. The lease's payload, which the acceptors keep, carries the state on to
+// the next lease holder; docs/design/leases.md says why no period counts twice.
 
 const (
 	// writeRetryDelay is the time after which a report that could not be written is retried.
 	writeRetryDelay = time.Second
-	// writeStuckLeases is how many lease durations a write may take; then the task is left to others.
+	// writeStuckLeases is how many lease durations a write may take. After that the lease is released.
 	writeStuckLeases = 4
 	// usageReplyFraction is the fraction of the messages that a limiter may receive that may be replies
 	// to usage queries.
@@ -25,7 +25,7 @@
 type collectionPhase uint8
 
 const (
-	collectionIdle       collectionPhase = iota // until the period is over
+	collectionIdle       collectionPhase = iota // waits for the next collection
 	collectionOpening                           // sets the payload: the period is being collected
 	collectionQuerying                          // queries all limiters
 	collectionClaiming                          // sets the payload: the report is being written
@@ -37,10 +37,10 @@
 type collection struct {
 	phase        collectionPhase
 	collector    *usage.Collector // of the period; nil while idle
-	token        uint64           // of the lease that all this is under; 0 for none
-	reportedUpTo []uint32         // by limiter: the last period of which a report with its usage is known
+	token        uint64           // of the lease under which the period is collected; 0 for none
+	reportedUpTo []uint32         // by limiter: the last period that has a known report with its usage
 	startedAt    time.Duration    // clock time at which the collection of the period began
-	nextAt       time.Duration    // clock time at which something is due
+	nextAt       time.Duration    // clock time at which the phase goes on: the next collection, a retry, or writeStuck
 	writeStuck   bool             // a write did not finish in time, and the lease was released for it
 }
 
@@ -139,8 +139,8 @@
 	return 0
 }
 
-// onUsageLeaseWon starts from what the acceptors keep: a period that is not known to be written is
-// collected again, and its report says so if there may be one already.
+// onUsageLeaseWon starts from the payload that the acceptors keep: a period that is not known to be written
+// is collected again, and its report says so if there may be one already.
 func (m *Machine) onUsageLeaseWon(token uint64) {
 	payload := m.usagePayload()
 	reported := payload.period
@@ -161,15 +161,15 @@
 	}
 }
 
-// startNextPeriod starts to collect the period that is over: that of the wall clock, or the one after
-// the last if that is later.
+// startNextPeriod starts to collect the usage up to now. Its period number is that of the wall-clock period
+// in which the collection starts, or the one after the last number if that is later.
 func (m *Machine) startNextPeriod() (due time.Duration) {
 	if m.now < m.usage.collection.nextAt {
 		return m.usage.collection.nextAt
 	}
 	last := m.usagePayload().period
-	current := uint32(m.wallClock() / uint64(m.config.UsagePeriod/time.Millisecond))
-	m.startCollection(max(last+1, current), last, false)
+	wallClockPeriod := uint32(m.wallClock() / uint64(m.config.UsagePeriod/time.Millisecond))
+	m.startCollection(max(last+1, wallClockPeriod), last, false)
 	return 0
 }
 
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -41,7 +41,7 @@
 	UsageRecorded bool   // the predecessor recorded the request's units
 }
 
-// FinishedAttempt is how such an attempt ended.
+// FinishedAttempt is how an attempt of a predecessor ended.
 type FinishedAttempt struct {
 	Attempt AttemptID
 	Backend string // ID
@@ -59,20 +59,20 @@
 	}
 }
 
-// stopAdmitting parks what is not forwarded to a backend yet for whichever process admits next. Units
-// reserved for it go back.
+// stopAdmitting keeps the requests without an attempt for whichever process admits next. Units reserved
+// for them go back.
 func (m *Machine) stopAdmitting() {
 	m.releaseLeases()
 	m.emit(PauseListeners{})
 	for _, r := range m.requests.inOrder() {
 		if !r.answered && r.attempts == 0 {
 			m.decide(&admission.RequestEnded{Request: r.ID})
-			m.hotRestart.parked = append(m.hotRestart.parked, r)
+			m.hotRestart.undecided = append(m.hotRestart.undecided, r)
 		}
 	}
 }
 
-// packState returns the state for the successor, which speaks to peers from now on.
+// packState returns the state for the successor, which from now on exchanges messages with other limiters.
 func (m *Machine) packState() HandoverState {
 	m.hotRestart.stateSent = true
 	state := HandoverState{
@@ -113,21 +113,21 @@
 	m.emit(SetResourceShare{Fraction: 1})
 	m.emit(ResumeListeners{})
 	m.emit(SetAcceptingClients{Accepting: true})
-	m.phase = Serving
+	m.phase = Serving // not enterPhase: the process was ready all along
 	m.startLeases()
 	m.logf("no successor took over, this process admits again")
 	if newEpoch {
 		m.renewEpoch()
 	}
-	m.submitParked()
+	m.submitUndecided()
 	if m.hotRestart.shutdownRequested {
 		m.hotRestart.protocol.ShutdownRequested(m.now)
 		m.enterPhase(Draining)
 	}
 }
 
-// renewEpoch goes on as a limiter that starts anew, and answers what the successor was to decide: it
-// is not known whether that ran.
+// renewEpoch starts a new epoch of the limiter, and answers the requests that the successor was to decide:
+// it is not known whether they ran.
 func (m *Machine) renewEpoch() {
 	if m.usage.recorder != nil {
 		m.usage.recorder.Reset(m.config.Epoch)
@@ -140,17 +140,17 @@
 	}
 }
 
-// submitParked has the requests decided that came while no process admitted.
-func (m *Machine) submitParked() {
-	for _, r := range m.hotRestart.parked {
+// submitUndecided has the admission controller decide the requests that came while no process admitted.
+func (m *Machine) submitUndecided() {
+	for _, r := range m.hotRestart.undecided {
 		if !r.answered {
 			m.submit(r)
 		}
 	}
-	m.hotRestart.parked = nil
+	m.hotRestart.undecided = nil
 }
 
-// startAdmitting starts from what the predecessor sent.
+// startAdmitting starts with the state and the sockets that the predecessor sent.
 func (m *Machine) startAdmitting() {
 	state := m.takeReceivedState()
 	m.now = max(m.now, state.Now)
@@ -163,7 +163,7 @@
 	m.requests.lastID = state.LastRequest + requestIDGap
 	m.restoreController(state)
 	for i := range state.OpenAttempts {
-		m.onPeerAttemptStarted(&state.OpenAttempts[i])
+		m.onPredecessorAttemptStarted(&state.OpenAttempts[i])
 	}
 	m.emit(SetResourceShare{Fraction: sharedFraction})
 	m.emit(AdoptSockets{
@@ -179,8 +179,8 @@
 	m.emit(SetAcceptingClients{Accepting: true})
 }
 
-// takeReceivedState returns the state that the predecessor sent, with what is missing from the
-// configuration: all of it where the state could not be read.
+// takeReceivedState returns the state that the predecessor sent. What it lacks is taken from the
+// configuration, all of it where the state could not be read.
 func (m *Machine) takeReceivedState() *HandoverState {
 	state := m.hotRestart.received
 	m.hotRestart.received = nil
@@ -214,9 +214,9 @@
 	m.decide(admission.TimerFired{})
 }
 
-// onPeerAttemptStarted adopts an attempt that the predecessor has in flight. It counts at its backend
+// onPredecessorAttemptStarted adopts an attempt that the predecessor has in flight. It counts at its backend
 // and for its customer until it ends.
-func (m *Machine) onPeerAttemptStarted(open *OpenAttempt) {
+func (m *Machine) onPredecessorAttemptStarted(open *OpenAttempt) {
 	if state := m.hotRestart.received; state != nil {
 		state.OpenAttempts = append(state.OpenAttempts, *open)
 		return
@@ -228,8 +228,8 @@
 	m.decide(&admission.AttemptAdopted{Request: open.Request, Attempt: open.Attempt, Backend: open.Backend})
 }
 
-// onPeerAttemptFinished ends an attempt of the predecessor's.
-func (m *Machine) onPeerAttemptFinished(finished *FinishedAttempt) {
+// onPredecessorAttemptFinished ends an attempt of the predecessor.
+func (m *Machine) onPredecessorAttemptFinished(finished *FinishedAttempt) {
 	if m.hotRestart.received != nil {
 		m.removeReceivedAttempt(finished)
 	}
--- a/internal/quota/liveness.go
+++ b/internal/quota/liveness.go
@@ -20,10 +20,10 @@
 	// before its start, in quarters of a second.
 	olderServingAge = 2
 	// earlierEpochDuration is how long after the last message of a peer one of an earlier epoch is
-	// rejected. Later the epochs may have started anew.
+	// rejected. After that any epoch is accepted: they grow modulo 2^32, and a later one may look earlier.
 	earlierEpochDuration = 10 * time.Second
 	// demandTickWeight is the weight of one tick in the mean and variance of the demand, and
-	// demandMinTicks how many ticks they take to mean something.
+	// demandMinTicks the number of ticks from which on these are used.
 	demandTickWeight = 0.05
 	demandMinTicks   = 10
 	// significantDeviations is how many standard deviations a rise of the demand has to be to show that
@@ -38,16 +38,16 @@
 	acked          bool // the peer knows of this limiter's epoch
 	ackedAt        time.Duration
 	lastReceivedAt time.Duration // when its last message came
-	silentUntil    time.Duration // it did not reply: no request is sent to it until then
-	unresponsive   bool          // no message came since: requests are sent, but nothing waits for a grant
+	silentUntil    time.Duration // it did not reply: no transfer request is sent to it until then
+	unresponsive   bool          // no message came since: transfer requests are sent, but nothing waits for a grant
 	dead           bool          // it left, or is silent and its clients come here
 
-	queuedRequests []*Account // to be requested, or given back to the peer
-	queuedGrants   []gossip.Grant
-	queuedForSend  bool // is in Ledger.readyPeers
+	queuedTransferRequests []*Account // about which a message to the peer is due
+	queuedGrants           []gossip.Grant
+	queuedForSend          bool // is in Ledger.readyPeers
 }
 
-// available reports whether requests are sent to a peer now.
+// available reports whether transfer requests are sent to a peer now.
 func (p *peer) available(now time.Duration) bool { return now >= p.silentUntil && !p.dead }
 
 // peer returns what is known of a limiter, nothing at first.
@@ -91,8 +91,8 @@
 // Tick declares silent peers dead, if they are; it is to be called every fraction of a second.
 //
 // The clients of a peer that died go to the other limiters, and the demand here rises by one part in as
-// many as are left; those of one that is cut off do not. Where half of the tier or more is silent it is
-// this limiter that is cut off. Where the expected rise would not stand out from the usual variation,
+// many as are left; those of one that is cut off do not. Where half of the tier or more is silent, this
+// limiter counts as the one that is cut off. Where the expected rise would not stand out from the usual variation,
 // the peer counts as cut off, and its allocations of quotas stay with it.
 func (l *Ledger) Tick(now time.Duration) {
 	silent := l.countSilent(now)
@@ -123,7 +123,7 @@
 	return silent
 }
 
-// recordUsualDemand takes the demand of one tick into its mean and variance.
+// recordUsualDemand adds the demand of one tick to the mean and variance.
 func (l *Ledger) recordUsualDemand(demand float64) {
 	l.ticks++
 	if l.ticks == 1 {
@@ -144,7 +144,7 @@
 	return rise >= significantDeviations*deviation && demand-l.meanDemand >= rise/2
 }
 
-// activeAccounts is one more than the number of accounts with a request of late.
+// activeAccounts is one more than the number of accounts with a request within demandMemory.
 func (l *Ledger) activeAccounts(now time.Duration) int {
 	active := 1
 	for _, a := range l.accountOrder {
--- a/internal/quota/reclaim.go
+++ b/internal/quota/lostpeers.go
@@ -1,12 +1,13 @@
 package quota
 
-// This file is what becomes of the exchange with a peer that restarted, left or died.
+// This file recovers units and ends loans after a peer restarted, left or died.
 
-// maxUnseenSeconds bounds the time in seconds that a peer is assumed to have gone on after its last report.
-const maxUnseenSeconds = 1.0
+// maxUnreportedSeconds bounds the time in seconds that a lost peer is assumed to have served after its last
+// report. Reports of peers that are not lost count for longer, see unseenMaxAge.
+const maxUnreportedSeconds = 1.0
 
-// dropStaleLinks ends what was agreed with earlier epochs of peers. What these borrowed is available here
-// again, and what they lent is their new epoch's.
+// dropStaleLinks ends the loans, grants and transfer requests of earlier epochs of peers. Shares that were
+// lent to them are available here again, and those borrowed of them belong to their new epochs.
 func (a *Account) dropStaleLinks() {
 	for i := range a.links {
 		lk := &a.links[i]
@@ -18,7 +19,7 @@
 			lk.epoch = peer.epoch
 		}
 		if peer.dead {
-			a.reclaim(lk)
+			a.recoverUnits(lk)
 		}
 		if peer.epoch != lk.epoch {
 			a.dropEpoch(lk, peer)
@@ -33,23 +34,23 @@
 	if lk.known { // what the earlier epoch consumed after its last report nobody will ever report
 		a.totalLevel -= min(lk.demand, a.evenFraction*rate) * a.unreportedSeconds(lk)
 	}
-	a.reclaim(lk)
+	a.recoverUnits(lk)
 	*lk = link{peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, restarted: lk.known}
 }
 
-// unreportedSeconds is the time that a peer may have gone on after its last report.
+// unreportedSeconds is the time that a peer may have served after its last report.
 func (a *Account) unreportedSeconds(lk *link) float64 {
-	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnseenSeconds)
+	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnreportedSeconds)
 }
 
-// reclaim takes up this limiter's part of the units that a peer had when it left or died. The customer's
+// recoverUnits takes up this limiter's part of the units that a peer had when it left, died or restarted. The customer's
 // bucket still has them, and the peer's next epoch starts without them. Debt is taken over likewise.
-func (a *Account) reclaim(lk *link) {
+func (a *Account) recoverUnits(lk *link) {
 	plan := a.plan()
-	if !lk.known || lk.reclaimed || a.baseFraction <= 0 || plan.Quota.Rate <= 0 {
+	if !lk.known || lk.recovered || a.baseFraction <= 0 || plan.Quota.Rate <= 0 {
 		return
 	}
-	lk.reclaimed = true
+	lk.recovered = true
 	gained := (a.evenFraction*plan.Quota.Rate - lk.demand) * a.unreportedSeconds(lk)
 	level := min(max(lk.level+gained, 0), a.evenFraction*plan.Quota.Burst)
 	if lk.level < 0 {
--- a/internal/quota/owner_ceiling.go
+++ b/internal/quota/owner_ceiling.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// This file lets an owner use the complete ceiling of a customer. The owners have fixed parts of it,
-// whoever is silent, and an owner whose part runs short borrows out of those of its backups.
+// This file lets an owner use the complete ceiling of a customer. The owner and its backup owners have fixed
+// parts of the ceiling, whoever is silent. An owner whose part runs short borrows from its backup owners.
 
 // minBorrowedCeiling is the least that an owner requests of a backup owner, in units.
 const minBorrowedCeiling = 1.0
 
 // borrowCeiling requests of the backup owners what they gained of the ceiling since the last request:
-// while the owner lives they have no use for it. No unit is made so: it leaves one part before it comes
-// to the other, and the owner requests no more than its own part has room for.
+// while the owner lives they have no use for it. No unit is made by that: it leaves one part before it joins
+// the other, and the owner requests no more than its own part can hold.
 func (l *Ledger) borrowCeiling(a *Account, now time.Duration) {
 	if a.ownerRank != 0 || a.plan().Ceiling.Rate <= 0 {
 		return
@@ -28,13 +28,13 @@
 	}
 }
 
-// ceilingNeed is what an owner can use of the ceiling beyond its level: what its demand takes, as far as
-// there is room for it and the quota does not bind first.
+// ceilingNeed is the units of the ceiling that an owner can use beyond its level: what its demand takes, as
+// far as its part can hold it and the quota does not bind first.
 func (a *Account) ceilingNeed(now time.Duration) float64 {
 	plan := a.plan()
 	target := a.demandRate(now)*prefetchDuration.Seconds() + a.largestRequest
-	room := a.ceilingFraction*plan.Ceiling.Burst - a.ceilingUnitsInTransit - a.reservedUnits
-	need := min(target, room) - a.ceilingLevel
+	capacity := a.ceilingFraction*plan.Ceiling.Burst - a.ceilingUnitsInTransit - a.reservedUnits
+	need := min(target, capacity) - a.ceilingLevel
 	if plan.Quota.Rate > 0 {
 		need = min(need, a.quotaLevel-a.ceilingLevel)
 	}
@@ -53,9 +53,9 @@
 	if units < minBorrowedCeiling {
 		return 0
 	}
-	l.startRequest(lk, amounts{ceiling: units}, now)
+	l.startTransferRequest(lk, amounts{ceiling: units}, now)
 	lk.consumed, lk.demandToReport = 0, 0
 	lk.ceilingBorrowedUntil += time.Duration(units / gainRate * float64(time.Second))
-	l.queueRequest(a, lk)
+	l.queueTransferRequest(a, lk)
 	return units
 }
--- a/internal/quota/owner_reserve.go
+++ b/internal/quota/owner_reserve.go
@@ -2,18 +2,25 @@
 
 import "time"
 
-// This file decides on requests of customers with an owner: at the owner itself, at the limiters that
-// request the units from it, and at those that get no decision.
+// This file decides on client requests of customers with an owner: at the owner itself, at the limiters
+// that request the units from it, and at those that get no decision.
 
 const (
 	// creditRateFactor times its even part of the rate is what a limiter may consume without a decision.
 	creditRateFactor = 2.0
-	// hotRequestFactor times the rate is what the limiters of a hot customer request together: a little
+	// hotTransferFactor times the rate is what the limiters of a hot customer request together: a little
 	// more than its owner may grant.
-	hotRequestFactor = 1.3
+	hotTransferFactor = 1.3
 )
 
-// reserveOwned is Reserve for a customer with an owner.
+// reserveOwned is Reserve for a customer with an owner. Its decisions in their order:
+//
+//  1. Nothing is lacking here, and this limiter decides, has only units that were granted to it, or just
+//     got the owner's grant: granted.
+//  2. This limiter decides, or the owner has replied: rejected.
+//  3. The customer is hot by the owner's last report: mostly rejected without a transfer request.
+//  4. Not last, and one of the owners is available: it is sent a transfer request, and the request waits.
+//  5. Nobody can decide: granted within the credit, else rejected.
 func (l *Ledger) reserveOwned(a *Account, units float64, last bool, now time.Duration) (Decision, time.Duration) {
 	lacking := a.lack(units) != amounts{}
 	decides := l.decides(a, now)
@@ -27,21 +34,21 @@
 	l.borrowCeiling(a, now)
 	retryAfter := time.Duration(units / max(a.plan().Quota.Rate, minDivisor) * float64(time.Second))
 	if decides || decision != ownerUndecided {
-		a.requestOutstanding = false
+		a.transferOutstanding = false
 		return Rejected, retryAfter
 	}
 	view := a.predictOwnerView(now)
-	if a.skipsRequest(view, units, now) {
+	if a.skipsTransferRequest(view, units, now) {
 		return Rejected, retryAfter
 	}
 	if !last && l.requestFromOwner(a, units, now) {
-		a.requestOutstanding = true
+		a.transferOutstanding = true
 		return Pending, 0
 	}
 	if l.decides(a, now) { // the request found all owners before this one silent
 		return l.reserveOwned(a, units, last, now)
 	}
-	a.requestOutstanding = false
+	a.transferOutstanding = false
 	if !a.takeCredit(view, units, now) {
 		return Rejected, retryAfter
 	}
@@ -50,25 +57,26 @@
 	return Granted, 0
 }
 
-// skipsRequest reports whether a request of a hot customer is rejected without a request to its owner,
-// which need not reject each of them. The owner gets more of them the older its last report is, as the
-// demand may have gone.
-func (a *Account) skipsRequest(view ownerView, units float64, now time.Duration) bool {
-	target := hotRequestFactor * a.plan().Quota.Rate
-	if !view.known || a.requestOutstanding || view.level >= units || view.demand <= target {
+// skipsTransferRequest reports whether a client request of a hot customer is rejected without a transfer
+// request, which its owner would reject too. Of the others all limiters together send as many as the owner
+// can grant, and more as its last report grows older, as the demand may have gone: one for each client
+// request where the report is ownerViewDuration old.
+func (a *Account) skipsTransferRequest(view ownerView, units float64, now time.Duration) bool {
+	target := hotTransferFactor * a.plan().Quota.Rate
+	if !view.known || a.transferOutstanding || view.level >= units || view.demand <= target {
 		return false
 	}
 	age := (now - view.receivedAt).Seconds() / ownerViewDuration.Seconds()
-	a.requestAllowance += target/view.demand + age*age
-	if a.requestAllowance < 1 {
+	a.transferAllowance += target/view.demand + age*age
+	if a.transferAllowance < 1 {
 		return true
 	}
-	a.requestAllowance--
+	a.transferAllowance--
 	return false
 }
 
-// takeCredit admits a request without a decision, as none came or there is no owner to make one. The
-// owner gets to know the units as debt. There is no credit for a ceiling and for slots.
+// takeCredit admits a client request without a decision, as none came or there is no owner to make one. The
+// units are reported to the owner as debt. There is no credit for a ceiling and for slots.
 func (a *Account) takeCredit(view ownerView, units float64, now time.Duration) bool {
 	plan := a.plan()
 	if plan.Ceiling.Rate > 0 || plan.Slots > 0 {
@@ -84,14 +92,14 @@
 	}
 	a.credit.Amount -= units
 	a.unreportedUnits += units
-	a.quotaLevel += units
+	a.quotaLevel += units // consumeOwned takes them again: they count at the owner, as debt
 	return true
 }
 
 // consumeOwned takes units that are granted.
 func (l *Ledger) consumeOwned(a *Account, units float64, now time.Duration) {
 	plan := a.plan()
-	a.requestOutstanding = false
+	a.transferOutstanding = false
 	if plan.Quota.Rate > 0 {
 		a.quotaLevel -= units
 	}
@@ -102,8 +110,8 @@
 	a.lastGrantAt = now
 }
 
-// refundOwned returns units of a quota whose request was not forwarded: to the owner, by a message soon,
-// as no other limiter could use them, or to this limiter's own level where it decides itself. If the
+// refundOwned returns units of a quota whose client request was not forwarded: to the owner, by a message
+// soon, as no other limiter could use them, or to this limiter's own level where it decides itself. If the
 // message is lost, so are the units.
 func (l *Ledger) refundOwned(a *Account, units float64, now time.Duration) {
 	decider := notOwner
@@ -118,6 +126,6 @@
 	if decider != notOwner {
 		lk := a.link(a.owners[decider])
 		lk.returnDue = true
-		l.queueRequest(a, lk)
+		l.queueTransferRequest(a, lk)
 	}
 }
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -124,7 +124,7 @@
 		l.Reserve(a, 1, false, tr.now)
 		tr.exchange()
 	}
-	tr.now += requestTimeout
+	tr.now += transferTimeout
 	sum := 0
 	for i := range 80 {
 		if i != owner && tr.request(i) {
@@ -294,9 +294,9 @@
 	}
 }
 
-// Units in transit to a limiter keep their room at the owner: else that fills again meanwhile, and all
-// parts together hold more than the ceiling.
-func TestUnitsInTransitKeepTheirRoom(t *testing.T) {
+// Units in transit to a limiter count against the owner's capacity: else its part would fill again
+// meanwhile, and all parts together would hold more than the ceiling.
+func TestUnitsInTransitCountAgainstCapacity(t *testing.T) {
 	plan := quotaPlan
 	plan.Ceiling = Bucket{Rate: 10, Burst: 48}
 	tr := newOwnedTier(80, plan)
@@ -307,7 +307,7 @@
 	peerID := (owner + 1) % 80
 	l.ObservePeer(peerID, 5, true, 9, 9, tr.now)
 	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: 4 * gossip.UnitParts, CeilingWanted: 4 * gossip.UnitParts, TotalLevel: gossip.UnknownTotal}, tr.now)
-	if level := l.CeilingLevel(a, tr.now+requestTimeout); level > full-4+1e-9 {
+	if level := l.CeilingLevel(a, tr.now+transferTimeout); level > full-4+1e-9 {
 		t.Errorf("level %.1f while 4 units of %.1f are in transit", level, full)
 	}
 	if level := l.CeilingLevel(a, tr.now+2*time.Second); level < full-1e-9 || a.ceilingUnitsInTransit != 0 || len(a.ceilingInTransit) != 0 {
@@ -315,7 +315,8 @@
 	}
 }
 
-// A limiter that is no owner has nothing to grant, and takes no units that a request gives back.
+// A limiter that is neither owner nor backup owner has nothing to grant, and takes no units that a transfer
+// request gives back.
 func TestRequestToNonOwnerGetsNothing(t *testing.T) {
 	tr := newOwnedTier(80, quotaPlan)
 	other := 0
--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -7,19 +7,19 @@
 )
 
 // This file takes in what peers report of an account, and recovers unallocated units: those that are in
-// the customer's bucket and in no allocation. An allocation was full while the bucket was not, a message
-// with units was lost, or a limiter died with units at hand.
+// the customer's bucket and in no allocation, because an allocation was full while the bucket was not, a
+// message with units was lost, or a limiter died with units at hand.
 
 const (
 	// busyReportMaxAge is the age up to which a report counts in the sum of all allocations;
-	// idleReportMaxAge is that of a peer that is expected to have consumed next to nothing since.
+	// idleReportMaxAge is that of a peer that is expected to have consumed at most idleReportUnits since.
 	busyReportMaxAge = 400 * time.Millisecond
 	idleReportMaxAge = 3 * time.Second
-	// idleReportUnits is what counts as next to nothing.
+	// idleReportUnits is in units.
 	idleReportUnits = 1.0
-	// Units are recovered once they were unallocated at unallocatedMinTicks reports over
+	// Units are recovered once they were unallocated at unallocatedMinReports reports over
 	// unallocatedMinDuration: units in transit between two peers look unallocated for a while.
-	unallocatedMinTicks    = 3
+	unallocatedMinReports  = 3
 	unallocatedMinDuration = 500 * time.Millisecond
 )
 
@@ -43,21 +43,21 @@
 		return
 	}
 	if !a.totalKnown || a.totalLevel < allocated { // the allocations never hold more than there is
-		a.totalLevel, a.totalKnown, a.unallocatedTicks = allocated, true, 0
+		a.totalLevel, a.totalKnown, a.unallocatedReports = allocated, true, 0
 		return
 	}
 	a.recoverUnallocated(allocated, now)
 }
 
-// recordReport takes over what a peer reported of itself, and what it consumed since its last report out
-// of the customer's complete quota.
+// recordReport records what a peer reported of its allocation, and takes what it consumed since its last
+// report out of the customer's complete quota.
 func (a *Account) recordReport(lk *link, report peerReport, now time.Duration) {
 	if report.totalLevel != gossip.UnknownTotal && !a.totalKnown { // the peer knows more than this epoch
 		a.totalLevel, a.totalKnown = a.decodeTotal(report.totalLevel), true
 		lk.known, lk.consumed = true, report.consumed
 	}
 	if lk.known || lk.restarted || a.startedFull { // a new epoch counts from 0
-		a.totalLevel -= decodeDebt(report.consumed - lk.consumed)
+		a.totalLevel -= decodeSigned(report.consumed - lk.consumed) // below 0 after refunds
 	}
 	lk.known, lk.restarted, lk.reportedAt, lk.consumed = true, false, now, report.consumed
 	lk.level = a.decodeLevel(report.level)
@@ -104,15 +104,15 @@
 	burst := a.plan().Quota.Burst
 	rounding := burst / gossip.LevelSteps * float64(a.setSize) // of the levels in reports
 	unallocated := a.totalLevel - allocated - a.largestRequest - rounding
-	if a.unallocatedTicks == 0 || now-a.unallocatedSince > idleReportMaxAge {
-		a.unallocatedUnits, a.unallocatedSince, a.unallocatedTicks = unallocated, now, 0
+	if a.unallocatedReports == 0 || now-a.unallocatedSince > idleReportMaxAge {
+		a.unallocatedUnits, a.unallocatedSince, a.unallocatedReports = unallocated, now, 0
 	}
 	a.unallocatedUnits = min(a.unallocatedUnits, unallocated)
-	a.unallocatedTicks++
-	if a.unallocatedTicks < unallocatedMinTicks || now-a.unallocatedSince < unallocatedMinDuration {
+	a.unallocatedReports++
+	if a.unallocatedReports < unallocatedMinReports || now-a.unallocatedSince < unallocatedMinDuration {
 		return
 	}
-	a.unallocatedTicks = 0
+	a.unallocatedReports = 0
 	if a.unallocatedUnits <= 0 {
 		return
 	}
--- a/internal/quota/start.go
+++ b/internal/quota/start.go
@@ -4,26 +4,27 @@
 
 // This file decides what a limiter that starts with nothing in memory assumes of the customers' buckets.
 
-// tierStartDuration is how long after the start of a tier an account that is met counts as full: until
-// then no limiter can have consumed units that it did not report yet.
+// tierStartDuration is how long after the start of a tier a new account counts as full: until then no
+// limiter can have consumed units that it did not report yet.
 const tierStartDuration = 3 * time.Second
 
-// StartState is what a limiter takes its own start for. With nothing in memory, the buckets may be
-// full, as the tier is new, or consumed, as the tier was there before.
+// StartState is what a limiter takes its own start for. With nothing in memory, the buckets may be full, if
+// the tier is new, or consumed, if the tier served before.
 type StartState uint8
 
-// Recovery states.
+// Start states.
 const (
 	// StartUnknown means that nothing is known yet. One request of each customer may be admitted
 	// without a grant; others wait.
 	StartUnknown StartState = iota
-	// TierStarted means that the tier is new: all buckets are full.
+	// TierStarted means that the tier is new: all quotas are full. A ceiling starts empty in any state,
+	// and in a small set it fills more slowly until earlierLoansEndedAt.
 	TierStarted
-	// LimiterRestarted means that the other limiters were there before. What this one had is lost, the
-	// rest is theirs.
+	// LimiterRestarted means that other limiters were serving before this start. The state of this one is
+	// lost: its allocations start empty, and a quota that it owns with restartLevelFraction of the burst.
 	LimiterRestarted
-	// TierRestarted means that all limiters were there before and lost what they had. The buckets
-	// certainly hold what they gained since.
+	// TierRestarted means that all limiters served before and lost their state. The buckets hold at least
+	// what they gained since.
 	TierRestarted
 )
 
@@ -33,7 +34,7 @@
 // StartState returns what the limiter takes its own start for.
 func (l *Ledger) StartState() StartState { return l.startState }
 
-// Resolve sets what the limiter takes its own start for. Only the first state other than RecoveryUnknown
+// Resolve sets what the limiter takes its own start for. Only the first state other than StartUnknown
 // counts.
 func (l *Ledger) Resolve(s StartState, now time.Duration) {
 	if l.startState != StartUnknown || s == StartUnknown {
@@ -50,7 +51,7 @@
 	}
 }
 
-// assumeFull takes the customer's bucket for full at the start of the tier.
+// assumeFull assumes that the customer's quota was full at the start of the tier.
 func (a *Account) assumeFull() {
 	a.totalLevel = a.plan().Quota.Burst - decodeUnits(a.consumed)
 	a.totalKnown, a.startedFull = true, true
@@ -62,8 +63,8 @@
 	}
 }
 
-// initialLevel gives a new allocation what the recovery state allows beyond what it gained since the
-// start.
+// initialLevel gives a new allocation of a quota what the start state allows beyond what it gained since
+// the start.
 func (a *Account) initialLevel(now time.Duration) {
 	l := a.ledger
 	full := a.baseFraction * a.plan().Quota.Burst
