--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -38,8 +38,8 @@
 type Bound struct {
 	Measure string   `json:"measure"` // a field of simulation.Result, as it is named in files
 	Over    string   `json:"over"`    // "mean" (default) or "each"
-	Most    *float64 `json:"most"`    // nil for no bound
-	Least   *float64 `json:"least"`   // nil for no bound
+	Max     *float64 `json:"most"`    // nil for no bound
+	Min     *float64 `json:"least"`   // nil for no bound
 }
 
 // overEach is the value of Bound.Over for a bound on each run.
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -61,7 +61,7 @@
 	}
 	a, b := x.Run(1, 3), x.Run(1, 3)
 	for _, list := range [][]Outcome{a, b} {
-		for _, m := range []map[string]float64{list[0].Mean, list[0].Worst, list[0].P99, list[0].Least} {
+		for _, m := range []map[string]float64{list[0].Mean, list[0].Worst, list[0].P99, list[0].Min} {
 			delete(m, "cpu_us_per_req")
 		}
 	}
@@ -72,7 +72,7 @@
 		t.Errorf("%s, %.0f served", line, a[0].Mean["served"])
 	}
 	most := 1.0
-	x.Cases[0].Expect = []Bound{{Measure: "served", Most: &most}}
+	x.Cases[0].Expect = []Bound{{Measure: "served", Max: &most}}
 	if line, held := Verdict(x.Run(1, 1)); held || !strings.HasPrefix(line, "verdict: broken: one case: mean served") {
 		t.Error(line)
 	}
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -16,7 +16,7 @@
 	Mean    map[string]float64 `json:"mean"`
 	Worst   map[string]float64 `json:"worst"` // the largest of all runs
 	P99     map[string]float64 `json:"p99"`
-	Least   map[string]float64 `json:"least"`
+	Min     map[string]float64 `json:"least"`
 	Broken  []string           `json:"broken,omitempty"`   // rules
 	Missed  []string           `json:"missed,omitempty"`   // bounds
 	BadSeed uint64             `json:"bad_seed,omitempty"` // the first whose run broke a rule
@@ -30,7 +30,7 @@
 		Mean:  map[string]float64{},
 		Worst: map[string]float64{},
 		P99:   map[string]float64{},
-		Least: map[string]float64{},
+		Min:   map[string]float64{},
 	}
 	values := map[string][]float64{}
 	for i, r := range results {
@@ -82,7 +82,7 @@
 	count := len(values)
 	o.Mean[measure] = total / float64(count)
 	sorted := slices.Sorted(slices.Values(values))
-	o.Least[measure] = sorted[0]
+	o.Min[measure] = sorted[0]
 	o.Worst[measure] = sorted[count-1]
 	o.P99[measure] = sorted[min(int(0.99*float64(count)), count-1)]
 }
@@ -91,13 +91,13 @@
 func (o *Outcome) checkBound(b Bound) {
 	high, low, prefix := o.Mean[b.Measure], o.Mean[b.Measure], "mean "
 	if b.Over == overEach {
-		high, low, prefix = o.Worst[b.Measure], o.Least[b.Measure], ""
+		high, low, prefix = o.Worst[b.Measure], o.Min[b.Measure], ""
 	}
-	if b.Most != nil && !(high <= *b.Most) {
-		o.Missed = append(o.Missed, fmt.Sprintf("%s%s %.2f, at most %g", prefix, b.Measure, high, *b.Most))
+	if b.Max != nil && !(high <= *b.Max) {
+		o.Missed = append(o.Missed, fmt.Sprintf("%s%s %.2f, at most %g", prefix, b.Measure, high, *b.Max))
 	}
-	if b.Least != nil && !(low >= *b.Least) {
-		o.Missed = append(o.Missed, fmt.Sprintf("%s%s %.2f, at least %g", prefix, b.Measure, low, *b.Least))
+	if b.Min != nil && !(low >= *b.Min) {
+		o.Missed = append(o.Missed, fmt.Sprintf("%s%s %.2f, at least %g", prefix, b.Measure, low, *b.Min))
 	}
 }
 
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -62,7 +62,7 @@
 	if _, ok := known[b.Measure]; !ok {
 		return fmt.Errorf("measure: no measure %q", b.Measure)
 	}
-	if b.Most == nil && b.Least == nil {
+	if b.Max == nil && b.Min == nil {
 		return errors.New("neither most nor least")
 	}
 	return nil
@@ -76,10 +76,10 @@
 	if err := checkNumbers("backends", f.Backends, sc.Backends.Count); err != nil {
 		return err
 	}
-	if err := checkNumbers("ways", slices.Concat(f.Ways...), sc.Limiters); err != nil {
+	if err := checkNumbers("ways", slices.Concat(f.LostWays...), sc.Limiters); err != nil {
 		return err
 	}
-	if f.Who != "" && sc.Leases == nil {
+	if f.Role != "" && sc.Leases == nil {
 		return errors.New("who: there are no leases")
 	}
 	if f.Kind == simulation.FaultClock && f.Rate <= 0 {
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -12,7 +12,7 @@
 func mean(o *Outcome) map[string]float64  { return o.Mean }
 func worst(o *Outcome) map[string]float64 { return o.Worst }
 func p99(o *Outcome) map[string]float64   { return o.P99 }
-func least(o *Outcome) map[string]float64 { return o.Least }
+func least(o *Outcome) map[string]float64 { return o.Min }
 
 // column shows a statistic of a measure.
 type column struct {
@@ -152,7 +152,7 @@
 	}
 	columns := quotaColumns
 	for _, o := range outcomes {
-		if o.Least["near"] < o.Least["fetches"] {
+		if o.Min["near"] < o.Min["fetches"] {
 			columns = zoneColumns
 		}
 		if o.Worst["acts"] > 0 {
--- a/internal/processharness/customers.go
+++ b/internal/processharness/customers.go
@@ -26,7 +26,7 @@
 	mean := r.scenario.Traffic.MeanUnits()
 	for i, plan := range r.scenario.Plans {
 		for range plan.Customers {
-			c := r.newCustomer(i, plan.Rate*plan.Times/mean)
+			c := r.newCustomer(i, plan.Rate*plan.LoadFactor/mean)
 			r.customers = append(r.customers, c)
 			total += c.rate
 		}
@@ -67,7 +67,7 @@
 		Spread:   c.setSize,
 		Units:    int(traffic.Units[s.random.IntN(len(traffic.Units))]),
 	}
-	if s.random.Float64() < traffic.Keyed {
+	if s.random.Float64() < traffic.KeyedFraction {
 		request.Class, request.Key, request.Body = classKeyed, fmt.Sprintf("%032x", n), keyedBody
 	}
 	return request
@@ -90,7 +90,7 @@
 // down it is the next of the set that is not.
 func (s *requestSource) selectLimiter(c *customer, traffic *simulation.Traffic) int {
 	index := c.busiest
-	if s.random.Float64() >= traffic.Busiest && c.setSize > 1 {
+	if s.random.Float64() >= traffic.BusiestFraction && c.setSize > 1 {
 		index = (c.busiest + 1 + s.random.IntN(c.setSize-1)) % c.setSize
 	}
 	return s.run.firstUp(c, index)
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -53,14 +53,14 @@
 // faultLimiters are the numbers of the limiters that a fault is for. The limiters report who holds a lease:
 // that directs a fault, and proves nothing.
 func (r *tierRun) faultLimiters(f simulation.Fault) []int {
-	switch f.Who {
+	switch f.Role {
 	case "":
 		return f.Limiters
 	case simulation.RoleHolder:
 		return r.leaseHolder()
 	}
 	acceptors := r.scenario.Acceptors()
-	if f.Who == simulation.RoleOneAcceptor {
+	if f.Role == simulation.RoleOneAcceptor {
 		return acceptors[time.Now().UnixNano()%int64(len(acceptors)):][:1]
 	}
 	return acceptors
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	for _, w := range f.Ways {
+	for _, w := range f.LostWays {
 		ways = append(ways, way{w[0], w[1]})
 	}
 	return ways
@@ -133,7 +133,7 @@
 // playLoss loses datagrams for a time.
 func (r *tierRun) playLoss(f simulation.Fault) {
 	network := r.scenario.Network
-	r.Net.Bad(f.Rate, network.Twice, milliseconds(network.DelayMax))
+	r.Net.Bad(f.Rate, network.Duplicated, milliseconds(network.DelayMax))
 	r.sleep(seconds(f.For))
 	r.restoreNetwork()
 }
@@ -141,7 +141,7 @@
 // restoreNetwork has the network lose, duplicate and delay datagrams as the scenario says.
 func (r *tierRun) restoreNetwork() {
 	network := r.scenario.Network
-	r.Net.Bad(network.Loss, network.Twice, milliseconds(network.DelayMax))
+	r.Net.Bad(network.Loss, network.Duplicated, milliseconds(network.DelayMax))
 }
 
 // playRestart kills limiters, and starts them again without any state.
--- a/internal/processharness/judge.go
+++ b/internal/processharness/judge.go
@@ -48,7 +48,7 @@
 // judgeResult counts what came of a request.
 func (r *tierRun) judgeResult(q Result) {
 	counts := &r.result
-	counts.Reqs++
+	counts.Requests++
 	switch q.Status {
 	case 0:
 		if !r.excused(q) {
@@ -61,7 +61,7 @@
 			r.breach("limiter %d: request %s got the response %q", q.Limiter, q.ID, q.Body)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		counts.Refused++
+		counts.Rejected++
 	default:
 		counts.Failed++
 	}
@@ -83,18 +83,18 @@
 }
 
 // buckets are the reference buckets of a customer.
-type buckets struct{ quota, ceiling simulation.Store }
+type buckets struct{ quota, ceiling simulation.Bucket }
 
 // judgeQuotas plays the reference buckets by what arrived at the backends, in its order.
 func (r *tierRun) judgeQuotas(units map[string]float64) {
 	customers := make([]buckets, len(r.customers))
 	for i, c := range r.customers {
 		plan := r.scenario.Plans[c.plan]
-		customers[i].quota = simulation.NewStore(plan.Rate, plan.Burst, 0)
-		customers[i].ceiling = simulation.NewStore(plan.CeilingRate, plan.CeilingBurst, 0)
+		customers[i].quota = simulation.NewBucket(plan.Rate, plan.Burst, 0)
+		customers[i].ceiling = simulation.NewBucket(plan.CeilingRate, plan.CeilingBurst, 0)
 	}
 	_, attempts := r.Attempts()
-	r.result.Fetches = len(attempts)
+	r.result.Attempts = len(attempts)
 	counted := map[string]bool{}
 	for _, a := range attempts {
 		number, err := strconv.ParseUint(a.Customer, 16, 64)
@@ -112,19 +112,19 @@
 func (r *tierRun) judgeAttempt(number int, b *buckets, at time.Duration, units float64) {
 	count := float64(max(len(r.customers), 1))
 	if b.quota.Take(at, units) {
-		r.result.Inside += units / count
+		r.result.WithinQuota += units / count
 	} else {
-		r.result.Beyond += units / count
+		r.result.BeyondQuota += units / count
 	}
 	plan := r.scenario.Plans[r.customers[number-1].plan]
 	if plan.CeilingRate <= 0 {
 		return
 	}
-	debt := -b.ceiling.Draw(at, units)
-	if debt <= r.result.UnderWorst {
+	debt := -b.ceiling.Consume(at, units)
+	if debt <= r.result.CeilingDebtWorst {
 		return
 	}
-	r.result.UnderWorst = debt
+	r.result.CeilingDebtWorst = debt
 	if debt > plan.Tolerance {
 		r.breach("%.3f s: the ceiling's bucket of customer %d is %.1f below zero", at.Seconds(), number, debt)
 	}
@@ -135,7 +135,7 @@
 	acts := r.Acts()
 	var token uint64
 	for i, a := range acts {
-		r.result.Acts++
+		r.result.LeasedAttempts++
 		switch {
 		case a.Token < token:
 			r.result.TokenFalls++
@@ -160,7 +160,7 @@
 	}
 	r.result.LeaseBytes = float64(bytes) / r.scenario.Seconds
 	r.result.Messages = r.Net.Passed()
-	r.result.MessagesPerReq = float64(r.result.Messages) / float64(max(r.result.Reqs, 1))
+	r.result.MessagesPerRequest = float64(r.result.Messages) / float64(max(r.result.Requests, 1))
 }
 
 // judgeUsage judges the usage reports by the units that arrived at backends.
@@ -171,10 +171,10 @@
 	for id := range attemptsByID {
 		arrived += units[id]
 	}
-	r.result.UseOver = max(reported-arrived, 0)
-	r.result.UseUnder = max(arrived-reported, 0)
-	if r.result.UseUnder > maxUnitsMissing && r.result.UseFaults == 0 {
-		r.breach("%.0f of %.0f units are in no report, and no report says so", r.result.UseUnder, arrived)
+	r.result.UsageOver = max(reported-arrived, 0)
+	r.result.UsageUnder = max(arrived-reported, 0)
+	if r.result.UsageUnder > maxUnitsMissing && r.result.UsageFaults == 0 {
+		r.breach("%.0f of %.0f units are in no report, and no report says so", r.result.UsageUnder, arrived)
 	}
 }
 
--- a/internal/processharness/run.go
+++ b/internal/processharness/run.go
@@ -51,7 +51,7 @@
 		return fmt.Errorf("kind: no %q on processes; see cmd/lemongate", f.Kind)
 	case f.Kind == simulation.FaultBackendSilent || f.Zone > 0:
 		return errors.New("kind: silent backends and zones are played in virtual time only")
-	case f.Kind == simulation.FaultClock && (f.At > 0 || f.Who != ""):
+	case f.Kind == simulation.FaultClock && (f.At > 0 || f.Role != ""):
 		return errors.New("at_s: a process has the rate of its clock from its start on")
 	}
 	return nil
@@ -66,8 +66,8 @@
 	r := newTierRun(h, sc, seed, program)
 	r.startProcesses()
 	units := r.judge(r.play())
-	if sc.Leases != nil && sc.Leases.Period > 0 {
-		time.Sleep(milliseconds(settlePeriods * sc.Leases.Period))
+	if sc.Leases != nil && sc.Leases.UsagePeriod > 0 {
+		time.Sleep(milliseconds(settlePeriods * sc.Leases.UsagePeriod))
 		r.judgeUsage(usageDir, units)
 	}
 	return r.result
@@ -150,10 +150,10 @@
 // writeOperatorFile writes the operators' file of a scenario, and returns the path.
 func writeOperatorFile(h Host, leases *simulation.Leases, usageDir string) string {
 	file := map[string]any{"leases": map[string]any{
-		"on": true, "tasks": leases.Tasks, "length_ms": int(leases.Length), "keepers": leases.Keepers,
+		"on": true, "tasks": leases.Tasks, "length_ms": int(leases.Duration), "keepers": leases.AcceptorCount,
 	}}
-	if leases.Period > 0 {
-		file["rollup"] = map[string]any{"dir": usageDir, "period_s": int(leases.Period / 1000)}
+	if leases.UsagePeriod > 0 {
+		file["rollup"] = map[string]any{"dir": usageDir, "period_s": int(leases.UsagePeriod / 1000)}
 	}
 	data, err := json.Marshal(file)
 	if err != nil {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -25,7 +25,7 @@
 	AdmittedWithoutGrant uint64  `json:"on_chance"` // requests
 	Waited               uint64  `json:"waited"`    // requests that waited for a grant
 	Accounts             int     `json:"accounts"`  // accounts in memory now
-	RecoveryState        string  `json:"standing"`  // what the start was taken for
+	StartState           string  `json:"standing"`  // what the start was taken for
 	SilentPeers          int     `json:"silent"`    // peers from which nothing comes now
 	PeersDeclaredDead    uint64  `json:"dead"`      // times that a silent peer was declared dead
 }
@@ -129,7 +129,7 @@
 // Counters returns the counters as of a clock time.
 func (l *Ledger) Counters(now time.Duration) Counters {
 	c := l.Counts
-	c.Accounts, c.RecoveryState = len(l.accountOrder), l.startState.String()
+	c.Accounts, c.StartState = len(l.accountOrder), l.startState.String()
 	for _, peer := range l.peers {
 		if peer.known && now-peer.lastReceivedAt > peerSilenceTimeout {
 			c.SilentPeers++
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -28,7 +28,7 @@
 // next. Its field tags are a format that other releases read; a live field may be renamed freely.
 type LedgerState struct {
 	Counters       countersState             `json:"Count"`
-	Recovery       StartState                `json:"standing"`
+	StartState     StartState                `json:"standing"`
 	StartedAt      time.Duration             `json:"born"`
 	LastMessageAt  time.Duration             `json:"now"`
 	TotalDemand    rateState                 `json:"total"`
@@ -55,7 +55,7 @@
 	AdmittedWithoutGrant uint64  `json:"on_chance"`
 	Waited               uint64  `json:"waited"`
 	Accounts             int     `json:"accounts"`
-	RecoveryState        string  `json:"standing"`
+	StartState           string  `json:"standing"`
 	SilentPeers          int     `json:"silent"`
 	PeersDeclaredDead    uint64  `json:"dead"`
 }
@@ -208,7 +208,7 @@
 func (l *Ledger) State() LedgerState {
 	return LedgerState{
 		Counters:       newCountersState(l.Counts),
-		Recovery:       l.startState,
+		StartState:     l.startState,
 		StartedAt:      l.startedAt,
 		LastMessageAt:  l.lastMessageAt,
 		TotalDemand:    newRateState(l.totalDemand),
@@ -228,7 +228,7 @@
 func (s LedgerState) restore() *Ledger {
 	return &Ledger{
 		Counts:         s.Counters.restore(),
-		startState:     s.Recovery,
+		startState:     s.StartState,
 		startedAt:      s.StartedAt,
 		lastMessageAt:  s.LastMessageAt,
 		totalDemand:    s.TotalDemand.restore(),
@@ -256,7 +256,7 @@
 		AdmittedWithoutGrant: x.AdmittedWithoutGrant,
 		Waited:               x.Waited,
 		Accounts:             x.Accounts,
-		RecoveryState:        x.RecoveryState,
+		StartState:           x.StartState,
 		SilentPeers:          x.SilentPeers,
 		PeersDeclaredDead:    x.PeersDeclaredDead,
 	}
@@ -274,7 +274,7 @@
 		AdmittedWithoutGrant: s.AdmittedWithoutGrant,
 		Waited:               s.Waited,
 		Accounts:             s.Accounts,
-		RecoveryState:        s.RecoveryState,
+		StartState:           s.StartState,
 		SilentPeers:          s.SilentPeers,
 		PeersDeclaredDead:    s.PeersDeclaredDead,
 	}
--- a/internal/quota/snapshot_test.go
+++ b/internal/quota/snapshot_test.go
@@ -42,7 +42,7 @@
 			"Count.on_chance":                              l.Counts.AdmittedWithoutGrant,
 			"Count.waited":                                 l.Counts.Waited,
 			"Count.accounts":                               l.Counts.Accounts,
-			"Count.standing":                               l.Counts.RecoveryState,
+			"Count.standing":                               l.Counts.StartState,
 			"Count.silent":                                 l.Counts.SilentPeers,
 			"Count.dead":                                   l.Counts.PeersDeclaredDead,
 			"standing":                                     l.startState,
--- a/internal/simulation/backends.go
+++ b/internal/simulation/backends.go
@@ -74,13 +74,13 @@
 	a := &attempt{limiter: l, incarnation: l.incarnation, request: r, id: e.Attempt, token: e.Token}
 	a.backend = w.backendByName(e.Backend)
 	r.attempts[e.Attempt.Number] = a
-	w.result.Fetches++
+	w.result.Attempts++
 	if a.backend == nil {
 		w.breach("an attempt at %q, which is no backend", e.Backend)
 		return
 	}
 	if w.zone(a.backend.number) == w.zone(l.number) {
-		w.result.Near++
+		w.result.AttemptsInZone++
 	}
 	w.after(backendDelay, func() { a.backend.receive(a) })
 }
@@ -109,12 +109,12 @@
 func (b *backend) receive(a *attempt) {
 	w := b.world
 	if b.silent {
-		w.result.Dead++
+		w.result.AttemptsAtDown++
 		w.after(connectTimeout, func() { a.finish(admission.ConnectFailed, nil) })
 		return
 	}
 	if !b.up || b.refuses {
-		w.result.Dead++
+		w.result.AttemptsAtDown++
 		a.finish(admission.Unreachable, nil)
 		return
 	}
@@ -133,10 +133,10 @@
 // speed is the fraction of its full speed that a backend has by now.
 func (b *backend) speed() float64 {
 	sc := b.world.scenario.Backends
-	if b.startedAt == 0 || sc.Warm <= 0 {
+	if b.startedAt == 0 || sc.SlowStartDuration <= 0 {
 		return 1
 	}
-	return min(sc.Cold+(1-sc.Cold)*(b.world.now-b.startedAt).Seconds()/sc.Warm, 1)
+	return min(sc.ColdFraction+(1-sc.ColdFraction)*(b.world.now-b.startedAt).Seconds()/sc.SlowStartDuration, 1)
 }
 
 // serve occupies a core with an attempt.
@@ -162,7 +162,7 @@
 		return false
 	}
 	ranAt, ran := b.keys[r.key]
-	if ran && b.world.now-ranAt < seconds(b.world.scenario.Backends.Window) {
+	if ran && b.world.now-ranAt < seconds(b.world.scenario.Backends.IdempotencyWindow) {
 		return true
 	}
 	b.keys[r.key] = b.world.now
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -21,10 +21,10 @@
 	plan         int // index
 	firstLimiter int
 	setSize      int
-	busiest      int   // index in the set
-	quota        Store // of what reaches the backends
-	ceiling      Store // of what reaches the backends
-	ideal        Store // of one limiter that receives all first tries
+	busiest      int    // index in the set
+	quota        Bucket // of what reaches the backends
+	ceiling      Bucket // of what reaches the backends
+	ideal        Bucket // of one limiter that receives all first tries
 	tally        tally
 }
 
@@ -74,7 +74,7 @@
 			c := w.newCustomer(i, n)
 			w.customers = append(w.customers, c)
 			w.scheduleArrival(c)
-			if moves := w.scenario.Traffic.Moves; moves > 0 {
+			if moves := w.scenario.Traffic.BusiestDuration; moves > 0 {
 				w.scheduleMove(c, seconds(moves*w.random.Float64()))
 			}
 		}
@@ -91,9 +91,9 @@
 		firstLimiter: w.random.IntN(w.scenario.Limiters),
 		setSize:      setSize,
 		busiest:      w.random.IntN(setSize),
-		quota:        NewStore(plan.Rate, plan.Burst, start),
-		ideal:        NewStore(plan.Rate, plan.Burst, start),
-		ceiling:      NewStore(plan.CeilingRate, plan.CeilingBurst, start),
+		quota:        NewBucket(plan.Rate, plan.Burst, start),
+		ideal:        NewBucket(plan.Rate, plan.Burst, start),
+		ceiling:      NewBucket(plan.CeilingRate, plan.CeilingBurst, start),
 	}
 }
 
@@ -101,14 +101,14 @@
 func (w *world) scheduleMove(c *customer, wait time.Duration) {
 	w.after(wait, func() {
 		c.busiest = (c.busiest + 1 + w.random.IntN(max(c.setSize-1, 1))) % c.setSize
-		w.scheduleMove(c, seconds(w.scenario.Traffic.Moves))
+		w.scheduleMove(c, seconds(w.scenario.Traffic.BusiestDuration))
 	})
 }
 
 // scheduleArrival schedules the next request of a customer. Arrivals do not wait for responses.
 func (w *world) scheduleArrival(c *customer) {
 	plan := w.scenario.Plans[c.plan]
-	interval := w.exponential(seconds(w.scenario.Traffic.MeanUnits() / (plan.Rate * plan.Times)))
+	interval := w.exponential(seconds(w.scenario.Traffic.MeanUnits() / (plan.Rate * plan.LoadFactor)))
 	w.after(interval, func() {
 		w.sendFirstTry(c)
 		w.scheduleArrival(c)
@@ -123,7 +123,7 @@
 	if c.ideal.Take(w.now, units) {
 		c.tally.due += units
 	}
-	keyed := w.random.Float64() < traffic.Keyed
+	keyed := w.random.Float64() < traffic.KeyedFraction
 	w.lastID++
 	r := &request{customer: c, units: units, keyed: keyed, key: w.lastID, retries: traffic.Retries}
 	w.send(r, w.selectLimiter(c))
@@ -133,7 +133,7 @@
 // is down it is the next of the set that is not; nil if all are.
 func (w *world) selectLimiter(c *customer) *limiter {
 	index := c.busiest
-	if w.random.Float64() >= w.scenario.Traffic.Busiest && c.setSize > 1 {
+	if w.random.Float64() >= w.scenario.Traffic.BusiestFraction && c.setSize > 1 {
 		index = (c.busiest + 1 + w.random.IntN(c.setSize-1)) % c.setSize
 	}
 	for i := range c.setSize {
@@ -153,7 +153,7 @@
 		w.result.NoLimiter++
 		return
 	}
-	w.result.Reqs++
+	w.result.Requests++
 	budget := milliseconds(w.scenario.Traffic.Deadline)
 	w.openRequests[requestKey{l.number, core.RequestID(r.id)}] = r
 	w.after(clientDelay, l.ifAlive(func() { l.post(w.requestReceived(r, budget)) }))
@@ -215,7 +215,7 @@
 	if plan.CeilingRate <= 0 {
 		return
 	}
-	level := c.ceiling.Draw(w.now, r.units)
+	level := c.ceiling.Consume(w.now, r.units)
 	c.tally.ceilingDebt = max(c.tally.ceilingDebt, -level)
 	if -level > plan.Tolerance {
 		w.breach("the ceiling's bucket of %s is at %.1f, %.1f allowed", c.name, level, -plan.Tolerance)
@@ -241,7 +241,7 @@
 	case core.Failed:
 		w.result.Failed++
 	default:
-		w.result.Refused++
+		w.result.Rejected++
 		w.handleRejection(r, e.RetryAfter)
 	}
 }
@@ -253,14 +253,14 @@
 	}
 	c := r.customer
 	c.tally.rejected += r.units
-	if c.quota.Fill(w.now) > c.quota.burst/2 {
+	if c.quota.Refill(w.now) > c.quota.burst/2 {
 		c.tally.rejectedWithinQuota += r.units
 	}
 	if r.retries <= 0 {
 		return
 	}
 	wait := milliseconds(w.scenario.Traffic.RetryWait)
-	if retryAfter > 0 && w.random.Float64() < w.scenario.Traffic.Heed {
+	if retryAfter > 0 && w.random.Float64() < w.scenario.Traffic.RetryAfterFraction {
 		wait = max(wait, retryAfter)
 	}
 	retry := &request{customer: c, units: r.units, keyed: r.keyed, key: r.key, retries: r.retries - 1}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -42,7 +42,7 @@
 
 // faultLimiters are the numbers of the limiters that a fault is for.
 func (w *world) faultLimiters(f Fault) []int {
-	switch f.Who {
+	switch f.Role {
 	case "":
 		return f.Limiters
 	case RoleHolder:
@@ -52,7 +52,7 @@
 		return nil
 	}
 	acceptors := w.scenario.Acceptors()
-	if f.Who == RoleOneAcceptor {
+	if f.Role == RoleOneAcceptor {
 		return acceptors[w.random.IntN(len(acceptors)):][:1]
 	}
 	return acceptors
@@ -92,7 +92,7 @@
 	for partition, group := range f.Groups {
 		w.forLimiters(group, func(l *limiter) { l.partition = partition })
 	}
-	for _, way := range f.Ways {
+	for _, way := range f.LostWays {
 		w.lostWays[[2]int{way[0], way[1]}] = true
 	}
 	w.after(seconds(f.For), func() {
--- a/internal/simulation/hotrestart_test.go
+++ b/internal/simulation/hotrestart_test.go
@@ -27,12 +27,12 @@
 				t.Errorf("%d limiters, seed %d: %d rules broken: %v", n, seed, r.Breaches, r.Broken)
 			}
 			if seed == 0 {
-				t.Logf("%d limiters: within %.3f of due (undisturbed %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.Inside/r.Due,
-					undisturbed.Inside/undisturbed.Due, r.Beyond/r.Due, undisturbed.Beyond/undisturbed.Due, r.Messages, undisturbed.Messages)
+				t.Logf("%d limiters: within %.3f of due (undisturbed %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.WithinQuota/r.Due,
+					undisturbed.WithinQuota/undisturbed.Due, r.BeyondQuota/r.Due, undisturbed.BeyondQuota/undisturbed.Due, r.Messages, undisturbed.Messages)
 			}
-			if r.Inside/r.Due < 0.95*undisturbed.Inside/undisturbed.Due || r.Beyond/r.Due > undisturbed.Beyond/undisturbed.Due+0.02 {
+			if r.WithinQuota/r.Due < 0.95*undisturbed.WithinQuota/undisturbed.Due || r.BeyondQuota/r.Due > undisturbed.BeyondQuota/undisturbed.Due+0.02 {
 				t.Errorf("%d limiters, seed %d: within %.3f, undisturbed %.3f; beyond %.3f, undisturbed %.3f", n, seed,
-					r.Inside/r.Due, undisturbed.Inside/undisturbed.Due, r.Beyond/r.Due, undisturbed.Beyond/undisturbed.Due)
+					r.WithinQuota/r.Due, undisturbed.WithinQuota/undisturbed.Due, r.BeyondQuota/r.Due, undisturbed.BeyondQuota/undisturbed.Due)
 			}
 			for i, dies := range []Process{Predecessor, Successor, Predecessor, Successor} {
 				sc.Faults = []Fault{{
@@ -56,7 +56,7 @@
 func shortRun(n int) Scenario {
 	sc := largeTier(max(n, 30))
 	sc.Limiters, sc.Seconds = n, 6
-	sc.Traffic.Spread = max(n*3/4, 2)
+	sc.Traffic.LimitersPerCustomer = max(n*3/4, 2)
 	if n > 100 {
 		sc.Seconds = 3.5
 	}
--- a/internal/simulation/largetier_test.go
+++ b/internal/simulation/largetier_test.go
@@ -8,18 +8,18 @@
 	sc := Scenario{
 		Limiters: limiters, Seconds: 9,
 		Traffic: Traffic{
-			Spread: limiters * 3 / 4, Busiest: 0.03, Moves: 10, Units: []float64{1, 2}, Retries: 1, RetryWait: 150, Heed: 0.5,
-			Keyed: 0.46, Deadline: 2000,
+			LimitersPerCustomer: limiters * 3 / 4, BusiestFraction: 0.03, BusiestDuration: 10, Units: []float64{1, 2}, Retries: 1, RetryWait: 150, RetryAfterFraction: 0.5,
+			KeyedFraction: 0.46, Deadline: 2000,
 		},
-		Backends: Backend{Count: limiters / 2, Cores: 2, Work: 110, Queue: 30, Cold: 0.2, Warm: 15, Window: 3, ListLag: 700},
-		Network:  Network{DelayMin: 1.8, DelayMax: 16, Loss: 0.05, InPerS: 40},
+		Backends: Backend{Count: limiters / 2, Cores: 2, Work: 110, Queue: 30, ColdFraction: 0.2, SlowStartDuration: 15, IdempotencyWindow: 3, ListLag: 700},
+		Network:  Network{DelayMin: 1.8, DelayMax: 16, Loss: 0.05, MaxReceivedPerSecond: 40},
 	}
 	for _, p := range []Plan{
-		{Name: "district", Rate: 1.6, Burst: 6.8, Pays: 0.8, OverCost: 0.5, Customers: 275 * limiters / 100, Times: 0.45},
-		{Name: "district-hot", Rate: 1.6, Burst: 6.8, Pays: 0.8, OverCost: 0.5, Customers: 24 * limiters / 100, Times: 3},
-		{Name: "city", Rate: 5, Burst: 24, CeilingRate: 10.5, CeilingBurst: 50, Pays: 1.1, OverCost: 1, Customers: 86 * limiters / 100, Times: 0.45},
-		{Name: "city-hot", Rate: 5, Burst: 24, CeilingRate: 6.5, CeilingBurst: 30, Pays: 1.1, OverCost: 1, Customers: 7 * limiters / 100, Times: 8},
-		{Name: "provincial", Rate: 12.6, Burst: 29, Pays: 1.4, OverCost: 0.5, Customers: 44 * limiters / 100, Times: 0.45},
+		{Name: "district", Rate: 1.6, Burst: 6.8, WeightFactor: 0.8, OverQuotaCost: 0.5, Customers: 275 * limiters / 100, LoadFactor: 0.45},
+		{Name: "district-hot", Rate: 1.6, Burst: 6.8, WeightFactor: 0.8, OverQuotaCost: 0.5, Customers: 24 * limiters / 100, LoadFactor: 3},
+		{Name: "city", Rate: 5, Burst: 24, CeilingRate: 10.5, CeilingBurst: 50, WeightFactor: 1.1, OverQuotaCost: 1, Customers: 86 * limiters / 100, LoadFactor: 0.45},
+		{Name: "city-hot", Rate: 5, Burst: 24, CeilingRate: 6.5, CeilingBurst: 30, WeightFactor: 1.1, OverQuotaCost: 1, Customers: 7 * limiters / 100, LoadFactor: 8},
+		{Name: "provincial", Rate: 12.6, Burst: 29, WeightFactor: 1.4, OverQuotaCost: 0.5, Customers: 44 * limiters / 100, LoadFactor: 0.45},
 	} {
 		p.Tolerance = 4
 		sc.Plans = append(sc.Plans, p)
@@ -65,12 +65,12 @@
 		sc := largeTier(n)
 		sc.Faults = c.faults
 		r := Run(sc, 7)
-		t.Logf("%s: %.3f within, %.3f beyond, %.2f rejected within the quota, of what is due", c.name, r.Inside/r.Due, r.Beyond/r.Due, r.RefusedRoom/r.Due)
+		t.Logf("%s: %.3f within, %.3f beyond, %.2f rejected within the quota, of what is due", c.name, r.WithinQuota/r.Due, r.BeyondQuota/r.Due, r.RejectedWithinQuota/r.Due)
 		if r.Breaches > 0 {
 			t.Errorf("%s: %d rules broken: %v", c.name, r.Breaches, r.Broken)
 		}
-		if r.Inside < c.least*r.Due {
-			t.Errorf("%s: %.3f of what is due forwarded, want %.2f", c.name, r.Inside/r.Due, c.least)
+		if r.WithinQuota < c.least*r.Due {
+			t.Errorf("%s: %.3f of what is due forwarded, want %.2f", c.name, r.WithinQuota/r.Due, c.least)
 		}
 	}
 }
--- a/internal/simulation/leasejudge.go
+++ b/internal/simulation/leasejudge.go
@@ -33,8 +33,8 @@
 	sc := w.scenario.Leases
 	return &lease.Settings{
 		Tasks:         sc.Tasks,
-		AcceptorCount: sc.Keepers,
-		Duration:      milliseconds(sc.Length),
+		AcceptorCount: sc.AcceptorCount,
+		Duration:      milliseconds(sc.Duration),
 		ClockDrift:    clockDrift,
 		MinToken:      uint64(w.now / time.Millisecond),
 	}
@@ -118,7 +118,7 @@
 	if a.token == 0 {
 		return
 	}
-	w.result.Acts++
+	w.result.LeasedAttempts++
 	if a.token < w.leases.actedToken {
 		w.result.TokenFalls++
 		w.breach("limiter %d acts under token %d after %d", a.limiter.number, a.token, w.leases.actedToken)
@@ -156,6 +156,6 @@
 	}
 	r.LeaseMessages = float64(messages) / w.scenario.Seconds
 	r.LeaseBytes = float64(j.bytesOfLeases) / w.scenario.Seconds
-	r.Walking = w.restarts.waiting + len(w.restarts.restarting)
+	r.RestartsOpen = w.restarts.waiting + len(w.restarts.restarting)
 	w.summarizeUsage()
 }
--- a/internal/simulation/limiter.go
+++ b/internal/simulation/limiter.go
@@ -67,8 +67,8 @@
 	if sc.Leases != nil {
 		c.Leases = w.leaseSettings()
 		c.Epoch = w.epoch()
-		c.UsagePeriod = milliseconds(sc.Leases.Period)
-		c.RestartSlots = core.RestartSlotSettings{MaxConcurrent: sc.Leases.Most, Duration: milliseconds(sc.Leases.Turn)}
+		c.UsagePeriod = milliseconds(sc.Leases.UsagePeriod)
+		c.RestartSlots = core.RestartSlotSettings{MaxConcurrent: sc.Leases.MaxRestarting, Duration: milliseconds(sc.Leases.RestartSlotDuration)}
 	}
 	return c
 }
@@ -87,16 +87,16 @@
 		Limiters:              w.scenario.Limiters,
 		Zone:                  w.zone(number),
 		ClockResolution:       2 * time.Millisecond,
-		Classes:               classes(seconds(backends.Window)),
+		Classes:               classes(seconds(backends.IdempotencyWindow)),
 		MaxAttempts:           5,
 		MayCancel:             true,
 		GossipEnabled:         w.scenario.Limiters > 1,
-		PeerMessagesPerSecond: w.scenario.Network.InPerS,
+		PeerMessagesPerSecond: w.scenario.Network.MaxReceivedPerSecond,
 		MaxRetryAfter:         time.Second,
 		LoadReportFields:      []string{"latency_ms", "util"},
 		DrainGrace:            250 * time.Millisecond,
-		SlowStartFraction:     backends.Cold,
-		SlowStartDuration:     seconds(backends.Warm),
+		SlowStartFraction:     backends.ColdFraction,
+		SlowStartDuration:     seconds(backends.SlowStartDuration),
 		OverloadMultiple:      4,
 		OverloadDuration:      1500 * time.Millisecond,
 	}
@@ -105,11 +105,11 @@
 			Name:           p.Name,
 			Rate:           p.Rate,
 			Burst:          p.Burst,
-			WeightFactor:   p.Pays,
+			WeightFactor:   p.WeightFactor,
 			CeilingRate:    p.CeilingRate,
 			CeilingBurst:   p.CeilingBurst,
-			ExcessFraction: p.ExcessWorth,
-			OverQuotaCost:  p.OverCost,
+			ExcessFraction: p.ExcessFraction,
+			OverQuotaCost:  p.OverQuotaCost,
 		})
 	}
 	return set
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -37,14 +37,14 @@
 		return
 	}
 	copies := 1
-	if w.networkRandom.Float64() < network.Twice {
+	if w.networkRandom.Float64() < network.Duplicated {
 		copies = 2
 	}
 	data = slices.Clone(data)
 	for range copies {
 		delay := milliseconds(network.DelayMin + w.networkRandom.Float64()*(network.DelayMax-network.DelayMin))
-		if w.networkRandom.Float64() < network.Old {
-			delay += seconds(network.OldFor) // sent before any partition
+		if w.networkRandom.Float64() < network.Delayed {
+			delay += seconds(network.DelayedFor) // sent before any partition
 		} else if w.separated(from, to) {
 			continue
 		}
@@ -63,7 +63,7 @@
 	if to.deaf || to.machine == nil {
 		return
 	}
-	if rate := w.scenario.Network.InPerS; rate > 0 {
+	if rate := w.scenario.Network.MaxReceivedPerSecond; rate > 0 {
 		to.receiveAt = max(to.receiveAt, w.now-receiveBurst)
 		if to.receiveAt > w.now {
 			w.result.Dropped++
--- a/internal/simulation/restartjudge.go
+++ b/internal/simulation/restartjudge.go
@@ -74,10 +74,10 @@
 	for number := range restarting {
 		if l := w.limiters[number]; l.machine != nil && l.machine.Phase() == core.Serving {
 			delete(restarting, number)
-			w.result.Walked++
+			w.result.Restarted++
 		}
 	}
-	if len(restarting) > w.scenario.Leases.Most {
+	if len(restarting) > w.scenario.Leases.MaxRestarting {
 		w.breach("%d limiters restart under restart slots", len(restarting))
 	}
 	if len(restarting) < 2 {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -18,17 +18,17 @@
 
 // SetSize is the number of limiters in a customer's set.
 func (sc *Scenario) SetSize() int {
-	if sc.Traffic.Spread <= 0 {
+	if sc.Traffic.LimitersPerCustomer <= 0 {
 		return sc.Limiters
 	}
-	return min(sc.Traffic.Spread, sc.Limiters)
+	return min(sc.Traffic.LimitersPerCustomer, sc.Limiters)
 }
 
 // Acceptors are the numbers of the acceptors of the first task that is done under a lease. The scenario
 // must have leases.
 func (sc *Scenario) Acceptors() []int {
 	var numbers []int
-	for _, n := range lease.AcceptorsOf(lease.TaskID(sc.Leases.Tasks[0]), sc.Limiters, sc.Leases.Keepers) {
+	for _, n := range lease.AcceptorsOf(lease.TaskID(sc.Leases.Tasks[0]), sc.Limiters, sc.Leases.AcceptorCount) {
 		numbers = append(numbers, int(n))
 	}
 	return numbers
@@ -36,40 +36,40 @@
 
 // Leases describes the tasks that one limiter at a time does; see lease.Settings and core.RestartSlots.
 type Leases struct {
-	Tasks   []string `json:"tasks"`
-	Length  float64  `json:"length_ms"`
-	Keepers int      `json:"keepers"`             // acceptors of each task
-	Period  float64  `json:"rollup_ms,omitempty"` // of usage reports; 0 for none
-	Most    int      `json:"out_most,omitempty"`  // limiters that may restart at once
-	Turn    float64  `json:"turn_ms,omitempty"`   // how long a restart slot is valid
+	Tasks               []string `json:"tasks"`
+	Duration            float64  `json:"length_ms"`
+	AcceptorCount       int      `json:"keepers"`             // acceptors of each task
+	UsagePeriod         float64  `json:"rollup_ms,omitempty"` // of usage reports; 0 for none
+	MaxRestarting       int      `json:"out_most,omitempty"`  // limiters that may restart at once
+	RestartSlotDuration float64  `json:"turn_ms,omitempty"`   // how long a restart slot is valid
 }
 
 // Plan is a plan and the customers on it.
 type Plan struct {
-	Name         string  `json:"name"`
-	Rate         float64 `json:"rate"`          // units per second
-	Burst        float64 `json:"burst"`         // units
-	CeilingRate  float64 `json:"ceiling_rate"`  // units per second; 0 for no ceiling
-	CeilingBurst float64 `json:"ceiling_burst"` // units
-	Tolerance    float64 `json:"tolerance"`     // units by which the ceiling's bucket may fall below zero
-	Pays         float64 `json:"pays"`          // see admission.Plan.WeightFactor
-	ExcessWorth  float64 `json:"excess_worth"`  // see admission.Plan.ExcessFraction
-	OverCost     float64 `json:"over_cost"`     // see admission.Plan.OverQuotaCost
-	Customers    int     `json:"customers"`
-	Times        float64 `json:"times"` // units that a customer requests, in multiples of the rate
+	Name           string  `json:"name"`
+	Rate           float64 `json:"rate"`          // units per second
+	Burst          float64 `json:"burst"`         // units
+	CeilingRate    float64 `json:"ceiling_rate"`  // units per second; 0 for no ceiling
+	CeilingBurst   float64 `json:"ceiling_burst"` // units
+	Tolerance      float64 `json:"tolerance"`     // units by which the ceiling's bucket may fall below zero
+	WeightFactor   float64 `json:"pays"`          // see admission.Plan.WeightFactor
+	ExcessFraction float64 `json:"excess_worth"`  // see admission.Plan.ExcessFraction
+	OverQuotaCost  float64 `json:"over_cost"`     // see admission.Plan.OverQuotaCost
+	Customers      int     `json:"customers"`
+	LoadFactor     float64 `json:"times"` // units that a customer requests, in multiples of the rate
 }
 
 // Traffic describes how requests arrive.
 type Traffic struct {
-	Spread    int       `json:"spread"`      // limiters in a customer's set; 0 for all
-	Busiest   float64   `json:"busiest"`     // fraction of a customer's requests that its busiest limiter gets
-	Moves     float64   `json:"moves_s"`     // how long a limiter stays the busiest
-	Units     []float64 `json:"units"`       // units of requests, each equally likely
-	Retries   int       `json:"retries"`     // retries of a client after a rejection
-	RetryWait float64   `json:"retry_ms"`    // how long a client waits before one, unless it follows Retry-After
-	Heed      float64   `json:"heed"`        // fraction of the clients that follow Retry-After
-	Keyed     float64   `json:"keyed"`       // fraction of the requests that have an idempotency key
-	Deadline  float64   `json:"deadline_ms"` // how long a client waits for the response
+	LimitersPerCustomer int       `json:"spread"`      // limiters in a customer's set; 0 for all
+	BusiestFraction     float64   `json:"busiest"`     // fraction of a customer's requests that its busiest limiter gets
+	BusiestDuration     float64   `json:"moves_s"`     // how long a limiter stays the busiest
+	Units               []float64 `json:"units"`       // units of requests, each equally likely
+	Retries             int       `json:"retries"`     // retries of a client after a rejection
+	RetryWait           float64   `json:"retry_ms"`    // how long a client waits before one, unless it follows Retry-After
+	RetryAfterFraction  float64   `json:"heed"`        // fraction of the clients that follow Retry-After
+	KeyedFraction       float64   `json:"keyed"`       // fraction of the requests that have an idempotency key
+	Deadline            float64   `json:"deadline_ms"` // how long a client waits for the response
 }
 
 // MeanUnits is the mean number of units of a request.
@@ -83,25 +83,25 @@
 
 // Backend describes the backends.
 type Backend struct {
-	Count   int     `json:"count"`
-	Cores   int     `json:"cores"`
-	Work    float64 `json:"work_ms"`     // mean, exponentially distributed
-	Queue   int     `json:"queue"`       // length of the queue, beyond which attempts are rejected
-	Cold    float64 `json:"cold"`        // fraction of full speed just after a start, growing linearly ...
-	Warm    float64 `json:"warm_s"`      // ... to 1 within this
-	Window  float64 `json:"window_s"`    // how long repeats of an idempotency key are dropped
-	ListLag float64 `json:"list_lag_ms"` // until the endpoint list shows a change
+	Count             int     `json:"count"`
+	Cores             int     `json:"cores"`
+	Work              float64 `json:"work_ms"`     // mean, exponentially distributed
+	Queue             int     `json:"queue"`       // length of the queue, beyond which attempts are rejected
+	ColdFraction      float64 `json:"cold"`        // fraction of full speed just after a start, growing linearly ...
+	SlowStartDuration float64 `json:"warm_s"`      // ... to 1 within this
+	IdempotencyWindow float64 `json:"window_s"`    // how long repeats of an idempotency key are dropped
+	ListLag           float64 `json:"list_lag_ms"` // until the endpoint list shows a change
 }
 
 // Network describes how datagrams travel between limiters.
 type Network struct {
-	DelayMin float64 `json:"delay_min_ms"`
-	DelayMax float64 `json:"delay_max_ms"`
-	Loss     float64 `json:"loss"`     // fraction that is lost
-	Twice    float64 `json:"twice"`    // fraction that is duplicated
-	Old      float64 `json:"old"`      // fraction that arrives OldFor late
-	OldFor   float64 `json:"old_s"`    // see Old
-	InPerS   float64 `json:"in_per_s"` // datagrams per second that a limiter receives; 0 for no bound
+	DelayMin             float64 `json:"delay_min_ms"`
+	DelayMax             float64 `json:"delay_max_ms"`
+	Loss                 float64 `json:"loss"`     // fraction that is lost
+	Duplicated           float64 `json:"twice"`    // fraction that is duplicated
+	Delayed              float64 `json:"old"`      // fraction that arrives OldFor late
+	DelayedFor           float64 `json:"old_s"`    // see Old
+	MaxReceivedPerSecond float64 `json:"in_per_s"` // datagrams per second that a limiter receives; 0 for no bound
 }
 
 // FaultKind is the kind of a Fault, as files name it.
@@ -163,13 +163,13 @@
 	At       float64   `json:"at_s"`
 	For      float64   `json:"for_s"`
 	Groups   [][]int   `json:"groups,omitempty"`   // of limiters
-	Ways     [][]int   `json:"ways,omitempty"`     // sender and receiver
+	LostWays [][]int   `json:"ways,omitempty"`     // sender and receiver
 	Limiters []int     `json:"limiters,omitempty"` // replaced by Who, if that is set
 	Backends []int     `json:"backends,omitempty"` // replaced by Zone, if that is set
 	Down     float64   `json:"down_s,omitempty"`
 	Every    float64   `json:"every_s,omitempty"` // the fault begins again after this; 0 for never
 	Rate     float64   `json:"rate,omitempty"`
 	Dies     Process   `json:"dies,omitempty"`
-	Who      Role      `json:"who,omitempty"`
+	Role     Role      `json:"who,omitempty"`
 	Zone     int       `json:"zone,omitempty"` // from 1: all backends of this zone
 }
--- a/internal/simulation/smalltier_test.go
+++ b/internal/simulation/smalltier_test.go
@@ -7,16 +7,16 @@
 	sc := Scenario{
 		Limiters: limiters, Seconds: 20,
 		Traffic: Traffic{
-			Spread: setSize, Busiest: 0.4, Moves: 10, Units: []float64{1, 2}, Retries: 1, RetryWait: 150, Heed: 0.5,
-			Keyed: 0.46, Deadline: 1000,
+			LimitersPerCustomer: setSize, BusiestFraction: 0.4, BusiestDuration: 10, Units: []float64{1, 2}, Retries: 1, RetryWait: 150, RetryAfterFraction: 0.5,
+			KeyedFraction: 0.46, Deadline: 1000,
 		},
-		Backends: Backend{Count: 2 * limiters, Cores: 2, Work: 60, Queue: 30, Cold: 0.2, Warm: 15, Window: 3, ListLag: 700},
-		Network:  Network{DelayMin: 1.8, DelayMax: 16, Loss: 0.05, InPerS: 40},
+		Backends: Backend{Count: 2 * limiters, Cores: 2, Work: 60, Queue: 30, ColdFraction: 0.2, SlowStartDuration: 15, IdempotencyWindow: 3, ListLag: 700},
+		Network:  Network{DelayMin: 1.8, DelayMax: 16, Loss: 0.05, MaxReceivedPerSecond: 40},
 	}
 	for _, p := range []Plan{
-		{Name: "district", Rate: 3, Burst: 10, Pays: 0.8, OverCost: 0.5, Customers: 3, Times: 0.7},
-		{Name: "city", Rate: 6, Burst: 23, CeilingRate: 12, CeilingBurst: 56, Pays: 1.1, OverCost: 1, Customers: 5, Times: 0.7},
-		{Name: "provincial", Rate: 25, Burst: 67, Pays: 1.4, OverCost: 0.5, Customers: 2, Times: 0.7},
+		{Name: "district", Rate: 3, Burst: 10, WeightFactor: 0.8, OverQuotaCost: 0.5, Customers: 3, LoadFactor: 0.7},
+		{Name: "city", Rate: 6, Burst: 23, CeilingRate: 12, CeilingBurst: 56, WeightFactor: 1.1, OverQuotaCost: 1, Customers: 5, LoadFactor: 0.7},
+		{Name: "provincial", Rate: 25, Burst: 67, WeightFactor: 1.4, OverQuotaCost: 0.5, Customers: 2, LoadFactor: 0.7},
 	} {
 		p.Tolerance = 4
 		sc.Plans = append(sc.Plans, p)
@@ -34,7 +34,7 @@
 			if r.Breaches > 0 {
 				t.Errorf("%+v: %v", c, r.Broken)
 			}
-			due, within, rejected, beyond = due+r.Due, within+r.Inside, rejected+r.RefusedRoom, beyond+r.Beyond
+			due, within, rejected, beyond = due+r.Due, within+r.WithinQuota, rejected+r.RejectedWithinQuota, beyond+r.BeyondQuota
 		}
 		t.Logf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota, of what is due", c, within/due, beyond/due, rejected/due)
 		if within < 0.95*due || rejected > 0.12*due || beyond > 0.02*due {
--- a/internal/simulation/usagejudge.go
+++ b/internal/simulation/usagejudge.go
@@ -46,20 +46,20 @@
 // summarizeUsage puts the figures of the usage reports into the result. A period that is in two reports
 // which do not say so breaks a rule, and so do units that are in no report without one that says so.
 func (w *world) summarizeUsage() {
-	if w.scenario.Leases.Period <= 0 {
+	if w.scenario.Leases.UsagePeriod <= 0 {
 		return
 	}
 	r, summary := &w.result, usage.Merge(w.usage.reports)
 	reported := r.RecordUsage(summary, w.breach)
 	for _, report := range summary.Reports {
 		if report.MayRepeat {
-			r.UseAgain++
+			r.UsageRepeats++
 		}
 	}
-	r.UseOver = max(reported-w.usage.unitsReached, 0)
-	r.UseUnder = max(w.usage.unitsReached-reported-w.unreportedUnits(summary), 0)
-	if r.UseUnder > maxUnitsInTransit && r.UseFaults == 0 {
-		w.breach("%.0f units are in no report, and no report says so", r.UseUnder)
+	r.UsageOver = max(reported-w.usage.unitsReached, 0)
+	r.UsageUnder = max(w.usage.unitsReached-reported-w.unreportedUnits(summary), 0)
+	if r.UsageUnder > maxUnitsInTransit && r.UsageFaults == 0 {
+		w.breach("%.0f units are in no report, and no report says so", r.UsageUnder)
 	}
 }
 
