--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -9,9 +9,9 @@
 	// usualBudgetFraction is the fraction of recent budgets that must be equal to count as the usual
 	// budget of a class.
 	usualBudgetFraction = 0.25
-	// budgetWidthsPerObjective: budgets count as equal if they differ by no more than the shortest
+	// budgetTolerancesPerObjective: budgets count as equal if they differ by no more than the shortest
 	// objective over this. Equal ones differ by the time that a request was on its way.
-	budgetWidthsPerObjective = 50
+	budgetTolerancesPerObjective = 50
 	// maxQueueFraction is the fraction of its budget that a request may be queued at most: the way here
 	// and back takes some of the client's time as well.
 	maxQueueFraction = 0.45
@@ -32,7 +32,7 @@
 	r := &request{
 		Request: ev, class: class, customer: ctl.touchCustomer(ev), receivedAt: ctl.now, deadline: ctl.now + ev.Budget,
 	}
-	r.usefulUntil = min(r.receivedAt+class.LatencyObjective, r.deadline) - ctl.clientWaited(class, ev)
+	r.usefulUntil = min(r.receivedAt+class.LatencyObjective, r.deadline) - ctl.recordClientBudget(class, ev)
 	if r.usefulUntil <= ctl.now {
 		ctl.emit(Reject{Request: ev.ID, RetryAfter: ctl.settings.MaxRetryAfter})
 		return
@@ -112,12 +112,12 @@
 	return min(byLatency, byBudget)
 }
 
-// clientWaited infers how long a client has been waiting since its first try: a retry of the client
+// recordClientBudget infers how long a client has been waiting since its first try: a retry of the client
 // after the objective earns nothing, yet takes units and a slot. The budget of a first try is the
 // usual one of its class; the budget of a retry is what is left before the deadline. Where the budgets
 // of first tries simply differ, or a client marks its retries and this is none, it is 0.
-func (ctl *Controller) clientWaited(c *requestClass, ev *Request) time.Duration {
-	width := ctl.classes.shortestObjective / budgetWidthsPerObjective
+func (ctl *Controller) recordClientBudget(c *requestClass, ev *Request) time.Duration {
+	width := ctl.classes.shortestObjective / budgetTolerancesPerObjective
 	c.recordBudget(ev.Budget, width)
 	switch {
 	case c.usualBudget == 0:
--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -97,7 +97,7 @@
 // retried. It is retried when the result of the canceled attempt arrives.
 func (ctl *Controller) cancelStuckAttempts() {
 	for _, b := range ctl.endpoints.listed {
-		for _, r := range b.open {
+		for _, r := range b.inFlight {
 			stuckAt := r.sentAt + ctl.stuckAfter(r.class)
 			if ctl.now < stuckAt {
 				ctl.wakeBy(stuckAt)
--- a/internal/admission/attempts_test.go
+++ b/internal/admission/attempts_test.go
@@ -119,8 +119,8 @@
 	b1, b2 := f.ctl.endpoints.byID["b1"], f.ctl.endpoints.byID["b2"]
 	adopt(1000, 0, "b1")
 	adopt(1001, 0, "b1")
-	if len(b1.open) != 2 {
-		t.Errorf("%d attempts out, want 2", len(b1.open))
+	if len(b1.inFlight) != 2 {
+		t.Errorf("%d attempts out, want 2", len(b1.inFlight))
 	}
 	f.takeActions()
 	f.request("read", "concurrent", "x")
@@ -130,7 +130,7 @@
 	f.takeActions()
 	adopt(1000, 1, "b2") // a retry takes the place of the first attempt
 	f.handle(&AttemptFinished{Request: 1000, Attempt: 0, Backend: "b1", Result: Unreachable})
-	if len(b1.open) != 1 || len(b2.open) != 1 {
+	if len(b1.inFlight) != 1 || len(b2.inFlight) != 1 {
 		t.Error("a retry did not take the place of the first attempt")
 	}
 	f.handle(&AttemptFinished{Request: 1000, Attempt: 1, Backend: "b2", Result: Succeeded, Latency: ms})
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -21,10 +21,13 @@
 	spikeFactor = 3.0
 	// meanWeight is the weight of a new value in a running mean: about 20 values count.
 	meanWeight = 0.05
+	// minRoomOfAttempt is the least ratio of backend target to latency that one attempt counts with: a few
+	// stuck ones would otherwise take the window to its least for all.
+	minRoomOfAttempt = 0.4
 	// targetWeight is the weight of the backend target in an expected latency, in measured latencies.
 	targetWeight = 3.0
-	// recentBudgets is how many budgets of clients are remembered per class.
-	recentBudgets = 16
+	// recentBudgetCount is how many budgets of clients are remembered per class.
+	recentBudgetCount = 16
 )
 
 // classSet is all request classes, and the objectives that other times are multiples of.
@@ -45,7 +48,7 @@
 	share  float64 // of the window, 0 to 1
 	credit float64 // dispatches that it has a claim to, see chargeCredit; negative if it had too many
 
-	recentBudgets [recentBudgets]time.Duration // of clients, a ring
+	recentBudgets [recentBudgetCount]time.Duration // of clients, a ring
 	budgetsSeen   int
 	usualBudget   time.Duration // the most common of them; 0 if they differ
 
@@ -128,11 +131,10 @@
 	c.meanSquaredLatency += meanWeight * (latency*latency - c.meanSquaredLatency)
 }
 
-// recordAttemptLatency measures an attempt, in seconds, against the backend target. A stuck attempt
-// counts for little more than a slow one, or a few would shut the window for all.
+// recordAttemptLatency measures the latency of an attempt, in seconds, for the window.
 func (c *requestClass) recordAttemptLatency(latency float64) {
 	c.attemptsMeasured++
-	c.attemptLatencySum += min(latency, c.backendTarget()/windowMinFactor)
+	c.attemptLatencySum += min(latency, c.backendTarget()/minRoomOfAttempt)
 }
 
 // recordCompletion measures the time from the arrival to the end of a request, for the control loop.
@@ -145,13 +147,13 @@
 // recordBudget remembers the budget of a client and, each time the ring is full, which one is usual:
 // the most common one, if enough of them are equal within the width.
 func (c *requestClass) recordBudget(budget, width time.Duration) {
-	c.recentBudgets[c.budgetsSeen%recentBudgets] = budget
+	c.recentBudgets[c.budgetsSeen%recentBudgetCount] = budget
 	c.budgetsSeen++
-	if c.budgetsSeen%recentBudgets > 0 {
+	if c.budgetsSeen%recentBudgetCount > 0 {
 		return
 	}
 	usual, count := mostCommon(c.recentBudgets[:], width)
-	if float64(count) < usualBudgetFraction*recentBudgets {
+	if float64(count) < usualBudgetFraction*recentBudgetCount {
 		usual = 0
 	}
 	c.usualBudget = usual
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -23,6 +23,10 @@
 	maxShareStep = 0.15
 	// minShare keeps a class from being starved.
 	minShare = 0.01
+	// minSpareShare is the least share that a class is taken to have beyond its load, see queueing.Slope.
+	minSpareShare = 0.01
+	// minPressure keeps from dividing by a pressure near 0.
+	minPressure = 0.01
 	// arrivalWeight is the weight of a new period in the arrival rate.
 	arrivalWeight = 0.5
 	// idleLatencyGrowth is how much of the mean the least mean latency grows per period, towards a
@@ -55,10 +59,10 @@
 
 // runControlLoop sets the shares of the next control period and the scale of the window.
 func (ctl *Controller) runControlLoop() {
-	ctl.resolveStartByTime()
+	ctl.inferStartStateByTime()
 	ctl.customers.ledger.Tick(ctl.now)
 	window := ctl.windowSize()
-	ctl.recordOpenAttempts()
+	ctl.recordLateAttempts()
 
 	totals := periodTotals{room: math.Inf(1)}
 	wanted, modelled := make([]float64, len(ctl.classes.byWeight)), make([]float64, len(ctl.classes.byWeight))
@@ -77,15 +81,16 @@
 	}
 
 	ctl.window.measurePressure(totals.attempts, totals.latencySum, totals.targetSum)
-	room := min(totals.room, 1/max(ctl.window.pressure, minShare))
+	room := min(totals.room, 1/max(ctl.window.pressure, minPressure))
+	ctl.forgetIdleCustomers()
 	ctl.measureQuotaRate()
 	ctl.endpoints.medianLatencyPerAttempt = ctl.measureMedianLatency()
 	ctl.scaleWindow(room, totals.attempts > 0)
 }
 
-// resolveStartByTime takes the tier of limiters for new, so that customers have a full burst, if no
+// inferStartStateByTime takes the tier of limiters for new, so that customers have a full burst, if no
 // backend has reported its utilization within one longest objective of the first request.
-func (ctl *Controller) resolveStartByTime() {
+func (ctl *Controller) inferStartStateByTime() {
 	first := ctl.customers.firstRequestAt
 	if first > 0 && ctl.now-first > ctl.classes.longestObjective {
 		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now)
@@ -144,7 +149,7 @@
 	if service.Mean <= 0 {
 		return 0
 	}
-	step := controlGain * slack / queueing.Slope(arrivalRate, service, share, minShare)
+	step := controlGain * slack / queueing.Slope(arrivalRate, service, share, minSpareShare)
 	return min(max(step, -maxShareStep), maxShareStep)
 }
 
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -94,8 +94,8 @@
 func newBackend(id string, earlier *backend) *backend {
 	b := &backend{relativeLoad: 1, gossipKey: gossip.BackendKey(hashOf(id))}
 	if earlier != nil {
-		b.open = earlier.open
-		for _, r := range b.open {
+		b.inFlight = earlier.inFlight
+		for _, r := range b.inFlight {
 			r.backend = b
 		}
 	}
@@ -116,7 +116,7 @@
 	clear(set.listed) // otherwise the array would keep backends alive beyond the new end
 	set.listed = set.listed[:0]
 	for id, b := range set.byID {
-		forgotten := len(b.open) == 0 && b.removedAt > 0 && ctl.now-b.removedAt > set.forgetAfter
+		forgotten := len(b.inFlight) == 0 && b.removedAt > 0 && ctl.now-b.removedAt > set.forgetAfter
 		switch {
 		case !b.unavailable:
 			set.listed = append(set.listed, b)
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -25,7 +25,7 @@
 	Backend
 	unavailable bool          // draining or removed
 	removedAt   time.Duration // clock time; 0 while it is listed
-	open        []*request    // with an attempt out, oldest first
+	inFlight    []*request    // with an attempt out, oldest first
 
 	// Own responses, see selection.go.
 	latencyPerAttempt float64       // latency per attempt out there, in mean latencies of the class
@@ -95,7 +95,7 @@
 	b.failureRate -= failureWeight * b.failureRate
 	reportMissing := ev.Report == nil && ctl.now-b.observedAt > ctl.classes.longestObjective
 	if len(ctl.settings.LoadReportFields) == 0 || reportMissing {
-		relative := latency / max(r.class.meanLatency, minMeanLatency)
+		relative := latency / max(r.class.meanLatency, minMeanLatencySeconds)
 		b.relativeLoad = clampLoad(b.relativeLoad + latencyLoadWeight*(relative-b.relativeLoad))
 	}
 	ctl.announce(b, ctl.now)
@@ -124,7 +124,7 @@
 	for _, b := range ctl.endpoints.listed {
 		if !b.ejected() {
 			backends++
-			open += len(b.open)
+			open += len(b.inFlight)
 		}
 	}
 	return backends, open
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -24,7 +24,7 @@
 	attemptedBackends []*backend    // by attempt
 	backend           *backend      // where an attempt is out; nil for none
 	sentAt            time.Duration // clock time of the last attempt
-	openAtSend        int           // attempts out at the backend when it was sent, itself included
+	inFlightAtSend    int           // attempts out at the backend when it was sent, itself included
 	canceled          bool          // the attempt that is out has been canceled
 	ageRecorded       bool          // the attempt that is out has counted by its age, see recordOpenAttempts
 
@@ -39,10 +39,10 @@
 // startAt records that an attempt starts at a backend.
 func (r *request) startAt(b *backend, now time.Duration) {
 	r.customer.inFlight++
-	b.open = append(b.open, r)
+	b.inFlight = append(b.inFlight, r)
 	r.backend = b
 	r.sentAt = now
-	r.openAtSend = len(b.open)
+	r.inFlightAtSend = len(b.inFlight)
 	r.canceled = false
 	r.ageRecorded = false
 	r.attemptedBackends = append(r.attemptedBackends, b)
@@ -53,7 +53,7 @@
 func (r *request) finishAttempt() *backend {
 	b := r.backend
 	r.backend = nil
-	b.open = slices.DeleteFunc(b.open, func(o *request) bool { return o == r })
+	b.inFlight = slices.DeleteFunc(b.inFlight, func(o *request) bool { return o == r })
 	r.customer.inFlight--
 	return b
 }
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -13,14 +13,14 @@
 const (
 	// minChoices is how many backends are looked at, at least.
 	minChoices = 3
-	// choicesOfTier is how many are looked at by all limiters together, over the usable backends, in a
-	// small tier.
-	choicesOfTier = 4.0
+	// choicesPerBackend is how often each usable backend is looked at when every limiter selects once. With
+	// so many limiters that each would look at fewer than minChoices, it is more often.
+	choicesPerBackend = 4.0
 	// priorResponses is how many own responses of a backend weigh as much as the observations of it.
 	priorResponses = 3.0
-	// unseenLatencyFactor is the latency per attempt of a backend not used for long, over the median: it
-	// looks a little better than it may be, so that it is tried.
-	unseenLatencyFactor = 0.8
+	// unmeasuredLatencyFactor is the latency per attempt, over the median, that is assumed of a backend
+	// without recent own responses: a little better than it may be, so that it is tried.
+	unmeasuredLatencyFactor = 0.8
 	// failureCost is how many times its latency a backend costs in addition that always fails.
 	failureCost = 4.0
 	// ejectedCost and triedCost are added to a cost: a backend that was tried for the request already is
@@ -30,11 +30,23 @@
 	// goodEnoughCost is the cost from which on the search goes on beyond the first choices: it is
 	// reached only by what triedCost or ejectedCost was added to.
 	goodEnoughCost = 1e2
-	// attemptsUnseen is how many attempts of other limiters are taken to be at a backend, in the latency
-	// per attempt: without them a backend with one attempt would look worse than any busy one.
-	attemptsUnseen = 2.0
+	// assumedOtherAttempts is how many attempts of other limiters the latency per attempt assumes at a
+	// backend: without them a backend with one attempt would look worse than any busy one.
+	assumedOtherAttempts = 2.0
 	// latencyPerAttemptWeight is the least weight of one response in the latency per attempt.
 	latencyPerAttemptWeight = 0.1
+	// ownResponseObjectives is the time in longest objectives after which what own responses have shown of a
+	// backend has faded to 1/e.
+	ownResponseObjectives = 5.0
+	// lateLatencies is the age, in mean latencies, from which on the oldest attempt raises a backend's cost.
+	lateLatencies = 2.0
+	// maxLimitersWithoutNoise is how many limiters choose by cost alone; with twice as many or more the noise
+	// on costs is complete.
+	maxLimitersWithoutNoise = 6
+	// minMeanLatencySeconds and minLateSeconds keep from dividing by a mean latency of 0, as it is before
+	// the first response of a class.
+	minMeanLatencySeconds = 1e-6
+	minLateSeconds        = 1e-3
 )
 
 // choice is the state of one search for a backend.
@@ -75,7 +87,7 @@
 
 // choices is how many of the usable backends are looked at before the best of them is taken.
 func (ctl *Controller) choices(usable int) int {
-	ofTier := int(choicesOfTier * float64(usable) / float64(ctl.settings.Limiters))
+	ofTier := int(choicesPerBackend * float64(usable) / float64(ctl.settings.Limiters))
 	return min(max(ofTier, minChoices), usable)
 }
 
@@ -102,7 +114,7 @@
 func (ctl *Controller) consider(c *choice, r *request, b *backend) {
 	cost := ctl.backendCost(b) * ctl.costNoise()
 	switch {
-	case ctl.recoveryDue(b) && len(b.open) == 0 && r.class.Idempotency == Idempotent && r.attempts == 0:
+	case ctl.recoveryDue(b) && len(b.inFlight) == 0 && r.class.Idempotency == Idempotent && r.attempts == 0:
 		cost = 0 // one idempotent request at a time makes the recovery attempt
 	case b.ejected():
 		cost += ejectedCost
@@ -115,15 +127,15 @@
 }
 
 // backendCost is the latency to expect of a backend, in mean latencies of the class: the latency per
-// attempt times the attempts that would then be out there, raised where it warms up, is late or fails.
+// attempt times the attempts that would then be in flight there, raised where it warms up, is late or fails.
 // The latency per attempt is that of own responses as far as they are many and fresh, else the median of
 // all backends times the observed load.
 func (ctl *Controller) backendCost(b *backend) float64 {
 	ownWeight := ctl.freshness(b)
 	ownWeight *= b.samples * ownWeight / (b.samples*ownWeight + priorResponses) // a single one says little
 	observedWeight := ctl.gossipFreshness(b)
-	unseen := unseenLatencyFactor * ctl.endpoints.medianLatencyPerAttempt * (1 + observedWeight*(b.relativeLoad-1))
-	cost := (unseen*(1-ownWeight) + b.latencyPerAttempt*ownWeight) * float64(len(b.open)+1)
+	unmeasured := unmeasuredLatencyFactor * ctl.endpoints.medianLatencyPerAttempt * (1 + observedWeight*(b.relativeLoad-1))
+	cost := (unmeasured*(1-ownWeight) + b.latencyPerAttempt*ownWeight) * float64(len(b.inFlight)+1)
 	cost /= observedWeight + (1-observedWeight)*ctl.warmUpFraction(b) // an observed load includes that it warms up
 	cost *= ctl.oldestAttemptFactor(b)
 	return cost * (1 + failureCost*b.failureRate*max(ownWeight, observedWeight))
@@ -132,34 +144,34 @@
 // oldestAttemptFactor raises the cost of a backend whose oldest attempt is late: its age bounds the
 // latency from below, as the backend may take requests and never answer.
 func (ctl *Controller) oldestAttemptFactor(b *backend) float64 {
-	if len(b.open) == 0 {
+	if len(b.inFlight) == 0 {
 		return 1
 	}
-	oldest := b.open[0]
-	late := stuckLatencies / 2 * max(oldest.class.meanLatency, minSeconds)
+	oldest := b.inFlight[0]
+	late := lateLatencies * max(oldest.class.meanLatency, minLateSeconds)
 	return max((ctl.now-oldest.sentAt).Seconds()/late, 1)
 }
 
-// costNoise is a random factor on costs: 1 in a small tier, and exponentially distributed with twice
-// activePeers limiters or more, which chooses a backend with a probability in proportion to one over its
-// cost. Limiters that share their observations, a little late, would otherwise all choose the same one and
-// then all another.
+// costNoise is a random factor on costs: 1 with up to maxLimitersWithoutNoise limiters, and exponentially
+// distributed with twice as many or more. A backend is then chosen with a probability in proportion to one
+// over its cost: limiters that share their observations, a little late, would otherwise all choose the same
+// one and then all another.
 func (ctl *Controller) costNoise() float64 {
-	exponent := min(max(float64(ctl.settings.Limiters)/activePeers-1, 0), 1) // 0 for no noise, 1 for all of it
+	exponent := min(max(float64(ctl.settings.Limiters)/maxLimitersWithoutNoise-1, 0), 1) // 0 for no noise, 1 for all of it
 	return math.Pow(ctl.random.ExpFloat64(), exponent)
 }
 
 // freshness is how much of what own responses have shown of a backend still counts, 0 to 1.
 func (ctl *Controller) freshness(b *backend) float64 {
 	age := (ctl.now - b.lastResponseAt).Seconds()
-	return math.Exp(-age / (memoryObjectives * ctl.control.memorySeconds))
+	return math.Exp(-age / (ownResponseObjectives * ctl.control.memorySeconds))
 }
 
 // recordLatencyPerAttempt takes the latency of a response, in seconds, into the latency per attempt of its
 // backend. The longer the backend was not used the more the new response weighs.
 func (ctl *Controller) recordLatencyPerAttempt(b *backend, r *request, latency float64) {
-	relative := (1 + attemptsUnseen) * latency / max(r.class.meanLatency, minMeanLatency)
-	perAttempt := relative / (float64(r.openAtSend) + attemptsUnseen)
+	relative := (1 + assumedOtherAttempts) * latency / max(r.class.meanLatency, minMeanLatencySeconds)
+	perAttempt := relative / (float64(r.inFlightAtSend) + assumedOtherAttempts)
 	b.samples = b.samples*ctl.freshness(b) + 1
 	weight := max(latencyPerAttemptWeight, 1/b.samples)
 	bound := spikeFactor * spikeFactor * b.latencyPerAttempt
@@ -167,9 +179,6 @@
 	b.lastResponseAt = ctl.now
 }
 
-// minMeanLatency keeps a mean latency in seconds that is divided by from being zero.
-const minMeanLatency = 1e-6
-
 // measureMedianLatency is the median latency per attempt of the listed backends, 1 if there are none.
 func (ctl *Controller) measureMedianLatency() float64 {
 	listed := ctl.endpoints.listed
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -12,6 +12,8 @@
 	// maxIdleFactor bounds how many times its fair share a backend that warms up gets where it is observed
 	// to be idle: well below what overloads it.
 	maxIdleFactor = 2.5
+	// minWarmUpFraction is the least fraction of its capacity that a backend counts with.
+	minWarmUpFraction = 0.01
 )
 
 // warmUpFraction is the least fraction of its capacity that a backend can have by now, 1 if it is warm.
@@ -20,7 +22,7 @@
 	if b.StartedAt <= 0 || age >= ctl.settings.SlowStartDuration {
 		return 1
 	}
-	from := max(ctl.settings.SlowStartFraction, minShare)
+	from := max(ctl.settings.SlowStartFraction, minWarmUpFraction)
 	return from + (1-from)*max(age.Seconds(), 0)/ctl.settings.SlowStartDuration.Seconds()
 }
 
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -25,9 +25,13 @@
 	windowMinSamples = 10
 	// pressureWeight is the weight of the pressure so far, in measured attempts.
 	pressureWeight = 3.0
-	// memoryObjectives is the time in longest objectives after which what was measured of an unused
-	// backend has faded to 1/e, and the quota of a customer without requests no longer counts.
-	memoryObjectives = 5.0
+	// quotaRateObjectives is the time in longest objectives after which the quota of a customer without
+	// requests no longer counts.
+	quotaRateObjectives = 5.0
+	// minAttemptSeconds keeps from dividing by a mean objective of 0, as without request classes.
+	minAttemptSeconds = 1e-3
+	// minTargetSeconds keeps from dividing by a sum of targets of 0, as without measured attempts.
+	minTargetSeconds = 1e-9
 )
 
 // concurrencyWindow bounds the attempts that are out.
@@ -92,8 +96,7 @@
 // allows.
 func (ctl *Controller) measureQuotaRate() {
 	ctl.window.quotaRate = 0
-	ctl.forgetIdleCustomers()
-	memory := seconds(memoryObjectives * ctl.classes.longestObjective.Seconds())
+	memory := seconds(quotaRateObjectives * ctl.classes.longestObjective.Seconds())
 	for _, c := range ctl.customers.order {
 		if c.setSize == 0 || ctl.now-c.lastSeen > memory {
 			continue
@@ -108,28 +111,25 @@
 	if c.plan.Rate > 0 {
 		return c.plan.Rate / max(c.meanUnits, 1)
 	}
-	return float64(c.plan.MaxConcurrent) / max(ctl.classes.meanObjective*backendTargetFraction, minSeconds)
+	return float64(c.plan.MaxConcurrent) / max(ctl.classes.meanObjective*backendTargetFraction, minAttemptSeconds)
 }
 
-// minSeconds keeps times that are divided by from being zero.
-const minSeconds = 1e-3
-
 // measurePressure takes the attempts of a control period into the pressure: the sum of their latencies
 // against the sum of their targets, in seconds. The fewer they are the less they weigh, as two are chance.
 func (w *concurrencyWindow) measurePressure(attempts, latencySum, targetSum float64) {
 	weight := attempts / (attempts + pressureWeight)
-	w.pressure += weight * (latencySum/max(targetSum, 1e-9) - w.pressure)
+	w.pressure += weight * (latencySum/max(targetSum, minTargetSeconds) - w.pressure)
 }
 
-// recordOpenAttempts measures attempts that have been out for longer than they should: in a jam
+// recordLateAttempts measures attempts that have been out for longer than they should: in a jam
 // nothing is answered, and they would not be seen. Each counts once while answers of its class come
 // soon, as then it is the answer that was lost, and the window must not shut.
-func (ctl *Controller) recordOpenAttempts() {
+func (ctl *Controller) recordLateAttempts() {
 	for _, b := range ctl.endpoints.listed {
 		if b.ejected() {
 			continue
 		}
-		for _, r := range b.open {
+		for _, r := range b.inFlight {
 			age := (ctl.now - r.sentAt).Seconds()
 			if age > r.class.backendTarget() && (!r.ageRecorded || r.class.exceedsTarget()) {
 				r.ageRecorded = true
