--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -10,13 +10,14 @@
 	// budget of a class.
 	usualBudgetFraction = 0.25
 	// budgetTolerancesPerObjective: budgets count as equal if they differ by no more than the shortest
-	// objective over this. Equal ones differ by the time that a request was on its way.
+	// objective over this. Budgets that were equal at the clients differ by the time on the network.
 	budgetTolerancesPerObjective = 50
-	// maxQueueFraction is the fraction of its budget that a request may be queued at most: the way here
-	// and back takes some of the client's time as well.
+	// maxQueueFraction is the fraction of its budget for which a request may be queued at most. The network
+	// takes some of the client's time as well, and a later rejection costs the client more than the request is
+	// worth.
 	maxQueueFraction = 0.45
-	// latenciesToSpare is the time, in mean latencies, that a queued request must have left: most
-	// answers then come in time.
+	// latenciesToSpare is the time, in mean latencies, that must be left to a queued request when it is
+	// forwarded: most answers then come in time.
 	latenciesToSpare = 2.0
 )
 
@@ -98,31 +99,30 @@
 }
 
 // requiredTime is the time in seconds that a queued request must have left to be worth an attempt.
-// The backend target bounds it: after a jam, latencies seen in it would reject everything, and
-// nothing better would ever be seen.
+// The usual backend target bounds it: the latencies of an overload would otherwise have everything rejected
+// afterwards, and no better ones would ever be measured.
 func (ctl *Controller) requiredTime(c *requestClass) float64 {
-	return latenciesToSpare * min(c.meanLatency, backendTargetFraction*c.LatencyObjective.Seconds())
+	return latenciesToSpare * min(c.meanLatency, c.usualBackendTarget())
 }
 
-// latestStart is the clock time by which a queued request must have been forwarded to be of use. A
-// client that is rejected after half of its time was cost more than its request is worth.
+// latestStart is the clock time by which a queued request must have been forwarded to be of use.
 func (ctl *Controller) latestStart(r *request) time.Duration {
 	byLatency := r.usefulUntil - seconds(ctl.requiredTime(r.class))
 	byBudget := r.receivedAt + seconds(maxQueueFraction*r.Budget.Seconds())
 	return min(byLatency, byBudget)
 }
 
-// recordClientBudget infers how long a client has been waiting since its first try: a retry of the client
-// after the objective earns nothing, yet takes units and a slot. The budget of a first try is the
-// usual one of its class; the budget of a retry is what is left before the deadline. Where the budgets
-// of first tries simply differ, or a client marks its retries and this is none, it is 0.
-func (ctl *Controller) recordClientBudget(c *requestClass, ev *Request) time.Duration {
-	width := ctl.classes.shortestObjective / budgetTolerancesPerObjective
-	c.recordBudget(ev.Budget, width)
+// recordClientBudget records the budget of a client, and infers from it how long the client has been waiting
+// since its first try: a retry of the client after the objective earns nothing, yet takes units and a slot.
+// The budget of a first try is the usual one of its class; the budget of a retry is what is left before the
+// deadline. If the budgets of first tries differ, or clients mark their retries and this is none, it is 0.
+func (ctl *Controller) recordClientBudget(c *requestClass, ev *Request) (waited time.Duration) {
+	tolerance := ctl.classes.shortestObjective / budgetTolerancesPerObjective
+	c.recordBudget(ev.Budget, tolerance)
 	switch {
 	case c.usualBudget == 0:
 		return 0
-	case (ev.Budget - c.usualBudget).Abs() <= width:
+	case (ev.Budget - c.usualBudget).Abs() <= tolerance:
 		return 0
 	case ctl.settings.ClientsMarkRetries && !ev.IsRetry:
 		return 0
--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -34,10 +34,10 @@
 func (ctl *Controller) onAttemptFinished(ev *AttemptFinished) {
 	r := ctl.requests[ev.Request]
 	if r == nil || r.backend == nil || ev.Attempt != r.attempts-1 {
-		return // not the attempt that is out
+		return // not the attempt in flight
 	}
 	b := r.finishAttempt()
-	if r.retryPrepaid {
+	if r.retryPrepaid { // the retry, if any, is charged by itself
 		r.retryPrepaid = false
 		ctl.retries.tokens++
 	}
@@ -88,7 +88,7 @@
 	ctl.syncSlots(r.customer)
 }
 
-// stuckAfter is how long an attempt may be out before it may be stuck.
+// stuckAfter is how long an attempt may be in flight before it may be stuck.
 func (ctl *Controller) stuckAfter(c *requestClass) time.Duration {
 	return seconds(stuckLatencies*c.expectedLatency()) + ctl.settings.ClockResolution
 }
@@ -104,7 +104,8 @@
 				break // the others were sent later
 			}
 			if ctl.cancelable(r) && b.silentSince(r) && ctl.shouldRetry(r, retryCost) {
-				r.retryPrepaid = true // otherwise several canceled at once would count on the same token
+				// The token is reserved until the result: several canceled at once must not count on the same.
+				r.retryPrepaid = true
 				ctl.retries.tokens -= retryCost
 				ctl.cancelAttempt(r)
 			}
@@ -112,9 +113,9 @@
 	}
 }
 
-// silentSince reports whether a backend has responded to nobody since a request was sent to it. In a large
-// tier a limiter may have no other request there, so observations of other limiters count as well, unless
-// they have it failing.
+// silentSince reports whether a backend has responded to nobody since a request was sent to it. This
+// limiter may have no other request there, so an observation of another limiter counts as well, unless
+// the failure rate is high.
 func (b *backend) silentSince(r *request) bool {
 	return b.lastResponseAt <= r.sentAt && (b.observedAt <= r.sentAt || b.failureRate >= recoveredFailureRate)
 }
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -12,12 +12,12 @@
 	// backendTargetFraction is the fraction of a latency objective that is meant for the backend;
 	// the rest may be spent in the queue.
 	backendTargetFraction = 0.33
-	// idleLatencyFactor: the backend target is at least this many times what idle backends take,
-	// and at most maxTargetFactor times the fraction of the objective.
+	// idleLatencyFactor: the backend target is at least this many idle latencies, but at most
+	// maxTargetFactor times the fraction of the objective.
 	idleLatencyFactor = 2.0
 	maxTargetFactor   = 2
-	// spikeFactor bounds what one latency, or the arrivals of one period, may count: so many times the
-	// mean.
+	// spikeFactor bounds what one latency, or the arrivals of one period, count for: so many times the mean
+	// or the objective.
 	spikeFactor = 3.0
 	// meanWeight is the weight of a new value in a running mean: about 20 values count.
 	meanWeight = 0.05
@@ -55,15 +55,15 @@
 	// Measured in the current control period.
 	arrivals          int     // requests whose quota was granted
 	completed         int     // answered requests
-	latencySum        float64 // of these, time in the queue included
+	latencySum        float64 // of completed requests, time in the queue included
 	attemptsMeasured  int
-	attemptLatencySum float64 // of these
+	attemptLatencySum float64 // of measured attempts
 
 	arrivalRate        float64 // per second
 	meanLatency        float64 // of attempts
 	meanSquaredLatency float64
 	latencySamples     int     // latencies that the means come from
-	idleLatency        float64 // least meanLatency of late: what attempts take at idle backends
+	idleLatency        float64 // recent minimum of meanLatency: what attempts take at idle backends
 }
 
 // newClassSet returns the classes of the settings, with equal shares. A class without a latency objective
@@ -96,24 +96,29 @@
 	})
 }
 
-// pollInterval is the time after which what waits for a backend or a grant is decided again.
+// pollInterval is the time after which requests that wait for a backend or a grant are looked at again.
 func (s *classSet) pollInterval() time.Duration { return s.shortestObjective / pollsPerObjective }
 
 // pollsPerObjective is how many poll intervals there are in the shortest objective.
 const pollsPerObjective = 100
 
-// backendTarget is the latency in seconds that an attempt should take. No window brings latency under
-// what idle backends take, and one that tried would end up shut; so it is a multiple of that at least.
+// backendTarget is the latency in seconds that an attempt should take. No window brings latency below that of
+// idle backends, and one that tried would shrink to its least; so the target is a multiple of it at least.
 func (c *requestClass) backendTarget() float64 {
-	fraction := backendTargetFraction * c.LatencyObjective.Seconds()
-	return max(fraction, min(idleLatencyFactor*c.idleLatency, maxTargetFactor*fraction))
+	usual := c.usualBackendTarget()
+	return max(usual, min(idleLatencyFactor*c.idleLatency, maxTargetFactor*usual))
+}
+
+// usualBackendTarget is the backend target, in seconds, unless idle backends are slow.
+func (c *requestClass) usualBackendTarget() float64 {
+	return backendTargetFraction * c.LatencyObjective.Seconds()
 }
 
 // exceedsTarget reports whether attempts take longer than they should.
 func (c *requestClass) exceedsTarget() bool { return c.meanLatency > c.backendTarget() }
 
-// expectedLatency is what an attempt is expected to take, in seconds: the mean, or while few latencies
-// were measured rather the backend target, as one early response may come far sooner than most.
+// expectedLatency is the latency expected of an attempt, in seconds: the mean, weighted with the backend
+// target while few latencies were measured, as one early response may come far sooner than most.
 func (c *requestClass) expectedLatency() float64 {
 	samples := float64(c.latencySamples)
 	prior := max(c.backendTarget(), c.meanLatency)
@@ -145,28 +150,28 @@
 }
 
 // recordBudget remembers the budget of a client and, each time the ring is full, which one is usual:
-// the most common one, if enough of them are equal within the width.
-func (c *requestClass) recordBudget(budget, width time.Duration) {
+// the most common one, if enough of them are equal within the tolerance.
+func (c *requestClass) recordBudget(budget, tolerance time.Duration) {
 	c.recentBudgets[c.budgetsSeen%recentBudgetCount] = budget
 	c.budgetsSeen++
 	if c.budgetsSeen%recentBudgetCount > 0 {
 		return
 	}
-	usual, count := mostCommon(c.recentBudgets[:], width)
+	usual, count := mostCommon(c.recentBudgets[:], tolerance)
 	if float64(count) < usualBudgetFraction*recentBudgetCount {
 		usual = 0
 	}
 	c.usualBudget = usual
 }
 
-// mostCommon returns the least of the largest group of values that lie within the same width, and how
-// many these are.
-func mostCommon(values []time.Duration, width time.Duration) (time.Duration, int) {
+// mostCommon returns the least of the largest group of values that differ by no more than the tolerance, and
+// the size of the group.
+func mostCommon(values []time.Duration, tolerance time.Duration) (time.Duration, int) {
 	sorted := slices.Sorted(slices.Values(values))
 	var least time.Duration
 	largest, from := 0, 0
 	for i, v := range sorted {
-		for v-sorted[from] > width {
+		for v-sorted[from] > tolerance {
 			from++
 		}
 		if size := i - from + 1; size > largest {
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -13,13 +13,13 @@
 // shares by a queueing model, with an integral correction on the error of the latency objective.
 
 const (
-	// controlPeriodObjectives is the control period in longest objectives: a jam shows within one.
+	// controlPeriodObjectives is the control period in longest objectives: an overload shows within one.
 	controlPeriodObjectives = 0.5
 	// controlGain is the fraction of the model's Newton step that one period takes: small, against
 	// overshoot.
 	controlGain = 0.3
-	// maxShareStep bounds the change of a share by the error of one period, so that a stall does
-	// not swing it.
+	// maxShareStep bounds the change of a share by the error of one period, so that a short stall does
+	// not set it.
 	maxShareStep = 0.15
 	// minShare keeps a class from being starved.
 	minShare = 0.01
@@ -29,16 +29,16 @@
 	minPressure = 0.01
 	// arrivalWeight is the weight of a new period in the arrival rate.
 	arrivalWeight = 0.5
-	// idleLatencyGrowth is how much of the mean the least mean latency grows per period, towards a
-	// longer one.
+	// idleLatencyGrowth is the fraction by which the idle latency grows per period while the mean latency is
+	// above it, so that it follows a mean that stays higher.
 	idleLatencyGrowth = 0.01
 )
 
-// controlLoop is the timing of the control loop, and of rates that fade.
+// controlLoop is the timing of the control loop, and of decaying rates.
 type controlLoop struct {
 	nextAt        time.Duration // clock time of its next run
 	periodSeconds float64
-	memorySeconds float64 // time after which an event counts 1/e in a rate
+	memorySeconds float64 // the longest objective: after it an event counts 1/e in a decaying rate
 }
 
 func newControlLoop(longestObjective time.Duration) controlLoop {
@@ -51,10 +51,10 @@
 // periodTotals adds up what was measured of all classes in a control period.
 type periodTotals struct {
 	shares     float64 // sum of the wanted shares
-	room       float64 // least ratio of backend target to latency, of classes that were measured enough
-	attempts   float64 // how many were measured
-	latencySum float64 // of these, seconds
-	targetSum  float64 // what these should have taken, seconds
+	room       float64 // least ratio of backend target to latency of the classes that count, see addPeriod
+	attempts   float64 // measured attempts
+	latencySum float64 // latencies of the measured attempts, seconds
+	targetSum  float64 // backend targets of the measured attempts, seconds
 }
 
 // runControlLoop sets the shares of the next control period and the scale of the window.
@@ -88,8 +88,8 @@
 	ctl.scaleWindow(room, totals.attempts > 0)
 }
 
-// inferStartStateByTime takes the tier of limiters for new, so that customers have a full burst, if no
-// backend has reported its utilization within one longest objective of the first request.
+// inferStartStateByTime decides that the tier of limiters is new, so that customers have a full burst, if the
+// start state is still unknown one longest objective after the first request: the backends report too little.
 func (ctl *Controller) inferStartStateByTime() {
 	first := ctl.customers.firstRequestAt
 	if first > 0 && ctl.now-first > ctl.classes.longestObjective {
@@ -97,8 +97,8 @@
 	}
 }
 
-// addPeriod adds what was measured of a class. The lightest classes do not narrow the window, as they
-// get what is left; the heaviest class does in any case, as all may weigh the same.
+// addPeriod adds what was measured of a class. The latencies of the lightest classes do not shrink the window,
+// as these get what is left; those of the heaviest class do in any case, as all may weigh the same.
 func (ctl *Controller) addPeriod(totals *periodTotals, c *requestClass, heaviest bool) {
 	lightest := ctl.classes.byWeight[len(ctl.classes.byWeight)-1].Weight
 	target := c.backendTarget()
@@ -120,8 +120,8 @@
 }
 
 // wantedShare is the share of a window (in attempts) that meets the latency objective of a class: as the
-// queueing model has it, and that corrected by the error of the last period. In the model all of the
-// window is one server, so a request takes it for its latency over the size of the window.
+// queueing model gives it, and corrected by the error of the last period. The model takes the window for one
+// server, which a request occupies for its latency over the size of the window.
 func (c *requestClass) wantedShare(window float64) (wanted, modelled float64) {
 	service := queueing.ServiceTime{
 		Mean:   c.meanLatency / window,
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -37,14 +37,14 @@
 	lastSeen     time.Duration // clock time
 	meanUnits    float64       // running mean of the units of a request
 
-	inFlight int // requests with an attempt out
+	inFlight int // requests with an attempt in flight
 	queued   int // requests that are queued
 
 	waiting       []*request // for a grant, in the order of their arrival
 	waitsForGrant bool       // is in customerSet.waiting
 }
 
-// customerSet is all customers of late, and the ledger of their quotas.
+// customerSet is the customers that have not been forgotten, and the ledger of their quotas.
 type customerSet struct {
 	ledger    *quota.Ledger
 	planIndex map[string]int // in the settings, by name
@@ -164,15 +164,15 @@
 	return slices.Clone(ctl.customers.waiting)
 }
 
-// syncSlots sets in the ledger how many slots of a customer are in use here: attempts in flight, and
-// requests that are queued for one.
+// syncSlots sets in the ledger how many slots of a customer are in use here: a queued request takes one as
+// an attempt in flight does, so that it has one when it is forwarded.
 func (ctl *Controller) syncSlots(c *customer) {
 	c.account.SlotsInUse = c.inFlight + c.queued
 }
 
-// startShutdown gives the quotas up for the other limiters and notifies them at once, as the program may
-// end any moment. In a large tier each is sent a single notice: where it is lost, the reply to the next
-// transfer request has the shutdown as well.
+// startShutdown gives the quotas up for the other limiters and notifies them at once, whatever the pace of
+// messages, as the program may end any moment. With more than activePeers others each is sent a single
+// notice: if it is lost, the reply to the next transfer request carries the shutdown as well.
 func (ctl *Controller) startShutdown() {
 	ctl.customers.leaving = true
 	notices := shutdownNotices
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -45,7 +45,8 @@
 	return next
 }
 
-// dropLateHeads drops requests from the head of a queue that have ended or can no longer be in time.
+// dropLateHeads drops requests from the head of a queue that have ended or can no longer be in time. It leaves
+// no margin, as what remains can be forwarded right now.
 func (ctl *Controller) dropLateHeads(c *requestClass) {
 	for len(c.queue) > 0 {
 		r := c.queue[0]
@@ -60,8 +61,8 @@
 	}
 }
 
-// expireQueued ends queued requests that cannot be in time, also behind the heads of the queues:
-// their budgets differ. It does so two poll intervals early, as the timer may be late.
+// expireQueued ends queued requests that cannot be in time, also behind the heads of the queues: their
+// budgets differ. It does so two poll intervals early, as it runs by a timer that may be late.
 func (ctl *Controller) expireQueued() {
 	margin := ctl.classes.pollInterval() * 2
 	for _, c := range ctl.classes.byWeight {
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -10,13 +10,14 @@
 	"lemongate/internal/quota"
 )
 
-// This file keeps the endpoint list: which backends there are, and which of them this limiter uses. In
-// a large tier each limiter uses a subset of the backends, chosen by rendezvous hashing.
+// This file keeps the endpoint list: which backends there are, and which of them this limiter uses:
+// all, or a subset chosen by rendezvous hashing if there are many limiters and backends (see subsetSize).
 
 const (
 	// minSubset is the least number of backends in the subset of a limiter: enough to avoid one that fails.
 	minSubset = 8
-	// minLimitersPerBackend is the least mean number of limiters that use a backend; in a small tier all do.
+	// minLimitersPerBackend is the least mean number of limiters that use a backend. Where there are no more
+	// limiters than that, each uses all backends.
 	minLimitersPerBackend = 12.0
 )
 
@@ -25,7 +26,7 @@
 	listed                  []*backend // live; the subset of this limiter first
 	byID                    map[string]*backend
 	byGossipKey             map[uint32]*backend // listed; nil where two share a key
-	medianLatencyPerAttempt float64             // median latencyPerAttempt of the listed ones
+	medianLatencyPerAttempt float64             // median latencyPerAttempt of the listed ones; no unit, 1 is typical
 	forgetAfter             time.Duration       // time after which removed backends are forgotten
 	pollDue                 bool                // the last poll failed or ended
 }
@@ -89,8 +90,8 @@
 	return started
 }
 
-// newBackend returns a backend that is new or has restarted: it takes over the attempts that are still out
-// at its earlier self, nil for none, but nothing that was measured of that.
+// newBackend returns a backend that is new or has restarted. It takes over the attempts that are still in
+// flight at the backend before its restart, nil for none, but no measurements.
 func newBackend(id string, earlier *backend) *backend {
 	b := &backend{relativeLoad: 1, gossipKey: gossip.BackendKey(hashOf(id))}
 	if earlier != nil {
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -110,7 +110,8 @@
 // TimerFired reports that the clock time of the last SetTimer has come.
 type TimerFired struct{}
 
-// RequestEnded reports that a client disconnected or its deadline passed: the request is over.
+// RequestEnded reports that a request is over here: its client disconnected, its deadline passed, or it
+// was withdrawn for another process of this limiter, see Snapshot.
 type RequestEnded struct{ Request RequestID }
 
 // PeerMessage is a message received from another limiter.
@@ -138,12 +139,13 @@
 // customers' quotas are for the others until it starts again.
 type ShutdownStarted struct{}
 
-// RecoveryLease reports that one limiter makes the recovery attempts at ejected backends for all, and
-// until which clock time that is this one. Before the first of them each limiter makes its own.
+// RecoveryLease reports that the holder of a lease makes the recovery attempts at ejected backends for all
+// limiters. Until is the clock time up to which this limiter holds it, 0 if it does not hold it. Before the
+// first RecoveryLease each limiter makes its own attempts.
 type RecoveryLease struct{ Until time.Duration }
 
-// AttemptAdopted reports an attempt that another process of this limiter has out: it counts at its backend
-// and among its customer's slots until its AttemptFinished.
+// AttemptAdopted reports an attempt that another process of this limiter has in flight: it counts at its
+// backend and among its customer's slots until its AttemptFinished.
 type AttemptAdopted struct {
 	Request
 	Attempt int
--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -35,8 +35,7 @@
 	// another limiter got no connection.
 	peerEjectFailureRate = 0.95
 	// urgentFailureChange is the change of a failure rate that others must know at once; for
-	// urgentObjectives longest objectives messages with observations only are then sent as soon as the
-	// pace allows.
+	// urgentObjectives longest objectives messages with observations only then skip observationPauses.
 	urgentFailureChange = 0.25
 	urgentObjectives    = 0.3
 	// servingAgeStep is the unit in which limiters report how long they have been serving.
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -6,17 +6,19 @@
 )
 
 // This file keeps what is known of each backend, detects outliers by their failure rate, and ejects
-// them: an ejected backend gets recovery attempts only (recovery.go).
+// them: an ejected backend gets recovery attempts (recovery.go), and others only if there is no other
+// backend for a request.
 
 const (
 	// failureWeight is the weight of one result in a failure rate.
 	failureWeight = 0.2
 	// ejectFailureRate is the failure rate that ejects: two to three failures in a row.
 	ejectFailureRate = 0.4
-	// minUsableFraction is the fraction of the listed backends that failures leave in use.
+	// minUsableFraction is the fraction of the listed backends that ejections by failure rate leave in use.
+	// Unreachable backends, and those that another limiter found to be, are ejected in any case.
 	minUsableFraction = 0.5
-	// rejectionLatencyFactor is how long a kind of request stays away after its rejection, beyond a mean latency:
-	// so many times as long as the rejection took.
+	// rejectionLatencyFactor: after a rejection a kind of request avoids the backend for a mean latency of its
+	// class plus this many times the latency of the rejection.
 	rejectionLatencyFactor = 4
 )
 
@@ -25,16 +27,16 @@
 	Backend
 	unavailable bool          // draining or removed
 	removedAt   time.Duration // clock time; 0 while it is listed
-	inFlight    []*request    // with an attempt out, oldest first
+	inFlight    []*request    // with an attempt in flight, oldest first
 
 	// Own responses, see selection.go.
-	latencyPerAttempt float64       // latency per attempt out there, in mean latencies of the class
+	latencyPerAttempt float64       // latency per attempt in flight, in mean latencies of the class; 1 is typical
 	samples           float64       // responses that latencyPerAttempt comes from, fading with time
 	lastResponseAt    time.Duration // clock time
 
 	// Health.
 	failureRate          float64       // 0 to 1, by own results and observations of other limiters
-	nextRecoveryAt       time.Duration // clock time of the next recovery attempt; 0 if not ejected
+	nextRecoveryAt       time.Duration // clock time from which on a recovery attempt may be made; 0 if not ejected
 	consecutiveEjections int
 	rejectedUntil        map[int]time.Duration // by kind of request, see rejectionKind
 
@@ -54,10 +56,10 @@
 	switch ev.Result {
 	case Succeeded:
 		ctl.recordSuccess(b, r, ev)
-	case Rejected: // it has room for the rest: only this kind of request stays away
+	case Rejected: // it may accept others: only this kind of request avoids it
 		until := ctl.now + seconds(r.class.meanLatency) + rejectionLatencyFactor*ev.Latency
 		b.avoidKind(ctl.rejectionKind(r), until)
-	case Unreachable: // nothing listens there: a failure rate would only delay this
+	case Unreachable: // no need to wait for a second failure
 		b.failureRate = 1
 		ctl.announce(b, ctl.now)
 		ctl.eject(b)
@@ -67,7 +69,7 @@
 			ctl.recordFailure(b)
 		}
 	case TimedOut:
-		if b.silentSince(r) { // and did not just take long
+		if b.silentSince(r) { // otherwise the request took long, not the backend
 			ctl.recordFailure(b)
 		}
 	default:
@@ -75,8 +77,9 @@
 	}
 }
 
-// recordMeasuredAttempt measures an attempt against its backend target, unless its age was measured
-// already.
+// recordMeasuredAttempt measures an attempt against its backend target: one that succeeded, timed out
+// or was canceled. One that recordLateAttempts has measured already counts again only while its class
+// exceeds the target.
 func (ctl *Controller) recordMeasuredAttempt(r *request, ev *AttemptFinished) {
 	if r.ageRecorded && !r.class.exceedsTarget() {
 		return
@@ -102,8 +105,8 @@
 	b.recoverIfHealthy()
 }
 
-// recordFailure records a failure, and ejects a backend that fails too often while enough others are
-// usable. A failed recovery attempt ejects it again, for longer.
+// recordFailure records a failure, and ejects a backend that fails too often if enough others are usable.
+// A failure after nextRecoveryAt, as of a recovery attempt, ejects it again, for longer.
 func (ctl *Controller) recordFailure(b *backend) {
 	b.failureRate += failureWeight * (1 - b.failureRate)
 	ctl.announce(b, ctl.now)
@@ -116,21 +119,22 @@
 	}
 }
 
-// ejected reports whether a backend gets recovery attempts only.
+// ejected reports whether a backend was taken out of use and has not recovered.
 func (b *backend) ejected() bool { return b.nextRecoveryAt > 0 }
 
-// countUsable counts the listed backends that are not ejected, and the attempts out at them.
-func (ctl *Controller) countUsable() (backends, open int) {
+// countUsable counts the listed backends that are not ejected, and the attempts in flight
+// there.
+func (ctl *Controller) countUsable() (backends, inFlight int) {
 	for _, b := range ctl.endpoints.listed {
 		if !b.ejected() {
 			backends++
-			open += len(b.inFlight)
+			inFlight += len(b.inFlight)
 		}
 	}
-	return backends, open
+	return backends, inFlight
 }
 
-// AvoidsBackend reports whether a backend gets no requests now but recovery attempts.
+// AvoidsBackend reports whether requests avoid a backend: it is not known, draining, removed or ejected.
 func (ctl *Controller) AvoidsBackend(id string) bool {
 	b := ctl.endpoints.byID[id]
 	return b == nil || b.unavailable || b.ejected()
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -33,7 +33,7 @@
 
 	// initialReports is from how many first reports it is inferred whether the tier of limiters is new.
 	initialReports = 3
-	// newTierUtilization is the mean utilization up to which backends seem not to have been used before.
+	// newTierUtilization is the mean utilization of backends up to which the tier is inferred to be new.
 	newTierUtilization = 0.2
 )
 
@@ -126,8 +126,8 @@
 }
 
 // inferStartState infers from the first reports whether the tier of limiters is new or has restarted: if
-// backends are at work already, there were limiters before, which have lost what they knew of the use of
-// quotas. A tier that took itself for new would give each customer a fresh burst.
+// backends are busy already, there were limiters before, which have lost what they knew of the use of quotas.
+// Counted as new, they would give each customer a full burst again.
 func (ctl *Controller) inferStartState(b *backend, utilization float64) {
 	if ctl.customers.ledger.StartState() != quota.StartUnknown || utilization < 0 || b.initialReportSeen {
 		return
@@ -142,10 +142,10 @@
 	for _, v := range seen {
 		sum += v
 	}
-	recovery := quota.TierStarted
+	state := quota.TierStarted
 	if sum > newTierUtilization*float64(len(seen)) {
-		recovery = quota.TierRestarted
+		state = quota.TierRestarted
 	}
-	ctl.customers.ledger.Resolve(recovery, ctl.now)
+	ctl.customers.ledger.Resolve(state, ctl.now)
 	ctl.settleWaiting()
 }
--- a/internal/admission/pacing.go
+++ b/internal/admission/pacing.go
@@ -6,35 +6,43 @@
 )
 
 // This file decides when another limiter is sent a message. Each takes in only so many messages per
-// second from all others together, so each pair of limiters keeps a pace, and in a large tier each
-// limiter keeps a pace over all of its messages.
+// second from all others together, so the messages to each of them are paced. Beyond activePeers other
+// limiters (a large tier) all messages of a limiter are paced together as well, by what they carry:
+//
+//	carries             waits for                                          charges
+//	grants              nothing common                                     messagesPacedUntil
+//	transfer requests   requestsPacedUntil                                 messagesPacedUntil, requestsPacedUntil
+//	observations only   a full burst saved up in both, nextObservationsAt  messagesPacedUntil, requestsPacedUntil
+//
+// Each message moves nextObservationsAt, for which urgent observations do not wait. A message with grants and
+// transfer requests counts as one with grants. Notices of a shutdown are not paced.
 
 const (
 	// paceFraction is the fraction of PeerMessagesPerSecond that the busiest senders to a limiter may use
 	// together.
 	paceFraction = 0.7
-	// activePeers is how many limiters are taken to send one limiter messages at a time. A tier where each
-	// has more peers is large: there, a pace per pair of limiters is not enough.
+	// activePeers is how many limiters are assumed to send messages to the same one at a time. A tier where
+	// each has more peers is large: there, pacing the messages to each peer is not enough.
 	activePeers = 6
 	// messageBurst is how many messages to one limiter may be sent without a pause.
 	messageBurst = 4
-	// observationPauses is how many intervals pass in a large tier, after any message, until one is sent
-	// that carries observations only: most are carried by messages that are sent anyway.
+	// observationPauses is how many totalIntervals pass after any message until one is sent that carries
+	// observations only: most are carried by messages that are sent anyway.
 	observationPauses = 6
 )
 
-// gossipState is the other limiters, and what is to be sent to them. The clock times ...PacedUntil are token
-// buckets: each message adds an interval to one, and a burst is how many intervals it may lie in the past.
+// gossipState is the other limiters, and what is to be sent to them. The clock times ...PacedUntil act as token
+// buckets: a message adds an interval to one, and a burst is how many intervals it may lie in the past.
 type gossipState struct {
 	peers   map[int]*peer
 	queued  []*peer    // with a message to be sent
 	pending []*backend // with an observation that is still to be sent, the latest last
 
 	peerInterval  time.Duration // between messages to one limiter
-	totalInterval time.Duration // between any two messages, in a large tier; 0 in a small one
+	totalInterval time.Duration // between any two messages; 0 for any up to activePeers peers
 
-	requestsPacedUntil time.Duration // clock time before which no transfer request may be sent
-	messagesPacedUntil time.Duration // clock time up to which the pace of all messages is used up
+	requestsPacedUntil time.Duration // clock time before which no transfer request may be sent; messages without grants charge it
+	messagesPacedUntil time.Duration // clock time up to which the rate of all messages is used up
 	nextObservationsAt time.Duration // clock time before which no message is sent for observations only
 	urgentUntil        time.Duration // clock time up to which nextObservationsAt does not count
 }
@@ -53,8 +61,8 @@
 	return state
 }
 
-// announceToPeers has a message with what is new here sent to other limiters: to all of them, or in a large
-// tier to activePeers of them, chosen by chance.
+// announceToPeers has a message with what is new here sent to other limiters: to all of them, or to
+// activePeers of them, from a random one on, if there are more.
 func (ctl *Controller) announceToPeers() {
 	if !ctl.gossips() {
 		return
@@ -82,11 +90,11 @@
 	ctl.wakeBy(p.sendableAt())
 }
 
-// sendableAt is the clock time from which on a queued message may be sent by the pace of its pair.
+// sendableAt is the clock time from which on a queued message may be sent by the pace to its receiver.
 func (p *peer) sendableAt() time.Duration { return max(p.dueAt, p.pacedUntil) }
 
 // wakeForQueuedPeers makes sure that queued messages are sent when they are due. One that is due already
-// waits for the pace of all messages, for which takePace has set the timer.
+// waits for the common pace, for which takePace has set the timer.
 func (ctl *Controller) wakeForQueuedPeers() {
 	for _, p := range ctl.gossip.queued {
 		if at := p.sendableAt(); at > ctl.now {
@@ -117,12 +125,12 @@
 	}
 }
 
-// takePace reports whether the pace of all messages allows one to a limiter, and counts it.
+// takePace reports whether the common pace allows a message to a limiter, and charges it.
 //
 // A message with grants is sent in any case, as there are no more grants than transfer requests received,
-// and takes nothing of the pace of transfer requests: otherwise an owner of many customers would keep its
-// own requests waiting. A message with observations only waits until the pace has saved up a full burst:
-// otherwise it would crowd out transfers of quota, here and at the receiver.
+// and does not delay transfer requests: otherwise an owner of many customers would keep its own waiting. A
+// message with observations only waits until a full burst is saved up: otherwise it would crowd out
+// transfers of quota, here and at the receiver.
 func (ctl *Controller) takePace(p *peer) bool {
 	g := &ctl.gossip
 	if g.totalInterval == 0 {
@@ -142,9 +150,8 @@
 	return true
 }
 
-// paceAllowsAt is the clock time at which the pace of all messages allows one without grants: with transfer
-// requests as soon as their own pace does, with observations only once both paces have saved up a full
-// burst, which takes savedUp.
+// paceAllowsAt is the clock time at which the common pace allows a message without grants. A full burst is
+// saved up in the time savedUp.
 func (ctl *Controller) paceAllowsAt(p *peer, savedUp time.Duration) time.Duration {
 	g := &ctl.gossip
 	if ctl.customers.ledger.HasRequestsFor(p.number) {
--- a/internal/admission/recovery.go
+++ b/internal/admission/recovery.go
@@ -3,20 +3,29 @@
 import "math"
 
 // This file decides when an ejected backend gets a recovery attempt, and when it is in use again.
+//
+// A recovery attempt is the first attempt of an Idempotent request, with no other attempt of this limiter in
+// flight there (see consider). It may be made once nextRecoveryAt has passed, and by the limiter with the
+// recovery lease, of which the caller notifies this one by RecoveryLease; without leases by each. A backend
+// that gets no such request stays ejected unless another limiter reports it well.
+//
+// The backend is in use again once its failure rate is below recoveredFailureRate: by successes here, nine in
+// a row after an Unreachable, or by a newer observation of another limiter.
 
 const (
 	// recoveredFailureRate is the failure rate below which an ejected backend is in use again.
 	recoveredFailureRate = 0.15
-	// recoveryObjectives is the time in longest objectives until the first recovery attempt. It
+	// recoveryObjectives is the mean time in longest objectives until the first recovery attempt. It
 	// doubles with each ejection in a row, maxRecoveryDoublings times at most.
 	recoveryObjectives   = 0.5
 	maxRecoveryDoublings = 4
-	// recoveryLimiters is how many limiters make recovery attempts at that pace. Where more of them use a
-	// backend, each makes fewer, as the one that finds it well notifies the others.
+	// recoveryLimiters is how many limiters make recovery attempts at that rate if there is no recovery
+	// lease. If more of them use a backend, each makes fewer, as one that succeeds notifies the others.
 	recoveryLimiters = 8.0
 )
 
-// eject takes a backend out of use but for recovery attempts, the first of them after a backoff with jitter.
+// eject takes a backend out of use until it recovers, and sets the time of its next recovery attempt by a
+// backoff with jitter.
 func (ctl *Controller) eject(b *backend) {
 	if b.nextRecoveryAt > ctl.now {
 		return
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// request is a request that has not ended or has an attempt out. It waits for a grant of its customer's
-// quota, is queued (its quota is granted, it waits for the window), has an attempt out, or waits for a
-// backend that its retry may use.
+// request is a request that has not ended or has an attempt in flight. It waits for a grant of its
+// customer's quota, is queued (its quota is granted, it waits for the window), has an attempt in flight, or
+// waits for a backend that its retry may use.
 type request struct {
 	*Request
 	class       *requestClass
@@ -22,13 +22,13 @@
 
 	attempts          int           // made so far
 	attemptedBackends []*backend    // by attempt
-	backend           *backend      // where an attempt is out; nil for none
+	backend           *backend      // where an attempt is in flight; nil for none
 	sentAt            time.Duration // clock time of the last attempt
-	inFlightAtSend    int           // attempts out at the backend when it was sent, itself included
-	canceled          bool          // the attempt that is out has been canceled
-	ageRecorded       bool          // the attempt that is out has counted by its age, see recordOpenAttempts
+	inFlightAtSend    int           // attempts in flight at the backend when it was sent, itself included
+	canceled          bool          // the attempt in flight has been canceled
+	ageRecorded       bool          // the attempt in flight has counted by its age, see recordLateAttempts
 
-	retryPrepaid bool // the retry after a canceled attempt has been paid for
+	retryPrepaid bool // a token is reserved for the retry after the cancellation, see cancelStuckAttempts
 
 	// mayHaveRunOn is the backend of the first attempt that may have run, nil for none, and
 	// mayHaveRunFrom the clock time at which it was sent.
@@ -49,7 +49,7 @@
 	r.attempts++
 }
 
-// finishAttempt records that the attempt that is out has ended, and returns its backend.
+// finishAttempt records that the attempt in flight has ended, and returns its backend.
 func (r *request) finishAttempt() *backend {
 	b := r.backend
 	r.backend = nil
@@ -58,12 +58,12 @@
 	return b
 }
 
-// cancelable reports whether the attempt that is out may be canceled.
+// cancelable reports whether the attempt in flight may be canceled.
 func (ctl *Controller) cancelable(r *request) bool {
 	return ctl.settings.MayCancel && !r.ended && !r.canceled && !r.responding
 }
 
-// cancelAttempt cancels the attempt that is out.
+// cancelAttempt cancels the attempt in flight.
 func (ctl *Controller) cancelAttempt(r *request) {
 	r.canceled = true
 	ctl.emit(CancelAttempt{Request: r.ID, Attempt: r.attempts - 1})
@@ -96,7 +96,7 @@
 }
 
 // release ends a request, and returns the units that it reserved if no attempt was made. It is forgotten
-// once no attempt of it is out.
+// once it has no attempt in flight.
 func (ctl *Controller) release(r *request) {
 	if r.queued {
 		r.queued = false
@@ -113,13 +113,14 @@
 	}
 }
 
-// RejectionCounts counts the requests that were ended without an answer of a backend, by cause. The
-// tags are read by scripts.
+// RejectionCounts counts the requests that were ended without an answer of a backend, by cause. It does
+// not count those that were rejected at once for an unknown class, because an answer was of no use any more,
+// or in a shutdown, nor those that a RequestEnded ended. The tags are read by scripts.
 type RejectionCounts struct {
-	OverQuota        uint64 `json:"beyond"` // beyond the quota or ceiling, as far as was known
+	OverQuota        uint64 `json:"beyond"` // beyond the quota, the ceiling or the slots as far as known, also while the start state is unknown
 	WindowFull       uint64 `json:"full"`   // the window was full and the queue too long
 	QueueTimeout     uint64 `json:"held"`   // queued until no answer could be in time
-	RetriesExhausted uint64 `json:"tried"`  // attempted, and not to be retried
+	RetriesExhausted uint64 `json:"tried"`  // attempted without success, and not retried for whatever cause
 }
 
 // Rejections returns the counts since the start.
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -6,11 +6,12 @@
 // does no harm, while the retry budget lasts, and while an answer can still be of use.
 
 const (
-	// retryCost is what a retry takes from the retry budget; retryCostNeverRan is that of a retry
-	// after an attempt that never ran, which was no work for the backend.
+	// retryCost is what a retry takes from the retry budget; retryCostNeverRan is that of a retry made at
+	// once after an attempt that never ran, which was no work for the backend. A retry that had to wait for a
+	// backend takes retryCost in any case.
 	retryCost         = 1.0
 	retryCostNeverRan = 0.25
-	// retriesPerRequest is what the first attempt of a request adds to the retry budget: so few that
+	// retriesPerRequest is what the first attempt of a request adds to the retry budget: so little that
 	// retries do not make slow backends slower.
 	retriesPerRequest = 0.15
 	// retryBurst is how many retries all limiters together save up, for the attempts at a backend that goes
@@ -72,9 +73,9 @@
 		ctl.now+seconds(r.class.meanLatency) <= r.usefulUntil
 }
 
-// mayRetry reports whether another attempt cannot run twice with effect. A request with an idempotency
-// key may go again only while backends drop repeats for sure; so may one whose attempt is out and
-// would be canceled first, as that one may have run.
+// mayRetry reports whether another attempt cannot make the request run twice with effect. One with an
+// idempotency key may be retried only while backends are sure to drop repeats. An attempt in flight, which
+// would be canceled first, counts as one that may have run.
 func (ctl *Controller) mayRetry(r *request) bool {
 	neverRan := r.mayHaveRunOn == nil && r.backend == nil
 	switch {
--- a/internal/admission/settings.go
+++ b/internal/admission/settings.go
@@ -47,7 +47,7 @@
 	Name           string
 	Rate           float64 // quota, units per second
 	Burst          float64 // units that the quota saves up
-	MaxConcurrent  int     // attempts in flight at once
+	MaxConcurrent  int     // slots: attempts in flight plus queued requests
 	WeightFactor   float64 // factor on the weight of the class; no decision depends on it
 	ExcessFraction float64 // fraction of the weight that is earned beyond the quota
 	OverQuotaCost  float64 // fraction of the weight that forwarding beyond the quota costs
@@ -57,7 +57,8 @@
 
 // Settings configure a Controller. They do not change while it runs.
 type Settings struct {
-	// Epoch grows with each start of this limiter, modulo 2^32; 0 takes it from the clock.
+	// Epoch grows with each start of this limiter, modulo 2^32. 0 means the clock time of the first event in
+	// milliseconds, plus one; the origin of the clock must then be the same at each start.
 	Epoch    uint32
 	Self     int    // number of this limiter, from 0
 	Limiters int    // how many there are; 0 counts as 1
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -37,7 +37,7 @@
 }
 
 // Snapshot returns what this Controller knows, for Resume in another process. Requests are not part of
-// it: those that wait have to be withdrawn before (RequestEnded), and attempts that are out are for
+// it: those that wait have to be withdrawn before (RequestEnded), and attempts in flight are for
 // AttemptAdopted. The Controller must not be handed requests any more after it, except after an
 // EpochRenewed. The error is ErrNotStarted, or that a value has no stored form.
 func (ctl *Controller) Snapshot() ([]byte, error) {
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -2,7 +2,7 @@
 
 import "lemongate/internal/rate"
 
-// This file decides how many attempts may be out at once: the concurrency window. Its usual size
+// This file decides how many attempts may be in flight at once: the concurrency window. Its usual size
 // follows from the quotas served here, by Little's law; the control loop scales it by how attempts
 // meet their backend targets.
 
@@ -20,10 +20,10 @@
 	// windowMinFactor and windowMaxFactor bound the change of the scale in one control period.
 	windowMinFactor = 0.4
 	windowMaxFactor = 1.4
-	// windowMinSamples is how many attempts of a class must be measured to narrow the window: fewer are
-	// chance.
+	// windowMinSamples is how many attempts of a class must be measured in a control period for it to shrink the
+	// window: the latency of fewer is left to chance.
 	windowMinSamples = 10
-	// pressureWeight is the weight of the pressure so far, in measured attempts.
+	// pressureWeight is the weight of the previous pressure, in measured attempts.
 	pressureWeight = 3.0
 	// quotaRateObjectives is the time in longest objectives after which the quota of a customer without
 	// requests no longer counts.
@@ -34,7 +34,7 @@
 	minTargetSeconds = 1e-9
 )
 
-// concurrencyWindow bounds the attempts that are out.
+// concurrencyWindow bounds the attempts in flight.
 type concurrencyWindow struct {
 	scale     float64 // of the usual size
 	quotaRate float64 // requests per second that the quotas served here allow
@@ -53,7 +53,7 @@
 	return concurrencyWindow{scale: 1, pressure: 1, fraction: rate.Allowance{Amount: 1}}
 }
 
-// windowSize is how many attempts may be out.
+// windowSize is how many attempts may be in flight.
 func (ctl *Controller) windowSize() float64 {
 	backendsEach := float64(len(ctl.endpoints.listed)) / float64(ctl.settings.Limiters)
 	byQuotas := ctl.window.quotaRate * backendTargetFraction * ctl.classes.meanObjective
@@ -63,29 +63,30 @@
 
 // windowFull reports whether no attempt may be started now. Attempts at ejected backends do not
 // count, as they may never end. A window of less than one attempt saves up for one, which may start when
-// none is out: it would never open otherwise.
+// none is in flight: no attempt would ever start otherwise. So windowFull refills what is saved up, and sets
+// the timer for when it suffices.
 func (ctl *Controller) windowFull() bool {
-	_, out := ctl.countUsable()
+	_, inFlight := ctl.countUsable()
 	size := ctl.windowSize()
 	if size >= 1 {
 		ctl.window.fraction = rate.Allowance{Amount: 1, UpdatedAt: ctl.now}
-		return float64(out) >= size
+		return float64(inFlight) >= size
 	}
 	perSecond := size / (backendTargetFraction * ctl.classes.meanObjective)
 	if ctl.window.fraction.Refill(ctl.now, perSecond, 1) < 1 {
 		missing := seconds((1 - ctl.window.fraction.Amount) / perSecond)
 		ctl.wakeBy(ctl.now + missing + ctl.settings.ClockResolution)
 	}
-	return ctl.window.fraction.Amount < 1 || out > 0
+	return ctl.window.fraction.Amount < 1 || inFlight > 0
 }
 
-// scaleWindow changes the scale of the window by the room that is left, the ratio of backend targets to
-// latencies: below 1 attempts take longer than they should, and it narrows if any were measured. It widens
-// only if it was full.
+// scaleWindow changes the scale of the window by room, the ratio of backend targets to latencies. Below 1
+// attempts take longer than they should, and the window shrinks if any were measured; otherwise it grows if
+// it was full.
 func (ctl *Controller) scaleWindow(room float64, measured bool) {
-	narrows := room < 1 && measured
-	widens := room >= 1 && ctl.window.wasFull
-	if narrows || widens {
+	shrinks := room < 1 && measured
+	grows := room >= 1 && ctl.window.wasFull
+	if shrinks || grows {
 		factor := min(max(room, windowMinFactor), windowMaxFactor)
 		ctl.window.scale = min(max(ctl.window.scale*factor, windowMinScale), windowMaxScale)
 	}
@@ -114,16 +115,17 @@
 	return float64(c.plan.MaxConcurrent) / max(ctl.classes.meanObjective*backendTargetFraction, minAttemptSeconds)
 }
 
-// measurePressure takes the attempts of a control period into the pressure: the sum of their latencies
-// against the sum of their targets, in seconds. The fewer they are the less they weigh, as two are chance.
+// measurePressure adds the attempts of a control period to the running mean of the pressure: the sum of their
+// latencies over the sum of their targets, both in seconds. The fewer they are the less they weigh.
 func (w *concurrencyWindow) measurePressure(attempts, latencySum, targetSum float64) {
 	weight := attempts / (attempts + pressureWeight)
 	w.pressure += weight * (latencySum/max(targetSum, minTargetSeconds) - w.pressure)
 }
 
-// recordLateAttempts measures attempts that have been out for longer than they should: in a jam
-// nothing is answered, and they would not be seen. Each counts once while answers of its class come
-// soon, as then it is the answer that was lost, and the window must not shut.
+// recordLateAttempts measures attempts that have been in flight for longer than their backend target: while
+// overloaded backends answer nothing, no other latency is measured. Each counts in every control period
+// while its class exceeds the target. Otherwise it counts once: the response may be lost, and the window must
+// not shrink for that.
 func (ctl *Controller) recordLateAttempts() {
 	for _, b := range ctl.endpoints.listed {
 		if b.ejected() {
--- a/internal/queueing/queueing.go
+++ b/internal/queueing/queueing.go
@@ -13,7 +13,7 @@
 }
 
 // Share is the share of the capacity with which the mean latency of a class is just its objective, at an
-// arrival rate. It is equation 9 of the paper in conjugate form: the form of the paper divides zero by zero
+// arrival rate. The objective is above 0. It is equation 9 of the paper in conjugate form: the form of the paper divides zero by zero
 // where the mean square of the service time is twice the squared mean. It may be above 1.
 func Share(arrivalRate float64, service ServiceTime, objective float64) float64 {
 	y := service.Square - 2*service.Mean*service.Mean
@@ -22,9 +22,9 @@
 }
 
 // Slope is the derivative of the mean latency of a class by its share, in seconds. It is below zero: more
-// share, less latency. What the share exceeds the load of the class by counts as least if it is less, as
-// the latency of the model has no bound there.
-func Slope(arrivalRate float64, service ServiceTime, share, least float64) float64 {
-	spare := max(share-arrivalRate*service.Mean, least)
+// share, less latency. The spare share, which is share - arrivalRate*service.Mean, counts as minSpare at least:
+// at 0 the latency of the model is infinite.
+func Slope(arrivalRate float64, service ServiceTime, share, minSpare float64) float64 {
+	spare := max(share-arrivalRate*service.Mean, minSpare)
 	return -service.Mean/(share*share) - arrivalRate*service.Square*(share+spare)/(2*share*share*spare*spare)
 }
