--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Action is something the caller is to do, in the order given: one of StartAttempt, Reject, Fail,
+// Action is something for the caller to do, in the order returned: one of StartAttempt, Reject, Fail,
 // CancelAttempt, SetTimer, SendToPeer, ProbeBackend, PollEndpoints and Log.
 type Action interface{ action() }
 
@@ -15,13 +15,13 @@
 	Recovery    bool          // a recovery attempt for all limiters, see RecoveryLease
 }
 
-// Reject answers a request: it was not served, and a new try does no harm.
+// Reject answers a request that was not served, and that the client may safely send again.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // advice how long to stay away; 0 for none
+	RetryAfter time.Duration // how long the client is advised to wait before that; 0 for none
 }
 
-// Fail answers a request: it was not served, and it may have run.
+// Fail answers a request that was not served but may have run.
 type Fail struct{ Request RequestID }
 
 // CancelAttempt cancels an attempt. Its AttemptFinished still comes.
@@ -30,8 +30,8 @@
 	Attempt int
 }
 
-// SetTimer sets the one timer: a TimerFired is to come at a clock time, and replaces the one that was set
-// before. If that one comes as well it does no harm.
+// SetTimer sets the one timer: a TimerFired is due at a clock time, in place of one set before. If the earlier
+// one comes as well it does no harm.
 type SetTimer struct{ At time.Duration }
 
 // SendToPeer sends a message of at most 256 bytes to another limiter.
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// This file decides when a request arrives whether an answer may still be of use, and queues it in its
-// class once its quota is decided.
+// This file decides, when a request arrives, whether an answer can still be of use, and queues the request in
+// its class once its quota is granted.
 
 const (
 	// usualBudgetFraction is the fraction of recent budgets that must be equal to count as the usual
@@ -48,7 +48,7 @@
 		ctl.customers.firstRequestAt = ctl.now
 	}
 	ctl.customers.ledger.RecordDemand(r.customer.account, ev.Units, ctl.now)
-	if ctl.rejectIfQueueTooLong(r) { // before units are reserved in vain
+	if ctl.rejectIfQueueTooLong(r) { // before units are reserved
 		return
 	}
 	if len(r.customer.waiting) > 0 || !ctl.reserveQuota(r, false) {
@@ -59,8 +59,8 @@
 // limitsRate reports whether units of a plan are counted.
 func (p *Plan) limitsRate() bool { return p.Rate+p.CeilingRate > 0 }
 
-// onQuotaDecision forwards, queues or rejects a request once its quota is decided. With a rejection the
-// client is advised to stay away for wait.
+// onQuotaDecision forwards, queues or rejects a request by the decision of the ledger. With a rejection the
+// client is advised to wait for a time.
 func (ctl *Controller) onQuotaDecision(r *request, granted bool, wait time.Duration) {
 	if !granted {
 		ctl.rejections.OverQuota++
@@ -80,8 +80,8 @@
 	ctl.dispatch()
 }
 
-// rejectIfQueueTooLong ends a request that would be queued for longer than it can be of use, and
-// reports whether it did.
+// rejectIfQueueTooLong ends a request that would be queued beyond its latestStart, and reports whether it
+// did.
 func (ctl *Controller) rejectIfQueueTooLong(r *request) bool {
 	if !ctl.windowFull() || ctl.queueDelay(r.class) <= (ctl.latestStart(r)-ctl.now).Seconds() {
 		return false
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// This file holds what is known of request classes: settings, queue, share, and what was measured.
+// This file holds the state of request classes: settings, queue, share and measurements.
 
 const (
 	// backendTargetFraction is the fraction of a latency objective that is meant for the backend;
@@ -46,7 +46,7 @@
 	Class
 	queue  []*request
 	share  float64 // of the window, 0 to 1
-	credit float64 // dispatches that it has a claim to, see chargeCredit; negative if it had too many
+	credit float64 // dispatches that are due to it, see chargeCredit; below zero if it had more than its share
 
 	recentBudgets [recentBudgetCount]time.Duration // of clients, a ring
 	budgetsSeen   int
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -15,7 +15,7 @@
 const (
 	// controlPeriodObjectives is the control period in longest objectives: an overload shows within one.
 	controlPeriodObjectives = 0.5
-	// controlGain is the fraction of the model's Newton step that one period takes: small, against
+	// controlGain is the fraction of the model's Newton step that is made in one period: small, to avoid
 	// overshoot.
 	controlGain = 0.3
 	// maxShareStep bounds the change of a share by the error of one period, so that a short stall does
@@ -135,7 +135,7 @@
 	return clampShare(modelled + shareCorrection(slack, c.arrivalRate, service, modelled)), modelled
 }
 
-// startPeriod clears what is measured per control period.
+// startPeriod updates the idle latency, and clears the measurements of the last control period.
 func (c *requestClass) startPeriod() {
 	c.idleLatency = min(c.meanLatency, cmp.Or(c.idleLatency, c.meanLatency)*(1+idleLatencyGrowth))
 	c.arrivals, c.completed, c.latencySum = 0, 0, 0
@@ -153,8 +153,8 @@
 	return min(max(step, -maxShareStep), maxShareStep)
 }
 
-// fitShares fits shares, in the order of falling weight, that sum to more than one: one that does not fit
-// goes without its correction, and takes no more than the heavier ones have left.
+// fitShares reduces shares, in the order of falling weight, that sum to more than one: a share that exceeds
+// what the heavier classes left loses its correction, and is cut to what they left.
 func fitShares(wanted, modelled []float64) {
 	left := 1.0
 	for i := range wanted {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// start takes the clock time of the first event as that of the start.
+// start initializes what depends on the clock time of the start, which is that of the first event.
 func (ctl *Controller) start() {
 	ctl.started = true
 	if ctl.settings.Epoch == 0 {
@@ -143,8 +143,8 @@
 	}
 }
 
-// onTick does what is due by time alone: the control loop, the end of waiting, and another look for a
-// backend where none could be used.
+// onTick does what is due by time alone: the control loop, the ends of waits, and another selection for
+// requests for which no backend could be used.
 func (ctl *Controller) onTick() {
 	if ctl.now < ctl.timer.armedFor {
 		return // a timer that was replaced
@@ -191,7 +191,7 @@
 func (ctl *Controller) startLedger() {
 	ctl.customers.ledger = quota.New(ctl.quotaConfig(), ctl.now)
 	if !slices.Contains(ctl.settings.LoadReportFields, utilizationField) {
-		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report will ever show it
+		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report can show whether it has restarted
 	}
 }
 
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -64,7 +64,7 @@
 	return s
 }
 
-// touchCustomer returns the customer of a request and updates what is measured of it.
+// touchCustomer returns the customer of a request and updates its measurements.
 func (ctl *Controller) touchCustomer(ev *Request) *customer {
 	c := ctl.lookupCustomer(ev)
 	if c.meanUnits == 0 {
@@ -127,8 +127,8 @@
 	return min(byObjective, byRequest) - margin
 }
 
-// settleWaiting decides the requests that wait for a grant, as far as grants have come, and those
-// whose time is up by what is known here.
+// settleWaiting decides the requests that wait for a grant: those whose grants have come, and those past
+// their grantDeadline by what is known here.
 func (ctl *Controller) settleWaiting() {
 	for _, c := range ctl.waitingCustomers() {
 		ctl.settleCustomer(c)
@@ -136,7 +136,7 @@
 }
 
 // settleCustomer decides the waiting requests of a customer in order, up to the first that still has
-// to wait: the ones behind it would only take what it waits for.
+// to wait: those behind it would only take the units that it waits for.
 func (ctl *Controller) settleCustomer(c *customer) {
 	waiting := c.waiting
 	c.waiting = nil
@@ -217,9 +217,9 @@
 	return config
 }
 
-// leastAdmissionProbability is the least probability of being inside the quota at which forwarding a
-// request earns anything: inside it earns its weight, beyond it costs OverQuotaCost less
-// ExcessFraction.
+// leastAdmissionProbability is the least probability of being within the quota at which forwarding a
+// request earns anything: within the quota it earns its weight, beyond it costs OverQuotaCost less
+// ExcessFraction, as fractions of that weight.
 func leastAdmissionProbability(p Plan) float64 {
 	loss := max(p.OverQuotaCost-p.ExcessFraction, 0)
 	return loss / (1 + loss)
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -6,7 +6,7 @@
 // maxCredit bounds the credit of a class, in dispatches, on both sides of zero.
 const maxCredit = 2.0
 
-// dispatch forwards what may be forwarded now: retries that wait for a backend first, then queued
+// dispatch forwards the requests that may be forwarded now: first retries that wait for a backend, then queued
 // requests of the classes by their credit, while the window has room.
 func (ctl *Controller) dispatch() {
 	ctl.dispatchRetries()
@@ -32,8 +32,8 @@
 	}
 }
 
-// nextClass drops what can no longer be in time from the heads of the queues, and returns the class
-// with the most credit that has something queued, the heavier of two; nil if nothing is queued.
+// nextClass drops requests that can no longer be in time from the heads of the queues, and returns the class
+// with the most credit of those with queued requests, the heavier one if equal; nil if nothing is queued.
 func (ctl *Controller) nextClass() *requestClass {
 	var next *requestClass
 	for _, c := range ctl.classes.byWeight {
@@ -80,8 +80,8 @@
 	}
 }
 
-// chargeCredit charges a class the dispatch that it had, and credits each class that has something queued
-// with its share of it: in the long run, classes are dispatched in proportion to their shares.
+// chargeCredit charges a class the dispatch that it had, and divides one dispatch among it and the classes with
+// queued requests by their shares: in the long run, classes are dispatched in proportion to their shares.
 func (ctl *Controller) chargeCredit(dispatched *requestClass) {
 	waiting := func(c *requestClass) bool { return len(c.queue) > 0 || c == dispatched }
 	sum := 0.0
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -21,7 +21,7 @@
 	minLimitersPerBackend = 12.0
 )
 
-// endpointSet is all backends known.
+// endpointSet is all known backends.
 type endpointSet struct {
 	listed                  []*backend // live; the subset of this limiter first
 	byID                    map[string]*backend
@@ -110,8 +110,8 @@
 	}
 }
 
-// relist derives the listed backends from all that are known, and forgets those that were removed long
-// ago: a removed backend may come back as it was, but most are replaced under new IDs.
+// relist derives the listed backends from all known ones, and forgets those that were removed long ago: a
+// removed backend may come back as it was, but most are replaced under new IDs.
 func (ctl *Controller) relist() {
 	set := &ctl.endpoints
 	clear(set.listed) // otherwise the array would keep backends alive beyond the new end
@@ -166,8 +166,8 @@
 }
 
 // usableSubset returns how many of the listed backends, from the first on, this limiter chooses from, and
-// their capacity in warm backends: as many as contain subsetSize backends that are not ejected, and more
-// where many of these are warming up.
+// their capacity in warm backends. They include subsetSize backends that are not ejected, and more if many
+// are warming up.
 func (ctl *Controller) usableSubset() (size int, capacity float64) {
 	usable, wanted := 0, ctl.subsetSize()
 	for size < len(ctl.endpoints.listed) && (usable < wanted || capacity < minWarmFraction*float64(wanted)) {
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -11,13 +11,13 @@
 // RecoveryLease, *AttemptAdopted and EpochRenewed.
 type Event interface{ event() }
 
-// BackendState is what the endpoint list says of a backend.
+// BackendState is the state of a backend by the endpoint list.
 type BackendState uint8
 
 const (
-	// Live backends take requests.
+	// Live backends accept requests.
 	Live BackendState = iota
-	// Draining backends finish what they have and take nothing new.
+	// Draining backends finish the requests they have and accept no others.
 	Draining
 	// Removed backends no longer exist.
 	Removed
@@ -74,7 +74,7 @@
 	Succeeded Result = iota
 	// Errored attempts were failed by the backend; they may have run.
 	Errored
-	// Rejected attempts met a full or draining backend; they never ran.
+	// Rejected attempts were refused by a full or draining backend; they never ran.
 	Rejected
 	// TimedOut attempts may have run.
 	TimedOut
@@ -135,8 +135,8 @@
 	Attempt int
 }
 
-// ShutdownStarted reports that this limiter shuts down: it forwards nothing new, and its allocations of the
-// customers' quotas are for the others until it starts again.
+// ShutdownStarted reports that this limiter shuts down: it admits no more requests of rate-limited plans, and
+// the other limiters use its allocations of the customers' quotas until it starts again.
 type ShutdownStarted struct{}
 
 // RecoveryLease reports that the holder of a lease makes the recovery attempts at ejected backends for all
--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -14,20 +14,20 @@
 const (
 	// observationRepeats is how many messages carry an observation.
 	observationRepeats = 3
-	// announceWithinFraction is the time within which what is announced is sent, as a fraction of the
+	// announceWithinFraction is the time within which an announced observation is sent, as a fraction of the
 	// shortest objective.
 	announceWithinFraction = 0.3
-	// observationObjectives is the time in longest objectives after which an observation of a backend
-	// has faded to 1/e.
+	// observationObjectives is the time in longest objectives after which the weight of an observation has
+	// fallen to 1/e.
 	observationObjectives = 1.5
 	// ageStepsPerObjective is the unit of an observation's age: steps in the shortest objective.
 	ageStepsPerObjective = 32
-	// loadStepsPerOctave is the unit of an observation's load: steps per factor of two, around
-	// loadStepOne, which is a load like that of the others. minEncodedLoad keeps the logarithm finite.
+	// loadStepsPerOctave is the unit of an observation's load: steps per factor of two, around loadStepOne,
+	// which encodes the mean load. minEncodedLoad keeps the logarithm finite.
 	loadStepsPerOctave = 16
 	loadStepOne        = 128
 	minEncodedLoad     = 1e-3
-	// pressureSteps is the unit of a message's pressure: steps in a pressure of one.
+	// pressureSteps is the unit of a message's pressure: it encodes a pressure of one.
 	pressureSteps = 64
 	// peerPressureWeight is the weight of another limiter's pressure in the running mean.
 	peerPressureWeight = 0.2
@@ -107,14 +107,14 @@
 		return m, p, false
 	}
 	if !sameEpoch {
-		ctl.queueMessage(p, 0) // it needs to learn that this limiter knows of its start
+		ctl.queueMessage(p, 0) // which shows the peer that this limiter knows of its start
 	}
 	p.known, p.epoch, p.lastReceivedSeq = true, m.Epoch, m.Seq
 	return m, p, true
 }
 
-// mergeObservation records what another limiter has observed of a backend, if it is newer than what is
-// known, and passes it on. A wrong observation is corrected by the next one, which is newer still.
+// mergeObservation records another limiter's observation of a backend, if it is newer than any known, and
+// passes it on. A wrong observation is corrected by the next one, which is newer still.
 func (ctl *Controller) mergeObservation(o gossip.Observation) {
 	b := ctl.endpoints.byGossipKey[o.Backend]
 	age := float64(o.Age) / ageStepsPerObjective * ctl.classes.shortestObjective.Seconds()
@@ -132,7 +132,7 @@
 	b.recoverIfHealthy()
 }
 
-// gossipFreshness is how much of the newest observation of a backend still counts, 0 to 1.
+// gossipFreshness is the weight, 0 to 1, that the newest observation of a backend has kept since it was made.
 func (ctl *Controller) gossipFreshness(b *backend) float64 {
 	age := (ctl.now - b.observedAt).Seconds()
 	return math.Exp(-age / (observationObjectives * ctl.control.memorySeconds))
@@ -153,8 +153,8 @@
 	b.gossipRepeats = observationRepeats
 }
 
-// takeObservations returns the latest observations for a message, at most so many, and counts them as sent
-// once more.
+// takeObservations returns the latest observations for a message, up to a number, and counts them as sent once
+// more.
 func (ctl *Controller) takeObservations(most int) []gossip.Observation {
 	var taken []gossip.Observation
 	for i := len(ctl.gossip.pending) - 1; i >= 0 && len(taken) < most; i-- {
@@ -182,8 +182,8 @@
 	return uint8(min(max(steps, 0), math.MaxUint8))
 }
 
-// sendPeerMessage sends another limiter what is queued for it, as much as fits, and reports whether
-// there is more.
+// sendPeerMessage sends another limiter as much of what is queued for it as fits, and reports whether there
+// is more.
 func (ctl *Controller) sendPeerMessage(p *peer) (more bool) {
 	p.lastSentSeq++
 	m := gossip.Message{
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -12,7 +12,7 @@
 const (
 	// failureWeight is the weight of one result in a failure rate.
 	failureWeight = 0.2
-	// ejectFailureRate is the failure rate that ejects: two to three failures in a row.
+	// ejectFailureRate is the failure rate above which a backend is ejected: from 0, by three failures in a row.
 	ejectFailureRate = 0.4
 	// minUsableFraction is the fraction of the listed backends that ejections by failure rate leave in use.
 	// Unreachable backends, and those that another limiter found to be, are ejected in any case.
@@ -47,7 +47,7 @@
 	gossipRepeats        int           // messages that are still to carry the observation
 	announcedFailureRate float64       // failure rate when it was last announced as urgent
 
-	initialReportSeen bool // its first report has counted, see inferRecovery
+	initialReportSeen bool // its first report has counted, see inferStartState
 }
 
 // recordResult records the result of an attempt for its backend and its class.
@@ -90,7 +90,7 @@
 	}
 }
 
-// recordSuccess records a response. Where backends report no load, the latency is taken for it.
+// recordSuccess records a response. If no load is reported, its latency counts as the load.
 func (ctl *Controller) recordSuccess(b *backend, r *request, ev *AttemptFinished) {
 	latency := ev.Latency.Seconds()
 	r.class.recordLatency(latency)
@@ -122,8 +122,8 @@
 // ejected reports whether a backend was taken out of use and has not recovered.
 func (b *backend) ejected() bool { return b.nextRecoveryAt > 0 }
 
-// countUsable counts the listed backends that are not ejected, and the attempts in flight
-// there.
+// countUsable counts the listed backends that are not ejected, and their attempts in
+// flight.
 func (ctl *Controller) countUsable() (backends, inFlight int) {
 	for _, b := range ctl.endpoints.listed {
 		if !b.ejected() {
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -14,15 +14,15 @@
 // not run twice never does, a request is answered once and within its budget, and a backend that is draining or removed
 // gets nothing after the drain grace.
 type ruleChecker struct {
-	t             *testing.T
-	ctl           *Controller
-	settings      Settings
-	now           time.Duration
-	requests      map[RequestID]*requestRecord
-	zones         map[string]string        // by backend
-	unavailableAt map[string]time.Duration // clock time at which the Controller learned of it, by backend
-	attemptsOut   []RequestID
-	answers       int
+	t                *testing.T
+	ctl              *Controller
+	settings         Settings
+	now              time.Duration
+	requests         map[RequestID]*requestRecord
+	zones            map[string]string        // by backend
+	unavailableAt    map[string]time.Duration // clock time at which the Controller learned of it, by backend
+	attemptsInFlight []RequestID
+	answers          int
 }
 
 // requestRecord is what the actions so far have done for a request.
@@ -30,9 +30,9 @@
 	class    Class
 	deadline time.Duration // clock time
 	attempts int
-	backend  string // where an attempt is out; empty for none
+	backend  string // where an attempt is in flight; empty for none
 	sentAt   time.Duration
-	canceled bool // the attempt that is out
+	canceled bool // the attempt in flight
 	ended    bool
 
 	mayHaveRunOn   string // where the first attempt that may have run was; empty for none
@@ -97,7 +97,7 @@
 	}
 	r.attempts++
 	r.backend, r.sentAt, r.canceled = attempt.Backend, now, false
-	checker.attemptsOut = append(checker.attemptsOut, attempt.Request)
+	checker.attemptsInFlight = append(checker.attemptsInFlight, attempt.Request)
 }
 
 // dropsRepeat reports whether a backend drops a repeat of a keyed request that may have run. Keys are remembered by
@@ -128,10 +128,10 @@
 	return r
 }
 
-// finishAttempt ends the attempt that is out at an index of attemptsOut.
+// finishAttempt ends the attempt in flight at an index of attemptsInFlight.
 func (checker *ruleChecker) finishAttempt(index int, result Result) {
-	id := checker.attemptsOut[index]
-	checker.attemptsOut = slices.Delete(checker.attemptsOut, index, index+1)
+	id := checker.attemptsInFlight[index]
+	checker.attemptsInFlight = slices.Delete(checker.attemptsInFlight, index, index+1)
 	r := checker.requests[id]
 	ev := &AttemptFinished{
 		Request: id, Attempt: r.attempts - 1, Backend: r.backend, Result: result, Latency: checker.now - r.sentAt, Final: r.ended,
@@ -211,8 +211,8 @@
 
 // randomResults ends attempts: those past their deadline, those that were canceled, and of the others one in twelve.
 func (checker *ruleChecker) randomResults(random *rand.Rand, failureRate float64) {
-	for i := 0; i < len(checker.attemptsOut); i++ {
-		r := checker.requests[checker.attemptsOut[i]]
+	for i := 0; i < len(checker.attemptsInFlight); i++ {
+		r := checker.requests[checker.attemptsInFlight[i]]
 		switch {
 		case checker.now >= r.deadline:
 			checker.finishAttempt(i, TimedOut)
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -17,9 +17,10 @@
 	latencyField     = "latency_ms"
 	utilizationField = "util"
 
-	// utilizationMargin is the fraction of its capacity that a fully utilized backend counts as having left.
+	// utilizationMargin is the fraction of its capacity that counts as left at a fully utilized backend.
 	utilizationMargin = 0.15
-	// maxRelativeLoad bounds a relative load and its inverse: with a lower bound all busy backends look alike.
+	// maxRelativeLoad bounds a relative load and its inverse: if it were lower, all busy backends would look
+	// alike.
 	maxRelativeLoad = 16.0
 	// latencyLoadWeight is the weight of one latency in the relative load, where no load is reported.
 	latencyLoadWeight = 0.3
@@ -31,17 +32,18 @@
 	// backend once at most.
 	probeRoundObjectives = 4.0
 
-	// initialReports is from how many first reports it is inferred whether the tier of limiters is new.
+	// initialReports is the number of first reports from which it is inferred whether the tier of limiters is
+	// new.
 	initialReports = 3
 	// newTierUtilization is the mean utilization of backends up to which the tier is inferred to be new.
 	newTierUtilization = 0.2
 )
 
-// loadReports is what is known of the loads that backends report.
+// loadReports is what the load reports of all backends have shown, and the allowance of probes.
 type loadReports struct {
 	meanLoad            float64        // running mean of loadReport.load
 	initialUtilizations []float64      // of the first reports, one per backend
-	probes              rate.Allowance // probes that may be made
+	probes              rate.Allowance // probes that may be made now
 }
 
 // loadReport is the part of a load report that is used; values below 0 were not reported.
@@ -90,8 +92,8 @@
 	return report, report != none
 }
 
-// load is a measure of the work that waits at a backend: its latency times the requests there, or where
-// these are not reported, its latency over the fraction of its capacity that is left.
+// load is a measure of the work that waits at a backend: its latency times the requests there, or if these
+// are not reported, its latency over the fraction of its capacity that is left.
 func (r loadReport) load() float64 {
 	load := max(r.latency, 1) * (max(r.inFlight, 0) + 1)
 	if r.inFlight < 0 && r.utilization >= 0 {
@@ -103,8 +105,8 @@
 // clampLoad keeps a relative load within its bounds.
 func clampLoad(load float64) float64 { return min(max(load, 1/maxRelativeLoad), maxRelativeLoad) }
 
-// probeStaleBackend probes a backend, chosen at random, if nothing new is known of it and the rate of
-// probes allows it. Where responses come often enough there are no probes.
+// probeStaleBackend probes a backend, chosen at random, if there was no recent response or observation of it
+// and the rate of probes allows it.
 func (ctl *Controller) probeStaleBackend() {
 	listed := ctl.endpoints.listed
 	if !ctl.settings.MayProbe || len(ctl.settings.LoadReportFields) == 0 || len(listed) == 0 {
--- a/internal/admission/pacing.go
+++ b/internal/admission/pacing.go
@@ -7,7 +7,7 @@
 
 // This file decides when another limiter is sent a message. Each takes in only so many messages per
 // second from all others together, so the messages to each of them are paced. Beyond activePeers other
-// limiters (a large tier) all messages of a limiter are paced together as well, by what they carry:
+// limiters (a large tier) all messages of a limiter have a common pace as well, by what they carry:
 //
 //	carries             waits for                                          charges
 //	grants              nothing common                                     messagesPacedUntil
@@ -41,7 +41,7 @@
 	peerInterval  time.Duration // between messages to one limiter
 	totalInterval time.Duration // between any two messages; 0 for any up to activePeers peers
 
-	requestsPacedUntil time.Duration // clock time before which no transfer request may be sent; messages without grants charge it
+	requestsPacedUntil time.Duration // clock time before which no transfer request may be sent without grants
 	messagesPacedUntil time.Duration // clock time up to which the rate of all messages is used up
 	nextObservationsAt time.Duration // clock time before which no message is sent for observations only
 	urgentUntil        time.Duration // clock time up to which nextObservationsAt does not count
--- a/internal/admission/recovery.go
+++ b/internal/admission/recovery.go
@@ -6,8 +6,8 @@
 //
 // A recovery attempt is the first attempt of an Idempotent request, with no other attempt of this limiter in
 // flight there (see consider). It may be made once nextRecoveryAt has passed, and by the limiter with the
-// recovery lease, of which the caller notifies this one by RecoveryLease; without leases by each. A backend
-// that gets no such request stays ejected unless another limiter reports it well.
+// recovery lease, of which the caller notifies this one by RecoveryLease; without leases by each. Without such
+// requests a backend stays ejected, unless it is used for want of others or another limiter reports it well.
 //
 // The backend is in use again once its failure rate is below recoveredFailureRate: by successes here, nine in
 // a row after an Unreachable, or by a newer observation of another limiter.
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -17,7 +17,7 @@
 	deadline    time.Duration // clock time at which the client stops waiting
 
 	queued     bool // units are reserved, and no attempt was made yet
-	ended      bool // answered, or the client disconnected
+	ended      bool // answered, or ended by the caller
 	responding bool // the client is being sent a response
 
 	attempts          int           // made so far
@@ -69,8 +69,8 @@
 	ctl.emit(CancelAttempt{Request: r.ID, Attempt: r.attempts - 1})
 }
 
-// endUnserved answers a request that no backend served: it rejects the request where a new try of the
-// client does no harm, and fails it where it may have run.
+// endUnserved answers a request that no backend served: it rejects the request if the client may safely send
+// it again, and fails it if it may have run.
 func (ctl *Controller) endUnserved(r *request) {
 	if r.retryByClientIsHarmless() {
 		ctl.emit(Reject{Request: r.ID, RetryAfter: ctl.settings.MaxRetryAfter})
@@ -115,12 +115,15 @@
 
 // RejectionCounts counts the requests that were ended without an answer of a backend, by cause. It does
 // not count those that were rejected at once for an unknown class, because an answer was of no use any more,
-// or in a shutdown, nor those that a RequestEnded ended. The tags are read by scripts.
+// or in a shutdown, nor those that the caller ended (RequestEnded, AttemptFinished.Final). The tags are read by
+// scripts.
 type RejectionCounts struct {
-	OverQuota        uint64 `json:"beyond"` // beyond the quota, the ceiling or the slots as far as known, also while the start state is unknown
-	WindowFull       uint64 `json:"full"`   // the window was full and the queue too long
-	QueueTimeout     uint64 `json:"held"`   // queued until no answer could be in time
-	RetriesExhausted uint64 `json:"tried"`  // attempted without success, and not retried for whatever cause
+	// OverQuota counts requests beyond the quota, the ceiling or the slots of their customer as far as known
+	// here, so while the start state is unknown also ones that the quota might have covered.
+	OverQuota        uint64 `json:"beyond"`
+	WindowFull       uint64 `json:"full"`  // the window was full and the queue too long
+	QueueTimeout     uint64 `json:"held"`  // queued until no answer could be in time
+	RetriesExhausted uint64 `json:"tried"` // attempted without success, and not retried for whatever cause
 }
 
 // Rejections returns the counts since the start.
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -14,11 +14,11 @@
 	// retriesPerRequest is what the first attempt of a request adds to the retry budget: so little that
 	// retries do not make slow backends slower.
 	retriesPerRequest = 0.15
-	// retryBurst is how many retries all limiters together save up, for the attempts at a backend that goes
-	// down.
+	// retryBurst is how many retries all limiters together save up, for the attempts in flight at a backend that
+	// goes down.
 	retryBurst = 16.0
-	// deduplicationMarginDivisor: a tenth of the idempotency window is left for the way to the backend and
-	// for clocks that differ.
+	// deduplicationMarginDivisor: a tenth of the idempotency window is left for the network and for clocks that
+	// differ.
 	deduplicationMarginDivisor = 10
 )
 
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -16,19 +16,19 @@
 	// choicesPerBackend is how often each usable backend is looked at when every limiter selects once. With
 	// so many limiters that each would look at fewer than minChoices, it is more often.
 	choicesPerBackend = 4.0
-	// priorResponses is how many own responses of a backend weigh as much as the observations of it.
+	// priorResponses is how many own responses of a backend weigh as much as the estimate by observations.
 	priorResponses = 3.0
 	// unmeasuredLatencyFactor is the latency per attempt, over the median, that is assumed of a backend
 	// without recent own responses: a little better than it may be, so that it is tried.
 	unmeasuredLatencyFactor = 0.8
-	// failureCost is how many times its latency a backend costs in addition that always fails.
+	// failureCost is the extra cost of a backend that always fails, in multiples of its latency.
 	failureCost = 4.0
 	// ejectedCost and triedCost are added to a cost: a backend that was tried for the request already is
-	// used only when there is no other, and an ejected one only when there is not even such a one.
+	// used only if there is no other, and an ejected one only if there is no tried one either.
 	ejectedCost = 1e6
 	triedCost   = 1e3
-	// goodEnoughCost is the cost from which on the search goes on beyond the first choices: it is
-	// reached only by what triedCost or ejectedCost was added to.
+	// goodEnoughCost is the cost above which the search goes on beyond the first choices, meant for backends
+	// with triedCost or ejectedCost.
 	goodEnoughCost = 1e2
 	// assumedOtherAttempts is how many attempts of other limiters the latency per attempt assumes at a
 	// backend: without them a backend with one attempt would look worse than any busy one.
@@ -51,9 +51,9 @@
 
 // choice is the state of one search for a backend.
 type choice struct {
-	usable   int     // backends to choose from, see usableSubset
-	capacity float64 // of these, in warm backends
-	choices  int     // how many of these are looked at before the best is taken
+	usable   int     // number of backends to choose from, see usableSubset
+	capacity float64 // of the usable backends, in warm ones
+	choices  int     // how many usable backends are looked at before the best is taken
 
 	best    *backend
 	cost    float64  // of best
@@ -72,7 +72,7 @@
 			break
 		}
 		b := ctl.endpoints.listed[i]
-		if i < c.usable { // these in turn from a random one on, then the rest in their order
+		if i < c.usable { // the usable ones in turn from a random one on, then the others in their order
 			b = ctl.endpoints.listed[(from+i)%c.usable]
 		}
 		if ctl.eligible(r, b) && ctl.considerWarmUp(&c, b, i < c.choices) {
@@ -128,11 +128,11 @@
 
 // backendCost is the latency to expect of a backend, in mean latencies of the class: the latency per
 // attempt times the attempts that would then be in flight there, raised where it warms up, is late or fails.
-// The latency per attempt is that of own responses as far as they are many and fresh, else the median of
-// all backends times the observed load.
+// The latency per attempt is that of own responses as far as they are many and fresh, else an estimate: the
+// median of all backends times the observed load.
 func (ctl *Controller) backendCost(b *backend) float64 {
 	ownWeight := ctl.freshness(b)
-	ownWeight *= b.samples * ownWeight / (b.samples*ownWeight + priorResponses) // a single one says little
+	ownWeight *= b.samples * ownWeight / (b.samples*ownWeight + priorResponses) // one response weighs little
 	observedWeight := ctl.gossipFreshness(b)
 	unmeasured := unmeasuredLatencyFactor * ctl.endpoints.medianLatencyPerAttempt * (1 + observedWeight*(b.relativeLoad-1))
 	cost := (unmeasured*(1-ownWeight) + b.latencyPerAttempt*ownWeight) * float64(len(b.inFlight)+1)
@@ -161,14 +161,14 @@
 	return math.Pow(ctl.random.ExpFloat64(), exponent)
 }
 
-// freshness is how much of what own responses have shown of a backend still counts, 0 to 1.
+// freshness is the weight, 0 to 1, that the own responses of a backend have kept since the last of them.
 func (ctl *Controller) freshness(b *backend) float64 {
 	age := (ctl.now - b.lastResponseAt).Seconds()
 	return math.Exp(-age / (ownResponseObjectives * ctl.control.memorySeconds))
 }
 
-// recordLatencyPerAttempt takes the latency of a response, in seconds, into the latency per attempt of its
-// backend. The longer the backend was not used the more the new response weighs.
+// recordLatencyPerAttempt adds the latency of a response, in seconds, to the running latency per attempt of
+// its backend. The longer the backend was not used, the more the new response weighs.
 func (ctl *Controller) recordLatencyPerAttempt(b *backend, r *request, latency float64) {
 	relative := (1 + assumedOtherAttempts) * latency / max(r.class.meanLatency, minMeanLatencySeconds)
 	perAttempt := relative / (float64(r.inFlightAtSend) + assumedOtherAttempts)
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -6,7 +6,7 @@
 // A capacity here is in warm backends: the sum of warmUpFraction over the usable backends.
 
 const (
-	// slowStartMargin is the fraction of its fair share that a backend that warms up is sent.
+	// slowStartMargin is the fraction of its fair share that is sent to a backend that warms up.
 	slowStartMargin = 0.9
 	// minWarmFraction is the capacity, per usable backend, below which these are not sent the full rate of
 	// attempts.
--- a/internal/admission/window_test.go
+++ b/internal/admission/window_test.go
@@ -25,8 +25,8 @@
 	f.attemptOf(queued)
 }
 
-// Attempts that get no response narrow the window: in a jam the latencies of responses alone would widen it.
-func TestJamNarrowsWindow(t *testing.T) {
+// Attempts that get no response shrink the window: in an overload the latencies of responses alone would grow it.
+func TestOverloadShrinksWindow(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	for i := range 40 {
 		f.request("pay", "free", fmt.Sprint("c", i))
