--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -43,8 +43,8 @@
 	// maxLimitersWithoutNoise is how many limiters choose by cost alone; with twice as many or more the noise
 	// on costs is complete.
 	maxLimitersWithoutNoise = 6
-	// minMeanLatencySeconds and minLateSeconds keep from dividing by a mean latency of 0, as it is before
-	// the first response of a class.
+	// minMeanLatencySeconds and minLateSeconds keep from dividing by a mean latency of 0: that of responses in
+	// no time by the clock, and that of a class without a response so far.
 	minMeanLatencySeconds = 1e-6
 	minLateSeconds        = 1e-3
 )
--- a/internal/admission/window.go
+++ b/internal/admission/window.go
@@ -20,8 +20,8 @@
 	// windowMinFactor and windowMaxFactor bound the change of the scale in one control period.
 	windowMinFactor = 0.4
 	windowMaxFactor = 1.4
-	// windowMinSamples is how many attempts of a class must be measured in a control period for it to shrink the
-	// window: the latency of fewer is left to chance.
+	// windowMinSamples is how many attempts of a class must be measured in a control period for their latency to
+	// bound the scale: that of fewer is left to chance.
 	windowMinSamples = 10
 	// pressureWeight is the weight of the previous pressure, in measured attempts.
 	pressureWeight = 3.0
