--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -37,14 +37,14 @@
 	lastSeen     time.Duration // clock time
 	meanUnits    float64       // running mean of the units of a request
 
-	inFlight int // requests with an attempt out
+	inFlight int // requests with an attempt in flight
 	queued   int // requests that are queued
 
 	waiting       []*request // for a grant, in the order of their arrival
 	waitsForGrant bool       // is in customerSet.waiting
 }
 
-// customerSet is all customers of late, and the ledger of their quotas.
+// customerSet is the customers that have not been forgotten, and the ledger of their quotas.
 type customerSet struct {
 	ledger    *quota.Ledger
 	planIndex map[string]int // in the settings, by name
@@ -64,7 +64,7 @@
 	return s
 }
 
-// touchCustomer returns the customer of a request and updates what is measured of it.
+// touchCustomer returns the customer of a request and updates its measurements.
 func (ctl *Controller) touchCustomer(ev *Request) *customer {
 	c := ctl.lookupCustomer(ev)
 	if c.meanUnits == 0 {
@@ -127,8 +127,8 @@
 	return min(byObjective, byRequest) - margin
 }
 
-// settleWaiting decides the requests that wait for a grant, as far as grants have come, and those
-// whose time is up by what is known here.
+// settleWaiting decides the requests that wait for a grant: those whose grants have come, and those past
+// their grantDeadline by what is known here.
 func (ctl *Controller) settleWaiting() {
 	for _, c := range ctl.waitingCustomers() {
 		ctl.settleCustomer(c)
@@ -136,7 +136,7 @@
 }
 
 // settleCustomer decides the waiting requests of a customer in order, up to the first that still has
-// to wait: the ones behind it would only take what it waits for.
+// to wait: those behind it would only take the units that it waits for.
 func (ctl *Controller) settleCustomer(c *customer) {
 	waiting := c.waiting
 	c.waiting = nil
@@ -164,15 +164,15 @@
 	return slices.Clone(ctl.customers.waiting)
 }
 
-// syncSlots sets in the ledger how many slots of a customer are in use here: attempts in flight, and
-// requests that are queued for one.
+// syncSlots sets in the ledger how many slots of a customer are in use here: a queued request takes one as
+// an attempt in flight does, so that it has one when it is forwarded.
 func (ctl *Controller) syncSlots(c *customer) {
 	c.account.SlotsInUse = c.inFlight + c.queued
 }
 
-// startShutdown gives the quotas up for the other limiters and notifies them at once, as the program may
-// end any moment. In a large tier each is sent a single notice: where it is lost, the reply to the next
-// transfer request has the shutdown as well.
+// startShutdown gives the quotas up for the other limiters and notifies them at once, whatever the pace of
+// messages, as the program may end any moment. With more than activePeers others each is sent a single
+// notice: if it is lost, the reply to the next transfer request carries the shutdown as well.
 func (ctl *Controller) startShutdown() {
 	ctl.customers.leaving = true
 	notices := shutdownNotices
@@ -217,9 +217,9 @@
 	return config
 }
 
-// leastAdmissionProbability is the least probability of being inside the quota at which forwarding a
-// request earns anything: inside it earns its weight, beyond it costs OverQuotaCost less
-// ExcessFraction.
+// leastAdmissionProbability is the least probability of being within the quota at which forwarding a
+// request earns anything: within the quota it earns its weight, beyond it costs OverQuotaCost less
+// ExcessFraction, as fractions of that weight.
 func leastAdmissionProbability(p Plan) float64 {
 	loss := max(p.OverQuotaCost-p.ExcessFraction, 0)
 	return loss / (1 + loss)
