--- a/internal/hotrestart/effect.go
+++ b/internal/hotrestart/effect.go
@@ -5,7 +5,7 @@
 
 // The effects.
 type (
-	// Send sends a message to the other process. With Transfer go the state and the sockets.
+	// Send sends a message to the other process, and with Transfer the state and the sockets.
 	Send struct{ Kind Kind }
 	// StopAdmitting stops admitting, before Transfer is sent.
 	StopAdmitting struct{}
@@ -15,14 +15,14 @@
 	ForwardRequests struct{}
 	// StartAdmitting starts to admit by the state that came with Transfer.
 	StartAdmitting struct{}
-	// RunAlone reports that the other process is gone or is finishing.
+	// RunAlone reports to the owner that the other process is gone or is finishing.
 	RunAlone struct{}
 	// Finish ends this process once all its open requests have their responses.
 	Finish struct{}
 	// StartFresh starts without state from a predecessor. Wait means that a predecessor may still
 	// have the listening address for a while.
 	StartFresh struct{ Wait bool }
-	// ConnectPredecessor connects to the predecessor once more.
+	// ConnectPredecessor connects to the predecessor once more; see New.
 	ConnectPredecessor struct{}
 	// KillPeer kills the other process, which must not admit any more. The end of the link confirms it.
 	KillPeer struct{}
--- a/internal/hotrestart/limits.go
+++ b/internal/hotrestart/limits.go
@@ -12,23 +12,30 @@
 	// TransferTimeout is how long the predecessor waits for the successor to adopt the state. No
 	// process admits meanwhile.
 	TransferTimeout time.Duration
-	// CommitTimeout is how long the successor waits for Commit, or for the end of the link, while no
-	// process admits. After it, the predecessor is killed.
+	// CommitTimeout is how long the successor, once it has the state, waits for Commit, Withdraw or
+	// the end of the link. No process admits meanwhile. After it, the predecessor is killed.
 	CommitTimeout time.Duration
 	// HeartbeatInterval is the time between two heartbeats of the successor.
 	HeartbeatInterval time.Duration
 	// HeartbeatTimeout is how long the predecessor goes without a heartbeat during probation. After
 	// it, the successor is killed.
 	HeartbeatTimeout time.Duration
-	// ProbationDuration is how long probation lasts. After it, the predecessor commits without having
-	// been requested to shut down.
+	// ProbationDuration is how long probation lasts. After it, the predecessor sends Final, even if it
+	// was not requested to shut down.
 	ProbationDuration time.Duration
 	// MaxAttempts is how many hot restarts a successor begins.
 	MaxAttempts int
 }
 
-// DefaultLimits are such that no process admits for at most 150 ms while one side hangs before the
-// commit.
+// DefaultLimits returns the limits that are in use. How long no process admits depends on which one
+// hangs:
+//
+//   - the successor, during the transfer: for TransferTimeout, then the predecessor admits again;
+//   - the successor, during probation: until it is killed, after HeartbeatTimeout;
+//   - the predecessor, while the successor is Receiving: until the predecessor continues or dies, as
+//     the successor sets no deadline there;
+//   - the predecessor, while the successor is Adopting: until the predecessor continues, or is killed
+//     after CommitTimeout.
 func DefaultLimits() Limits {
 	return Limits{
 		HelloTimeout:      500 * time.Millisecond,
--- a/internal/hotrestart/link/conn.go
+++ b/internal/hotrestart/link/conn.go
@@ -12,13 +12,15 @@
 )
 
 const (
-	// maxQueued is how many frames wait to be written: one for each request or client connection.
+	// maxQueued is how many frames may wait to be written. Beyond it Send closes the link, and SendSync
+	// waits for room.
 	maxQueued = 4096
 	// dialTimeout bounds connecting to the other process.
 	dialTimeout = time.Second
 	// flushTimeout bounds writing what is queued when the link is closed.
 	flushTimeout = 50 * time.Millisecond
-	// writeTimeout bounds writing one frame. It is far longer than the other process may be silent.
+	// writeTimeout bounds writing one frame. It is far longer than the timeouts of package hotrestart
+	// for a process that hangs, which therefore decide what becomes of that process.
 	writeTimeout = 10 * time.Second
 )
 
@@ -41,10 +43,11 @@
 	body    []byte
 	sockets []syscall.Conn
 	written chan<- error // nil if no caller waits for it
-	last    bool         // no frame: the link is closed behind what was queued before
+	last    bool         // not a frame: closes the link after the frames queued before
 }
 
-// Dial connects to the process that listens at a path.
+// Dial connects to the process that listens at a path. An error is one of net or os, as when nobody
+// listens there, or says that the process at the other end is not known.
 func Dial(path string) (*Conn, error) {
 	short, release, err := shortPath(path)
 	if err != nil {
@@ -132,8 +135,8 @@
 	}
 }
 
-// CloseAfterFlush closes the link behind what was sent before, without waiting. If that cannot be
-// written in time, the other process may never read it, and is killed.
+// CloseAfterFlush closes the link after what was sent before, without waiting. If that cannot be written
+// in time, the other process may never read it, and is killed.
 //
 // Its goroutine ends when the link is closed, after flushTimeout at the latest.
 func (c *Conn) CloseAfterFlush() {
--- a/internal/hotrestart/link/frame.go
+++ b/internal/hotrestart/link/frame.go
@@ -17,9 +17,9 @@
 	maxBodyBytes = 256 << 20 // the state of some 100,000 customers
 	maxSockets   = 4         // with one frame
 
-	descriptorBytes = 4 // of a file descriptor in a control message
-	minReadBytes    = 4 << 10
-	maxReadBytes    = 64 << 10
+	descriptorBytes = 4        // of a file descriptor in a control message
+	minReadBytes    = 4 << 10  // of the buffer of one read: room for frames that follow
+	maxReadBytes    = 64 << 10 // of the buffer of one read, however large the frame is
 )
 
 var errMissingSockets = errors.New("sockets of a frame are missing")
@@ -43,7 +43,7 @@
 type frameReader struct {
 	socket      *net.UnixConn
 	data        []byte // read and not yet returned
-	descriptors []int  // likewise
+	descriptors []int  // received and not yet returned
 }
 
 // read returns the next frame. With an error, it closes the sockets of a frame that is not complete.
@@ -80,7 +80,7 @@
 	return f, nil
 }
 
-// fill reads until so many bytes are there.
+// fill reads until data has at least want bytes.
 func (r *frameReader) fill(want int) error {
 	for len(r.data) < want {
 		if err := r.readMore(want - len(r.data)); err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// readMore reads what there is, with the sockets beside it, up to about so many bytes.
+// readMore does one read, with the sockets beside the bytes; missing is how many bytes are wanted.
 func (r *frameReader) readMore(missing int) error {
 	buffer := make([]byte, min(max(missing, minReadBytes), maxReadBytes))
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes*maxSockets))
@@ -105,8 +105,8 @@
 	return r.addDescriptors(control[:controlBytes])
 }
 
-// addDescriptors takes in the descriptors of control messages. They are closed in programs that this
-// process starts.
+// addDescriptors adds the descriptors in control messages. Programs that this process starts do not
+// inherit them.
 func (r *frameReader) addDescriptors(control []byte) error {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
--- a/internal/hotrestart/link/listener.go
+++ b/internal/hotrestart/link/listener.go
@@ -27,7 +27,8 @@
 }
 
 // Listen listens at a path, in place of any process before: one that was killed leaves its file behind,
-// and one that has handed over still listens at its own.
+// and one that has handed over still listens at its own. An error is one of net or os, as when the
+// directory does not exist or cannot be written.
 func Listen(path string) (*Listener, error) {
 	short, release, err := shortPath(path)
 	if err != nil {
--- a/internal/hotrestart/machine.go
+++ b/internal/hotrestart/machine.go
@@ -16,8 +16,8 @@
 //   - A side that needs the other not to admit, and does not learn that from it in time, kills the
 //     other process and waits for the end of the link.
 //
-// A commit becomes final with the message Final: after probation, or when the predecessor is requested
-// to shut down.
+// Commit begins probation, and Final ends it: after ProbationDuration, or when the predecessor is
+// requested to shut down. From Final on the predecessor never admits again.
 //
 // The phases, messages, limits and effects have files of their own. predecessor.go and successor.go
 // have one function for each event that each side meets.
@@ -39,7 +39,8 @@
 }
 
 // New returns a Machine of a process that is alone, or of a successor that looks for its predecessor
-// first; the owner has to connect to it at once. Times are of a clock that both sides need not share.
+// first. The owner of a successor has to connect to the predecessor at once and send Hello; if there is
+// nobody to connect to, it calls LinkClosed. Times are of a clock that both sides need not share.
 func New(limits Limits, isSuccessor bool, now time.Duration) *Machine {
 	m := &Machine{limits: limits}
 	if isSuccessor {
@@ -51,7 +52,8 @@
 // Phase returns the current phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// LongestSilence returns the longest time between two heartbeats that the predecessor has seen.
+// LongestSilence returns the longest time between two heartbeats of the successor in the last probation
+// that this process watched as predecessor; 0 if there was none.
 func (m *Machine) LongestSilence() time.Duration { return m.predecessor.longestSilence }
 
 // Admits reports whether this process may admit requests.
@@ -80,8 +82,8 @@
 	return min(deadline, at)
 }
 
-// MessageReceived takes in a message of the other process. One that does not belong to the phase was
-// sent before a change of phase, and is ignored.
+// MessageReceived handles a message of the other process, except Hello, which is handled by
+// PeerConnected. One that does not belong to the phase was sent before a change of phase, and is ignored.
 func (m *Machine) MessageReceived(now time.Duration, kind Kind) []Effect {
 	switch kind {
 	case Prepared:
@@ -106,9 +108,9 @@
 	return m.takeEffects()
 }
 
-// LinkClosed takes in that the link has ended without this side closing it: the other process is dead,
-// or has closed it.
-func (m *Machine) LinkClosed(time.Duration) []Effect {
+// LinkClosed handles the end of a link that this side did not close: the other process is dead or has
+// closed it, or there was no process to connect to.
+func (m *Machine) LinkClosed(_ time.Duration) []Effect {
 	switch m.phase {
 	case Offered, Transferring, Probation:
 		m.onSuccessorLost()
@@ -118,9 +120,9 @@
 	return m.takeEffects()
 }
 
-// ShutdownRequested takes in that this process is to end. It reports whether the process has to shut
+// ShutdownRequested handles a request to end this process. It reports whether the process has to shut
 // down at once as one that is alone; otherwise what is to be done comes as effects, now or later.
-func (m *Machine) ShutdownRequested(time.Duration) (effects []Effect, alone bool) {
+func (m *Machine) ShutdownRequested(_ time.Duration) (effects []Effect, alone bool) {
 	m.shutdownRequested = true
 	switch m.phase {
 	case Offered, Transferring, Probation, Finishing:
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -5,16 +5,16 @@
 
 // The kinds of messages, with their senders.
 const (
-	Hello     Kind = iota // successor: who it is, and which format it understands
+	Hello     Kind = iota // successor: who it is, and which format it understands; see Machine.PeerConnected
 	Offer                 // predecessor: prepare to take over
 	Deny                  // predecessor: no hot restart; the message says why
 	Prepared              // successor: could admit as soon as it has the state
 	Transfer              // predecessor: has stopped; carries the state and the sockets
 	Adopted               // successor: has the state and the sockets
-	Commit                // predecessor: admit
+	Commit                // predecessor: admit; probation begins
 	Heartbeat             // successor: is alive and admits
 	Withdraw              // predecessor: admits again, or never stopped; start over
-	Final                 // predecessor: will never admit again
+	Final                 // predecessor: will never admit again; probation ends
 	NumKinds              // the number of kinds
 )
 
--- a/internal/hotrestart/phase.go
+++ b/internal/hotrestart/phase.go
@@ -8,12 +8,12 @@
 	Alone        Phase = iota // either side: admits; knows of no other process
 	Offered                   // predecessor: admits; waits for the successor to be prepared
 	Transferring              // predecessor: neither side admits; state and sockets are in transit
-	Probation                 // predecessor: the successor admits, and is watched by its heartbeats
-	Finishing                 // predecessor: the successor admits for good; this process finishes what is open
+	Probation                 // predecessor: has sent Commit; the successor admits, and is watched by its heartbeats
+	Finishing                 // predecessor: has sent Final; finishes the requests that are open
 	Greeting                  // successor: has sent Hello
 	Receiving                 // successor: is prepared, and waits for the state
 	Adopting                  // successor: has the state, and waits for Commit
-	Serving                   // successor: admits; the predecessor watches
+	Serving                   // successor: admits; the predecessor watches until it sends Final
 	Abandoned                 // successor: will never take over
 	numPhases
 )
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -9,7 +9,7 @@
 	longestSilence  time.Duration
 }
 
-// PeerConnected takes in that a successor has sent Hello. It reports whether that process is the other
+// PeerConnected handles the Hello of a successor. It reports whether that process is the other
 // side from now on; it is not while another hot restart is in progress or this process shuts down.
 func (m *Machine) PeerConnected(now time.Duration) (effects []Effect, ok bool) {
 	if m.phase != Alone || m.shutdownRequested {
@@ -63,7 +63,8 @@
 }
 
 // shutDownPredecessor reports whether the process shuts down as one that is alone. During a transfer
-// it does what is due later: it commits with Adopted, or the owner shuts it down when it admits again.
+// that is decided later: with Adopted it sends Commit and Final at once; if it admits again instead, the
+// owner has to call ShutdownRequested again.
 func (m *Machine) shutDownPredecessor() (alone bool) {
 	switch m.phase {
 	case Offered:
@@ -93,7 +94,7 @@
 	}
 }
 
-// checkHeartbeat kills a successor that is silent for too long, and commits after probation. If this
+// checkHeartbeat kills a successor that is silent for too long, and sends Final after probation. If this
 // process itself did not run for a while, heartbeats may be unread, and the silence counts from now.
 func (m *Machine) checkHeartbeat(now time.Duration, due bool) {
 	p := &m.predecessor
@@ -109,13 +110,13 @@
 	}
 }
 
-// finalize leaves admitting to the successor for good.
+// finalize ends probation: from here on this process never admits again.
 func (m *Machine) finalize() {
 	m.enter(Finishing, 0)
 	m.emit(Send{Final}, Finish{})
 }
 
-// withdraw ends a hot restart before the commit. The successor reads it before the end of the link,
+// withdraw ends a hot restart before Commit is sent. The successor reads it before the end of the link,
 // which it would otherwise take for the death of this process.
 func (m *Machine) withdraw() {
 	m.enter(Alone, 0)
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -73,8 +73,8 @@
 	m.emit(RunAlone{})
 }
 
-// onPredecessorLost goes on without the predecessor after the end of the link: by its state if that
-// has come completely.
+// onPredecessorLost goes on without the predecessor after the end of the link: with its state if that
+// arrived completely, else fresh.
 func (m *Machine) onPredecessorLost() {
 	switch m.phase {
 	case Greeting, Receiving:
@@ -113,8 +113,8 @@
 	m.emit(Send{Heartbeat})
 }
 
-// startFresh starts without a predecessor's state. One that lives has the address for a while yet, and
-// so may one that dies, as its sockets are closed one after the other.
+// startFresh starts without a predecessor's state. A predecessor that lives still has the listening
+// address, and one that dies may have it for a while, as its sockets are closed one after the other.
 func (m *Machine) startFresh() {
 	m.enter(Alone, 0)
 	m.emit(StartFresh{Wait: true})
