--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -5,17 +5,20 @@
 	"time"
 )
 
-// An acceptor that starts, starts empty: it has no disk. These are in lease durations.
+// Times of an acceptor that starts, in lease durations. It starts empty, as it has no disk.
 const (
-	// recoveryQueryAfter is how long after its start an acceptor waits before it sends queries. What
-	// its earlier incarnation accepted may still be on its way to the proposer, and counts there as long
-	// as that attempt lasts; a reply from before the proposer has its quorum could miss its token. It is
-	// more than probeTimeout and attemptTimeout together.
+	// recoveryQueryAfter is how long after its start an acceptor waits before it sends queries. An Accept
+	// of its earlier incarnation may still reach a proposer and complete a quorum there. A query that
+	// another acceptor answers before that could miss the token of this new lease. After this wait the
+	// attempt is over: it is more than probeTimeout and attemptTimeout together.
 	recoveryQueryAfter = 0.2
 	// recoveryTimeout is after how long a quorum of replies is enough, as other acceptors may be gone
 	// for good.
 	recoveryTimeout = 3
+)
 
+// Counts of an acceptor that starts.
+const (
 	// recoveryQueriesPerDuration is how many times per lease duration queries are sent, and
 	// recoveryQueriesAtOnce how many at a time.
 	recoveryQueriesPerDuration = 8
@@ -33,8 +36,8 @@
 
 	queriedAt        time.Duration // when recovery queries were last sent
 	replied          []Limiter     // acceptors that have replied since this start
-	repliedAcceptors []Limiter     // those of them that were active
-	nextQueried      int           // index among the acceptors of the last one queried
+	repliedAcceptors []Limiter     // the acceptors in replied that were active
+	lastQueried      int           // index in Acceptors of the one queried last
 }
 
 // acceptedLease is the lease that an acceptor has accepted last.
@@ -47,7 +50,7 @@
 // isValid reports whether the lease still counts.
 func (l acceptedLease) isValid(now time.Duration) bool { return l.until > now }
 
-// isOf reports whether a ballot is of the same proposer, in the same incarnation, as the lease.
+// isOf reports whether the lease and a ballot have the same proposer in the same incarnation.
 func (l acceptedLease) isOf(b Ballot) bool { return l.ballot.By == b.By && l.ballot.Epoch == b.Epoch }
 
 // NewAcceptor returns an acceptor that starts now, empty; it is not active yet.
@@ -104,8 +107,8 @@
 	}
 	query := Message{Kind: RecoveryQuery, Task: a.Task, Ballot: Ballot{Epoch: a.Epoch}, HighestToken: a.highestToken}
 	for range a.Acceptors {
-		a.nextQueried = (a.nextQueried + 1) % len(a.Acceptors)
-		to := a.Acceptors[a.nextQueried]
+		a.lastQueried = (a.lastQueried + 1) % len(a.Acceptors)
+		to := a.Acceptors[a.lastQueried]
 		if to == a.Self || slices.Contains(done, to) || len(out) == recoveryQueriesAtOnce {
 			continue
 		}
@@ -114,7 +117,7 @@
 	return out
 }
 
-// HandleMessage takes in a message, and returns the reply if there is one.
+// HandleMessage handles a message, and returns the reply if there is one.
 func (a *Acceptor) HandleMessage(now time.Duration, from Limiter, m Message) (reply Message, ok bool) {
 	a.highestToken = max(a.highestToken, m.HighestToken, m.Token)
 	switch m.Kind {
@@ -198,7 +201,7 @@
 	return reply
 }
 
-// onRecoveryReply takes in a reply to a query of this incarnation.
+// onRecoveryReply handles a reply; one to a query of an earlier incarnation does not count.
 func (a *Acceptor) onRecoveryReply(from Limiter, m Message) {
 	if m.Ballot.Epoch != a.Epoch {
 		return
@@ -216,13 +219,13 @@
 }
 
 // AcceptorState is what an acceptor remembers, for another process of the same limiter. Times are of
-// the clock that both processes go by.
+// the clock that both processes go by. The tags are a format that processes of other releases read.
 type AcceptorState struct {
 	Task             uint32        `json:"Task"`
 	StartedAt        time.Duration `json:"Born"`
 	Promised         Ballot        `json:"Promised"`
 	Accepted         Ballot        `json:"Under"` // of the lease that is accepted until Until
-	Incarnation      uint32        `json:"Life"`  // of that lease's holder: the epoch of Accepted
+	Incarnation      uint32        `json:"Life"`  // the epoch of Accepted; restore takes it from there
 	Token            uint64        `json:"Token"`
 	Until            time.Duration `json:"Until"`
 	HighestToken     uint64        `json:"Known"`
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -10,10 +10,11 @@
 	Tasks         []string
 	AcceptorCount int           // acceptors per task, at most as many as there are limiters
 	Duration      time.Duration // of a lease
-	ClockDrift    float64       // the most by which a clock's rate is off, as a fraction
+	// ClockDrift is the most by which the rate of any one clock is off from true time, as a fraction.
+	ClockDrift float64
 
 	Self, Limiters int    // this limiter, and how many there are
-	Epoch          uint32 // greater with each start of the process
+	Epoch          uint32 // of this limiter's start, see Ballot.Epoch
 	MinToken       uint64 // the wall clock at the start, in ms
 }
 
@@ -30,7 +31,7 @@
 	config       Config
 	acceptor     *Acceptor // nil if this limiter is no acceptor of the task
 	proposer     Proposer
-	countedUntil time.Duration // until when the lease is held that counts has last; 0 for none
+	countedUntil time.Duration // end of the lease as last counted; 0 for none
 	counts       Counts
 }
 
@@ -98,7 +99,7 @@
 }
 
 // Holds reports whether this limiter holds a task's lease, with its fencing token and the time from
-// which on nothing may be begun under it.
+// which on nothing may be begun under it. Token and until have no meaning if ok is false.
 func (a *Agent) Holds(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	if t := a.task(name); t != nil {
 		return t.proposer.Holds(now)
@@ -136,7 +137,7 @@
 	}
 }
 
-// HandleMessage takes in a message of another limiter, and returns what is to be sent.
+// HandleMessage handles a message of another limiter, and returns what is to be sent.
 func (a *Agent) HandleMessage(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
 	t := a.taskByID(m.Task)
 	if t == nil {
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -30,11 +30,11 @@
 type Config struct {
 	Task       uint32        // ID of the task, see TaskID
 	Self       Limiter       // this limiter
-	Epoch      uint32        // of this limiter's start; greater with each start
+	Epoch      uint32        // of this limiter's start, see Ballot.Epoch
 	Acceptors  []Limiter     // of the task, see AcceptorsOf
-	Candidates int           // how many limiters may want the lease; 0 counts as few
+	Candidates int           // how many limiters may want the lease; 0 counts as at most fewCandidates
 	Duration   time.Duration // of a lease, by an acceptor's clock
-	ClockDrift float64       // the most by which a clock's rate is off, as a fraction
+	ClockDrift float64       // see Settings.ClockDrift
 	MinToken   uint64        // every token is greater than this: the wall clock at the start, in ms
 }
 
@@ -42,7 +42,8 @@
 func (c *Config) Quorum() int { return len(c.Acceptors)/2 + 1 }
 
 // HoldDuration is how long a lease holder may act, by its own clock, from before it sent Prepare. It
-// ends before Duration does at any acceptor, whatever the rates of the two clocks.
+// ends before Duration does at any acceptor as long as no clock is off by more than ClockDrift: two clocks
+// then differ by up to twice that.
 func (c *Config) HoldDuration() time.Duration {
 	return c.durationFraction(1 - 2*c.ClockDrift)
 }
@@ -60,7 +61,7 @@
 }
 
 // AcceptorsOf returns the acceptors of a task in a tier of some size, by rendezvous hashing: all
-// limiters find the same ones, and different ones for different tasks. There are at most count.
+// limiters find the same ones, and different ones for different tasks. At most count are returned.
 func AcceptorsOf(task uint32, limiters, count int) []Limiter {
 	all := make([]Limiter, limiters)
 	for i := range all {
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -9,12 +9,15 @@
 
 // Ballot names one attempt to get or renew a lease. No two attempts have the same one.
 type Ballot struct {
-	Round uint32  `json:"Round"`
-	Epoch uint32  `json:"Epoch"` // of the limiter's start: ballots of two incarnations differ
-	By    Limiter `json:"By"`    // the proposer
+	Round uint32 `json:"Round"`
+	// Epoch is of the limiter's start, in ms of the wall clock modulo 2^32, which wraps every 49.7 days.
+	// All that is needed is that the epochs of two incarnations of a limiter differ.
+	Epoch uint32  `json:"Epoch"`
+	By    Limiter `json:"By"` // the proposer
 }
 
-// Compare orders ballots: by round, then by epoch, then by proposer.
+// Compare orders ballots: by round, then by epoch, then by proposer. The order by epoch only has to be the
+// same at all limiters; it need not be that of the starts.
 func (b Ballot) Compare(other Ballot) int {
 	return cmp.Or(cmp.Compare(b.Round, other.Round), cmp.Compare(b.Epoch, other.Epoch), cmp.Compare(b.By, other.By))
 }
@@ -25,13 +28,13 @@
 // The kinds of messages, with their senders.
 const (
 	Prepare       Kind = iota // proposer: promise this ballot
-	Promise                   // acceptor: promised, unless it reports a lease of another
+	Promise                   // acceptor: promised, unless it reports another proposer's lease
 	Reject                    // acceptor: a greater ballot, this one, is promised
 	Propose                   // proposer: accept this ballot, and with it the lease
 	Accept                    // acceptor: accepted
 	Release                   // lease holder: the lease is released
 	RecoveryQuery             // acceptor that has started: which tokens and payloads are known?
-	RecoveryReply             // limiter: these
+	RecoveryReply             // limiter: the token and payload known to it
 	NumKinds                  // the number of kinds
 )
 
@@ -56,7 +59,7 @@
 	Ballot       Ballot  // RecoveryQuery and RecoveryReply: only Epoch, that of the acceptor's start
 	Holder       Limiter // Promise: the holder of the lease, if HasLease
 	Incarnation  uint32  // Promise: the epoch of the holder's start, if HasLease
-	HasLease     bool    // Promise: the acceptor has accepted a lease that is valid; RecoveryReply: the sender is active as an acceptor
+	HasLease     bool    // Promise: the acceptor has accepted a lease that is valid. RecoveryReply, which has no lease: the sender is an active acceptor
 	Token        uint64  // Propose: of the lease; Promise: of the lease reported
 	HighestToken uint64  // the greatest token known to the sender
 	Payload      uint64  // Propose: of the lease; Promise and RecoveryReply: the greatest accepted
@@ -68,8 +71,8 @@
 	Message Message
 }
 
-// A datagram, big-endian. Its first byte is no version of the limiters' other messages, so that a
-// limiter of another version ignores it.
+// A datagram, big-endian. Its first byte differs from every version number of the limiters' other
+// messages, so that a limiter of another version ignores it.
 //
 //	 0  magic         17  Holder, 2 bytes
 //	 1  Kind          19  Incarnation, 4 bytes
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -9,15 +9,17 @@
 const (
 	renewAfter      = 0.4  // from the start of the attempt that got or renewed the lease
 	attemptTimeout  = 0.1  // of an attempt at all acceptors
-	probeTimeout    = 0.05 // of a question to one acceptor, before that
-	payloadInterval = 0.02 // at least, between two attempts that carry new payloads
+	probeTimeout    = 0.05 // of Prepare at one acceptor, before the others are sent it
+	payloadInterval = 0.02 // from the start of an attempt to the earliest one with a new payload
 	minBackoff      = 0.05 // after a failed attempt; doubled with each further one
 	maxBackoff      = 0.5
-	maxDoublings    = 4
 )
 
-// fewCandidates is how many candidates attempt without a longer backoff. More of them together send as
-// much as these.
+// maxDoublings is how many times minBackoff is doubled: enough to pass maxBackoff.
+const maxDoublings = 4
+
+// fewCandidates is up to how many candidates there are for backoffs to be as above. With more candidates
+// each one waits longer in proportion, so that all together send about as much as fewCandidates.
 const fewCandidates = 8
 
 // Phase is a stage of a proposer.
@@ -50,16 +52,16 @@
 	ballot          Ballot
 	startedAt       time.Duration
 	votes           []Limiter // acceptors that promised, or accepted, the ballot
-	rejections      []Limiter // acceptors that did not
+	rejections      []Limiter // acceptors that did not vote for the ballot
 	probing         bool      // Prepare went to one acceptor only so far
 	probeUnanswered bool      // the last probe had no reply
 	proposedToken   uint64
 	proposedPayload uint64
 
 	// What is known of the tier.
-	round        uint32  // the greatest
-	highestToken uint64  // the greatest
-	payload      uint64  // the greatest
+	round        uint32  // the greatest of any ballot
+	highestToken uint64  // of all leases
+	payload      uint64  // the greatest of all leases
 	holder       Limiter // as last learned, if holderKnown
 	holderKnown  bool
 
@@ -77,7 +79,7 @@
 func (p *Proposer) Phase() Phase { return p.phase }
 
 // Holds reports whether this limiter holds the lease, with the fencing token of the lease and the time
-// from which on nothing may be begun under it.
+// from which on nothing may be begun under it. Token and until have no meaning if ok is false.
 func (p *Proposer) Holds(now time.Duration) (token uint64, until time.Duration, ok bool) {
 	return p.token, p.until, p.token > 0 && now < p.until
 }
@@ -174,7 +176,7 @@
 	return []Envelope{{p.probedAcceptor(), p.message(Message{Kind: Prepare, Ballot: p.ballot})}}
 }
 
-// probedAcceptor is the acceptor that this attempt probes: another one each time, if not its own.
+// probedAcceptor is the acceptor that this attempt probes: this limiter's own, else another one each time.
 func (p *Proposer) probedAcceptor() Limiter {
 	if slices.Contains(p.Acceptors, p.Self) {
 		return p.Self
@@ -220,7 +222,7 @@
 // often than a few.
 func (p *Proposer) crowding() float64 { return max(float64(p.Candidates)/fewCandidates, 1) }
 
-// HandleMessage takes in the reply of an acceptor, and returns what is to be sent. Chance, 0 to 1,
+// HandleMessage handles the reply of an acceptor, and returns what is to be sent. Chance, 0 to 1,
 // spreads the attempts of many candidates.
 func (p *Proposer) HandleMessage(now time.Duration, from Limiter, m Message, chance float64) []Envelope {
 	p.highestToken = max(p.highestToken, m.HighestToken, m.Token)
@@ -288,8 +290,8 @@
 	return nil
 }
 
-// reportsOtherLease reports whether a promise is none, as it reports a valid lease of another limiter
-// or of an earlier incarnation of this one.
+// reportsOtherLease reports whether a Promise reports a valid lease of another limiter, or of an earlier
+// incarnation of this one. Such a message promises nothing.
 func (p *Proposer) reportsOtherLease(m Message) bool {
 	return m.HasLease && (m.Holder != p.Self || m.Incarnation != p.Epoch)
 }
--- a/internal/lease/view.go
+++ b/internal/lease/view.go
@@ -2,6 +2,8 @@
 
 import "time"
 
+// The tags that differ from the names of their fields are read by operators' scripts.
+
 // Counts count what has become of a task's lease at this limiter.
 type Counts struct {
 	Won             uint64 `json:"won"`
@@ -10,19 +12,19 @@
 	Released        uint64 `json:"given"`
 	LateActions     uint64 `json:"refused"` // actions not begun, as the lease had ended
 	InvalidMessages uint64 `json:"bad"`     // proposals that were ignored
-	Waited          uint64 `json:"waited"`  // proposals that met an acceptor that was not active
+	Waited          uint64 `json:"waited"`  // proposals that got no vote here, as this acceptor was not active yet
 }
 
 // View is the state of a task as operators see it.
 type View struct {
 	Task           string        `json:"task"`
 	Acceptors      []Limiter     `json:"keepers"`
-	ActiveAcceptor bool          `json:"keeps"`  // this limiter is an active acceptor
+	ActiveAcceptor bool          `json:"keeps"`  // this limiter is an acceptor of the task, and votes
 	Phase          string        `json:"phase"`  // of its proposer
 	Holder         int           `json:"holder"` // as last learned here; -1 for none
 	Holds          bool          `json:"holds"`  // this limiter holds the lease
 	Token          uint64        `json:"token"`  // of this limiter's lease
-	ValidFor       time.Duration `json:"for"`    // how much longer it may act
+	ValidFor       time.Duration `json:"for"`    // how much longer this limiter may act under it; in ns in JSON
 	HighestToken   uint64        `json:"known"`  // the greatest token known here
 	Payload        uint64        `json:"mark"`   // the greatest payload known here
 	Counts         Counts        `json:"counts"`
