--- a/internal/rollingrestart/coordinator.go
+++ b/internal/rollingrestart/coordinator.go
@@ -1,11 +1,14 @@
-// Package rollingrestart grants restart slots for planned restarts: only so many limiters restart at
-// once, and never all that serve a customer. It does no I/O, reads no clock and starts no goroutine.
+// Package rollingrestart permits planned restarts: only so many limiters restart at once, and never all
+// that serve a customer. It does no I/O, reads no clock and starts no goroutine.
 //
-// Slots are granted by the coordinator, the holder of the task's lease. Which limiters are restarting is
-// in the payload of that lease, so that every later coordinator knows it; a slot is granted only once a
-// quorum has accepted the payload that has it.
+// A limiter that is to restart needs two things from the coordinator, the holder of the task's lease:
 //
-// The design page about restart slots, in docs/design, argues why it is safe.
+//   - A slot is a place in the payload of that lease, so that every later coordinator knows of it. It is
+//     freed when the limiter replies that it serves and has no grant, or by a SlotRelease, never by time.
+//   - A grant permits the limiter to begin its restart, and expires. It is sent only once a quorum has
+//     accepted the payload with the limiter's slot.
+//
+// docs/design/walk.md argues why it is safe.
 package rollingrestart
 
 import (
@@ -21,25 +24,25 @@
 	requestTimeout = 4 * requestInterval
 )
 
-// Coordinator is the side of the lease holder. It is made anew with each lease. It is not safe for
-// concurrent use; see NewCoordinator.
+// Coordinator is the side of the lease holder. Each lease has a new one. It is not safe for concurrent
+// use; see NewCoordinator.
 type Coordinator struct {
 	token         uint64
 	maxConcurrent int
-	slotDuration  time.Duration
+	grantDuration time.Duration
 
-	grantsFrom time.Duration // no slot is granted before
-	payload    uint64        // that a quorum has to accept
-	restarting []Limiter
-	slots      map[Limiter]slot // of those that are restarting
+	grantsFrom time.Duration    // no slot is assigned before, and so nothing granted
+	payload    uint64           // that a quorum has to accept
+	restarting []Limiter        // that have a slot
+	slots      map[Limiter]slot // by limiter; none for a slot that an earlier coordinator assigned, before the first query
 	waiting    []waitingRequest // in order of arrival
-	queryNonce uint32           // the greatest given
+	queryNonce uint32           // of the last query to any limiter
 	queriedAt  time.Duration
 }
 
-// slot is what a coordinator knows of a limiter that is restarting, beyond the payload.
+// slot is what a coordinator knows of a limiter's slot, beyond the payload.
 type slot struct {
-	granted      bool // by this coordinator
+	granted      bool // by this coordinator, to requestNonce
 	requestNonce uint32
 	queried      bool
 	queryNonce   uint32        // of the last query; replies to earlier ones do not count
@@ -53,20 +56,22 @@
 }
 
 // NewCoordinator returns a coordinator that goes on from a payload, under a lease with the given token.
-// Slots last for slotDuration, and at most maxConcurrent limiters are restarting.
+// A grant is valid for grantDuration, and at most maxConcurrent limiters have a slot.
 //
-// Payload 0 means that there is none, as all acceptors are new or have lost their memory. Then no slot
-// is granted until those of before have expired, which count from the requests before them.
+// Payload 0 means that there is none, as all acceptors are new or have lost their memory. Then nothing is
+// granted until all grants of earlier coordinators have expired. A grant is valid for grantDuration from
+// the last request before it arrived, and may arrive late: this waits twice that long.
 func NewCoordinator(token, payload uint64, maxConcurrent int, grantDuration, now time.Duration) *Coordinator {
 	c := &Coordinator{
 		token:         token,
 		maxConcurrent: min(maxConcurrent, MaxSlots),
-		slotDuration:  grantDuration,
+		grantDuration: grantDuration,
 		grantsFrom:    now,
 		payload:       payload,
 		restarting:    DecodePayload(payload),
 		slots:         map[Limiter]slot{},
-		queryNonce:    uint32(now / time.Millisecond),
+		// Beyond the queries of earlier coordinators of this process, to which replies may still come.
+		queryNonce: uint32(now / time.Millisecond),
 	}
 	if payload == 0 {
 		c.grantsFrom = now + 2*grantDuration
@@ -74,13 +79,13 @@
 	return c
 }
 
-// Restarting returns the limiters that are restarting or have a slot.
+// Restarting returns the limiters that have a slot.
 func (c *Coordinator) Restarting() []Limiter { return c.restarting }
 
-// Payload returns the payload that a quorum has to accept before a slot is granted.
+// Payload returns the payload that a quorum has to accept before anything is granted.
 func (c *Coordinator) Payload() uint64 { return c.payload }
 
-// HandleRequest takes in a request for a slot.
+// HandleRequest handles a request for a slot and its grant.
 func (c *Coordinator) HandleRequest(now time.Duration, from Limiter, nonce uint32) {
 	for i := range c.waiting {
 		w := &c.waiting[i]
@@ -92,8 +97,8 @@
 	c.waiting = append(c.waiting, waitingRequest{from, nonce, now})
 }
 
-// HandleReply takes in the reply to a query. A limiter that serves and has no slot is back, or has never
-// left. A reply to an earlier query does not count: a slot may have been granted since.
+// HandleReply handles the reply to a query. A limiter that serves and has no grant is back, or has never
+// left. A reply to an earlier query does not count: the limiter may have got a grant since.
 func (c *Coordinator) HandleReply(from Limiter, m Message) {
 	s := c.slots[from]
 	if s.queried && s.queryNonce == m.Nonce && !m.HasSlot && m.Serving {
@@ -130,7 +135,7 @@
 	return out, due
 }
 
-// queries returns the queries that are due, to the limiters that are restarting.
+// queries returns the queries that are due, to the limiters that have a slot.
 func (c *Coordinator) queries(now time.Duration) (out []Envelope) {
 	if now < c.queriedAt+requestInterval {
 		return nil
@@ -149,8 +154,8 @@
 	return out
 }
 
-// grants returns the grants to requests that have a slot. They are sent again for each request, as they
-// may be lost.
+// grants returns the grants to limiters that have a slot and have requested it. A grant is sent again with
+// each repeated request, as it may be lost.
 func (c *Coordinator) grants(now time.Duration) (out []Envelope) {
 	for _, w := range c.waiting {
 		s := c.slots[w.limiter]
@@ -161,13 +166,13 @@
 		c.slots[w.limiter] = s
 		others := slices.DeleteFunc(slices.Clone(c.restarting), func(n Limiter) bool { return n == w.limiter })
 		out = append(out, Envelope{w.limiter, Message{
-			Kind: SlotGrant, Nonce: w.nonce, Token: c.token, ValidFor: c.slotDuration, Restarting: others,
+			Kind: SlotGrant, Nonce: w.nonce, Token: c.token, ValidFor: c.grantDuration, Restarting: others,
 		}})
 	}
 	return out
 }
 
-// assignSlot gives a free slot to the first request. It is granted once the payload is accepted.
+// assignSlot gives a free slot to the first request. The grant follows once the payload is accepted.
 func (c *Coordinator) assignSlot(now time.Duration) {
 	if len(c.waiting) == 0 || len(c.restarting) >= c.maxConcurrent {
 		return
--- a/internal/rollingrestart/message.go
+++ b/internal/rollingrestart/message.go
@@ -17,9 +17,9 @@
 const (
 	SlotRequest Kind = iota // requester: may it restart?
 	SlotGrant               // coordinator: it may, within ValidFor, while those in Restarting are restarting too
-	StatusQuery             // coordinator, to a limiter that is restarting: does it still have its slot?
+	StatusQuery             // coordinator, to a limiter that has a slot: does it still have its grant, and does it serve?
 	StatusReply             // requester: the reply to a StatusQuery
-	SlotRelease             // any limiter, to the coordinator: the one in Released will not come back
+	SlotRelease             // any limiter, to the coordinator: free the slot of Released, which will not come back
 	numKinds
 )
 
@@ -28,8 +28,8 @@
 	Kind       Kind
 	Nonce      uint32        // SlotRequest, SlotGrant: of the request; StatusQuery, StatusReply: of the query
 	Token      uint64        // SlotGrant, StatusQuery: fencing token of the coordinator's lease
-	ValidFor   time.Duration // SlotGrant: how long the slot is valid; whole milliseconds on the wire
-	HasSlot    bool          // StatusReply: the limiter has a slot
+	ValidFor   time.Duration // SlotGrant: how long the grant is valid; whole milliseconds on the wire
+	HasSlot    bool          // StatusReply: the limiter has a grant
 	Serving    bool          // StatusReply: the limiter serves
 	Released   Limiter       // SlotRelease
 	Restarting []Limiter     // SlotGrant: the others that are restarting
@@ -41,7 +41,8 @@
 	Message Message
 }
 
-// A datagram, big-endian. Its first byte is no version of the limiters' other messages.
+// A datagram, big-endian. Its first byte differs from every version number of the limiters' other
+// messages.
 //
 //	0  magic    14  ValidFor in ms, 4 bytes
 //	1  Kind     18  flags
--- a/internal/rollingrestart/payload.go
+++ b/internal/rollingrestart/payload.go
@@ -13,7 +13,7 @@
 	sequenceShift = MaxSlots * slotBits
 )
 
-// DecodePayload returns the limiters that are restarting by a payload.
+// DecodePayload returns the limiters that have a slot in a payload.
 func DecodePayload(payload uint64) (restarting []Limiter) {
 	for slot := range MaxSlots {
 		field := payload >> (slot * slotBits) & slotMask
--- a/internal/rollingrestart/requester.go
+++ b/internal/rollingrestart/requester.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Why a Requester lost a slot, as operators have seen it since 0.8.0.
+// Why a Requester lost a grant or did not accept it, as operators have seen it since 0.8.0.
 const (
 	reasonExpired   = "its turn has ended"
 	reasonLastOfSet = "the others that hold some customer are out"
@@ -12,18 +12,19 @@
 // NewRequester.
 type Requester struct {
 	wanted      bool
-	nonce       uint32 // of the request that may be granted; those of later ones are greater
+	nonce       uint32 // of the request that may be granted; counted up, so that earlier ones may not
 	requestedAt time.Duration
 	granted     bool
-	until       time.Duration
-	reason      string // why a slot was lost, or not accepted
+	until       time.Duration // of the grant
+	reason      string        // why a grant was lost, or not accepted
 }
 
-// NewRequester returns a requester that wants no slot. Its requests have nonces beyond the given one,
-// which is greater at each start of the limiter: grants to an earlier incarnation do not count.
+// NewRequester returns a requester that does not want to restart. Its requests have nonces that count up
+// from the given one: the epoch of the limiter's start, in ms modulo 2^32. They only have to differ from
+// those of earlier incarnations, so that grants to these do not count.
 func NewRequester(nonce uint32) Requester { return Requester{nonce: nonce} }
 
-// SetWanted sets whether a slot is wanted. One that is granted and no longer wanted is given up.
+// SetWanted sets whether a restart is wanted. A grant that is no longer wanted is given up.
 func (r *Requester) SetWanted(wanted bool) {
 	r.wanted = wanted
 	if !wanted {
@@ -33,14 +34,14 @@
 	r.requestedAt, r.reason = 0, ""
 }
 
-// Slot reports whether a restart may begin now, and until when; whether a slot is wanted; and why the
-// last one was lost or not accepted.
+// Slot reports whether a restart may begin now, and until when; whether a restart is wanted; and why the
+// last grant was lost or not accepted.
 func (r *Requester) Slot(now time.Duration) (until time.Duration, granted, wanted bool, reason string) {
 	r.expire(now)
 	return r.until, r.granted, r.wanted, r.reason
 }
 
-// expire gives up a slot that is no longer valid.
+// expire gives up a grant that is no longer valid.
 func (r *Requester) expire(now time.Duration) {
 	if r.granted && now >= r.until {
 		r.SetWanted(false)
@@ -65,12 +66,12 @@
 	return Message{Kind: SlotRequest, Nonce: r.nonce}, true, now + requestInterval
 }
 
-// HandleGrant accepts a slot, if it was granted to the last request. It does not if this limiter would
-// be the only one left for some customer, as isLast reports of those that are restarting; then it
-// requests a slot anew.
+// HandleGrant accepts a grant to the last request. It does not if isLast reports that this limiter is the
+// only one left for some customer while the others restart; then it sends a new request.
 //
-// The slot is valid from the request on, for less than ValidFor by this clock: the coordinator's may
-// run slower by clockDrift, a fraction.
+// The grant is valid from the request on, for less than ValidFor by this clock. ClockDrift is the most by
+// which the rate of any one clock is off from true time, as a fraction, so that the coordinator's clock
+// and this one differ by up to twice that.
 func (r *Requester) HandleGrant(now time.Duration, m Message, clockDrift float64, isLast func(restarting []Limiter) bool) {
 	if !r.wanted || r.granted || m.Nonce != r.nonce {
 		return
@@ -85,8 +86,8 @@
 	r.expire(now)
 }
 
-// HandleQuery returns the reply to a coordinator's query. A limiter that reports no slot accepts none
-// that was granted before: another limiter may have it by now.
+// HandleQuery returns the reply to a coordinator's query. A limiter that reports no grant accepts none
+// that was sent before: its slot may be another limiter's by now.
 func (r *Requester) HandleQuery(now time.Duration, m Message, serving bool) Message {
 	r.expire(now)
 	if !r.granted {
