--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -16,10 +16,14 @@
 // Collector collects the usage of one period from all limiters, for the lease holder. It is not safe
 // for concurrent use; see NewCollector.
 type Collector struct {
-	Period          uint32
-	Previous        uint32 // the period before; 0 if unknown
-	MayRepeat       bool   // an earlier lease holder may have written a report of it
-	KnowsAllReports bool   // the lease holder knows of all reports before
+	Period   uint32
+	Previous uint32 // the period before; 0 if unknown
+	// MayRepeat means that an earlier lease holder may have written a report of the period already: this
+	// one counts only if there is no other.
+	MayRepeat bool
+	// KnowsAllReports means that the lease holder knows of all reports before, so that a period beyond
+	// reportedUpTo is in none. The caller sets it before the first Tick.
+	KnowsAllReports bool
 	Token           uint64 // fencing token of the lease holder
 
 	reportedUpTo  []uint32 // by limiter: the last period whose usage is in a report
@@ -28,7 +32,7 @@
 	sources       []source      // by limiter
 	nextSource    int           // index of the source to query next
 	incomplete    int           // sources that are neither complete nor missing
-	pendingPeriod uint32        // see PendingPeriod
+	pendingPeriod uint32        // see PendingPeriod; 0 for none
 }
 
 // source is what has come from one limiter.
@@ -58,12 +62,12 @@
 // limiter, the last period whose usage is known to be in a report. Queries are sent queryInterval apart,
 // whatever the size of the tier. See Collector for the other arguments.
 func NewCollector(
-	period, previous uint32, reportedUpTo []uint32, mayBeReported bool, token uint64, queryInterval, now time.Duration,
+	period, previous uint32, reportedUpTo []uint32, mayRepeat bool, token uint64, queryInterval, now time.Duration,
 ) *Collector {
 	return &Collector{
 		Period:        period,
 		Previous:      previous,
-		MayRepeat:     mayBeReported,
+		MayRepeat:     mayRepeat,
 		Token:         token,
 		reportedUpTo:  reportedUpTo,
 		queryInterval: queryInterval,
@@ -98,9 +102,9 @@
 	return count
 }
 
-// PendingPeriod returns the greatest period that some limiter has closed and of which this lease holder,
-// who knows of no reports before, cannot say whether there is a report; 0 for none. It has to be
-// reported, again, before this one.
+// PendingPeriod returns the greatest period before this one that some limiter has closed and that may be in
+// a report or not, as this lease holder knows of no reports before; 0 for none. A report of it, with
+// MayRepeat, has to be written before that of this period.
 func (c *Collector) PendingPeriod() uint32 { return c.pendingPeriod }
 
 // Tick returns the query that is due, and when it has to be called again; 0 for never.
@@ -153,7 +157,7 @@
 	c.incomplete--
 }
 
-// HandleMessage takes in a datagram, and reports whether it is a reply to a query.
+// HandleMessage handles a datagram, and reports whether it is a reply to a query.
 func (c *Collector) HandleMessage(from Limiter, data []byte) bool {
 	if pending, ok := ParsePendingReport(data); ok {
 		c.onPendingReport(from, pending)
@@ -166,8 +170,8 @@
 	return ok
 }
 
-// onPendingReport takes in that a limiter has closed another period. If that one cannot be reported
-// before this one, the limiter's usage of this period is out of reach.
+// onPendingReport handles the reply of a limiter that has closed another period. If that period cannot be
+// reported before this one, the limiter's usage is missing from this report.
 func (c *Collector) onPendingReport(from Limiter, pending PendingReport) {
 	if c.KnowsAllReports || int(from) >= len(c.sources) {
 		return // a late one
@@ -181,8 +185,8 @@
 	}
 }
 
-// onPage takes in the next page of a limiter. Pages of an earlier incarnation are dropped: it died
-// before the last one.
+// onPage handles the next page of a limiter. If the limiter has started again since, the pages of its
+// earlier incarnation are dropped.
 func (c *Collector) onPage(from Limiter, p Page) {
 	if int(from) >= len(c.sources) || p.Period != c.Period {
 		return
--- a/internal/usage/entry.go
+++ b/internal/usage/entry.go
@@ -11,7 +11,8 @@
 // UnitParts is how many parts a unit is counted in.
 const UnitParts = 1000
 
-// OverflowCustomer is the name of all customers that a full recorder has no room for.
+// OverflowCustomer is the name under which a recorder counts the customers that it has no room for, or
+// whose names are longer than 64 bytes.
 const OverflowCustomer = ""
 
 // Key is a customer on a plan.
@@ -24,7 +25,7 @@
 	return cmp.Or(cmp.Compare(k.Customer, other.Customer), cmp.Compare(k.Plan, other.Plan))
 }
 
-// Entry is the usage of one customer.
+// Entry is the usage of one customer on one plan.
 type Entry struct {
 	Key
 	Units uint64 `json:"Units"` // in parts of a unit
@@ -51,7 +52,7 @@
 // of hexDigits lower case hexadecimal digits, as customers usually have, goes as hexNameFlag and half
 // as many bytes.
 const (
-	maxNameBytes = 64
+	maxNameBytes = 64 // see OverflowCustomer
 	hexDigits    = 16
 	hexNameFlag  = byte(0x80)
 )
--- a/internal/usage/message.go
+++ b/internal/usage/message.go
@@ -15,8 +15,8 @@
 	Page            uint16
 	ReportedUpTo    uint32 // the limiter's usage up to this period is in a report
 	Token           uint64 // fencing token of the lease holder
-	KnowsAllReports bool   // a closed period beyond ReportedUpTo is in no report, and becomes part of this one
-	MayRepeat       bool   // there may be a report of the period: a limiter that has not closed it leaves it open
+	KnowsAllReports bool   // see Collector.KnowsAllReports; a closed period beyond ReportedUpTo becomes part of this one
+	MayRepeat       bool   // see Collector.MayRepeat; a limiter that has not closed the period leaves it open
 }
 
 // PendingReport is the reply of a limiter that has closed another period, to a lease holder that does
@@ -27,14 +27,14 @@
 type Page struct {
 	Period      uint32
 	Incarnation uint32 // of the limiter
-	FirstPeriod uint32 // the first period that is included; 0 if it is the first one of the incarnation
+	FirstPeriod uint32 // the first period whose usage is included; 0 for all since the incarnation's start
 	Page        uint16
 	Pages       uint16 // how many there are
 	Entries     []byte // packed
 }
 
-// A datagram, big-endian: magic, its kind, the fields in their order, a checksum. The first byte is no
-// version of the limiters' other messages.
+// A datagram, big-endian: magic, its kind, the fields in their order, a checksum. The first byte differs
+// from every version number of the limiters' other messages.
 const (
 	magic            = 'U'
 	kindBytes        = 2   // magic and kind
@@ -44,8 +44,8 @@
 	maxPageBytes     = maxSize - kindBytes - pageHeaderBytes - checksum.Size
 
 	flagKnowsAllReports = 1 << 0
-	flagMayBeReported   = 1 << 1
-	allFlags            = flagKnowsAllReports | flagMayBeReported
+	flagMayRepeat       = 1 << 1
+	allFlags            = flagKnowsAllReports | flagMayRepeat
 )
 
 const (
@@ -73,7 +73,7 @@
 		flags |= flagKnowsAllReports
 	}
 	if p.MayRepeat {
-		flags |= flagMayBeReported
+		flags |= flagMayRepeat
 	}
 	order := binary.BigEndian
 	data = append(data, magic, kindPageRequest)
@@ -98,7 +98,7 @@
 		ReportedUpTo:    order.Uint32(data[6:]),
 		Token:           order.Uint64(data[10:]),
 		KnowsAllReports: data[18]&flagKnowsAllReports != 0,
-		MayRepeat:       data[18]&flagMayBeReported != 0,
+		MayRepeat:       data[18]&flagMayRepeat != 0,
 	}, true
 }
 
--- a/internal/usage/recorder.go
+++ b/internal/usage/recorder.go
@@ -7,30 +7,35 @@
 // its limiter, whatever the clocks. A closed period is kept until a report that includes it is known to
 // be written; otherwise it becomes part of the next period.
 //
+// A period is known by its number: the wall clock of the lease holder that begins to collect it, divided
+// by the length of a period, or one more than the last period's number if that is greater. 0 is no
+// period.
+//
 // docs/design/leases.md says what is promised, and why it holds.
 package usage
 
-// maxCustomers bounds a recorder: the usage of further customers is that of OverflowCustomer.
-const maxCustomers = 1 << 16
+// maxKeys bounds the keys of a recorder: the usage of further ones is that of OverflowCustomer.
+const maxKeys = 1 << 16
 
 // Recorder records what one limiter forwarded. It is not safe for concurrent use; see NewRecorder.
 type Recorder struct {
 	incarnation uint32
 	open        map[Key]uint64 // in parts of a unit
-	closed      *closedPeriod  // not known to be reported; nil for none
+	closed      *closedPeriod  // the last one, while it is not known to be in a report; nil for none
 	lastClosed  uint32         // the last period closed by this incarnation; 0 for none
 	token       uint64         // the greatest fencing token of a request
 }
 
-// closedPeriod is the usage of a period that is over, and of what lies between the one before and it.
+// closedPeriod is the usage since the last period that is known to be in a report, up to the end of this
+// one.
 type closedPeriod struct {
 	Period      uint32   `json:"Period"`
-	FirstPeriod uint32   `json:"From"` // that is included; 0 if it is the first one of the incarnation
+	FirstPeriod uint32   `json:"From"` // see Page.FirstPeriod
 	Pages       [][]byte `json:"Pages"`
 }
 
-// NewRecorder returns an empty recorder. The incarnation differs from those of other processes of its
-// limiter.
+// NewRecorder returns an empty recorder. The incarnation has to differ from those of the other processes
+// of its limiter.
 func NewRecorder(incarnation uint32) *Recorder {
 	return &Recorder{incarnation: incarnation, open: map[Key]uint64{}}
 }
@@ -41,36 +46,37 @@
 		return
 	}
 	_, known := r.open[k]
-	if !known && (len(r.open) >= maxCustomers || len(k.Customer) > maxNameBytes) {
+	if !known && (len(r.open) >= maxKeys || len(k.Customer) > maxNameBytes) {
 		k.Customer = OverflowCustomer
 	}
 	r.open[k] += parts(units)
 }
 
-// HandleRequest returns the reply to a request: a page, or a pending report that comes first. It is
-// false for a request of a former lease holder, or for a period that was reported long ago.
+// HandleRequest returns the reply to a request: a Page, or a PendingReport if another period is closed
+// that may have to be reported first. There is no reply to a request of a former lease holder, nor to one
+// for a period that was closed and is no longer kept.
 func (r *Recorder) HandleRequest(p PageRequest) (reply []byte, ok bool) {
-	if p.Token < r.token {
+	if p.Token < r.token { // from a former lease holder
 		return nil, false
 	}
 	r.token = p.Token
-	if r.closed != nil && r.closed.Period <= p.ReportedUpTo {
+	if r.closed != nil && r.closed.Period <= p.ReportedUpTo { // a report has it
 		r.closed = nil
 	}
 	if p.Period > r.lastClosed {
 		switch {
-		case r.closed != nil && !p.KnowsAllReports:
+		case r.closed != nil && !p.KnowsAllReports: // an earlier period may be in a report or not
 			return PendingReport{r.closed.Period}.Append(nil), true
-		case p.MayRepeat:
+		case p.MayRepeat: // open usage must not go into a report that may not count
 			return r.emptyPage(p), true
 		}
-		r.closePeriod(p.Period)
+		r.closePeriod(p.Period) // the first request for it
 	}
 	return r.reply(p)
 }
 
-// emptyPage is the reply where the period may be reported without this limiter's open usage: a repeated
-// report counts only where there is no other one, so that usage stays in a later period.
+// emptyPage returns the reply to a request that may repeat a report. Such a report counts only if there is
+// no other one of its period, so the open usage is kept for a later period.
 func (r *Recorder) emptyPage(p PageRequest) []byte {
 	return Page{Period: p.Period, Incarnation: r.incarnation, FirstPeriod: p.Period, Pages: 1}.Append(nil)
 }
@@ -78,14 +84,14 @@
 // reply returns the page of the closed period that was requested.
 func (r *Recorder) reply(p PageRequest) (reply []byte, ok bool) {
 	c := r.closed
-	if c != nil && c.Period > p.Period {
+	if c != nil && c.Period > p.Period { // the usage of p.Period is part of it, or in a report
 		return PendingReport{c.Period}.Append(nil), true
 	}
-	if c == nil || c.Period != p.Period {
+	if c == nil || c.Period != p.Period { // no longer kept
 		return nil, false
 	}
 	if int(p.Page) >= len(c.Pages) {
-		p.Page = 0 // the collector goes on from an earlier incarnation, and finds out by this page
+		p.Page = 0 // the collector has pages of an earlier incarnation, and learns it from this page
 	}
 	return Page{
 		Period:      p.Period,
@@ -97,8 +103,8 @@
 	}.Append(nil), true
 }
 
-// closePeriod closes the open period. One that was closed before and is in no report is included, and
-// FirstPeriod says so.
+// closePeriod closes the open period. A period that was closed before and is in no report becomes part of
+// it, see Page.FirstPeriod.
 func (r *Recorder) closePeriod(period uint32) {
 	c := closedPeriod{Period: period}
 	if r.lastClosed > 0 {
@@ -141,13 +147,15 @@
 	return float64(sum) / UnitParts
 }
 
-// Reset begins a new incarnation, after another process of the limiter recorded in place of this one
-// and died: what it recorded is lost, as with a start.
+// Reset begins a new incarnation, after another process of the limiter recorded in place of this one and
+// died. The usage that the other process recorded is lost. The closed period of this one is dropped: the
+// other had it from the state, and may have had it reported. The open usage of this process is kept.
 func (r *Recorder) Reset(incarnation uint32) {
 	r.incarnation, r.lastClosed, r.closed = incarnation, 0, nil
 }
 
-// RecorderState is what a recorder remembers, for another process of the same limiter.
+// RecorderState is what a recorder remembers, for another process of the same limiter. The tags are a
+// format that processes of other releases read.
 type RecorderState struct {
 	Incarnation uint32        `json:"Life"`
 	Last        uint32        `json:"Last"` // period closed last
@@ -163,7 +171,7 @@
 	return s
 }
 
-// Add records usage while the state is in transit.
+// Add records usage in a state that was not restored yet.
 func (s *RecorderState) Add(k Key, units float64) {
 	s.Open = append(s.Open, Entry{k, parts(max(units, 0))})
 }
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -11,19 +11,23 @@
 // maxLineBytes is the longest line of a file that is read.
 const maxLineBytes = 64 << 20
 
-// Report is the usage of a period: a line of a file.
+// Report is the usage of a period: a line of a file. The tags that differ from the names of their fields
+// are read by operators' scripts.
 type Report struct {
 	Period    uint32 `json:"period"`
 	Previous  uint32 `json:"after"`           // the period before; 0 if unknown
 	Token     uint64 `json:"token"`           // fencing token of the lease holder
 	Limiter   int    `json:"limiter"`         // that wrote it
 	At        string `json:"at"`              // by its wall clock
-	MayRepeat bool   `json:"again,omitempty"` // it counts only if no other report has the period
-	Missing   []int  `json:"missing,omitempty"`
+	MayRepeat bool   `json:"again,omitempty"` // see Collector.MayRepeat
+	// Missing are the limiters whose usage is not in this report, as they did not reply in time or had
+	// closed another period. It may be in a later one, see Since.
+	Missing []int `json:"missing,omitempty"`
 	// Restarted are the limiters that have started since the report before: what they used before that
 	// and had not reported is lost.
 	Restarted []int `json:"anew,omitempty"`
-	// Since has the limiters whose usage is also that of earlier periods, and the first of these.
+	// Since has, by limiter, the first period whose usage is in this report, unless it is Period or the one
+	// after Previous.
 	Since map[string]uint32 `json:"since,omitempty"`
 	Usage []CustomerUsage   `json:"use"`
 }
@@ -48,8 +52,8 @@
 	return list
 }
 
-// ReadReports reads the lines of a file. Lines that are no reports, as one that was cut short, are left
-// out, and their numbers returned. The error is that of the reader, or of a line that is too long.
+// ReadReports reads the lines of a file. Lines that are not reports, such as one that was cut short, are
+// left out, and their numbers returned. The error is that of the reader, or of a line that is too long.
 func ReadReports(r io.Reader) (reports []Report, badLines []int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
--- a/internal/usage/summary.go
+++ b/internal/usage/summary.go
@@ -15,8 +15,8 @@
 	Faults  []string        // what is missing, in doubt or repeated, a line each
 }
 
-// Merge merges the reports of all files. Of the reports of a period the one counts that is no repetition,
-// of several the one with the least token; a second one that is no repetition is a fault.
+// Merge merges the reports of all files. One report of each period counts: one without MayRepeat before one
+// with it, and then the one with the least token. A second one without MayRepeat is a fault.
 func Merge(reports []Report) Summary {
 	var s Summary
 	s.addReports(reports)
@@ -49,7 +49,7 @@
 	}
 }
 
-// compareReports orders reports by period. Of a period the one that counts comes first.
+// compareReports orders reports by period, and those of one period so that the one that counts is first.
 func compareReports(a, b Report) int {
 	return cmp.Or(
 		cmp.Compare(a.Period, b.Period),
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -147,12 +147,12 @@
 // A recorder has room for so many customers and no more; the usage of the others is added up.
 func TestFullRecorder(t *testing.T) {
 	r := NewRecorder(1)
-	for i := range maxCustomers + 50 {
+	for i := range maxKeys + 50 {
 		r.Add(Key{fmt.Sprintf("%016x", i), 0}, 1)
 	}
 	r.Add(Key{strings.Repeat("n", maxNameBytes+1), 0}, 1)
 	overflow := r.open[Key{OverflowCustomer, 0}]
-	if len(r.open) != maxCustomers+1 || overflow != 51*UnitParts || r.UnreportedUnits(0) != maxCustomers+51 {
+	if len(r.open) != maxKeys+1 || overflow != 51*UnitParts || r.UnreportedUnits(0) != maxKeys+51 {
 		t.Errorf("%d customers, overflow %d", len(r.open), overflow)
 	}
 }
