--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// clockStart is what a clock shows at the start of the program. It is long enough that every start of a
-// backend that still matters is after zero.
+// clockStart is what a clock shows at the start of the program. A backend that started before zero counts
+// as one that started long ago, so slow start must not last longer than this.
 const clockStart = time.Hour
 
 // Clock shows the time since its zero.
@@ -16,7 +16,7 @@
 // NewClock returns a clock that runs at a rate, which is other than 1 only in tests.
 func NewClock(rate float64) Clock { return newClockAt(clockStart, rate) }
 
-// newClockAt returns a clock that shows a time now: that of another process.
+// newClockAt returns a clock that goes on from the time that another process's clock shows now.
 func newClockAt(now time.Duration, rate float64) Clock {
 	setAt := time.Now()
 	return Clock{zero: setAt.Add(-now), setAt: setAt, rate: rate}
--- a/internal/eventloop/edges.go
+++ b/internal/eventloop/edges.go
@@ -70,7 +70,7 @@
 }
 
 // openListeners opens the sockets that the configuration names, and serves on them. With wait, it waits
-// for a process that ends to give up their addresses; the loop has nothing else to do yet.
+// for a process that ends to give up their addresses. It blocks the loop, which has nothing else to do yet.
 func (l *Loop) openListeners(wait bool) error {
 	c := l.config
 	var listener net.Listener
@@ -103,7 +103,8 @@
 	return listener, nil
 }
 
-// openAddress calls open, with wait as long as another process has the address.
+// openAddress calls open; with wait, again and again while another process has the address, for
+// addressTimeout at most.
 func (l *Loop) openAddress(wait bool, open func() error) error {
 	begin := time.Now()
 	for logged := false; ; time.Sleep(addressRetryInterval) {
@@ -178,7 +179,9 @@
 	}
 }
 
-// setReady sets what health checks are answered.
+// setReady sets what health checks of this process report, by both servers. It is called when the process
+// begins to serve and when it begins to drain. The health check of the administration server is also set
+// by setAcceptingClients; the later call counts.
 func (l *Loop) setReady(ready bool) {
 	if l.server != nil {
 		l.server.SetReady(ready)
@@ -194,8 +197,8 @@
 	}
 }
 
-// closeServer closes the server, and posts when it is closed. Its goroutine ends by then, within a
-// duration.
+// closeServer closes the server, within a duration, and posts that it is closed. Its goroutine ends after
+// that.
 func (l *Loop) closeServer(within time.Duration) {
 	server := l.server
 	go func() {
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -26,8 +26,11 @@
 
 // otherProcess is what a Loop has of the other process of a hot restart. It belongs to the goroutine of
 // Run.
+//
+// The core learns of the end of a link by LinkClosed, in the same step in which link becomes nil here, or
+// closes it itself. It emits KillOtherProcess, TransferState and MoveClientConns only while there is a
+// link; these do not check it.
 type otherProcess struct {
-	path       string         // where successors connect
 	link       *link.Conn     // the current one; nil for none
 	successors *link.Listener // nil until successors may connect
 }
@@ -48,9 +51,13 @@
 	clientConn []*os.File
 }
 
-// unwrapLinkEvent returns the event that came over a link, and reports whether it is for the core. Other
-// events pass.
-func (l *Loop) unwrapLinkEvent(ev core.Event) (core.Event, bool) {
+// receiveLinkEvent returns the event for the core that an event from the edges contains, and reports
+// whether there is one. An event that did not come over a link is returned as it is. Of those that did:
+//
+//   - a client connection is served here, and is not for the core;
+//   - an event of a former link is dropped, and its sockets closed;
+//   - the end of the current link makes it a former one.
+func (l *Loop) receiveLinkEvent(ev core.Event) (core.Event, bool) {
 	received, ok := ev.(linkEvent)
 	if !ok {
 		return ev, true
@@ -63,7 +70,8 @@
 		closeSockets(received.Event)
 		return nil, false
 	}
-	if _, closed := received.Event.(core.LinkClosed); closed {
+	_, closed := received.Event.(core.LinkClosed)
+	if closed {
 		l.other.link = nil
 	}
 	return received.Event, true
@@ -83,7 +91,7 @@
 	}
 }
 
-// carryOutHotRestart carries out an effect that concerns the other process, or hands it on.
+// carryOutHotRestart carries out an effect that concerns the other process, or passes it to sendEffect.
 func (l *Loop) carryOutHotRestart(e core.Effect) {
 	switch e := e.(type) {
 	case core.ConnectPredecessor:
@@ -146,8 +154,8 @@
 	}
 }
 
-// sendFrame sends a frame with a body, nil for none. One that cannot be sent is on a link that has ended,
-// which its reader posts.
+// sendFrame sends a frame with a body, nil for none. If it cannot be sent, the link has ended, and the
+// goroutine that reads from it posts LinkClosed.
 func (l *Loop) sendFrame(kind uint8, body any) {
 	if l.other.link == nil {
 		return
@@ -164,6 +172,7 @@
 	l.other.link.Send(kind, data)
 }
 
+// closeLink closes the link after what was sent. Events that still come over it do not count.
 func (l *Loop) closeLink() {
 	if l.other.link != nil {
 		l.other.link.CloseAfterFlush()
@@ -171,7 +180,7 @@
 	}
 }
 
-// hello returns what this process says of itself.
+// hello returns the body of this process's Hello.
 func (l *Loop) hello() helloFrame {
 	return helloFrame{
 		Format: frameFormat,
@@ -181,14 +190,15 @@
 	}
 }
 
-// connectPredecessor connects to the process that runs, if there is one, and says hello. The goroutine
-// that reads from it ends with the link.
+// connectPredecessor connects to the process that runs, if there is one, and sends Hello. The goroutine
+// that reads from it ends once the link has ended and that is posted. If no process can be connected to,
+// it posts LinkClosed.
 func (l *Loop) connectPredecessor() {
-	l.other.path = l.config.HotRestart.SocketPath(l.config.Name)
-	c, err := link.Dial(l.other.path)
-	if err != nil {
+	c, err := link.Dial(l.successorPath())
+	if err != nil { // at the first start there is no predecessor, so this is no warning
 		l.log.Debug("no process to take over from", zap.Error(err))
-		// In a goroutine of its own, which ends when the loop has read it: the loop is in this call.
+		// In a goroutine of its own, which ends once the event is queued: the loop, which reads the queue,
+		// is in this call.
 		go l.post(linkEvent{Event: core.LinkClosed{Epoch: newEpoch()}})
 		return
 	}
@@ -198,16 +208,20 @@
 	go l.readLink(c)
 }
 
-// newEpoch returns the epoch of a limiter that starts now, see package config.
+// successorPath is where successors connect to a process of this limiter.
+func (l *Loop) successorPath() string { return l.config.HotRestart.SocketPath(l.config.Name) }
+
+// newEpoch returns the epoch of a limiter that starts now: the wall clock in ms, modulo 2^32. It wraps every
+// 49.7 days, so epochs differ from start to start but do not only grow.
 func newEpoch() uint32 { return uint32(time.Now().UnixMilli()) }
 
-// acceptSuccessors lets successors connect to this process. Without Unix sockets none can. Its goroutine
-// ends when otherProcess is closed.
+// acceptSuccessors lets successors connect to this process. If it cannot listen, this process serves
+// without. Its goroutine ends when otherProcess is closed, or when no connection can be accepted.
 func (l *Loop) acceptSuccessors() {
 	if l.config.HotRestart == nil || l.other.successors != nil {
 		return
 	}
-	successors, err := link.Listen(l.other.path)
+	successors, err := link.Listen(l.successorPath())
 	if err != nil {
 		l.log.Info("no successor can take over", zap.Error(err))
 		return
@@ -217,19 +231,19 @@
 		for {
 			c, err := successors.Accept()
 			if err != nil {
-				return
+				return // a successor finds nobody who replies, and starts when the address is free
 			}
-			go l.greetSuccessor(c) // ends with its link
+			go l.greetSuccessor(c) // ends once its link has ended and that is posted
 		}
 	}()
 }
 
-// greetSuccessor reads the hello of a process that has connected, posts it, and reads on.
+// greetSuccessor reads the Hello of a process that has connected, posts SuccessorConnected, and reads on.
 func (l *Loop) greetSuccessor(c *link.Conn) {
 	f, err := c.Read()
 	var hello helloFrame
 	if err != nil || f.Kind != uint8(hotrestart.Hello) || frameCodec.Unmarshal(f.Body, &hello) != nil {
-		c.Close()
+		c.Close() // not a successor, or dead already: nobody to send Deny
 		return
 	}
 	l.post(&core.SuccessorConnected{Link: c, Reason: hello.mismatch(l.hello())})
@@ -239,7 +253,7 @@
 func (l *Loop) denySuccessor(e core.DenySuccessor) {
 	c := e.Link.(*link.Conn)
 	l.log.Info("successor denied", zap.Int("pid", c.PID()), zap.String("reason", e.Reason))
-	c.Send(uint8(hotrestart.Deny), []byte(e.Reason))
+	c.Send(uint8(hotrestart.Deny), []byte(e.Reason)) // a successor that has ended needs no reply
 	c.CloseAfterFlush()
 }
 
@@ -266,8 +280,8 @@
 	}
 }
 
-// transferState sends a successor the state, the listener of clients and the socket of peers. One that
-// cannot read the state takes over without it.
+// transferState sends a successor the state, the listener of clients and the socket of peers. A successor
+// that cannot read the state takes over without it.
 func (l *Loop) transferState(state core.HandoverState) {
 	body, err := frameCodec.Marshal(newStateFrame(state))
 	if err != nil {
@@ -282,7 +296,7 @@
 
 // adoptSockets serves on the sockets that the predecessor sent, by its clock.
 func (l *Loop) adoptSockets(e core.AdoptSockets) error {
-	files, _ := e.Sockets.([]*os.File)
+	files, _ := e.Sockets.([]*os.File) // none is errNoListener below
 	defer closeFiles(files)
 	listener, err := l.adoptListeners(files)
 	if err != nil {
@@ -331,15 +345,14 @@
 	}
 }
 
-// moveClientConns moves the client connections between requests to the successor, now and as they get
-// there.
+// moveClientConns moves the idle client connections to the successor, now and as they become idle.
 func (l *Loop) moveClientConns() {
 	successor := l.other.link
 	l.server.MoveConns(func(c syscall.Conn) error { return successor.SendSync(frameClientConn, nil, c) })
 }
 
 // adoptClientConns serves client connections that the predecessor moved here, once the server is there.
-// The goroutine for each ends by then, or with the loop.
+// The goroutine for each ends after that, or with the loop.
 func (l *Loop) adoptClientConns(files []*os.File) {
 	for _, f := range files {
 		conn, err := net.FileConn(f)
@@ -359,7 +372,9 @@
 	}
 }
 
-// setAcceptingClients sets which of the two processes is ready by its administration server.
+// setAcceptingClients sets whether the health check of this process's administration server is ready, by
+// which operators see which of two processes accepts clients. The server for clients stays as setReady left
+// it: a predecessor still serves the connections that it has.
 func (l *Loop) setAcceptingClients(accepting bool) {
 	if l.admin != nil {
 		l.admin.SetReady(accepting)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -37,7 +37,7 @@
 	loadAgain func() (*config.Config, error)
 	setShare  func(fraction float64) // see Controls.Share; may be nil
 
-	clock  atomic.Pointer[Clock] // set anew by a hot restart; read from any goroutine
+	clock  atomic.Pointer[Clock] // replaced in a hot restart; read from any goroutine
 	core   *core.Machine
 	events chan core.Event
 	timer  *time.Timer
@@ -135,8 +135,8 @@
 // now returns the time of the program's clock. It may be called from any goroutine.
 func (l *Loop) now() time.Duration { return l.clock.Load().Now() }
 
-// post hands an event to the loop. It may be called from any goroutine but the loop's, and returns
-// without doing so once the loop has ended.
+// post hands an event to the loop, and waits while the queue is full. It may be called from any goroutine
+// but the loop's, and returns without handing it over once the loop has ended.
 func (l *Loop) post(ev core.Event) {
 	select {
 	case l.events <- ev:
@@ -166,7 +166,7 @@
 
 // step hands an event to the core, and carries out what it returns.
 func (l *Loop) step(ev core.Event) {
-	ev, ok := l.unwrapLinkEvent(ev)
+	ev, ok := l.receiveLinkEvent(ev)
 	if !ok {
 		return
 	}
@@ -199,9 +199,9 @@
 	case core.PublishMetrics:
 		l.admin.Publish(e.Metrics)
 	case core.ReloadConfig:
-		go l.reload() // ends when the file is read
+		go l.reload() // ends once the file is read and the outcome posted
 	case core.WriteUsage:
-		go l.writeUsage(e) // ends when the disk has answered
+		go l.writeUsage(e) // ends once the disk has answered and the outcome is posted
 	case core.Log:
 		l.log.Info(e.Text)
 	case core.Exit:
@@ -211,7 +211,7 @@
 	}
 }
 
-// carryOutUpstream carries out an effect on the backends, or hands it on.
+// carryOutUpstream carries out an effect on the backends, or passes it to carryOutHotRestart.
 func (l *Loop) carryOutUpstream(e core.Effect) {
 	switch e := e.(type) {
 	case core.StartAttempt:
@@ -229,7 +229,8 @@
 	}
 }
 
-// reload reads the configuration again and posts what it says.
+// reload reads the configuration again and posts the address of discovery, all that may change while the
+// program runs.
 func (l *Loop) reload() {
 	c, err := l.loadAgain()
 	if err != nil {
--- a/internal/eventloop/usagefile.go
+++ b/internal/eventloop/usagefile.go
@@ -14,16 +14,16 @@
 // usageFileMode lets all users read the files of usage reports.
 const usageFileMode = 0o644
 
-// usageFile returns the file of the reports under a fencing token. A report that is written too late
-// goes to the file of a former lease holder, and can hide none of another one.
+// usageFile returns the file of the reports under a fencing token. Each lease has a file of its own, so
+// that a report that is written after its lease has ended cannot damage those of a later lease holder.
 func usageFile(dir string, token uint64) string {
 	return filepath.Join(dir, fmt.Sprintf("use-%020d.jsonl", token))
 }
 
-// errLeaseExpired is the error of a report that is not written, as its lease has ended.
+// errLeaseExpired means that a report was not written, as its lease had ended.
 var errLeaseExpired = errors.New("lease has expired")
 
-// writeUsage writes a usage report, unless the lease that it is under has ended, and posts the outcome.
+// writeUsage writes a usage report, unless its lease has ended, and posts the outcome.
 func (l *Loop) writeUsage(e core.WriteUsage) {
 	isExpired := func() bool { return l.now() >= e.StartBefore }
 	err := appendReport(usageFile(l.config.Usage.Dir, e.Token), e.Report, isExpired)
