--- a/internal/eventloop/frames.go
+++ b/internal/eventloop/frames.go
@@ -21,7 +21,7 @@
 // mapped to the types of package core. Bodies are JSON, so that releases that know more fields than others
 // understand each other. Kinds and field tags are a format that other releases read.
 
-// frameFormat is the version of the format. A process of another one is denied, and waits until the
+// frameFormat is the version of the format. A successor with another version is denied, and starts when the
 // listening address is free.
 const frameFormat = 1
 
@@ -51,7 +51,7 @@
 	Peers  string `json:"Peers"` // listening address for peers
 }
 
-// mismatch returns why a process is no successor of this one, "" if it is one.
+// mismatch returns why a process cannot be the successor of this one, "" if it can.
 func (f helloFrame) mismatch(own helloFrame) string {
 	switch {
 	case f.Format != own.Format:
@@ -271,7 +271,7 @@
 	return f
 }
 
-// respond returns the response, and errMissingResponse if it is one of a backend that has no content.
+// respond returns the response, and errMissingResponse if a backend's response has no content.
 func (f forwardedResponseFrame) respond() (core.Respond, error) {
 	r := core.Respond{Request: f.Request, Kind: f.Kind, RetryAfter: f.RetryAfter, Response: f.Content.content()}
 	if f.Content == nil && f.Kind == core.Served {
@@ -342,7 +342,7 @@
 	}
 }
 
-// decode returns the event of a frame. It has none with an error, and none for frameClientConn.
+// decode returns the event of a frame: nil with an error, and nil for frameClientConn.
 func decode(f link.Frame) (core.Event, error) {
 	ev, err := decodeBody(f)
 	if err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -42,7 +42,7 @@
 	events chan core.Event
 	timer  *time.Timer
 	exit   bool       // core.Exit came
-	failed chan error // why the program cannot go on
+	failed chan error // why the program has to stop
 
 	// ctx is done once the loop has ended: edges post nothing any longer.
 	ctx    context.Context
@@ -71,7 +71,7 @@
 }
 
 // Run serves until a shutdown is complete, and then returns nil. It returns an error if the program
-// could not serve, or not go on.
+// could not begin to serve, or had to stop.
 func Run(c *config.Config, clock Clock, log *zap.Logger, controls Controls) error {
 	l := &Loop{
 		config:    c,
--- a/internal/hotrestart/link/conn.go
+++ b/internal/hotrestart/link/conn.go
@@ -201,8 +201,8 @@
 	return err
 }
 
-// writeWithSockets writes the first bytes of data, with the descriptors of sockets. Each socket is kept
-// open meanwhile by a call to its Control, inside that of the one before.
+// writeWithSockets writes the first bytes of data, with the descriptors of sockets. It calls itself inside
+// the Control of each socket in turn, which keeps that socket open until the bytes are written.
 func (c *Conn) writeWithSockets(data []byte, sockets []syscall.Conn, descriptors []int) (n int, err error) {
 	if len(sockets) == 0 {
 		n, _, err = c.socket.WriteMsgUnix(data, syscall.UnixRights(descriptors...), nil)
--- a/internal/hotrestart/link/listener.go
+++ b/internal/hotrestart/link/listener.go
@@ -26,8 +26,8 @@
 	file     os.FileInfo // of the socket; nil if it is not known
 }
 
-// Listen listens at a path, in place of any process before: one that was killed leaves its file behind,
-// and one that has handed over still listens at its own. An error is one of net or os, as when the
+// Listen listens at a path, in place of any earlier process: a process that was killed leaves its file
+// behind, and a predecessor still listens. An error is one of net or os, as when the
 // directory does not exist or cannot be written.
 func Listen(path string) (*Listener, error) {
 	short, release, err := shortPath(path)
@@ -71,11 +71,11 @@
 		if err == nil {
 			return c, nil
 		}
-		// It has ended already: wait for the next one.
+		// The process has ended already: wait for the next one.
 	}
 }
 
-// Close stops listening, and removes the file unless it is another process's by now.
+// Close stops listening, and removes the file unless another process has replaced it.
 func (l *Listener) Close() {
 	_ = l.listener.Close() // nothing is written
 	file, err := os.Stat(l.path)
--- a/internal/hotrestart/machine.go
+++ b/internal/hotrestart/machine.go
@@ -6,13 +6,13 @@
 // The two processes exchange messages over one link, a stream that keeps their order and that ends when
 // a process ends, as a Unix socket does. At any instant at most one process admits:
 //
-//   - The predecessor stops before it sends Transfer. From its Commit on, it admits again only after
-//     the link has ended: the successor, which may have read that Commit, is dead then. During
-//     probation it watches the successor's heartbeats; one that misses them is killed first, as a
+//   - The predecessor stops before it sends Transfer. Once it has sent Commit, it admits again only
+//     after the link has ended: the successor, which may have read Commit, is dead then. During
+//     probation it watches the successor's heartbeats. If they stop, it kills the successor first, as a
 //     stopped process would admit when it continues.
 //   - The successor admits when it has read Commit, or when the link has ended after a complete
-//     Transfer with no Withdraw behind it: the predecessor is dead then, as one that closes the link
-//     says Withdraw first.
+//     Transfer without a Withdraw after it: the predecessor is dead then, as it sends Withdraw before it
+//     closes the link.
 //   - A side that needs the other not to admit, and does not learn that from it in time, kills the
 //     other process and waits for the end of the link.
 //
@@ -30,9 +30,9 @@
 	limits            Limits
 	phase             Phase
 	deadline          time.Duration // of the phase; 0 for none
-	killing           bool          // the other process is being killed; only the end of the link counts
+	killing           bool          // the other process is being killed: deadlines no longer count, only the end of the link
 	shutdownRequested bool          // of this process
-	effects           []Effect      // of the call in hand
+	effects           []Effect      // of the call that is running
 
 	successor   successorState
 	predecessor predecessorState
--- a/internal/hotrestart/machine_test.go
+++ b/internal/hotrestart/machine_test.go
@@ -98,7 +98,7 @@
 	w.predecessor.inbox = append(w.predecessor.inbox, Hello)
 }
 
-// read has a process take in one message, or the end of the link.
+// read has a process handle one message, or the end of the link.
 func (w *world) read(s *side) {
 	if s.dead || s.stopped || s.closed || !s.linked {
 		return
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -14,8 +14,8 @@
 	m.enter(Greeting, now+m.limits.HelloTimeout)
 }
 
-// onOffer reports that this process is prepared. From here on it sets no deadline: the predecessor
-// does, and one that hangs may still admit.
+// onOffer reports that this process is prepared. It sets no deadline for the state: the predecessor does,
+// and a predecessor that hangs may still admit when it continues.
 func (m *Machine) onOffer() {
 	if m.phase != Greeting {
 		return
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -61,11 +61,12 @@
 
 // Active reports whether the acceptor votes.
 //
-// It does not within a lease duration of its start: by then every lease that an earlier incarnation of
-// it accepted has ended. Nor does it before it knows the greatest token that its earlier incarnation
-// accepted: either so many active acceptors have replied that any quorum without this acceptor has one
-// of them, or all others have replied. If neither happens, as acceptors are gone for good, a quorum of
-// replies is enough after recoveryTimeout; then tokens grow by the wall clocks alone.
+// It does not vote within a lease duration of its start: after that, every lease that its earlier
+// incarnation accepted has ended. Nor does it before it knows the greatest token that its earlier
+// incarnation accepted: either so many active acceptors have replied that any quorum without this acceptor
+// has one of them, or all others have replied. If neither happens because acceptors are gone for good, a
+// quorum, this acceptor and those that replied, is enough after recoveryTimeout; then only the wall clocks
+// (MinToken) make tokens grow.
 func (a *Acceptor) Active(now time.Duration) bool {
 	if now < a.startedAt+a.Duration {
 		return false
@@ -251,7 +252,7 @@
 	}
 }
 
-// restore goes on from what an acceptor of another process of this limiter remembered.
+// restore replaces the state by that of an acceptor in another process of this limiter.
 func (a *Acceptor) restore(s AcceptorState) {
 	a.startedAt, a.promised = s.StartedAt, s.Promised
 	a.accepted = acceptedLease{ballot: s.Accepted, token: s.Token, until: s.Until}
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -19,7 +19,7 @@
 }
 
 // Agent takes part for one limiter in the agreement on all tasks, as acceptor and as proposer. It is not
-// safe for concurrent use. Where a method takes chance, that returns a random number from 0 to 1.
+// safe for concurrent use. The parameter chance of its methods returns a random number from 0 to 1.
 type Agent struct {
 	self  Limiter
 	tasks []*task
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// SetWanted sets whether a task's lease is wanted; one that is held and no longer wanted is released. It
+// SetWanted sets whether a task's lease is wanted; a lease that is held is released once it is not. It
 // returns what is to be sent.
 func (a *Agent) SetWanted(now time.Duration, name string, wanted bool, chance func() float64) []Envelope {
 	t := a.task(name)
@@ -229,7 +229,7 @@
 }
 
 // State returns what this limiter's acceptors remember, for another process of this limiter. The agent
-// must not be used after it: the acceptors go on there.
+// must not be used afterwards: the acceptors vote in the other process.
 func (a *Agent) State() (list []AcceptorState) {
 	for _, t := range a.tasks {
 		if t.acceptor != nil {
@@ -239,8 +239,8 @@
 	return list
 }
 
-// Restore has the acceptors go on from what those of another process of this limiter remembered. If
-// that process ever votes again, it has to start with empty acceptors.
+// Restore replaces the state of the acceptors by that of another process of this limiter. If that process
+// ever votes again, it has to start with empty acceptors.
 func (a *Agent) Restore(list []AcceptorState) {
 	for _, s := range list {
 		if t := a.taskByID(s.Task); t != nil && t.acceptor != nil {
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -7,7 +7,7 @@
 
 // Times of a proposer, in lease durations.
 const (
-	renewAfter      = 0.4  // from the start of the attempt that got or renewed the lease
+	renewAfter      = 0.4  // from the start of the attempt that got or renewed the lease; leaves time for several more
 	attemptTimeout  = 0.1  // of an attempt at all acceptors
 	probeTimeout    = 0.05 // of Prepare at one acceptor, before the others are sent it
 	payloadInterval = 0.02 // from the start of an attempt to the earliest one with a new payload
@@ -105,8 +105,8 @@
 	return false
 }
 
-// SetWanted sets whether the lease is wanted. One that is held and no longer wanted is released. Chance,
-// 0 to 1, spreads the first attempts of many candidates.
+// SetWanted sets whether the lease is wanted. A lease that is held is released once it is not. Chance,
+// 0 to 1, spreads the first attempts of many candidates in time.
 func (p *Proposer) SetWanted(now time.Duration, wanted bool, chance float64) []Envelope {
 	if p.wanted == wanted {
 		return nil
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// isAttempting reports whether replies count. They do not after the timeout, as after a stall:
-// acceptors that start rely on it, see recoveryQueryAfter.
+// isAttempting reports whether replies count. They do not after the timeout, even if this process stalled
+// and could not end the attempt: acceptors that start rely on it, see recoveryQueryAfter.
 func (p *Proposer) isAttempting(now time.Duration) bool {
 	return (p.phase == Preparing || p.phase == Proposing) && now < p.nextAt
 }
@@ -296,15 +296,15 @@
 	return m.HasLease && (m.Holder != p.Self || m.Incarnation != p.Epoch)
 }
 
-// waitForHolder ends an attempt, as another limiter holds the lease.
+// waitForHolder ends an attempt because another limiter holds the lease.
 func (p *Proposer) waitForHolder(now time.Duration, holder Limiter, chance float64) {
 	p.holder, p.holderKnown = holder, true
 	p.phase, p.failures = Waiting, 0
 	p.nextAt = now + p.durationFraction(maxBackoff*p.crowding()*(0.5+chance))
 }
 
-// propose sends all acceptors the ballot to accept, with the token of the lease held or with a token
-// that is greater than all that the quorum knows.
+// propose sends all acceptors the ballot to accept: to renew, with the token of the lease that is held, else
+// with a token greater than every token that the quorum knows.
 func (p *Proposer) propose(now time.Duration) []Envelope {
 	p.phase, p.votes, p.rejections = Proposing, nil, nil
 	p.proposedToken = p.highestToken + 1
@@ -315,7 +315,7 @@
 	return p.broadcast(Message{Kind: Propose, Ballot: p.ballot, Token: p.proposedToken, Payload: p.proposedPayload})
 }
 
-// onAccept counts an accept. With a quorum the lease is held, from the start of the attempt on.
+// onAccept counts an accept. With a quorum the lease is held, for HoldDuration from the start of the attempt.
 func (p *Proposer) onAccept(now time.Duration, from Limiter, chance float64) {
 	p.votes = append(p.votes, from)
 	if len(p.votes) < p.Quorum() {
--- a/internal/rollingrestart/coordinator.go
+++ b/internal/rollingrestart/coordinator.go
@@ -20,7 +20,7 @@
 	// requestInterval is the time between two requests of a requester, and between two queries of a
 	// coordinator.
 	requestInterval = 500 * time.Millisecond
-	// requestTimeout is how long a request counts that is not repeated.
+	// requestTimeout is how long a request counts if it is not repeated, as some of its datagrams may be lost.
 	requestTimeout = 4 * requestInterval
 )
 
@@ -55,7 +55,7 @@
 	receivedAt time.Duration // last
 }
 
-// NewCoordinator returns a coordinator that goes on from a payload, under a lease with the given token.
+// NewCoordinator returns a coordinator that begins with a payload, under a lease with the given token.
 // A grant is valid for grantDuration, and at most maxConcurrent limiters have a slot.
 //
 // Payload 0 means that there is none, as all acceptors are new or have lost their memory. Then nothing is
--- a/internal/usage/entry.go
+++ b/internal/usage/entry.go
@@ -129,7 +129,7 @@
 	return true
 }
 
-// unpack unpacks the entries of a page, up to one that is not complete.
+// unpack unpacks the entries of a page, up to the first that is incomplete.
 func unpack(data []byte) (list []Entry) {
 	for len(data) > 0 {
 		e, rest, ok := unpackFirst(data)
--- a/internal/usage/recorder.go
+++ b/internal/usage/recorder.go
@@ -176,8 +176,8 @@
 	s.Open = append(s.Open, Entry{k, parts(max(units, 0))})
 }
 
-// Restore goes on from the state of another process of the same limiter, nil for none, and adds the open
-// usage of this one.
+// Restore replaces the state by that of another process of the same limiter, nil for none, but keeps the
+// open usage of this process and adds the other's.
 func (r *Recorder) Restore(s *RecorderState) {
 	if s == nil {
 		return
--- a/internal/usage/summary.go
+++ b/internal/usage/summary.go
@@ -16,7 +16,7 @@
 }
 
 // Merge merges the reports of all files. One report of each period counts: one without MayRepeat before one
-// with it, and then the one with the least token. A second one without MayRepeat is a fault.
+// with it, and then that with the least token. A second report without MayRepeat is a fault.
 func Merge(reports []Report) Summary {
 	var s Summary
 	s.addReports(reports)
@@ -49,7 +49,7 @@
 	}
 }
 
-// compareReports orders reports by period, and those of one period so that the one that counts is first.
+// compareReports orders reports by period, and in a period the report that counts first.
 func compareReports(a, b Report) int {
 	return cmp.Or(
 		cmp.Compare(a.Period, b.Period),
