--- a/internal/admin/collector.go
+++ b/internal/admin/collector.go
@@ -30,7 +30,7 @@
 
 // A collector gives Prometheus the metrics that were published last.
 type collector struct {
-	metrics         *atomic.Pointer[core.Metrics]
+	snapshot        *atomic.Pointer[core.Metrics]
 	attemptsWritten func() uint64
 }
 
@@ -45,7 +45,7 @@
 
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
-	published := c.metrics.Load()
+	published := c.snapshot.Load()
 	for _, class := range published.Classes {
 		metrics <- counter(completedDesc, class.Completed, class.Class)
 		metrics <- counter(rejectedDesc, class.Rejected, class.Class)
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -18,7 +18,7 @@
 // routes returns the handler of all calls.
 func (s *Server) routes(attemptsWritten func() uint64) http.Handler {
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(&collector{metrics: &s.metrics, attemptsWritten: attemptsWritten})
+	registry.MustRegister(&collector{snapshot: &s.snapshot, attemptsWritten: attemptsWritten})
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", s.handleHealth)
 	mux.Handle("GET /stats", promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}))
@@ -40,7 +40,7 @@
 
 // handleLeases shows the leases as this limiter sees them.
 func (s *Server) handleLeases(w http.ResponseWriter, _ *http.Request) {
-	views := s.metrics.Load().Leases
+	views := s.snapshot.Load().Leases
 	if views == nil {
 		views = []lease.View{}
 	}
@@ -51,7 +51,7 @@
 // POST requests a slot for this limiter, or with forget=N releases the slot of limiter N, which will not
 // come back; DELETE releases that of this limiter or withdraws its request.
 func (s *Server) handleRestartSlot(w http.ResponseWriter, r *http.Request) {
-	view := s.metrics.Load().RestartSlots
+	view := s.snapshot.Load().RestartSlots
 	if !view.Enabled {
 		http.Error(w, "no turns at restarts are set", http.StatusNotFound)
 		return
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -33,13 +33,13 @@
 
 // A Server answers calls at one address. Its methods may be called from any goroutine.
 type Server struct {
-	log     *zap.Logger
-	server  *http.Server
-	ready   atomic.Bool
-	metrics atomic.Pointer[core.Metrics] // as published last
-	post    func(core.Event)
-	done    context.Context // ends with Close
-	end     context.CancelFunc
+	log      *zap.Logger
+	server   *http.Server
+	ready    atomic.Bool
+	snapshot atomic.Pointer[core.Metrics] // as published last
+	post     func(core.Event)
+	done     context.Context // ends with Close
+	end      context.CancelFunc
 }
 
 // New returns a Server that does not listen yet. AttemptsWritten returns how many attempts were written
@@ -48,7 +48,7 @@
 func New(attemptsWritten func() uint64, post func(core.Event), log *zap.Logger) *Server {
 	s := &Server{log: log, post: post}
 	s.done, s.end = context.WithCancel(context.Background())
-	s.metrics.Store(&core.Metrics{})
+	s.snapshot.Store(&core.Metrics{})
 	s.server = &http.Server{
 		Handler:        s.routes(attemptsWritten),
 		ReadTimeout:    callTimeout,
@@ -102,4 +102,4 @@
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
 // Publish sets the metrics that are shown from now on.
-func (s *Server) Publish(metrics core.Metrics) { s.metrics.Store(&metrics) }
+func (s *Server) Publish(metrics core.Metrics) { s.snapshot.Store(&metrics) }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -44,9 +44,9 @@
 const (
 	// clockDrift is the fraction by which the rates of two clocks differ at most, for leases.
 	clockDrift = 0.01
-	// renewalsPerLease is how many replies a lease holder gets of each other acceptor per duration of
+	// repliesPerLease is how many replies a lease holder gets of each other acceptor per duration of
 	// the lease.
-	renewalsPerLease = 5
+	repliesPerLease = 5
 	// leaseMessageFraction is the fraction of the datagrams which a limiter takes in that may be about
 	// leases; the rest is left to other gossip.
 	leaseMessageFraction = 0.3
@@ -202,7 +202,7 @@
 		return 0
 	}
 	otherAcceptors := min(s.AcceptorCount, limiters) - 1
-	replies := float64(len(s.Tasks) * renewalsPerLease * otherAcceptors)
+	replies := float64(len(s.Tasks) * repliesPerLease * otherAcceptors)
 	return time.Duration(replies / (leaseMessageFraction * datagramsPerSecond) * float64(time.Second))
 }
 
--- a/internal/httpserver/clientconn.go
+++ b/internal/httpserver/clientconn.go
@@ -24,34 +24,34 @@
 	raw syscall.RawConn // nil if there is no socket
 
 	// set.mu guards the rest.
-	state        connState
-	since        time.Time     // of the state
-	element      *list.Element // in the list of the state
-	requestStart time.Time     // when the request that is coming in began to
-	requestBegun bool          // a byte was read since the request before was complete
-	readAhead    []byte        // read beside a request in progress, and not yet taken by net/http
-	readerWaits  bool          // net/http waits at the socket for more of a request, so none is complete
+	state            connState
+	since            time.Time     // of the state
+	element          *list.Element // in the list of the state
+	requestStartedAt time.Time     // when the request that is coming in began to
+	requestBegun     bool          // a byte was read since the request before was complete
+	readAhead        []byte        // read beside a request in progress, and not yet taken by net/http
+	readerWaits      bool          // net/http waits at the socket for more of a request, so none is complete
 }
 
 // newClientConn returns a connection that is not in the set yet. The caller holds set.mu.
 func newClientConn(set *connSet, accepted net.Conn, state connState) *clientConn {
 	now := set.now()
-	c := &clientConn{Conn: accepted, set: set, state: state, since: now, requestStart: now}
+	c := &clientConn{Conn: accepted, set: set, state: state, since: now, requestStartedAt: now}
 	if socket, ok := accepted.(syscall.Conn); ok {
 		c.raw, _ = socket.SyscallConn() // nil for one that is closed already
 	}
 	return c
 }
 
-// enter moves the connection to a state unless it is closed, and returns the state that it was in.
-func (c *clientConn) enter(state connState) (was connState) {
+// lockAndSetState moves the connection to a state unless it is closed, and returns the state that it was in.
+func (c *clientConn) lockAndSetState(state connState) (was connState) {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	return c.move(state)
+	return c.setState(state)
 }
 
-// move does the same for a caller that holds set.mu.
-func (c *clientConn) move(state connState) (was connState) {
+// setState does the same for a caller that holds set.mu.
+func (c *clientConn) setState(state connState) (was connState) {
 	was = c.state
 	if was == stateClosed || was == state {
 		return was
@@ -72,15 +72,15 @@
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
 	c.requestBegun = false
-	return c.move(stateBusy) != stateClosed
+	return c.setState(stateBusy) != stateClosed
 }
 
 // requestDone notes that a request is answered, and that the next one may come, or has begun to.
 func (c *clientConn) requestDone() {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	c.requestStart = c.set.now()
-	c.move(stateReading)
+	c.requestStartedAt = c.set.now()
+	c.setState(stateReading)
 }
 
 // hasInput reports whether something waits to be read in the socket. Its end does not count. The caller
@@ -108,7 +108,7 @@
 	if n = c.takeReadAhead(p); n > 0 {
 		return n, nil
 	}
-	if c.moved() {
+	if c.tryHandOver() {
 		return 0, io.EOF // closed here, open there
 	}
 	if c.raw == nil {
@@ -137,7 +137,7 @@
 			c.readAhead = nil // frees it
 		}
 	case c.state == stateReading && !c.requestBegun:
-		c.move(stateIdle)
+		c.setState(stateIdle)
 	}
 	return n
 }
@@ -158,7 +158,7 @@
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	if errors.Is(waitErr, os.ErrDeadlineExceeded) {
-		if c.moved() {
+		if c.tryHandOver() {
 			return 0, io.EOF
 		}
 		controlErr := c.raw.Control(func(fd uintptr) { n, err = c.receive(fd, p) })
@@ -187,7 +187,7 @@
 	defer c.set.mu.Unlock()
 	c.readerWaits = false
 	if c.mustClose(p) {
-		c.move(stateClosed)
+		c.setState(stateClosed)
 	}
 	if c.state == stateClosed {
 		return 0, net.ErrClosed
@@ -207,7 +207,7 @@
 	if c.set.draining && c.state == stateIdle && !c.hasInput() {
 		return true
 	}
-	return c.set.readEnds && !watchesForClose(p)
+	return c.set.noMoreReads && !watchesForClose(p)
 }
 
 // receiveAhead reads all that is in the socket into the read-ahead, up to its bound, beyond which it returns a
@@ -244,10 +244,10 @@
 	}
 	c.requestBegun = true
 	if c.state == stateIdle {
-		c.requestStart = c.set.now() // the first request counts from the start of the connection
+		c.requestStartedAt = c.set.now() // the first request counts from the start of the connection
 	}
 	if c.state == stateIdle || c.state == stateNew {
-		c.move(stateReading)
+		c.setState(stateReading)
 	}
 }
 
@@ -267,7 +267,7 @@
 
 // CloseWrite ends the sending. net/http leaves the client half a second more to read its last response.
 func (c *clientConn) CloseWrite() error {
-	was := c.enter(stateLingering)
+	was := c.lockAndSetState(stateLingering)
 	if was == stateReading { // net/http could not read the request and has answered so
 		c.set.onClosed(was)
 	}
@@ -279,7 +279,7 @@
 
 // Close implements net.Conn. A connection without a complete request counts as closed unread.
 func (c *clientConn) Close() error {
-	was := c.enter(stateClosed)
+	was := c.lockAndSetState(stateClosed)
 	if was == stateNew || was == stateReading {
 		c.set.onClosed(was)
 	}
--- a/internal/httpserver/connset.go
+++ b/internal/httpserver/connset.go
@@ -45,14 +45,14 @@
 	stopped    chan struct{}       // closed by Close
 	stopOnce   sync.Once
 
-	mu       sync.Mutex
-	byState  [numStates]list.List // of *clientConn, the longest in the state first
-	open     int
-	share    float64       // fraction of maxConns that may be open, while another process has the rest
-	resumed  chan struct{} // closed by resume; nil while accepting is not paused
-	scratch  [4 << 10]byte // to read ahead into
-	draining bool          // a connection that becomes idle is closed
-	readEnds bool          // no more of any request is read
+	mu          sync.Mutex
+	byState     [numStates]list.List // of *clientConn, the longest in the state first
+	open        int
+	share       float64       // fraction of maxConns that may be open, while another process has the rest
+	resumed     chan struct{} // closed by resume; nil while accepting is not paused
+	scratch     [4 << 10]byte // to read ahead into
+	draining    bool          // a connection that becomes idle is closed
+	noMoreReads bool          // no more of any request is read
 
 	// handOver hands an idle connection over to another process; nil while they stay.
 	handOver func(syscall.Conn) error
--- a/internal/httpserver/evict.go
+++ b/internal/httpserver/evict.go
@@ -71,7 +71,7 @@
 		if !c.mayEvict() {
 			continue
 		}
-		c.move(stateClosed)
+		c.setState(stateClosed)
 		return evicted{c, state}
 	}
 	return evicted{}
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -77,13 +77,13 @@
 	}
 	control := http.NewResponseController(w)
 	if hasBody {
-		_ = conn.SetReadDeadline(conn.requestStart.Add(malformedTimeout)) // fails on a closed connection alone
-		_ = control.EnableFullDuplex()                                    // or net/http reads the body first
+		_ = conn.SetReadDeadline(conn.requestStartedAt.Add(malformedTimeout)) // fails on a closed connection alone
+		_ = control.EnableFullDuplex()                                        // or net/http reads the body first
 	}
 	writeText(w, fault.status, fault.text)
 	if hasBody {
-		_ = control.Flush()   // the client may have gone
-		conn.enter(stateIdle) // it is answered, and what may still come is of no use
+		_ = control.Flush()             // the client may have gone
+		conn.lockAndSetState(stateIdle) // it is answered, and what may still come is of no use
 	}
 }
 
--- a/internal/httpserver/handover.go
+++ b/internal/httpserver/handover.go
@@ -41,16 +41,16 @@
 	}
 }
 
-// isMoving reports whether connections are handed over.
-func (s *connSet) isMoving() bool {
+// isHandingOver reports whether connections are handed over.
+func (s *connSet) isHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handOver != nil
 }
 
-// moved hands the connection over if connections are handed over and nothing of a request has come, and
+// tryHandOver hands the connection over if connections are handed over and nothing of a request has come, and
 // reports whether it has.
-func (c *clientConn) moved() bool {
+func (c *clientConn) tryHandOver() bool {
 	c.set.mu.Lock()
 	handOver := c.set.handOver
 	socket, isSocket := c.Conn.(syscall.Conn)
@@ -59,13 +59,13 @@
 		c.set.mu.Unlock()
 		return false
 	}
-	c.move(stateBusy) // it is not closed for another meanwhile
+	c.setState(stateBusy) // it is not closed for another meanwhile
 	c.set.mu.Unlock()
 	if err := handOver(socket); err != nil { // it stays; the caller's reads go on
-		c.enter(stateIdle)
+		c.lockAndSetState(stateIdle)
 		_ = c.SetReadDeadline(time.Time{}) // fails on a closed connection alone
 		return false
 	}
-	c.enter(stateClosed)
+	c.lockAndSetState(stateClosed)
 	return true
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -67,10 +67,10 @@
 	draining atomic.Bool   // each response is the last of its connection
 	lastID   atomic.Uint64 // number of the request received last
 
-	conns    atomic.Pointer[connSet] // nil until it serves
-	serving  chan struct{}           // closed once it serves
-	accepted chan struct{}           // closed once nothing more is accepted: conns has all connections
-	share    float64                 // fraction of MaxConns that may be open; guarded by mu
+	conns          atomic.Pointer[connSet] // nil until it serves
+	serving        chan struct{}           // closed once it serves
+	acceptingEnded chan struct{}           // closed once nothing more is accepted: conns has all connections
+	share          float64                 // fraction of MaxConns that may be open; guarded by mu
 
 	finalReadMargin time.Duration
 
@@ -89,7 +89,7 @@
 		plans:           map[string]bool{},
 		waiting:         map[core.RequestID]chan core.Respond{},
 		serving:         make(chan struct{}),
-		accepted:        make(chan struct{}),
+		acceptingEnded:  make(chan struct{}),
 		share:           1,
 		finalReadMargin: defaultFinalReadMargin,
 	}
@@ -148,7 +148,7 @@
 	s.mu.Unlock()
 	close(s.serving)
 	go conns.sweepUntilClosed()
-	defer close(s.accepted)
+	defer close(s.acceptingEnded)
 	defer func() { _ = listener.Close() }() // it may be closed already
 	defer func() { _ = conns.Close() }()    // nothing is accepted any more
 	err := s.server.Serve(conns)
@@ -264,7 +264,7 @@
 func (s *Server) closeConns(conns *connSet, timeout time.Duration) {
 	timedOut, finalRead := time.After(timeout), time.After(timeout-s.finalReadMargin)
 	_ = conns.Close() // Accept reports an error of the listener
-	accepted := s.accepted
+	accepted := s.acceptingEnded
 	poll := time.NewTicker(closePollInterval)
 	defer poll.Stop()
 	// Until nothing more is accepted, a connection may come that is not counted yet.
@@ -272,7 +272,7 @@
 		select {
 		case <-accepted:
 			accepted = nil
-			if !conns.isMoving() {
+			if !conns.isHandingOver() {
 				conns.drain()
 			}
 		case <-poll.C:
--- a/internal/httpserver/shutdown.go
+++ b/internal/httpserver/shutdown.go
@@ -35,7 +35,7 @@
 // stopReading ends reading of requests, and closes the connections on which none is complete.
 func (s *connSet) stopReading() {
 	s.mu.Lock()
-	s.readEnds = true
+	s.noMoreReads = true
 	var incomplete []*clientConn
 	for _, c := range s.conns(stateNew, stateIdle, stateReading) {
 		if c.state != stateReading || c.readerWaits {
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, c := range incomplete {
-		c.move(stateClosed)
+		c.setState(stateClosed)
 	}
 	s.mu.Unlock()
 	for _, c := range incomplete {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -23,10 +23,10 @@
 
 // An attempt is one attempt of a request at a backend, from StartAttempt to its outcome.
 type attempt struct {
-	backend     *backend
-	cancel      context.CancelFunc
-	now         func() time.Duration
-	startBefore time.Duration // no first byte may be written from then on; 0 for no bound
+	backend       *backend
+	cancelContext context.CancelFunc
+	now           func() time.Duration
+	startBefore   time.Duration // no first byte may be written from then on; 0 for no bound
 
 	startExpired    atomic.Bool // startBefore came before the first byte
 	withdrawn       atomic.Bool // it may not begin any longer
@@ -90,7 +90,7 @@
 	a.aborted = true
 	conn := a.conn
 	a.mu.Unlock()
-	a.cancel()
+	a.cancelContext()
 	if conn != nil {
 		conn.abort(a)
 	}
@@ -105,7 +105,7 @@
 // cancelUnlessBegun cancels an attempt that must not begin any longer, if it has not.
 func (a *attempt) cancelUnlessBegun() {
 	if !a.begun() {
-		a.cancel()
+		a.cancelContext()
 	}
 }
 
@@ -130,7 +130,7 @@
 // canceled meanwhile.
 func (c *Client) run(ctx context.Context, a *attempt, e core.StartAttempt) {
 	defer a.backend.closeIdleIfClosed()
-	defer a.cancel()
+	defer a.cancelContext()
 	out := c.perform(ctx, a, e)
 	c.mu.Lock()
 	wanted := c.attempts[e.Attempt] == a
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -109,7 +109,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
 	a := &attempt{
-		backend: c.backend(e.Backend, e.Addr), cancel: cancel, startBefore: e.StartBefore, now: c.options.Now,
+		backend: c.backend(e.Backend, e.Addr), cancelContext: cancel, startBefore: e.StartBefore, now: c.options.Now,
 	}
 	c.attempts[e.Attempt] = a
 	c.mu.Unlock()
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -53,7 +53,7 @@
 // Whatever the transport does with a connection that came too late, not a byte is written there.
 func TestNothingWrittenAfterCancel(t *testing.T) {
 	c, far := connPair(t)
-	a := &attempt{cancel: func() {}, backend: c.backend}
+	a := &attempt{cancelContext: func() {}, backend: c.backend}
 	a.abort()
 	a.attach(c)
 	go readByte(c)
@@ -187,7 +187,7 @@
 	client := newTestClient(l.Addr().String())
 	defer client.Close()
 	canceled := false
-	a := &attempt{backend: &backend{}, now: client.options.Now, cancel: func() { canceled = true }}
+	a := &attempt{backend: &backend{}, now: client.options.Now, cancelContext: func() { canceled = true }}
 	a.withdraw()
 	if !canceled {
 		t.Error("goes on to dial")
