--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -11,12 +11,14 @@
 // This file admits new client connections.
 
 const (
-	// newConnPatience is for how long a new connection may send nothing: the usual client sends its request
-	// with the connection.
+	// newConnPatience is how long a client may usually take from its connect to its request. When the set is
+	// full, a new connection that has sent nothing for longer is closed before ones that are idle for less
+	// than minIdleTime. It is also how long the request of a rejected connection is waited for.
 	newConnPatience = 100 * time.Millisecond
-	// maxRejected is how many new connections beyond the bound wait to be notified.
+	// maxRejected is how many rejected connections may wait for their requests at once.
 	maxRejected = 16
-	// finalAcceptTimeout is for clients that have connected by Close to be accepted.
+	// finalAcceptTimeout is how long after Close connections are accepted that the system has let connect
+	// by then.
 	finalAcceptTimeout = 20 * time.Millisecond
 	// rejectionReadBytes is the size of the reads of what a rejected client sent.
 	rejectionReadBytes = 4 << 10
@@ -25,10 +27,10 @@
 // A deadlineListener is a listener whose Accept can be interrupted.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// Accept implements net.Listener: it returns the next connection that may stay, for which another one may be
-// closed. After Close it still returns those that the system has let connect by then.
+// Accept implements net.Listener: it returns the next connection that is not rejected. It may close another
+// one for it. After Close it still returns those that the system has let connect by then.
 func (s *connSet) Accept() (net.Conn, error) {
-	final := false // Close was called, and the time for those that have connected runs
+	final := false // Close was called, and finalAcceptTimeout runs
 	for {
 		accepted, err := s.Listener.Accept()
 		switch {
@@ -53,8 +55,8 @@
 	}
 }
 
-// waitForResume waits for resume or Close if accepting is paused, and reports which of them came; neither if
-// it is not paused. After Close in a pause, new connections are those of another process.
+// waitForResume waits for resume or Close if accepting is paused, and reports which of them was called. If
+// accepting is not paused, both results are false. After Close in a pause, new connections are those of another process.
 func (s *connSet) waitForResume() (resumed, stopped bool) {
 	s.mu.Lock()
 	resume := s.resumed
--- a/internal/httpserver/clientconn.go
+++ b/internal/httpserver/clientconn.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// writeTimeout is for a client to take what is written to it.
+	// writeTimeout bounds a write to a client that does not read.
 	writeTimeout = 10 * time.Second
-	// maxReadAhead is how many bytes are read beside a request in progress, up to a further read.
+	// maxReadAhead is how many bytes are read behind a request in progress; the last read may exceed it.
 	maxReadAhead = 16 << 10
 )
 
@@ -27,10 +27,10 @@
 	state            connState
 	since            time.Time     // of the state
 	element          *list.Element // in the list of the state
-	requestStartedAt time.Time     // when the request that is coming in began to
-	requestBegun     bool          // a byte was read since the request before was complete
-	readAhead        []byte        // read beside a request in progress, and not yet taken by net/http
-	readerWaits      bool          // net/http waits at the socket for more of a request, so none is complete
+	requestStartedAt time.Time     // from when on the time for the next request counts: connect, last response or first byte
+	hasRequestBytes  bool          // some of the next request was read
+	readAhead        []byte        // read behind a request in progress, for the next reads of net/http
+	readerWaits      bool          // net/http waits at the socket for more bytes, so it has no complete request
 }
 
 // newClientConn returns a connection that is not in the set yet. The caller holds set.mu.
@@ -43,15 +43,15 @@
 	return c
 }
 
-// lockAndSetState moves the connection to a state unless it is closed, and returns the state that it was in.
-func (c *clientConn) lockAndSetState(state connState) (was connState) {
+// setState sets the state of the connection unless it is closed, and returns the state that it was in.
+func (c *clientConn) setState(state connState) (was connState) {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	return c.setState(state)
+	return c.setStateLocked(state)
 }
 
-// setState does the same for a caller that holds set.mu.
-func (c *clientConn) setState(state connState) (was connState) {
+// setStateLocked is setState for a caller that holds set.mu.
+func (c *clientConn) setStateLocked(state connState) (was connState) {
 	was = c.state
 	if was == stateClosed || was == state {
 		return was
@@ -66,21 +66,21 @@
 	return was
 }
 
-// startServing notes that a request is complete, and reports whether it is to be served: not on a connection
-// that is closed.
+// startServing notes that a request was read completely, and reports whether to serve it: not if the
+// connection is closed.
 func (c *clientConn) startServing() bool {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	c.requestBegun = false
-	return c.setState(stateBusy) != stateClosed
+	c.hasRequestBytes = false
+	return c.setStateLocked(stateBusy) != stateClosed
 }
 
-// requestDone notes that a request is answered, and that the next one may come, or has begun to.
+// requestDone notes that a request was answered. A part of the next one may have been read already.
 func (c *clientConn) requestDone() {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
 	c.requestStartedAt = c.set.now()
-	c.setState(stateReading)
+	c.setStateLocked(stateReading)
 }
 
 // hasInput reports whether something waits to be read in the socket. Its end does not count. The caller
@@ -97,10 +97,10 @@
 	return n > 0
 }
 
-// Read implements net.Conn, and notes that a request has begun to come. Both are one step with the state of
-// the connection: one that is closed between requests has had no byte of the next one read, so a reset shows
-// its client that it may send that one again. net/http calls a connection idle until a complete head was
-// read, and would close some with a request in its buffer.
+// Read implements net.Conn. Reading and the change of state that follows are one step: if a connection is
+// closed between requests, no byte of the next one was read, so a reset shows its client that it may send that
+// one again. The states of net/http do not serve for that: it calls a connection idle until a complete head
+// was read, and would close some with a request in its buffer.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -117,27 +117,26 @@
 	return c.readSocket(p)
 }
 
-// watchesForClose reports whether a read is that of net/http beside a complete request: it reads one byte, to
-// see its client disconnect.
+// watchesForClose reports whether a read is the one by which net/http watches for its client to disconnect
+// while a request is served: it reads a single byte.
 func watchesForClose(p []byte) bool { return len(p) == 1 }
 
-// takeReadAhead notes that net/http wants more of a request, and gives it what was read ahead. If nothing of
-// one came since the request before was answered, that was all there was in its buffer, and the connection
-// is between requests.
+// takeReadAhead copies to net/http what was read ahead. It also detects that the connection is idle: net/http
+// reads on only when its buffer is empty, so if none of the next request was read by then, it has not begun.
 func (c *clientConn) takeReadAhead(p []byte) (n int) {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
 	switch {
 	case watchesForClose(p) || c.state == stateClosed:
 	case len(c.readAhead) > 0:
-		c.requestBegun = true
+		c.hasRequestBytes = true
 		n = copy(p, c.readAhead)
 		c.readAhead = c.readAhead[n:]
 		if len(c.readAhead) == 0 {
 			c.readAhead = nil // frees it
 		}
-	case c.state == stateReading && !c.requestBegun:
-		c.setState(stateIdle)
+	case c.state == stateReading && !c.hasRequestBytes:
+		c.setStateLocked(stateIdle)
 	}
 	return n
 }
@@ -150,8 +149,8 @@
 	return n, err
 }
 
-// readSocket waits for something to be read. The limiter may have been suspended: a deadline counts as passed
-// only where nothing has come by it.
+// readSocket waits for something to read. If the deadline has passed it looks once more, as the limiter may
+// have been suspended and the bytes have come in time.
 func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) (done bool) {
 		n, err = c.receive(fd, p)
@@ -180,14 +179,14 @@
 	return n, nil
 }
 
-// receive reads what is in the socket; it fails with syscall.EAGAIN if that is nothing. Beside a request in
+// receive reads what is in the socket, and fails with syscall.EAGAIN if it is empty. During a request in
 // progress it reads ahead, so that bytes behind that request do not hide that the client has disconnected.
 func (c *clientConn) receive(fd uintptr, p []byte) (n int, err error) {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
 	c.readerWaits = false
 	if c.mustClose(p) {
-		c.setState(stateClosed)
+		c.setStateLocked(stateClosed)
 	}
 	if c.state == stateClosed {
 		return 0, net.ErrClosed
@@ -195,7 +194,7 @@
 	if watchesForClose(p) {
 		return c.receiveAhead(fd, p)
 	}
-	n, err = readUninterrupted(fd, p)
+	n, err = readNonblocking(fd, p)
 	c.noteRead(n)
 	c.readerWaits = errors.Is(err, syscall.EAGAIN)
 	return n, err
@@ -210,15 +209,16 @@
 	return c.set.noMoreReads && !watchesForClose(p)
 }
 
-// receiveAhead reads all that is in the socket into the read-ahead, up to its bound, beyond which it returns a
-// byte of that. It returns nothing with the end of the connection. The caller holds set.mu.
+// receiveAhead reads all that is in the socket into readAhead. Once that has maxReadAhead bytes, it returns
+// the first of them, which ends net/http's watch for a close. Otherwise it returns no byte but the error of
+// the last read, nil at the end of the connection. The caller holds set.mu.
 func (c *clientConn) receiveAhead(fd uintptr, p []byte) (n int, err error) {
 	for {
 		if len(c.readAhead) >= maxReadAhead {
 			p[0], c.readAhead = c.readAhead[0], c.readAhead[1:]
 			return 1, nil
 		}
-		n, err = readUninterrupted(fd, c.set.scratch[:])
+		n, err = readNonblocking(fd, c.set.scratch[:])
 		c.noteRead(n)
 		if n == 0 {
 			return 0, err
@@ -227,8 +227,8 @@
 	}
 }
 
-// readUninterrupted reads from a socket that does not block.
-func readUninterrupted(fd uintptr, p []byte) (n int, err error) {
+// readNonblocking reads from a socket that does not block.
+func readNonblocking(fd uintptr, p []byte) (n int, err error) {
 	for {
 		n, err = syscall.Read(int(fd), p)
 		if !errors.Is(err, syscall.EINTR) {
@@ -242,18 +242,18 @@
 	if n <= 0 {
 		return
 	}
-	c.requestBegun = true
+	c.hasRequestBytes = true
 	if c.state == stateIdle {
 		c.requestStartedAt = c.set.now() // the first request counts from the start of the connection
 	}
 	if c.state == stateIdle || c.state == stateNew {
-		c.setState(stateReading)
+		c.setStateLocked(stateReading)
 	}
 }
 
-// Write implements net.Conn. It bounds the time that a client takes to read: one that does not would keep its
-// connection and the memory of the response for good. On a connection that is closed net/http would still
-// answer what it takes for a malformed request.
+// Write implements net.Conn. It sets a timeout: a client that does not read would keep its connection and the
+// memory of the response for good. In stateClosed it fails, as net/http takes a read that was cut off for a
+// malformed request and would answer that.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.set.mu.Lock()
 	state := c.state
@@ -265,10 +265,11 @@
 	return c.Conn.Write(p)
 }
 
-// CloseWrite ends the sending. net/http leaves the client half a second more to read its last response.
+// CloseWrite closes the sending side. net/http calls it half a second before Close, so that the client can
+// read its last response.
 func (c *clientConn) CloseWrite() error {
-	was := c.lockAndSetState(stateLingering)
-	if was == stateReading { // net/http could not read the request and has answered so
+	was := c.setState(stateLingering)
+	if was == stateReading { // net/http has answered a request that it could not read
 		c.set.onClosed(was)
 	}
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
@@ -277,9 +278,9 @@
 	return nil
 }
 
-// Close implements net.Conn. A connection without a complete request counts as closed unread.
+// Close implements net.Conn. It reports a connection that is closed before a complete request was read.
 func (c *clientConn) Close() error {
-	was := c.lockAndSetState(stateClosed)
+	was := c.setState(stateClosed)
 	if was == stateNew || was == stateReading {
 		c.set.onClosed(was)
 	}
--- a/internal/httpserver/connset.go
+++ b/internal/httpserver/connset.go
@@ -13,7 +13,7 @@
 
 const (
 	stateNew       connState = iota // no byte came yet
-	stateReading                    // a request has begun to come, or may have: what came behind the one before is not looked at yet
+	stateReading                    // a part of a request was read; or one was just answered, and what net/http may have read behind it was not looked at yet
 	stateBusy                       // a request is being decided or answered
 	stateIdle                       // between requests: the next one is waited for
 	stateLingering                  // answered for the last time, and open so that the client can read it
@@ -31,28 +31,31 @@
 // beyond its bound: one that stops there would let connections that send nothing keep the usual clients
 // out. Instead it closes the connection of least use, and never one with a request in progress.
 //
-// Which connection is closed and that it is, is one step under mu, as are a read and what it means: a
-// connection that is closed has had no byte of a request read since it was last between requests, or waits
-// for more of one. A reset shows its client that the limiter has not read what it may have sent.
+// Choosing a connection and closing it is one step under mu, and so is reading from one and changing its
+// state. So a connection that is closed for another has had no byte of the next request read, or is stuck in
+// the middle of one. A reset shows its client that the limiter has not read what it may have sent.
 type connSet struct {
 	net.Listener
-	maxConns   int // 0 for no bound
-	now        func() time.Time
-	onClosed   func(was connState) // a connection was closed here, with no request in progress
+	maxConns int // 0 for no bound
+	now      func() time.Time
+	// onClosed is called for each evicted connection, and for each other one that is closed in stateNew or
+	// stateReading, also if its client has closed it. It is not called for idle connections that net/http's
+	// idle timeout or their clients end, nor for those that drain, stopReading, mustClose or tryHandOver ends.
+	onClosed   func(was connState)
 	onRejected func(notified bool) // a new connection was rejected, and its client notified or not
-	rejection  []byte              // what the client is sent then
-	patience   time.Duration       // how long the request of a rejected connection is waited for
+	rejection  []byte              // the response to the request of a rejected connection
+	patience   time.Duration       // how long that request is waited for
 	stopped    chan struct{}       // closed by Close
 	stopOnce   sync.Once
 
 	mu          sync.Mutex
 	byState     [numStates]list.List // of *clientConn, the longest in the state first
 	open        int
-	share       float64       // fraction of maxConns that may be open, while another process has the rest
+	share       float64       // fraction of maxConns that may be open, while another process has the rest; Server.share, once there is a connSet
 	resumed     chan struct{} // closed by resume; nil while accepting is not paused
 	scratch     [4 << 10]byte // to read ahead into
 	draining    bool          // a connection that becomes idle is closed
-	noMoreReads bool          // no more of any request is read
+	noMoreReads bool          // nothing more is read of any request that is not complete
 
 	// handOver hands an idle connection over to another process; nil while they stay.
 	handOver func(syscall.Conn) error
--- a/internal/httpserver/evict.go
+++ b/internal/httpserver/evict.go
@@ -2,26 +2,28 @@
 
 import "time"
 
-// This file closes client connections for want of room or of use.
+// This file evicts client connections: it closes some for new ones where the set is full, and idle ones
+// where it is crowded.
 
 const (
-	// minIdleTime is how long a connection may be idle in any case.
+	// minIdleTime is after how long an idle connection is closed while the set is crowded, and after how
+	// long it is among the first to be closed when the set is full.
 	minIdleTime = 2 * time.Second
-	// stuckReadingTime is after how long half a request counts as stuck: clients send it in one piece.
+	// stuckReadingTime is after how long a connection in stateReading counts as stuck, as clients send a
+	// request in one piece.
 	stuckReadingTime = time.Second
-	// sweepInterval is how often idle connections are looked through.
+	// sweepInterval is how often idle connections are closed while the set is crowded.
 	sweepInterval = 500 * time.Millisecond
-	// crowdedFraction is the fraction of the bound above which idle connections are closed: some clients
-	// send one request and keep their connection for good, and clients that have no descriptor left cannot
-	// send any.
+	// crowdedFraction is the fraction of the bound above which the set is crowded. Some clients send one
+	// request and keep their connection for good, and clients that have no descriptor left cannot send any.
 	crowdedFraction = 0.25
 )
 
-// An evicted connection is closed already for all who hold mu. Its socket is still to be closed by finish,
-// which waits for its reader. The zero value is none.
+// An evicted connection is in stateClosed, but its socket is open until finish closes it, which waits for the
+// reader and so is called without the set's mu. The zero value means that none was evicted.
 type evicted struct {
 	*clientConn
-	was connState // before
+	was connState // the state from which it was evicted
 }
 
 // finish closes the socket and reports the connection as closed.
@@ -35,11 +37,11 @@
 	}
 }
 
-// evictLeastUseful closes the connection of least use: one that only lingers, then one idle for so long that
-// it may be closed, one that sent nothing for longer than a usual client, or one stuck in the middle of a
-// request. Failing these, an idle one, as its client sends a request that crosses the close once more; then
-// the oldest that has sent nothing yet. One with a request that is coming in or in progress is not closed
-// for another. The caller holds s.mu.
+// evictLeastUseful closes the first connection that it finds, in this order: one that lingers; one idle for
+// minIdleTime; a new one that has sent nothing for newConnPatience; one stuck in the middle of a request; any
+// idle one, as its client repeats a request that crosses the close; any new one that has sent nothing. A
+// connection with a request in progress is never closed, nor one with a request of which a part was read, if
+// that is not stuck. The caller holds s.mu.
 func (s *connSet) evictLeastUseful() evicted {
 	for _, candidates := range []struct {
 		state   connState
@@ -59,9 +61,8 @@
 	return evicted{}
 }
 
-// evictLongest closes the connection that has been in a state for longest, if for minTime at least and if no
-// part of a request waits in its socket: a limiter that was suspended finds requests there that came
-// meanwhile. The caller holds s.mu.
+// evictLongest evicts, of the connections that have been in a state for minTime at least, the one that has
+// been in it for longest and may be evicted. The caller holds s.mu.
 func (s *connSet) evictLongest(state connState, minTime time.Duration) evicted {
 	for e := s.byState[state].Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -71,13 +72,15 @@
 		if !c.mayEvict() {
 			continue
 		}
-		c.setState(stateClosed)
+		c.setStateLocked(stateClosed)
 		return evicted{c, state}
 	}
 	return evicted{}
 }
 
-// mayEvict reports whether a connection may be closed in its state. The caller holds set.mu.
+// mayEvict reports whether a connection may be evicted from its state. If a part of a request waits in its
+// socket it may not: a limiter that was suspended finds requests there that came meanwhile. The caller holds
+// set.mu.
 func (c *clientConn) mayEvict() bool {
 	switch c.state {
 	case stateLingering:
@@ -88,7 +91,7 @@
 	return !c.hasInput()
 }
 
-// sweep closes connections that are idle for long while many are open.
+// sweep closes connections that have been idle for minIdleTime until the set is no longer crowded.
 func (s *connSet) sweep() {
 	for {
 		s.mu.Lock()
@@ -104,7 +107,7 @@
 	}
 }
 
-// isCrowded reports whether so many connections are open that idle ones are closed. The caller holds s.mu.
+// isCrowded reports whether more than crowdedFraction of the bound is open. The caller holds s.mu.
 func (s *connSet) isCrowded() bool {
 	return s.maxConns > 0 && float64(s.open) > crowdedFraction*float64(s.bound())
 }
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -33,11 +33,12 @@
 // closeAfterwards has the connection closed after the response.
 func closeAfterwards(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// serveRequest posts a request and writes the response to it. A client that disconnects is posted as well;
-// it may have ended its sending alone, which looks the same, so it is answered all the same.
+// serveRequest posts a request and writes the response to it. If the client disconnects meanwhile it posts
+// that as well. It writes the response even so: a client that has only closed its sending side looks the
+// same.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, event *core.RequestReceived) {
 	disconnected := r.Context().Done()
-	event.Disconnected = r.Context().Err() != nil // it came with others, and its client has gone since
+	event.Disconnected = r.Context().Err() != nil // it was sent behind others, and its client has gone since
 	if event.Disconnected {
 		disconnected = nil
 	}
@@ -61,8 +62,8 @@
 	}
 }
 
-// serveMalformed answers a malformed request at once, before its body has come: half of it may be all that
-// ever does.
+// serveMalformed answers a malformed request at once, without waiting for its body: the client may never send
+// the rest of it.
 func (s *Server) serveMalformed(w http.ResponseWriter, r *http.Request, fault *malformed) {
 	s.options.Post(core.RequestMalformed{Cause: fault.cause})
 	conn := connOf(r)
@@ -70,7 +71,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	hasBody := r.ContentLength != 0
-	// After a body that is left unread the connection ends too: in full duplex net/http would begin two
+	// The connection ends also after a body that is left unread: in full duplex net/http would begin two
 	// reads at once there, and panic.
 	if fault.closesConn || hasBody {
 		closeAfterwards(w)
@@ -82,8 +83,8 @@
 	}
 	writeText(w, fault.status, fault.text)
 	if hasBody {
-		_ = control.Flush()             // the client may have gone
-		conn.lockAndSetState(stateIdle) // it is answered, and what may still come is of no use
+		_ = control.Flush()      // the client may have gone
+		conn.setState(stateIdle) // it is answered, and the rest of its body is not needed
 	}
 }
 
--- a/internal/httpserver/handover.go
+++ b/internal/httpserver/handover.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// resume goes on accepting, and keeps the connections here.
+// resume goes on accepting, and ends handing over.
 func (s *connSet) resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,8 +30,8 @@
 	s.resumed = nil
 }
 
-// startHandover has connections between requests handed over to another process from now on. The read of one that
-// waits for its next request is interrupted.
+// startHandover begins to hand connections between requests over to another process. It interrupts the reads
+// that wait for a next request, and each reader hands its connection over, see tryHandOver.
 func (s *connSet) startHandover(handOver func(syscall.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,15 +41,15 @@
 	}
 }
 
-// isHandingOver reports whether connections are handed over.
+// isHandingOver reports whether connections are handed over between startHandover and resume.
 func (s *connSet) isHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handOver != nil
 }
 
-// tryHandOver hands the connection over if connections are handed over and nothing of a request has come, and
-// reports whether it has.
+// tryHandOver hands the connection over if connections are handed over and nothing of a next request was read,
+// and reports whether it did. It waits for the other process.
 func (c *clientConn) tryHandOver() bool {
 	c.set.mu.Lock()
 	handOver := c.set.handOver
@@ -59,13 +59,13 @@
 		c.set.mu.Unlock()
 		return false
 	}
-	c.setState(stateBusy) // it is not closed for another meanwhile
+	c.setStateLocked(stateBusy) // it is not closed for another meanwhile
 	c.set.mu.Unlock()
 	if err := handOver(socket); err != nil { // it stays; the caller's reads go on
-		c.lockAndSetState(stateIdle)
+		c.setState(stateIdle)
 		_ = c.SetReadDeadline(time.Time{}) // fails on a closed connection alone
 		return false
 	}
-	c.lockAndSetState(stateClosed)
+	c.setState(stateClosed)
 	return true
 }
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -22,11 +22,11 @@
 	maxBodyBytes = 64 << 10
 	// bodyBytesPerSecond is how fast a body has to come at least.
 	bodyBytesPerSecond = 64 << 10
-	// bodyTimeoutSlack is the time for a body beyond that, from the end of the head.
+	// bodyTimeoutSlack is how long a body may take beyond that, from the end of the head.
 	bodyTimeoutSlack = time.Second
-	// malformedTimeout is for the body of a malformed request to be complete, from the first byte or the
-	// start of the connection; a response or a close is due after 3 s.
-	malformedTimeout = 2500 * time.Millisecond
+	// malformedTimeout is how long a malformed request with a body is read, from its first byte or the start
+	// of the connection: the connection is closed in time.
+	malformedTimeout = malformedResponseTime - 500*time.Millisecond
 	// deadlineSlack is by how much a budget may exceed the deadline of the class, which the client may have
 	// rounded.
 	deadlineSlack = 50 * time.Millisecond
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,11 +1,11 @@
 // Package httpserver is the HTTP/1.1 server for clients. It validates requests, posts them as events, and
-// writes the responses that it is given; it decides nothing else. It tracks what each client connection is
-// doing, so that none is closed over a request that the client could not send once more.
+// writes the responses that it is given; it decides nothing else. It tracks the state of each client
+// connection, so that none is closed over a request that its client could not repeat.
 //
 // The server: server.go has the server itself, handler.go a request from its head to its response, request.go
 // validates, parse.go parses, response.go writes. Client connections: connset.go has all of them, accept.go
-// admits new ones, evict.go closes those of least use, shutdown.go and handover.go end them, and
-// clientconn.go is one of them.
+// admits new ones, evict.go evicts connections, shutdown.go and handover.go end them, and
+// clientconn.go has a single one.
 package httpserver
 
 import (
@@ -28,15 +28,20 @@
 const (
 	// maxHeaderBytes bounds the head of a request.
 	maxHeaderBytes = 16 << 10
-	// headTimeout is for a head to be complete, from its first byte or the start of the connection; a
-	// client may spend 2 s on it.
-	headTimeout = 2500 * time.Millisecond
-	// idleTimeout is after how long an idle connection is closed, even below the bound.
+	// allowedHeadTime is how long a client may spend on a head, by the platform's rules.
+	allowedHeadTime = 2 * time.Second
+	// malformedResponseTime is within how long a client that stops in the middle of a request gets an error
+	// response or a close, by the platform's rules.
+	malformedResponseTime = 3 * time.Second
+	// headTimeout is how long a head may take, from its first byte or the start of the connection. It lies
+	// between the two times of the platform.
+	headTimeout = (allowedHeadTime + malformedResponseTime) / 2
+	// idleTimeout is after how long net/http closes an idle connection, however few are open.
 	idleTimeout = 90 * time.Second
 	// closePollInterval is how often Close looks for connections that are still open.
 	closePollInterval = 5 * time.Millisecond
-	// defaultFinalReadMargin is how long before the end of Close no further request is read: one that
-	// begins earlier has as long to be answered.
+	// defaultFinalReadMargin is how long before the end of Close the reading of requests ends, so that the
+	// last request read has this time to be answered.
 	defaultFinalReadMargin = 200 * time.Millisecond
 )
 
@@ -69,8 +74,8 @@
 
 	conns          atomic.Pointer[connSet] // nil until it serves
 	serving        chan struct{}           // closed once it serves
-	acceptingEnded chan struct{}           // closed once nothing more is accepted: conns has all connections
-	share          float64                 // fraction of MaxConns that may be open; guarded by mu
+	acceptingEnded chan struct{}           // closed once no connection will be added to conns by Serve
+	share          float64                 // fraction of MaxConns that may be open; guarded by mu. Kept for Serve, as it may be set before conns exists
 
 	finalReadMargin time.Duration
 
@@ -104,9 +109,9 @@
 	return s
 }
 
-// newHTTPServer returns net/http's server. There is no ServeMux, which would redirect unclean paths. The
-// time to read a head ends with the head; a time to read the complete request would run on while the
-// request waits for its response, and its end looks like a client that disconnected.
+// newHTTPServer returns net/http's server. It has no ServeMux, which would redirect unclean paths, and no
+// ReadTimeout, which would run on while a request waits for its response and end in what looks like a client
+// that disconnected.
 func (s *Server) newHTTPServer() *http.Server {
 	return &http.Server{
 		Handler:                      s,
@@ -184,7 +189,7 @@
 type singleConnListener struct {
 	conn net.Conn
 	addr net.Addr
-	once sync.Once // used by who takes the connection
+	once sync.Once // of the return or the close of conn
 }
 
 // Accept returns the connection once.
@@ -212,8 +217,8 @@
 	s.conns.Load().resume()
 }
 
-// MoveConns has idle client connections handed over to another process, now and as they become idle.
-// HandOver returns once the connection may be closed here; with an error it stays.
+// MoveConns hands idle client connections over to another process, now and as they become idle, until
+// Resume. HandOver returns once the connection may be closed here; if it fails, the connection stays.
 func (s *Server) MoveConns(handOver func(syscall.Conn) error) {
 	<-s.serving
 	s.conns.Load().startHandover(handOver)
@@ -250,8 +255,8 @@
 	}
 }
 
-// Close stops accepting, and waits until all requests are answered and connections that are handed over
-// are gone, within a time. Shortly before that has passed no further request is read.
+// Close stops accepting, and waits for all connections to be closed or handed over, but no longer than a
+// timeout. Shortly before that it stops reading requests.
 func (s *Server) Close(timeout time.Duration) {
 	s.closing.Store(true)
 	if conns := s.conns.Load(); conns != nil {
@@ -264,15 +269,15 @@
 func (s *Server) closeConns(conns *connSet, timeout time.Duration) {
 	timedOut, finalRead := time.After(timeout), time.After(timeout-s.finalReadMargin)
 	_ = conns.Close() // Accept reports an error of the listener
-	accepted := s.acceptingEnded
+	acceptingEnded := s.acceptingEnded
 	poll := time.NewTicker(closePollInterval)
 	defer poll.Stop()
-	// Until nothing more is accepted, a connection may come that is not counted yet.
-	for accepted != nil || conns.count() > 0 {
+	// Until accepting has ended, a connection may come that is not counted yet.
+	for acceptingEnded != nil || conns.count() > 0 {
 		select {
-		case <-accepted:
-			accepted = nil
-			if !conns.isHandingOver() {
+		case <-acceptingEnded:
+			acceptingEnded = nil
+			if !conns.isHandingOver() { // the other process gets the idle connections
 				conns.drain()
 			}
 		case <-poll.C:
@@ -285,7 +290,8 @@
 	}
 }
 
-// Respond gives a request its response. It never waits; a second response to a request is dropped.
+// Respond sets the response to a request, which the request's goroutine writes. It never waits; a second
+// response to a request is dropped.
 func (s *Server) Respond(response core.Respond) {
 	s.mu.Lock()
 	waiting := s.waiting[response.Request]
--- a/internal/httpserver/shutdown.go
+++ b/internal/httpserver/shutdown.go
@@ -15,8 +15,8 @@
 	return s.Listener.Close()
 }
 
-// drain closes all connections between requests, now and as they become idle. One whose next request is in
-// the socket answers that first.
+// drain closes all connections between requests, now and as they become idle. If the next request waits in
+// a socket, that is answered first.
 func (s *connSet) drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, c := range incomplete {
-		c.setState(stateClosed)
+		c.setStateLocked(stateClosed)
 	}
 	s.mu.Unlock()
 	for _, c := range incomplete {
