--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -38,7 +38,8 @@
 )
 
 // Decode decodes one message, and returns the generation of the list as well. Origin is the Unix time at
-// which the program's clock was at zero. An error has one line.
+// which the program's clock was at zero. It fails for malformed JSON, a complete list without instances, an
+// instance without an ID, and one that is up and whose address is not host:port. The error has one line.
 func Decode(data []byte, origin time.Time) (list *core.EndpointsUpdated, generation int64, err error) {
 	var m message
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &m); err != nil {
@@ -48,6 +49,7 @@
 	return list, m.Generation, err
 }
 
+// jsonError returns an error of the JSON decoder as an error of one line.
 func jsonError(err error) error {
 	return fmt.Errorf("list of backends: bad JSON: %s", strings.ReplaceAll(err.Error(), "\n", " "))
 }
@@ -88,8 +90,8 @@
 	return endpoint, nil
 }
 
-// state returns the state of the backend. An unknown one counts as draining: one entry of a later version
-// must not cost the list, and nothing new goes to that backend.
+// state returns the state of the backend. An unknown one counts as draining: a value of a later version must
+// not invalidate the list, and that backend gets no new requests.
 func (x *instance) state() admission.BackendState {
 	switch x.Lifecycle {
 	case "up":
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -24,16 +24,16 @@
 // the timer that ends a watch which has fallen silent.
 //
 // Between two messages any byte shows that discovery is there. A message that has begun is complete soon:
-// discovery is on this machine and has all of it. A change counts as known here from its first byte, so a
-// message that was cut off has to be found before new attempts must end, whatever follows it.
+// discovery is on this machine and has all of it. The change in it counts as known already, see the package
+// comment, so a message that was cut off has to be detected within the drain grace, whatever follows it.
 type stream struct {
 	body    io.Reader
-	timeout time.Duration // between messages, and for a complete one
+	timeout time.Duration // between messages without a byte, and of a message from its first byte to its last
 	silence *time.Timer   // ends the watch
 
 	decoder   *jsoniter.Decoder
 	inMessage bool      // a message has begun
-	deadline  time.Time // for the message to be complete
+	deadline  time.Time // by which the message has to be complete
 	remaining int       // bytes that the message may still have
 	err       error     // of the last Read
 }
@@ -65,7 +65,7 @@
 	return list, nil
 }
 
-// Read implements io.Reader for the decoder, and sets the timer by what comes.
+// Read implements io.Reader for the decoder, and resets the timer with each read.
 func (s *stream) Read(p []byte) (n int, err error) {
 	if s.remaining == 0 {
 		s.err = errMessageTooLong
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,6 +1,15 @@
 // Package discovery watches the endpoint list of the backends. It keeps a stream open, resumes it where
 // it broke, and posts what it reads; it decides nothing.
 //
+// The platform judges a limiter by when a change of the list counts as known to it:
+//
+//   - once discovery on the limiter's machine has the change, whether or not a watch is open;
+//   - at the latest maxKnownDelay after the watch fell silent, or after discovery had the change and could be
+//     reached, whether or not the change arrived.
+//
+// From then on the limiter has the drain grace of the settings, 250 ms as a rule, until it may begin no
+// further attempt at a backend that drains or was removed. The timeouts of this package follow from that.
+//
 // watcher.go has the watch, stream.go reads its messages, decode.go decodes them, and backoff.go decides
 // when a watch that ended is opened again.
 package discovery
@@ -23,18 +32,22 @@
 )
 
 const (
-	// defaultSilenceTimeout is after how long without a byte a watch is given up. Something comes every
-	// 2 s; a change counts as known here a few seconds after discovery has it.
+	// maxKnownDelay is after how long a change counts as known to the limiter, whether or not it arrived.
+	maxKnownDelay = 6 * time.Second
+	// defaultSilenceTimeout is after how long without a byte a watch is given up. It is above the 2 s
+	// between the empty lines of discovery, and well below maxKnownDelay.
 	defaultSilenceTimeout = 3 * time.Second
 	// dialTimeout bounds the connect to discovery, which is on this machine.
 	dialTimeout = time.Second
 )
 
 var (
-	// errInvalidMessage ends a watch with a message that could not be decoded.
-	errInvalidMessage = errors.New("watch")
+	// errInvalidMessage ends a watch with a message that was cut off or could not be decoded.
+	errInvalidMessage = errors.New("watch: invalid message")
 	// errRejected ends a watch that discovery answered with an error status.
 	errRejected = errors.New("watch: rejected")
+	// errSilent is the cause for which a silent watch is canceled.
+	errSilent = errors.New("discovery is silent")
 )
 
 // A Watcher keeps a watch open. Its owner sets the fields and runs Run in a goroutine, which ends with
@@ -42,8 +55,8 @@
 type Watcher struct {
 	Addr           string           // host:port of discovery; Run changes it after Move
 	Origin         time.Time        // see Decode
-	Generation     int64            // of the list held; grows with the messages read
-	Post           func(core.Event) // takes a core.EndpointsUpdated for each message
+	Generation     int64            // of the message read last; 0 requests the complete list
+	Post           func(core.Event) // called with a core.EndpointsUpdated for each message
 	Log            *zap.Logger
 	Limiters       int                   // that watch the same discovery
 	random         func() float64        // overrides the source of chance, in [0, 1)
@@ -55,7 +68,7 @@
 	leave    context.CancelFunc // ends the watch that is open, or the pause after it
 }
 
-// Move has discovery watched at another address, at once.
+// Move ends the watch, and has Run open one at another address.
 func (w *Watcher) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,9 +78,9 @@
 	}
 }
 
-// begin returns a context for one watch and the pause after it, which the next Move ends, and whether
-// there was a Move since the last one. The generations of one discovery mean nothing at another: the
-// complete list is requested after a Move.
+// begin returns a context for one watch and the pause after it, which the next Move cancels, and whether
+// Move was called since the last begin. After a Move the complete list is requested, as the generations of
+// one discovery mean nothing at another.
 func (w *Watcher) begin(ctx context.Context) (watchCtx context.Context, moved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,16 +147,16 @@
 	}
 }
 
-// watch reads one stream to its end, which is an error always, and returns how many messages it brought.
+// watch opens a watch, reads it to its end, and returns the number of messages read. The error is never nil.
 func (w *Watcher) watch(ctx context.Context, transport *http.Transport) (messages int, err error) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
 	timeout := w.silenceTimeout
 	if timeout == 0 {
 		timeout = defaultSilenceTimeout
 	}
-	// A discovery that was cut off sends nothing, and TCP does not notice.
-	silence := time.AfterFunc(timeout, cancel)
+	// TCP does not notice when discovery is cut off.
+	silence := time.AfterFunc(timeout, func() { cancel(errSilent) })
 	defer silence.Stop()
 
 	response, err := w.open(ctx, transport)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -209,7 +209,7 @@
 	fake.watcher(t, func(w *Watcher) {
 		w.sleepOverride, w.random = func(d time.Duration) { pauses <- d }, func() float64 { return 0.5 }
 	})
-	for _, want := range []int{10, 20, 40, 80, 100, 100} { // and no longer ones: a failed watch costs nobody anything
+	for _, want := range []int{10, 20, 40, 80, 100, 100} { // and no longer ones: a failed watch puts no load on discovery
 		close((<-fake.watches).lines)
 		if got := <-pauses; got != time.Duration(want)*time.Millisecond {
 			t.Errorf("pause %v, want %d ms", got, want)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,41 +14,51 @@
 )
 
 const (
-	// maxStaleConns is how many connections may turn out stale before an attempt counts as not sent.
+	// maxStaleConns is after how many stale connections an attempt ends with admission.NotSent.
 	maxStaleConns = 8
 	// noResponseTimeout is what the timer for a response is set to before the first byte: the event loop
 	// decides how long that may take.
 	noResponseTimeout = time.Hour
 )
 
-// An attempt is one attempt of a request at a backend, from StartAttempt to its outcome.
+// An attempt is one attempt of a request at a backend, from StartAttempt to its outcome. Beside a response
+// or an error of the connection, these end it:
+//
+//	by                 called for           its context            its connection  outcome
+//	abort              CancelAttempt        canceled               closed          not posted
+//	withdraw           WithdrawAttempt      canceled if unwritten  not written to  NotSent if unwritten
+//	cancelUnlessBegun  CloseBackendConns    canceled if unwritten  not written to  NotSent if unwritten
+//	expired            the first write      kept                   not written to  NotSent
+//	closeCarrier       the response timer   kept                   closed          by what was written
+//
+// "If unwritten" is: if no byte of it was written; otherwise the attempt goes on.
 type attempt struct {
 	backend       *backend
 	cancelContext context.CancelFunc
 	now           func() time.Duration
 	startBefore   time.Duration // no first byte may be written from then on; 0 for no bound
 
-	startExpired    atomic.Bool // startBefore came before the first byte
-	withdrawn       atomic.Bool // it may not begin any longer
-	responseStarted atomic.Bool // the first byte of a response came
+	startExpired    atomic.Bool // startBefore had passed before the first byte
+	withdrawn       atomic.Bool // no first byte may be written any longer
+	responseStarted atomic.Bool // the first byte of a response was received
 	staleConns      int         // connections that were stale before a byte was written
 
 	// Which connection carries the attempt and whether it was aborted are one decision: http.Transport
 	// may hand over a connection, and write to it, after its context has ended.
 	mu      sync.Mutex
-	conn    *backendConn // that carries it; nil for none
-	aborted bool         // none may carry it from now on
+	conn    *backendConn // the one that carries it; nil for none
+	aborted bool         // no connection may carry it any longer
 }
 
 // An outcome is how an attempt or a probe ended.
 type outcome struct {
 	result   admission.Result
-	report   []float64    // load report, in the order of the settings; nil for none
+	report   []float64    // load report, in the order and units of the settings' fields; nil for none
 	response core.Content // *Response of a request that was served, nil otherwise
 }
 
-// attach has a connection carry the attempt. If the attempt was aborted before, the connection is closed
-// before a byte is written.
+// attach makes a connection the one that carries the attempt. If the attempt was aborted, the connection is
+// closed before a byte is written.
 func (a *attempt) attach(conn *backendConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,7 +70,7 @@
 	a.conn = conn
 }
 
-// detach lets go of a connection that carried nothing.
+// detach gives up a connection on which no byte was written.
 func (a *attempt) detach() {
 	a.mu.Lock()
 	a.conn = nil
@@ -102,7 +112,7 @@
 	a.cancelUnlessBegun()
 }
 
-// cancelUnlessBegun cancels an attempt that must not begin any longer, if it has not.
+// cancelUnlessBegun cancels the context unless a byte of the attempt was written.
 func (a *attempt) cancelUnlessBegun() {
 	if !a.begun() {
 		a.cancelContext()
@@ -150,8 +160,8 @@
 	})
 }
 
-// perform makes an attempt. A connection that turns out stale before a byte of the request was written
-// costs nothing but another connection.
+// perform makes an attempt, with another connection each time that one turns out to be stale before a byte of
+// the request was written.
 func (c *Client) perform(ctx context.Context, a *attempt, e core.StartAttempt) outcome {
 	for {
 		out := c.try(ctx, a, e)
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -11,7 +11,7 @@
 
 const (
 	// idleFraction is the fraction of Options.IdleClose for which a connection is kept idle. A request
-	// that crosses the backend's close would be lost.
+	// that crosses the backend's close may be lost.
 	idleFraction = 2.0 / 3
 	// maxResponseHeaderBytes bounds the head of a response.
 	maxResponseHeaderBytes = 16 << 10
@@ -25,7 +25,7 @@
 	errBackendClosed = errors.New("connections to the backend are closed")
 )
 
-// A backend has the connections to a backend at one address, from its first attempt until
+// A backend has the connections to one backend at one address, from the first attempt or probe until
 // CloseBackendConns.
 type backend struct {
 	transport *http.Transport
@@ -52,8 +52,8 @@
 	return b
 }
 
-// closeIdleIfClosed closes what an attempt or probe left idle at a backend that was closed meanwhile:
-// http.Transport keeps idle connections again once anything has asked for one.
+// closeIdleIfClosed closes the connections that an attempt or probe left idle at a backend that was closed
+// meanwhile: http.Transport keeps idle connections again after its next request.
 func (b *backend) closeIdleIfClosed() {
 	if b.closed.Load() {
 		b.transport.CloseIdleConnections()
--- a/internal/upstream/backendconn.go
+++ b/internal/upstream/backendconn.go
@@ -33,12 +33,12 @@
 	raw     syscall.RawConn
 	backend *backend
 	release func()      // called once, when the connection is closed
-	written func(n int) // so many bytes went to the socket
+	written func(n int) // called after n bytes were written to the socket
 
 	mu          sync.Mutex
 	changed     sync.Cond // readerWaits or ended became true
-	owner       *attempt  // nil for a probe
-	begun       bool      // a byte of the owner's request was written: what comes in is the response
+	owner       *attempt  // the attempt that it carries; nil for a probe
+	begun       bool      // a byte of the owner's request was written: what is read is the response
 	writeFailed bool      // a write of it failed or was refused
 	ended       bool      // nothing more may be written or read
 	readerWaits bool      // at the socket; its buffer is empty unless a response is half read
@@ -56,7 +56,7 @@
 	return c, nil
 }
 
-// assign has the connection carry an attempt, or a probe with nil.
+// assign makes the connection carry an attempt, or a probe if a is nil.
 func (c *backendConn) assign(a *attempt) {
 	c.mu.Lock()
 	c.owner, c.begun, c.writeFailed = a, false, false
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,6 +1,6 @@
-// Package upstream is the HTTP client of the backends. It carries requests over http.Transport and posts
-// what came back. It makes exactly the attempts that it is given: nothing is repeated by itself,
-// compressed, redirected or sent through a proxy.
+// Package upstream is the HTTP client of the backends. It sends requests with http.Transport and posts the
+// outcomes. It makes exactly the attempts that it is given: it repeats none by itself, and does not
+// compress, follow redirects or use a proxy.
 //
 // client.go has the client, attempt.go an attempt from its start to its outcome, request.go and
 // response.go what is sent and received, backend.go the connections to a backend, backendconn.go one of
@@ -20,11 +20,12 @@
 const (
 	// defaultConnectTimeout bounds a connect where the settings have no bound.
 	defaultConnectTimeout = time.Second
-	// defaultResponseTimeout is how long a response may take to be complete, from its first byte.
+	// defaultResponseTimeout is how long a response may take to be complete, from its first byte. It ends
+	// one whose length is wrong or whose head never ends.
 	defaultResponseTimeout = 300 * time.Millisecond
 )
 
-// A Request is what attempts forward of a client's request.
+// A Request is the part of a client's request that is forwarded.
 type Request struct {
 	Method string
 	URI    string // path and query as they came
@@ -43,13 +44,13 @@
 
 // Options set up a Client.
 type Options struct {
-	ConnectTimeout    time.Duration        // of a connection; 0 for a default
-	IdleClose         time.Duration        // after which backends close idle connections
+	ConnectTimeout    time.Duration        // of a connection; 0 for defaultConnectTimeout
+	IdleClose         time.Duration        // after which backends close idle connections; 0 for never
 	LoadReportFields  []string             // of a load report, in the order of the settings
-	MaxIdlePerBackend int                  // idle connections kept; at least 1
+	MaxIdlePerBackend int                  // idle connections kept; 1 is kept where it is less
 	MaxConns          int                  // to all backends together; 0 for no bound
-	ResponseTimeout   time.Duration        // overrides how long a response may take from its first byte on
-	Post              func(core.Event)     // takes a core.AttemptFinished or core.ProbeFinished each
+	ResponseTimeout   time.Duration        // of a response from its first byte; 0 for defaultResponseTimeout
+	Post              func(core.Event)     // called with a core.AttemptFinished or core.ProbeFinished each
 	Now               func() time.Duration // clock of core.StartAttempt.StartBefore
 }
 
@@ -73,8 +74,8 @@
 
 // hooks let tests act in the moments at which events may cross.
 type hooks struct {
-	connected func(core.AttemptID) // there is a connection, and no byte of the attempt is written
-	written   func(n int)          // so many bytes went to the socket
+	connected func(core.AttemptID) // called when an attempt has a connection, before its first byte
+	written   func(n int)          // called after n bytes were written to a socket
 }
 
 // New returns a Client without connections.
@@ -159,7 +160,7 @@
 	b.transport.CloseIdleConnections()
 }
 
-// Close does so for all backends.
+// Close calls CloseBackendConns for all backends.
 func (c *Client) Close() {
 	c.mu.Lock()
 	ids := make([]string, 0, len(c.backends))
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -14,13 +14,14 @@
 	utilizationField = "util"
 	// maxUtilization bounds that field, with room for noise.
 	maxUtilization = 2
-	// maxReportValue bounds all other fields: no backend is that slow or loaded.
+	// maxReportValue bounds all other fields, which are numbers of requests and latencies in ms: no backend
+	// is that loaded or slow.
 	maxReportValue = 1e6
 )
 
-// parseLoadReport parses "TEXT name=value, ..." into the order of the fields. It returns nil unless there
-// is one report that has each field once, with a value that a backend can have. The response is valid
-// all the same.
+// parseLoadReport parses "TEXT name=value, ..." into the order of the fields, and keeps their units. It
+// returns nil unless there is exactly one report that has each field once, with a value that a backend can
+// have. A response without a valid report is valid.
 func parseLoadReport(texts []string, fields []string) []float64 {
 	if len(texts) != 1 || len(fields) == 0 {
 		return nil
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -13,7 +13,7 @@
 	"lemongate/internal/core"
 )
 
-// probeTimeoutFactor is the timeout of a probe over that of a connect: a slower one is of no use.
+// probeTimeoutFactor is the timeout of a probe, as a multiple of that of a connect.
 const probeTimeoutFactor = 2
 
 // Probe requests the load report of a backend, and posts the outcome as a core.ProbeFinished. Its
