--- a/cmd/lemongate/adminclient.go
+++ b/cmd/lemongate/adminclient.go
@@ -16,7 +16,8 @@
 // maxErrorBodyBytes is how much of the body of a failed call is printed.
 const maxErrorBodyBytes = 100
 
-// A statusError is a response of an administration server that reports a failure.
+// A statusError is a response of an administration server that reports a failure. The errors of this file
+// begin with "console", after the flag that has the address.
 type statusError struct {
 	Code int // HTTP status
 	Body []byte
--- a/cmd/lemongate/check.go
+++ b/cmd/lemongate/check.go
@@ -20,11 +20,12 @@
 
 // check reads the configuration as serve would.
 func check(_ context.Context, cmd *cli.Command) error {
-	c, err := loadConfig(eventloop.NewClock(1).Zero(), cmd.String("operator"))
+	conf, err := loadConfig(eventloop.NewClock(1).Zero(), cmd.String("operator"))
 	if err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(cmd.Root().Writer, "%s: limiter %d of %d, %d classes, %d plans, %d known backends\n",
-		c.Name, c.Settings.Self, c.Settings.Limiters, len(c.Settings.Classes), len(c.Settings.Plans), len(c.KnownEndpoints))
+		conf.Name, conf.Settings.Self, conf.Settings.Limiters,
+		len(conf.Settings.Classes), len(conf.Settings.Plans), len(conf.KnownEndpoints))
 	return err
 }
--- a/cmd/lemongate/serve.go
+++ b/cmd/lemongate/serve.go
@@ -36,7 +36,7 @@
 	}
 	return &cli.Command{
 		Name:   "serve",
-		Usage:  "run the limiter until SIGTERM; SIGHUP reloads the configuration, SIGUSR1 logs the counters",
+		Usage:  "run the limiter until SIGTERM; SIGHUP reloads the address of discovery from the configuration, SIGUSR1 logs the counters",
 		Flags:  []cli.Flag{level, operatorFlag()},
 		Action: serve,
 	}
@@ -57,37 +57,37 @@
 		return err
 	}
 	clock := eventloop.NewClock(rate)
-	settings, err := loadConfig(clock.Zero(), cmd.String("operator"))
+	conf, err := loadConfig(clock.Zero(), cmd.String("operator"))
 	if err != nil {
 		return err
 	}
-	limitRuntime(settings.Limits, 1)
-	return eventloop.Run(settings, clock, log, eventloop.Controls{
+	limitRuntime(conf.Limits, 1)
+	return eventloop.Run(conf, clock, log, eventloop.Controls{
 		Dump: dump, Stop: stop, Reload: reload,
-		SetResourceShare: func(fraction float64) { limitRuntime(settings.Limits, fraction) },
+		SetResourceShare: func(fraction float64) { limitRuntime(conf.Limits, fraction) },
 		Load:             func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Zero()) },
 	})
 }
 
-// notify returns a channel of the given signals. It holds one: a further one of a kind that is still
-// pending says nothing new.
+// notify returns a channel of the given signals, which holds one: while it is pending, further ones are
+// dropped.
 func notify(signals ...os.Signal) chan os.Signal {
 	pending := make(chan os.Signal, 1)
 	signal.Notify(pending, signals...)
 	return pending
 }
 
-// loadConfig reads the configuration and the operators' file, if there is one. Origin is the Unix
-// time at which the program's clock was at zero.
+// loadConfig reads the platform's configuration, and the operators' file unless its path is empty. Origin is
+// the Unix time at which the program's clock was at zero.
 func loadConfig(origin time.Time, operatorPath string) (*config.Config, error) {
-	settings, err := config.Load(os.Getenv, origin)
+	conf, err := config.Load(os.Getenv, origin)
 	if err != nil {
 		return nil, err
 	}
-	if err := settings.LoadOperator(operatorPath); err != nil {
+	if err := conf.LoadOperator(operatorPath); err != nil {
 		return nil, err
 	}
-	return settings, nil
+	return conf, nil
 }
 
 // parseClockRate reads how fast the program's clock runs, relative to the machine's: 1 for an empty
@@ -121,11 +121,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("log-level: %w", err)
 	}
-	settings := zap.NewProductionConfig()
-	settings.Level = zap.NewAtomicLevelAt(least)
-	settings.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
-	settings.DisableStacktrace = true
-	log, err := settings.Build()
+	logConfig := zap.NewProductionConfig()
+	logConfig.Level = zap.NewAtomicLevelAt(least)
+	logConfig.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
+	logConfig.DisableStacktrace = true
+	log, err := logConfig.Build()
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
--- a/internal/admin/collector.go
+++ b/internal/admin/collector.go
@@ -28,7 +28,8 @@
 	return prometheus.NewDesc(name, help, []string{"lane"}, nil)
 }
 
-// A collector gives Prometheus the metrics that were published last.
+// A collector collects the metrics of the snapshot that was published last, and the live count of attempts
+// written.
 type collector struct {
 	snapshot        *atomic.Pointer[core.Metrics]
 	attemptsWritten func() uint64
@@ -45,16 +46,16 @@
 
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
-	published := c.snapshot.Load()
-	for _, class := range published.Classes {
+	snapshot := c.snapshot.Load()
+	for _, class := range snapshot.Classes {
 		metrics <- counter(completedDesc, class.Completed, class.Class)
 		metrics <- counter(rejectedDesc, class.Rejected, class.Class)
 		metrics <- counter(failedDesc, class.Failed, class.Class)
 	}
 	metrics <- counter(attemptsDesc, c.attemptsWritten())
-	metrics <- gauge(pendingDesc, published.Pending)
-	metrics <- gauge(backendsDesc, published.Members)
-	metrics <- gauge(unavailableDesc, published.Unavailable)
+	metrics <- gauge(pendingDesc, snapshot.Pending)
+	metrics <- gauge(backendsDesc, snapshot.Members)
+	metrics <- gauge(unavailableDesc, snapshot.Unavailable)
 }
 
 func counter(d *prometheus.Desc, value uint64, labels ...string) prometheus.Metric {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -7,7 +7,7 @@
 )
 
 // A boundedListener accepts connections up to maxConns, each with a slot. At the bound a new connection
-// takes the slot of the oldest, which is closed: a caller that hangs keeps nobody waiting.
+// takes the slot of the oldest, which is closed, so that callers that hang do not keep others out.
 type boundedListener struct {
 	net.Listener
 
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -47,7 +47,7 @@
 	writeJSON(w, http.StatusOK, views)
 }
 
-// handleRestartSlot shows the restart slots as this limiter sees them, and takes an operator's request:
+// handleRestartSlot shows the restart slots as this limiter sees them, and posts an operator's request:
 // POST requests a slot for this limiter, or with forget=N releases the slot of limiter N, which will not
 // come back; DELETE releases that of this limiter or withdraws its request.
 func (s *Server) handleRestartSlot(w http.ResponseWriter, r *http.Request) {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin is the administration server: whether this process accepts clients, its metrics, its
-// leases and its restart slots. It decides nothing and waits for nothing else in the program: it shows
-// what was published last, so no caller can delay a request of a client.
+// Package admin is the administration server, which reports whether this process accepts clients, its
+// metrics, its leases and its restart slots. It decides nothing. Calls are answered from the snapshot that
+// was published last, so no caller can delay a request of a client.
 //
 // server.go has the server itself, routes.go its calls, collector.go the metrics, listener.go the
 // bound on connections. docs/operators/console.md describes the calls for operators.
@@ -20,10 +20,9 @@
 )
 
 const (
-	// callTimeout bounds how long a caller may take to send a call, and to read the response. It is as
-	// long as callers wait at most.
+	// callTimeout bounds how long a caller may take to send a call, and to read the response.
 	callTimeout = time.Second
-	// maxConns is how many callers are connected at once; see boundedListener.
+	// maxConns is how many callers may be connected at once; see boundedListener.
 	maxConns = 32
 	// maxHeaderBytes bounds the head of a call.
 	maxHeaderBytes = 4 << 10
@@ -36,15 +35,16 @@
 	log      *zap.Logger
 	server   *http.Server
 	ready    atomic.Bool
-	snapshot atomic.Pointer[core.Metrics] // as published last
+	snapshot atomic.Pointer[core.Metrics] // of metrics, leases and restart slots, as published last
 	post     func(core.Event)
 	done     context.Context // ends with Close
 	end      context.CancelFunc
 }
 
 // New returns a Server that does not listen yet. AttemptsWritten returns how many attempts were written
-// to backends completely; it is called for each scrape and must not wait. Post takes the events of
-// operators' calls; it may wait for the event loop, which delays only that call.
+// to backends completely; it is called for each scrape, so this one metric is not from the snapshot, and
+// must not wait. Post is called with the events of operators' calls; it may wait for the event loop, which
+// delays only that call.
 func New(attemptsWritten func() uint64, post func(core.Event), log *zap.Logger) *Server {
 	s := &Server{log: log, post: post}
 	s.done, s.end = context.WithCancel(context.Background())
@@ -92,7 +92,7 @@
 	return err
 }
 
-// Close ends Serve, ServeOn and all calls.
+// Close ends ListenAndServe, Serve and all calls.
 func (s *Server) Close() {
 	s.end()
 	_ = s.server.Close() // nothing is left to do for a listener that does not close
@@ -101,5 +101,6 @@
 // SetReady sets whether this process accepts clients.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Publish sets the metrics that are shown from now on.
-func (s *Server) Publish(metrics core.Metrics) { s.snapshot.Store(&metrics) }
+// Publish sets the snapshot that is shown from now on. Its counts are those of this process alone, not of an
+// earlier one of the limiter. Package core publishes at most every 100 ms.
+func (s *Server) Publish(snapshot core.Metrics) { s.snapshot.Store(&snapshot) }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the configuration of a limiter: that of the platform (platform.go), from a file
-// and the environment, and that of the operators (operator.go), from a file of theirs. What is wrong
-// with either is one error of one line.
+// and the environment, and that of the operators (operator.go), from a file of theirs. Errors have one
+// line and report the first fault found.
 package config
 
 import (
@@ -32,7 +32,7 @@
 
 	KnownEndpoints  []core.Endpoint   // the endpoint list as the platform last knew it
 	KnownGeneration int64             // of that list
-	Settings        settings.Settings // of the service: classes, plans and what is allowed
+	Settings        settings.Settings // of the service: classes, plans and what the site allows
 }
 
 // Limits are the platform's limits for one limiter. Zero means no limit.
@@ -52,10 +52,10 @@
 // Usage is the configuration of usage accounting; zero if it is disabled.
 type Usage struct {
 	Dir    string        // directory of the usage files
-	Period time.Duration // that one report covers
+	Period time.Duration // that one report covers, in whole seconds
 }
 
-// Core returns the part of the configuration that internal/core needs.
+// Core returns the part of the configuration that package core needs.
 func (c *Config) Core() core.Config {
 	return core.Config{
 		Settings:         c.Settings.Settings,
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -42,13 +42,13 @@
 )
 
 const (
-	// clockDrift is the fraction by which the rates of two clocks differ at most, for leases.
+	// clockDrift is the most by which the rate of any one clock is off, as a fraction, for leases.
 	clockDrift = 0.01
-	// repliesPerLease is how many replies a lease holder gets of each other acceptor per duration of
-	// the lease.
+	// repliesPerLease is how many replies a lease holder gets from each other acceptor per duration of the
+	// lease. It renews the lease each 0.4 of that, and gets a promise and an accept each time.
 	repliesPerLease = 5
-	// leaseMessageFraction is the fraction of the datagrams which a limiter takes in that may be about
-	// leases; the rest is left to other gossip.
+	// leaseMessageFraction is the fraction of the datagrams received that may be about leases; the rest is
+	// left to gossip about quotas and backends.
 	leaseMessageFraction = 0.3
 )
 
@@ -89,12 +89,13 @@
 
 // restartSlotsOptions are those of rolling restarts, whose coordination is a task under a lease.
 type restartSlotsOptions struct {
-	MaxConcurrent int `json:"most"`   // limiters that restart at once; default: 1
-	DurationS     int `json:"turn_s"` // in which a granted restart has to begin, in s; default: 30
+	MaxConcurrent int `json:"most"`   // limiters that may restart at once; default: 1
+	DurationS     int `json:"turn_s"` // within which a granted restart has to begin, in s; default: 30
 }
 
-// LoadOperator reads the operators' file into a configuration of Load. What it does not enable is
-// disabled; so is everything with an empty path.
+// LoadOperator reads the operators' file into a configuration that Load has returned: it is validated against
+// the settings and the peers in there. Functions that the file does not enable stay disabled; with an empty
+// path all do.
 func (c *Config) LoadOperator(path string) error {
 	if path == "" {
 		return nil
@@ -135,7 +136,7 @@
 	}
 }
 
-// setLeases enables the tasks under leases, after checking that each can be done.
+// setLeases enables leases and the tasks under them, and validates both.
 func (c *Config) setLeases(f *operatorFile) error {
 	o := &f.Leases
 	if !o.Enabled {
@@ -195,8 +196,8 @@
 	return nil
 }
 
-// minLeaseDuration is the shortest duration of leases with which one limiter may hold all of them and
-// still receive the replies of the acceptors, at a number of datagrams that it takes in per second.
+// minLeaseDuration is the shortest duration of leases with which one limiter can hold all of them: it has to
+// receive the replies of the acceptors, and may receive so many datagrams per second. 0 means no such limit.
 func minLeaseDuration(s *lease.Settings, limiters int, datagramsPerSecond float64) time.Duration {
 	if datagramsPerSecond <= 0 {
 		return 0
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Tasks under leases require their options, and no more datagrams than a limiter takes in.
+// Tasks under leases require their options, and no more datagrams than a limiter may receive.
 func TestOperatorFileLeases(t *testing.T) {
 	var c Config
 	c.Settings.Limiters, c.Settings.PeerMessagesPerSecond, c.Peers = 5, 40, make([]netip.AddrPort, 5)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -58,8 +58,8 @@
 	return load(env, origin, false)
 }
 
-// Reload reads the platform's configuration again. The file overrides the environment as far as
-// discovery goes: the environment still has the address of the start.
+// Reload reads the platform's configuration again. The address of discovery is the one in the file, if it has
+// one: the environment still has that of the start.
 func Reload(env func(string) string, origin time.Time) (*Config, error) {
 	return load(env, origin, true)
 }
@@ -92,7 +92,8 @@
 // singleLine returns the text of an error as one line.
 func singleLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
 
-// override takes options that the environment sets.
+// override sets the options for which there is an environment variable. When reloading, discovery is one only
+// if the file has none.
 func (f *platformFile) override(env func(string) string, reloading bool) {
 	for _, option := range []struct {
 		variable string
@@ -122,7 +123,7 @@
 	if c.Settings, err = settings.Decode(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// Every machine reads the same clock, so a later start has a later epoch.
+	// Unix time in ms, modulo 2^32. Every machine reads the same clock, so a later start has a later epoch.
 	c.Settings.Epoch = uint32(time.Now().UnixMilli())
 	if err := c.decodeKnownEndpoints(f.Known, origin); err != nil {
 		return nil, err
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// validate finds what would only fail later, or go unnoticed.
+// validate finds errors that would otherwise show only later, or never.
 func (c *Config) validate() error {
 	s := &c.Settings
 	switch {
--- a/internal/httpserver/crossing_test.go
+++ b/internal/httpserver/crossing_test.go
@@ -19,7 +19,7 @@
 )
 
 // A limiter that was suspended finds connections idle for long with a request in the socket. None of these
-// is closed, for want of use, for room or at a shutdown: the request is read and answered.
+// is evicted or closed at a shutdown: the request is read and answered.
 func TestNotClosedOverRequestInSocket(t *testing.T) {
 	for name, selected := range map[string]func(*connSet) evicted{
 		"sweep": func(conns *connSet) evicted { return conns.evictLongest(stateIdle, minIdleTime) },
--- a/internal/httpserver/model_test.go
+++ b/internal/httpserver/model_test.go
@@ -217,7 +217,7 @@
 }
 
 // Clients send, pipeline, stop half way, end their sending and disconnect, requests are answered, connections
-// are closed for room and for want of use, and the server shuts down, in any order. A request gets one response,
+// are evicted from a full or crowded set, and the server shuts down, in any order. A request gets one response,
 // its own, or its connection ends and the request was never posted.
 func TestConnModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/httpserver/parse.go
+++ b/internal/httpserver/parse.go
@@ -17,7 +17,7 @@
 	maxNumberBytes = 24
 	// customerDigits is the length of a customer's name, which is hexadecimal.
 	customerDigits = 16
-	// customerLimit is above the numbers of all customers.
+	// customerLimit is above the numbers of all customers, by the platform's protocol.
 	customerLimit = 1 << 33
 	// maxBudget bounds a client's budget.
 	maxBudget = time.Hour
@@ -39,8 +39,8 @@
 	return values[0], true
 }
 
-// splitPath returns the class and the customer of a path: its first and its last segment. A customer has one
-// name: its digits are lower case.
+// splitPath returns the class and the customer of a path: its first and its last segment. Upper-case digits
+// are invalid, so that each customer has one name.
 func splitPath(path string) (class, customer string, ok bool) {
 	path, ok = strings.CutPrefix(path, "/")
 	if !ok {
@@ -78,7 +78,7 @@
 }
 
 // parseNumber parses a plain decimal number: no sign, exponent, infinity or hexadecimal digits, all of which
-// strconv would take.
+// strconv would accept.
 func parseNumber(text string) (number float64, ok bool) {
 	if len(text) > maxNumberBytes || strings.Trim(text, "0123456789.") != "" {
 		return 0, false
@@ -91,7 +91,7 @@
 type quotaInfo struct {
 	units        float64
 	setSize      int // limiters of the customer
-	firstLimiter int // the first of them
+	firstLimiter int // the number of the first one
 }
 
 // parseQuota parses "units=2,spread=3,first=1", each once. Other names are ignored.
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -14,21 +14,20 @@
 	"lemongate/internal/upstream"
 )
 
-// This file validates requests. What a backend or the rules of admission cannot use goes no further: it
-// would cost more there, and may pass for something else.
+// This file validates requests. A request that a backend or the rules of admission cannot use is answered
+// here: further on it would cost more, and may be taken for a different one.
 
 const (
 	// maxBodyBytes bounds the body of a request.
 	maxBodyBytes = 64 << 10
-	// bodyBytesPerSecond is how fast a body has to come at least.
+	// bodyBytesPerSecond is the lowest rate at which a client may send a body, by the platform's rules.
 	bodyBytesPerSecond = 64 << 10
 	// bodyTimeoutSlack is how long a body may take beyond that, from the end of the head.
 	bodyTimeoutSlack = time.Second
 	// malformedTimeout is how long a malformed request with a body is read, from its first byte or the start
 	// of the connection: the connection is closed in time.
 	malformedTimeout = malformedResponseTime - 500*time.Millisecond
-	// deadlineSlack is by how much a budget may exceed the deadline of the class, which the client may have
-	// rounded.
+	// deadlineSlack is by how much a budget may exceed the deadline of the class, as clients may round it.
 	deadlineSlack = 50 * time.Millisecond
 )
 
@@ -56,7 +55,7 @@
 	faultBodyCutOff  = &malformed{core.BadFraming, http.StatusBadRequest, "body broken off", true}
 )
 
-// readRequest validates a request, reads its body, and returns it as an event; or what is wrong with it.
+// readRequest validates a request, reads its body, and returns it as an event, or else its fault.
 func (s *Server) readRequest(r *http.Request) (*core.RequestReceived, *malformed) {
 	if fault := checkFraming(r); fault != nil {
 		return nil, fault
@@ -99,9 +98,9 @@
 	}, nil
 }
 
-// checkFraming looks for what may hide where a request ends. net/http takes a chunked body and drops a
-// Content-Length beside it unseen, and under HTTP/1.0 drops Transfer-Encoding: such a body may hide another
-// request. Clients send a length, so what comes without is not read.
+// checkFraming rejects requests whose end is ambiguous, as their bodies may hide another request. net/http
+// accepts a chunked body and silently drops a Content-Length beside it, and under HTTP/1.0 it drops
+// Transfer-Encoding. Clients send a length, so a chunked body is not read.
 func checkFraming(r *http.Request) *malformed {
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -210,15 +209,15 @@
 	return quota, ok && inTier && unitsAllowed
 }
 
-// readBody reads the complete body. Its length is known and within the bound; but memory is taken for what
-// has come, not for what is announced.
+// readBody reads the complete body, whose length is known and within the bound. It allocates memory as the
+// body is received, not by the announced length.
 func (s *Server) readBody(r *http.Request) ([]byte, *malformed) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	conn := connOf(r)
-	// By its length: a slow client may take seconds for a long one, and half of a short one is found at
-	// once.
+	// In proportion to the length: a slow client may take seconds for a long body, and a short one that is
+	// cut off is detected soon.
 	seconds := float64(r.ContentLength) / bodyBytesPerSecond
 	timeout := bodyTimeoutSlack + time.Duration(seconds*float64(time.Second))
 	_ = conn.SetReadDeadline(s.options.Wall().Add(timeout)) // fails on a closed connection alone
@@ -229,8 +228,8 @@
 	if err != nil {
 		return nil, faultBodyCutOff
 	}
-	// net/http goes on reading, to see the client disconnect. After an error the deadline stays: net/http
-	// would wait for the rest before it answers.
+	// net/http goes on reading, to detect that the client disconnects. After an error the deadline stays, as
+	// net/http would wait for the rest before it answers.
 	_ = conn.SetReadDeadline(time.Time{})
 	return body, nil
 }
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -10,10 +10,9 @@
 )
 
 // This file writes responses. A response is complete before its first byte is sent. Errors of writes are
-// ignored: a client that has gone is no longer of interest, and the connection ends by that. The texts are
-// those of release 0.8.0.
+// ignored: the client has gone, and the connection ends. The texts are those of release 0.8.0.
 
-// writeResponse writes the response that was decided for a request.
+// writeResponse writes the response to a request.
 func writeResponse(w http.ResponseWriter, response core.Respond) {
 	switch response.Kind {
 	case core.Served:
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -52,7 +52,7 @@
 }
 
 // Listen opens a socket and returns a Transport on it. Peers are in the order of the limiters' numbers;
-// broadcast is an address that reaches all of them. Post takes each datagram that is received.
+// broadcast is an address that reaches all of them. Post is called with each datagram received.
 func Listen(at netip.AddrPort, peers []netip.AddrPort, broadcast netip.AddrPort, post func(core.Event), log *zap.Logger) (*Transport, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -86,8 +86,8 @@
 // Socket returns the socket, to be handed to another process.
 func (t *Transport) Socket() *net.UDPConn { return t.conn }
 
-// Pause stops reading until Resume. What comes meanwhile stays in the socket, for the process that reads
-// next.
+// Pause stops reading until Resume. Datagrams that arrive meanwhile stay in the socket, for the process that
+// reads next.
 func (t *Transport) Pause() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,8 +166,8 @@
 	}
 }
 
-// Send queues a datagram for a limiter, or for all limiters with a number below 0. It never waits; a
-// datagram that the queue has no room for is dropped. It must not be called after Close.
+// Send queues a datagram for a limiter, or for all limiters if number is below 0. It never waits: it drops
+// the datagram if the queue is full. It must not be called after Close.
 func (t *Transport) Send(number int, data []byte) {
 	to := t.address(number)
 	if !to.IsValid() || len(data) > maxDatagramBytes {
@@ -180,8 +180,7 @@
 	}
 }
 
-// address returns the address of a limiter, that of all with a number below 0; it is invalid if there is
-// none.
+// address returns the address for Send; it is invalid if there is none.
 func (t *Transport) address(number int) netip.AddrPort {
 	switch {
 	case number < 0:
@@ -192,8 +191,8 @@
 	return netip.AddrPort{}
 }
 
-// Close writes what is queued, such as that this limiter leaves, within flushTimeout, and ends Read and
-// Write.
+// Close waits up to flushTimeout for the queue to be written, which may have the message that this limiter
+// leaves, and ends Read and Write.
 func (t *Transport) Close() error {
 	close(t.queue)
 	close(t.closed)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,9 +19,9 @@
 // Settings configure a limiter: its admission controller, and what only a limiter on sockets needs.
 type Settings struct {
 	admission.Settings
-	ConnectTimeout time.Duration // a connection that takes longer to come up has failed
-	IdleClose      time.Duration // a backend closes a connection at the latest when idle for this long
-	MaxUnits       float64       // the most that one request takes from a quota; 0 if not known
+	ConnectTimeout time.Duration // of a connection to a backend; 0 if not known
+	IdleClose      time.Duration // after which at the latest a backend closes an idle connection; 0 if not known
+	MaxUnits       float64       // that one request takes from a quota; 0 if not known
 }
 
 // Decode reads the settings, a JSON object. Keys that it does not know are skipped, and keys that are
@@ -53,7 +53,7 @@
 }
 
 // Duration converts a time as the platform writes it, in seconds with fractions, to the nearest
-// nanosecond.
+// nanosecond. The result is unspecified for NaN and beyond the range of time.Duration, about 292 years.
 func Duration(seconds float64) time.Duration {
 	return time.Duration(math.Round(seconds * float64(time.Second)))
 }
