--- a/internal/upstream/backendconn.go
+++ b/internal/upstream/backendconn.go
@@ -37,8 +37,8 @@
 
 	mu          sync.Mutex
 	changed     sync.Cond // readerWaits or ended became true
-	owner       *attempt  // the attempt that it carries; nil for a probe
-	begun       bool      // a byte of the owner's request was written: what is read is the response
+	carried     *attempt  // nil for a probe
+	begun       bool      // a byte of the carried request was written: what is read is the response
 	writeFailed bool      // a write of it failed or was refused
 	ended       bool      // nothing more may be written or read
 	readerWaits bool      // at the socket; its buffer is empty unless a response is half read
@@ -59,7 +59,7 @@
 // assign makes the connection carry an attempt, or a probe if a is nil.
 func (c *backendConn) assign(a *attempt) {
 	c.mu.Lock()
-	c.owner, c.begun, c.writeFailed = a, false, false
+	c.carried, c.begun, c.writeFailed = a, false, false
 	c.mu.Unlock()
 }
 
@@ -166,11 +166,11 @@
 		return errStale
 	case c.backend.closed.Load():
 		return errBackendClosed
-	case c.owner == nil:
+	case c.carried == nil:
 		return nil
-	case c.owner.withdrawn.Load():
+	case c.carried.withdrawn.Load():
 		return errWithdrawn
-	case c.owner.expired():
+	case c.carried.expired():
 		return errStartExpired
 	}
 	return nil
@@ -197,7 +197,7 @@
 // abort closes the connection if it still carries an attempt.
 func (c *backendConn) abort(a *attempt) {
 	c.mu.Lock()
-	carries := c.owner == a
+	carries := c.carried == a
 	if carries {
 		c.ended = true // no other attempt begins on it from now on
 	}
@@ -212,7 +212,7 @@
 func (c *backendConn) progress(a *attempt) (begun, complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.owner != a {
+	if c.carried != a {
 		return true, true // it has carried another one since
 	}
 	return c.begun, c.begun && !c.writeFailed
