--- /dev/null
+++ b/cmd/lemongate-experiment/main.go
@@ -0,0 +1,55 @@
+// Command lemongate-experiment plays experiments on lemongate: tiers of real limiters in virtual time or on
+// processes, with faults by schedule, and a verdict at the end.
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/urfave/cli/v3"
+
+	"lemongate/internal/experiment"
+)
+
+func main() {
+	err := command().Run(context.Background(), os.Args)
+	if err == nil {
+		return
+	}
+	if !errors.Is(err, errBroken) {
+		fmt.Fprintln(os.Stderr, "lemongate-experiment:", err)
+	}
+	os.Exit(1)
+}
+
+// command is the command line of the program.
+func command() *cli.Command {
+	return &cli.Command{
+		Name:     "lemongate-experiment",
+		Usage:    "play experiments on lemongate",
+		Commands: []*cli.Command{runCommand(), demoCommand(), schemaCommand()},
+	}
+}
+
+// schemaCommand prints the JSON schema of an experiment.
+func schemaCommand() *cli.Command {
+	return &cli.Command{
+		Name:  "schema",
+		Usage: "print the JSON schema of an experiment",
+		Action: func(_ context.Context, cmd *cli.Command) error {
+			_, err := cmd.Root().Writer.Write(experiment.Schema)
+			return err
+		},
+	}
+}
+
+// printf prints to standard output, whose errors could not be reported.
+func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
+
+// programFlag names the limiter's program.
+func programFlag() cli.Flag {
+	return &cli.StringFlag{Name: "program", Usage: "the limiter's `FILE`; by default lemongate beside this program"}
+}
--- /dev/null
+++ b/cmd/lemongate/restartslot_test.go
@@ -0,0 +1,142 @@
+package main
+
+import (
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"lemongate/internal/processharness"
+)
+
+// Operators restart all limiters at once, each when it is granted a slot, while datagrams are lost, late
+// and repeated, and the lease holder is suspended, cut off in one direction, and restarted itself: never
+// more than two are restarting, by the operators' own count, and all were restarted at the end.
+func TestRollingRestart(t *testing.T) {
+	const limiters, maxConcurrent = 5, 2
+	operator := t.TempDir() + "/operator.json"
+	text := `{"leases":{"on":true,"length_ms":1000,"keepers":3,"tasks":["restarts"]},"restarts":{"most":2,"turn_s":1}}`
+	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	tier := processharness.New(t, limiters, 2, os.Args[0], "serve", "--operator", operator)
+	tier.Env = []string{"LEMONGATE_TEST=serve"}
+	tier.Net.Bad(0.08, 0.1, 30*time.Millisecond)
+	processes := startAll(t, tier)
+	holder := awaitHolder(t, processes)
+
+	var mu sync.Mutex
+	restarting, worst := 0, 0
+	count := func(change int) {
+		mu.Lock()
+		restarting += change
+		worst = max(worst, restarting)
+		mu.Unlock()
+	}
+	process := func(n int) *processharness.Process {
+		mu.Lock()
+		defer mu.Unlock()
+		return processes[n]
+	}
+	var operators sync.WaitGroup
+	for n := range limiters {
+		operators.Go(func() {
+			output, err := run(t, "restart-slot", "--wait", "50s", "--console", process(n).Console)
+			if err != nil || !strings.HasPrefix(output, "restart within ") {
+				t.Errorf("limiter %d: %q, %v", n, output, err)
+				return
+			}
+			count(1)
+			old := process(n)
+			old.Signal(syscall.SIGTERM)
+			_ = old.Wait(t) // it may be suspended just then
+			next := tier.Limiters[n].Start()
+			processharness.Until(t, "a process that takes clients", next.Healthy)
+			count(-1)
+			mu.Lock()
+			processes[n] = next
+			mu.Unlock()
+		})
+	}
+	done := make(chan bool)
+	go func() {
+		operators.Wait()
+		close(done)
+	}()
+	for round := 0; ; round++ {
+		select {
+		case <-done:
+			if worst > maxConcurrent {
+				t.Errorf("%d limiters restarted at once, %d may", worst, maxConcurrent)
+			}
+			t.Logf("%d limiters restarted, %d at once at most", limiters, worst)
+			return
+		case <-time.After([]time.Duration{4 * time.Second, time.Second}[min(round, 1)]): // the first slot comes after two durations of one
+		}
+		for n := range limiters {
+			if v, ok := recoveryLease(t, process(n)); ok && v.Holds {
+				holder = n
+			}
+		}
+		if p := process(holder); round%2 == 0 {
+			p.Signal(syscall.SIGSTOP)
+			time.Sleep(1300 * time.Millisecond)
+			p.Signal(syscall.SIGCONT)
+			continue
+		}
+		for n := range limiters {
+			tier.Net.Cut(holder, n, n != holder)
+		}
+		time.Sleep(1500 * time.Millisecond)
+		for n := range limiters {
+			tier.Net.Cut(holder, n, false)
+		}
+	}
+}
+
+// A limiter without restart slots says so, and a slot that was released can be granted again.
+func TestRestartSlotCommand(t *testing.T) {
+	disabled := startAll(t, newTierWithLeases(t, 1, 1))[0]
+	if _, err := run(t, "restart-slot", "--console", disabled.Console); err == nil || !strings.Contains(err.Error(), "gives no turns") {
+		t.Error(err)
+	}
+	if _, err := run(t, "restart-slot", "--console", "127.0.0.1:1"); err == nil || !strings.HasPrefix(err.Error(), "console: ") {
+		t.Error(err)
+	}
+	operator := t.TempDir() + "/operator.json"
+	text := `{"leases":{"on":true,"length_ms":1000,"keepers":3,"tasks":["restarts"]},"restarts":{"turn_s":1}}`
+	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	tier := processharness.New(t, 3, 1, os.Args[0], "serve", "--operator", operator)
+	tier.Env = []string{"LEMONGATE_TEST=serve"}
+	processes := startAll(t, tier)
+	for range 2 {
+		if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].Console); err != nil {
+			t.Fatalf("%q, %v", out, err)
+		}
+		if _, err := run(t, "restart-slot", "--wait", "200ms", "--console", processes[1].Console); err == nil || !strings.Contains(err.Error(), "none came") {
+			t.Errorf("a second one restarts: %v", err)
+		}
+		if _, err := run(t, "restart-slot", "--back", "--console", processes[0].Console); err != nil {
+			t.Error(err)
+		}
+	}
+	// One that was killed keeps its slot until an operator says that it will not come back.
+	if _, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].Console); err != nil {
+		t.Fatal(err)
+	}
+	processes[0].Signal(syscall.SIGKILL)
+	_ = processes[0].Wait(t) // it was killed
+	if _, err := run(t, "restart-slot", "--wait", "3s", "--console", processes[1].Console); err == nil {
+		t.Error("two restart")
+	}
+	if _, err := run(t, "restart-slot", "--forget", "0", "--console", processes[1].Console); err != nil {
+		t.Error(err)
+	}
+	if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[1].Console); err != nil {
+		t.Errorf("%q, %v", out, err)
+	}
+}
--- /dev/null
+++ b/internal/admission/invariants_test.go
@@ -0,0 +1,286 @@
+package admission
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"lemongate/internal/gossip"
+)
+
+// ruleChecker is the caller of one Controller, and checks on each of its actions the rules of the service: what must
+// not run twice never does, a request is answered once and within its budget, and a backend that is draining or removed
+// gets nothing after the drain grace.
+type ruleChecker struct {
+	t             *testing.T
+	ctl           *Controller
+	settings      Settings
+	now           time.Duration
+	requests      map[RequestID]*requestRecord
+	zones         map[string]string        // by backend
+	unavailableAt map[string]time.Duration // clock time at which the Controller learned of it, by backend
+	attemptsOut   []RequestID
+	answers       int
+}
+
+// requestRecord is what the actions so far have done for a request.
+type requestRecord struct {
+	class    Class
+	deadline time.Duration // clock time
+	attempts int
+	backend  string // where an attempt is out; empty for none
+	sentAt   time.Duration
+	canceled bool // the attempt that is out
+	ended    bool
+
+	mayHaveRunOn   string // where the first attempt that may have run was; empty for none
+	mayHaveRunFrom time.Duration
+}
+
+func newRuleChecker(t *testing.T, settings Settings, seed uint64, backends []Backend) *ruleChecker {
+	checker := &ruleChecker{
+		t: t, ctl: New(settings, seed), settings: settings, requests: map[RequestID]*requestRecord{},
+		zones: map[string]string{}, unavailableAt: map[string]time.Duration{},
+	}
+	for _, b := range backends {
+		checker.zones[b.ID] = b.Zone
+	}
+	checker.handle(&EndpointList{Kind: ListCached, Backends: backends})
+	return checker
+}
+
+// handle hands an event over and checks the actions that come back.
+func (checker *ruleChecker) handle(ev Event) {
+	for _, action := range checker.ctl.Handle(checker.now, ev, nil) {
+		switch action := action.(type) {
+		case StartAttempt:
+			checker.checkAttempt(action)
+		case Reject:
+			r := checker.checkAnswer(action.Request)
+			neverRan := r.backend == "" && r.mayHaveRunOn == ""
+			if r.class.Idempotency != Idempotent && !neverRan {
+				checker.t.Fatalf("%v: %s rejected though it may have run", checker.now, r.class.Name)
+			}
+		case Fail:
+			checker.checkAnswer(action.Request)
+		case CancelAttempt:
+			r := checker.requests[action.Request]
+			if r == nil || r.backend == "" || action.Attempt != r.attempts-1 {
+				checker.t.Fatalf("%v: canceled attempt %d of %d, which is not out", checker.now, action.Attempt, action.Request)
+			}
+			r.canceled = true
+		}
+	}
+}
+
+// checkAttempt checks that an attempt may start, and records it.
+func (checker *ruleChecker) checkAttempt(attempt StartAttempt) {
+	r, now := checker.requests[attempt.Request], checker.now
+	switch {
+	case r == nil || r.ended:
+		checker.t.Fatalf("%v: attempt for request %d after its end", now, attempt.Request)
+	case r.backend != "":
+		checker.t.Fatalf("%v: two attempts out for request %d", now, attempt.Request)
+	case r.attempts >= checker.settings.MaxAttempts:
+		checker.t.Fatalf("%v: attempt %d for request %d", now, r.attempts, attempt.Request)
+	case checker.zones[attempt.Backend] == "":
+		checker.t.Fatalf("%v: attempt at %q, which is in no endpoint list", now, attempt.Backend)
+	case r.mayHaveRunOn != "" && r.class.Idempotency == NonIdempotent:
+		checker.t.Fatalf("%v: non-idempotent request %d retried though it may have run", now, attempt.Request)
+	case r.mayHaveRunOn != "" && r.class.Idempotency == IdempotentByKey && !checker.dropsRepeat(r, attempt.Backend):
+		checker.t.Fatalf("%v: keyed request %d retried outside of its scope or window", now, attempt.Request)
+	}
+	if at, unavailable := checker.unavailableAt[attempt.Backend]; unavailable && now-at > checker.settings.DrainGrace {
+		checker.t.Fatalf("%v: attempt at %s, unavailable since %v", now, attempt.Backend, at)
+	}
+	r.attempts++
+	r.backend, r.sentAt, r.canceled = attempt.Backend, now, false
+	checker.attemptsOut = append(checker.attemptsOut, attempt.Request)
+}
+
+// dropsRepeat reports whether a backend drops a repeat of a keyed request that may have run. Keys are remembered by
+// zone.
+func (checker *ruleChecker) dropsRepeat(r *requestRecord, backend string) bool {
+	return checker.zones[r.mayHaveRunOn] == checker.zones[backend] && checker.now-r.mayHaveRunFrom < r.class.IdempotencyWindow
+}
+
+// checkAnswer checks that a request may be answered without a response of a backend, and records that it was.
+func (checker *ruleChecker) checkAnswer(id RequestID) *requestRecord {
+	r := checker.requests[id]
+	if r == nil || r.ended {
+		checker.t.Fatalf("%v: second answer to request %d", checker.now, id)
+	}
+	if checker.now > r.deadline+8*ms {
+		checker.t.Fatalf("%v: answer to request %d, due at %v", checker.now, id, r.deadline)
+	}
+	r.ended = true
+	checker.answers++
+	return r
+}
+
+// request hands over a request, and records it first.
+func (checker *ruleChecker) request(request *Request, class Class) *requestRecord {
+	r := &requestRecord{class: class, deadline: checker.now + request.Budget}
+	checker.requests[request.ID] = r
+	checker.handle(request)
+	return r
+}
+
+// finishAttempt ends the attempt that is out at an index of attemptsOut.
+func (checker *ruleChecker) finishAttempt(index int, result Result) {
+	id := checker.attemptsOut[index]
+	checker.attemptsOut = slices.Delete(checker.attemptsOut, index, index+1)
+	r := checker.requests[id]
+	ev := &AttemptFinished{
+		Request: id, Attempt: r.attempts - 1, Backend: r.backend, Result: result, Latency: checker.now - r.sentAt, Final: r.ended,
+	}
+	if !result.NeverRan() && r.mayHaveRunOn == "" {
+		r.mayHaveRunOn, r.mayHaveRunFrom = r.backend, r.sentAt
+	}
+	r.backend = ""
+	if result == Succeeded && !r.ended {
+		r.ended, ev.Final = true, true
+		checker.answers++
+	}
+	checker.handle(ev)
+}
+
+// setState hands over that the state of a backend has changed.
+func (checker *ruleChecker) setState(b *Backend, state BackendState) {
+	b.State = state
+	if state == Live {
+		delete(checker.unavailableAt, b.ID)
+		b.StartedAt = checker.now
+	} else {
+		checker.unavailableAt[b.ID] = checker.now
+	}
+	checker.handle(&EndpointList{Kind: ListDelta, Backends: []Backend{*b}})
+}
+
+// Whatever events come, in whatever order, the rules of the service are kept and each request is answered once.
+func TestInvariants(t *testing.T) {
+	for seed := range uint64(40) {
+		random := rand.New(rand.NewPCG(seed, 1))
+		backends := backendList("a", "b", "c", "d", "e", "f")
+		checker := newRuleChecker(t, testSettings(), seed, backends)
+		failureRate := random.Float64() / 2
+		for step := range 4000 {
+			checker.now += timerStep
+			checker.handle(TimerFired{})
+			if step < 3300 && random.IntN(4) > 0 {
+				checker.randomRequest(random, RequestID(step))
+			}
+			checker.randomResults(random, failureRate)
+			if random.IntN(150) == 0 {
+				b := &backends[random.IntN(len(backends))]
+				checker.setState(b, BackendState(random.IntN(3)))
+			}
+			if random.IntN(20) == 0 {
+				data := randomMessage(random, checker.ctl.settings.Epoch, uint32(step), backends)
+				if _, ok := gossip.Parse(data); !ok {
+					t.Fatal("a random message is not read")
+				}
+				checker.handle(&PeerMessage{From: random.IntN(3) - 1, Data: data})
+			}
+		}
+		if checker.answers != len(checker.requests) || len(checker.ctl.requests) != 0 {
+			t.Fatalf("seed %d: %d answers to %d requests, %d not forgotten",
+				seed, checker.answers, len(checker.requests), len(checker.ctl.requests))
+		}
+	}
+}
+
+// randomRequest hands over a request, whose client gives up at once in one of fifty cases.
+func (checker *ruleChecker) randomRequest(random *rand.Rand, id RequestID) {
+	class := checker.settings.Classes[random.IntN(3)]
+	budget := class.Deadline / time.Duration(1+random.IntN(3))
+	r := checker.request(&Request{
+		ID: id, Class: class.Name, Plan: checker.settings.Plans[random.IntN(4)].Name, Customer: randomCustomer(random),
+		Units: 1, Budget: budget, SetSize: 2,
+	}, class)
+	if random.IntN(50) == 0 && !r.ended {
+		r.ended = true
+		checker.handle(&RequestEnded{Request: id})
+		checker.answers++
+	}
+}
+
+func randomCustomer(random *rand.Rand) string { return fmt.Sprint("c", random.IntN(12)) }
+
+// randomResults ends attempts: those past their deadline, those that were canceled, and of the others one in twelve.
+func (checker *ruleChecker) randomResults(random *rand.Rand, failureRate float64) {
+	for i := 0; i < len(checker.attemptsOut); i++ {
+		r := checker.requests[checker.attemptsOut[i]]
+		switch {
+		case checker.now >= r.deadline:
+			checker.finishAttempt(i, TimedOut)
+		case r.canceled:
+			checker.finishAttempt(i, Canceled)
+		case random.IntN(12) > 0:
+		case random.Float64() < failureRate:
+			checker.finishAttempt(i, Result(random.IntN(int(NotSent)+1)))
+		default:
+			checker.finishAttempt(i, Succeeded)
+		}
+	}
+}
+
+// randomMessage is a message of another limiter with values chosen by chance, in the form that gossip.Parse reads. Half
+// of the messages are for the epoch of the receiver, and about customers that it has met, with the limiter set that they
+// have there, and about its backends. The sender restarts after every 500 steps.
+func randomMessage(random *rand.Rand, epoch, seq uint32, backends []Backend) []byte {
+	m := gossip.Message{
+		Epoch: 1 + seq/500, ReceiverEpoch: random.Uint32(), Seq: seq,
+		Pressure: randomByte(random), ServingAge: randomByte(random),
+	}
+	for range random.IntN(4) {
+		m.Requests = append(m.Requests, randomTransferRequest(random))
+	}
+	for range random.IntN(4) {
+		m.Grants = append(m.Grants, randomGrant(random))
+	}
+	for range random.IntN(4) {
+		m.Observations = append(m.Observations, gossip.Observation{
+			Backend: random.Uint32(), Load: randomByte(random), FailureRate: randomByte(random), Age: randomByte(random),
+		})
+	}
+	if random.IntN(2) == 0 {
+		m.ReceiverEpoch = epoch
+		for i := range m.Requests {
+			m.Requests[i].Customer = hashOf(randomCustomer(random))
+			m.Requests[i].Plan, m.Requests[i].FirstLimiter, m.Requests[i].SetSize = uint8(random.IntN(4)), 0, 2
+		}
+		for i := range m.Grants {
+			m.Grants[i].Customer = hashOf(randomCustomer(random))
+		}
+		for i := range m.Observations {
+			m.Observations[i].Backend = gossip.BackendKey(hashOf(backends[random.IntN(len(backends))].ID))
+		}
+	}
+	return m.Append(nil)
+}
+
+func randomTransferRequest(random *rand.Rand) gossip.TransferRequest {
+	return gossip.TransferRequest{
+		Customer: random.Uint32(), Plan: randomByte(random),
+		FirstLimiter: randomUint16(random), SetSize: randomUint16(random), Nonce: randomUint16(random),
+		QuotaWanted: randomUint16(random), CeilingWanted: randomUint16(random), Consumed: randomUint16(random),
+		Demand: randomByte(random), Level: int8(randomByte(random)), Share: randomByte(random),
+		SlotsHeld: randomByte(random), SlotsWanted: randomByte(random), TotalLevel: randomByte(random),
+	}
+}
+
+func randomGrant(random *rand.Rand) gossip.Grant {
+	return gossip.Grant{
+		Customer: random.Uint32(), Nonce: randomUint16(random),
+		QuotaUnits: randomUint16(random), CeilingUnits: randomUint16(random), Consumed: randomUint16(random),
+		Share: randomByte(random), Level: int8(randomByte(random)), Demand: randomByte(random),
+		Slots: randomByte(random), TotalLevel: randomByte(random),
+	}
+}
+
+func randomByte(random *rand.Rand) uint8 { return uint8(random.IntN(256)) }
+
+func randomUint16(random *rand.Rand) uint16 { return uint16(random.IntN(1 << 16)) }
--- /dev/null
+++ b/internal/admission/snapshot_state.go
@@ -0,0 +1,525 @@
+package admission
+
+import (
+	"time"
+
+	"lemongate/internal/memento"
+	"lemongate/internal/quota"
+	"lemongate/internal/rate"
+)
+
+// This file is the stored form of a Controller, and the one place where it is mapped to the live
+// types. The field tags are a format that other releases read; a live field may be renamed freely.
+
+func ledgerState(l *quota.Ledger) *quota.LedgerState {
+	if l == nil {
+		return nil
+	}
+	state := l.State()
+	return &state
+}
+
+// limiterState is the stored form of a Controller, without what follows from its settings or from
+// other state, and without requests, which stay where they are.
+type limiterState struct {
+	Now                        time.Duration           `json:"now"`
+	Started                    bool                    `json:"running"`
+	Classes                    []classState            `json:"classes"`
+	Backends                   map[string]backendState `json:"known"`
+	MeanLoad                   float64                 `json:"meanLoad"`
+	Ledger                     *quota.LedgerState      `json:"ledger"`
+	Customers                  []customerState         `json:"order"`
+	FirstRequestAt             time.Duration           `json:"first"`
+	Leaving                    bool                    `json:"left"`
+	InitialUtilizations        []float64               `json:"starting"`
+	Peers                      map[int]peerState       `json:"peers"`
+	TransferRequestsPacedUntil time.Duration           `json:"paced"`
+	MessagesPacedUntil         time.Duration           `json:"pacedAll"`
+	NextObservationsAt         time.Duration           `json:"nextNews"`
+	UrgentUntil                time.Duration           `json:"alarm"`
+	ProbeAllowance             allowanceState          `json:"probes"`
+	Rejections                 rejectionsState         `json:"turned"`
+	NextControlAt              time.Duration           `json:"nextPeriod"`
+	FractionalWindow           allowanceState          `json:"carry"`
+	SlowStartAllowance         allowanceState          `json:"cold"`
+	WindowScale                float64                 `json:"scale"`
+	UpstreamPressure           float64                 `json:"strain"`
+	QuotaRate                  float64                 `json:"quotas"`
+	MedianLatencyPerAttempt    float64                 `json:"typical"`
+	WindowWasFull              bool                    `json:"bound"`
+	RetryTokens                float64                 `json:"retryTokens"`
+	AttemptRate                rateState               `json:"sendRate"`
+	PollDue                    bool                    `json:"watch"`
+}
+
+// classState is the stored form of a requestClass.
+type classState struct {
+	classSettingsState
+	Share              float64           `json:"share"`
+	Credit             float64           `json:"credit"`
+	RecentBudgets      [16]time.Duration `json:"budgets"`
+	BudgetsSeen        int               `json:"asked"`
+	UsualBudget        time.Duration     `json:"usual"`
+	Arrivals           int               `json:"arrivals"`
+	Completed          int               `json:"ended"`
+	LatencySum         float64           `json:"latency"`
+	AttemptsMeasured   int               `json:"served"`
+	AttemptLatencySum  float64           `json:"work"`
+	ArrivalRate        float64           `json:"rate"`
+	MeanLatency        float64           `json:"mean"`
+	MeanSquaredLatency float64           `json:"mean2"`
+	LatencySamples     int               `json:"answers"`
+	IdleLatency        float64           `json:"idle"`
+}
+
+// classSettingsState is the stored form of a Class of the settings.
+type classSettingsState struct {
+	Name              string           `json:"Name"`
+	Effect            Idempotency      `json:"Effect"`
+	IdempotencyScope  IdempotencyScope `json:"Group"`
+	IdempotencyWindow time.Duration    `json:"Window"`
+	LatencyObjective  time.Duration    `json:"Aim"`
+	Deadline          time.Duration    `json:"Deadline"`
+	Weight            float64          `json:"Worth"`
+}
+
+// backendState is the stored form of what is known of a backend.
+type backendState struct {
+	backendEntryState
+	LatencyPerAttempt    float64               `json:"slope"`
+	Samples              float64               `json:"answers"`
+	LastResponseAt       time.Duration         `json:"seen"`
+	FailureRate          float64               `json:"fails"`
+	EjectedUntil         time.Duration         `json:"until"`
+	ConsecutiveEjections int                   `json:"doubts"`
+	RejectedUntil        map[int]time.Duration `json:"turned"`
+	Unavailable          bool                  `json:"gone"`
+	RemovedAt            time.Duration         `json:"left"`
+	GossipKey            uint32                `json:"key"`
+	RelativeLoad         float64               `json:"load"`
+	ObservedAt           time.Duration         `json:"heard"`
+	GossipRepeats        int                   `json:"told"`
+	AnnouncedFailureRate float64               `json:"toldFails"`
+	InitialReportSeen    bool                  `json:"reported"`
+}
+
+// backendEntryState is the stored form of an entry of the list of backends.
+type backendEntryState struct {
+	ID               string        `json:"ID"`
+	Zone             string        `json:"Zone"`
+	Cell             int           `json:"Cell"`
+	State            BackendState  `json:"State"`
+	RelativeCapacity float64       `json:"Size"`
+	StartedAt        time.Duration `json:"Started"`
+}
+
+// customerState is the stored form of a customer.
+type customerState struct {
+	Name         string        `json:"name"`
+	PlanIndex    int           `json:"number"`
+	FirstLimiter int           `json:"first"`
+	SetSize      int           `json:"size"`
+	LastSeen     time.Duration `json:"seen"`
+	MeanUnits    float64       `json:"units"`
+}
+
+// peerState is the stored form of a peer.
+type peerState struct {
+	Number          int           `json:"number"`
+	Epoch           uint32        `json:"epoch"`
+	Known           bool          `json:"known"`
+	LastReceivedSeq uint32        `json:"seq"`
+	LastSentSeq     uint32        `json:"sent"`
+	DueAt           time.Duration `json:"due"`
+	PacedUntil      time.Duration `json:"paced"`
+	Queued          bool          `json:"waits"`
+}
+
+// allowanceState is the stored form of a rate.Allowance.
+type allowanceState struct {
+	Amount    float64       `json:"amount"`
+	UpdatedAt time.Duration `json:"at"`
+}
+
+// rejectionsState is the stored form of the counts of rejections.
+type rejectionsState struct {
+	OverQuota        uint64 `json:"beyond"`
+	WindowFull       uint64 `json:"full"`
+	QueueTimeout     uint64 `json:"held"`
+	RetriesExhausted uint64 `json:"tried"`
+}
+
+// rateState is the stored form of a rate.Decaying.
+type rateState struct {
+	Rate      float64       `json:"rate"`
+	UpdatedAt time.Duration `json:"at"`
+}
+
+// settingsState is the form of Settings of which the fingerprint is taken.
+type settingsState struct {
+	Epoch                 uint32               `json:"Epoch"`
+	Self                  int                  `json:"Self"`
+	Limiters              int                  `json:"Gateways"`
+	Zone                  string               `json:"Zone"`
+	ClockResolution       time.Duration        `json:"Tick"`
+	Classes               []classSettingsState `json:"Classes"`
+	Plans                 []planState          `json:"Plans"`
+	ClientsMarkRetries    bool                 `json:"MarksRetry"`
+	MaxAttempts           int                  `json:"MaxAttempts"`
+	MayCancel             bool                 `json:"MayCancel"`
+	MayProbe              bool                 `json:"MayProbe"`
+	GossipEnabled         bool                 `json:"MayTell"`
+	PeerMessagesPerSecond float64              `json:"PeerInPerSec"`
+	MaxRetryAfter         time.Duration        `json:"MaxRetryAfter"`
+	LoadReportFields      []string             `json:"ReportFields"`
+	CapacitiesKnown       bool                 `json:"SizesKnown"`
+	PollEndpoints         bool                 `json:"PullList"`
+	DrainGrace            time.Duration        `json:"DrainGrace"`
+	SlowStartFraction     float64              `json:"ColdFrom"`
+	SlowStartDuration     time.Duration        `json:"WarmWithin"`
+	OverloadMultiple      float64              `json:"FallMultiple"`
+	OverloadDuration      time.Duration        `json:"FallWithin"`
+}
+
+// planState is the stored form of a Plan of the settings.
+type planState struct {
+	Name           string  `json:"Name"`
+	Rate           float64 `json:"Rate"`
+	Burst          float64 `json:"Burst"`
+	MaxConcurrent  int     `json:"Open"`
+	WeightFactor   float64 `json:"Price"`
+	ExcessFraction float64 `json:"Excess"`
+	OverQuotaCost  float64 `json:"Over"`
+	CeilingRate    float64 `json:"CeilingRate"`
+	CeilingBurst   float64 `json:"CeilingBurst"`
+}
+
+func newLimiterState(x *Controller) limiterState {
+	return limiterState{
+		Now:                        x.now,
+		Started:                    x.started,
+		Classes:                    memento.List(x.classes.all, newClassState),
+		Backends:                   memento.Values(x.endpoints.byID, newBackendState),
+		MeanLoad:                   x.reports.meanLoad,
+		Ledger:                     ledgerState(x.customers.ledger),
+		Customers:                  memento.List(x.customers.order, newCustomerState),
+		FirstRequestAt:             x.customers.firstRequestAt,
+		Leaving:                    x.customers.leaving,
+		InitialUtilizations:        x.reports.initialUtilizations,
+		Peers:                      memento.Values(x.gossip.peers, newPeerState),
+		TransferRequestsPacedUntil: x.gossip.requestsPacedUntil,
+		MessagesPacedUntil:         x.gossip.messagesPacedUntil,
+		NextObservationsAt:         x.gossip.nextObservationsAt,
+		UrgentUntil:                x.gossip.urgentUntil,
+		ProbeAllowance:             newAllowanceState(x.reports.probes),
+		Rejections:                 newRejectionsState(x.rejections),
+		NextControlAt:              x.control.nextAt,
+		FractionalWindow:           newAllowanceState(x.window.fraction),
+		SlowStartAllowance:         newAllowanceState(x.slowStart),
+		WindowScale:                x.window.scale,
+		UpstreamPressure:           x.window.pressure,
+		QuotaRate:                  x.window.quotaRate,
+		MedianLatencyPerAttempt:    x.endpoints.medianLatencyPerAttempt,
+		WindowWasFull:              x.window.wasFull,
+		RetryTokens:                x.retries.tokens,
+		AttemptRate:                newRateState(x.window.attemptRate),
+		PollDue:                    x.endpoints.pollDue,
+	}
+}
+
+// restore puts the state into a Controller that knows its settings alone. The ledger needs the
+// configuration and is restored apart.
+func (s limiterState) restore(ctl *Controller) {
+	ctl.now = s.Now
+	ctl.started = s.Started
+	ctl.classes.all = memento.List(s.Classes, classState.restore)
+	ctl.endpoints.byID = memento.Values(s.Backends, backendState.restore)
+	ctl.reports.meanLoad = s.MeanLoad
+	ctl.customers.order = memento.List(s.Customers, customerState.restore)
+	ctl.customers.firstRequestAt = s.FirstRequestAt
+	ctl.customers.leaving = s.Leaving
+	ctl.reports.initialUtilizations = s.InitialUtilizations
+	ctl.gossip.peers = memento.Values(s.Peers, peerState.restore)
+	ctl.gossip.requestsPacedUntil = s.TransferRequestsPacedUntil
+	ctl.gossip.messagesPacedUntil = s.MessagesPacedUntil
+	ctl.gossip.nextObservationsAt = s.NextObservationsAt
+	ctl.gossip.urgentUntil = s.UrgentUntil
+	ctl.reports.probes = s.ProbeAllowance.restore()
+	ctl.rejections = s.Rejections.restore()
+	ctl.control.nextAt = s.NextControlAt
+	ctl.window.fraction = s.FractionalWindow.restore()
+	ctl.slowStart = s.SlowStartAllowance.restore()
+	ctl.window.scale = s.WindowScale
+	ctl.window.pressure = s.UpstreamPressure
+	ctl.window.quotaRate = s.QuotaRate
+	ctl.endpoints.medianLatencyPerAttempt = s.MedianLatencyPerAttempt
+	ctl.window.wasFull = s.WindowWasFull
+	ctl.retries.tokens = s.RetryTokens
+	ctl.window.attemptRate = s.AttemptRate.restore()
+	ctl.endpoints.pollDue = s.PollDue
+}
+
+func newClassState(x *requestClass) classState {
+	return classState{
+		classSettingsState: newClassSettingsState(x.Class),
+		Share:              x.share,
+		Credit:             x.credit,
+		RecentBudgets:      x.recentBudgets,
+		BudgetsSeen:        x.budgetsSeen,
+		UsualBudget:        x.usualBudget,
+		Arrivals:           x.arrivals,
+		Completed:          x.completed,
+		LatencySum:         x.latencySum,
+		AttemptsMeasured:   x.attemptsMeasured,
+		AttemptLatencySum:  x.attemptLatencySum,
+		ArrivalRate:        x.arrivalRate,
+		MeanLatency:        x.meanLatency,
+		MeanSquaredLatency: x.meanSquaredLatency,
+		LatencySamples:     x.latencySamples,
+		IdleLatency:        x.idleLatency,
+	}
+}
+
+func (s classState) restore() *requestClass {
+	return &requestClass{
+		Class:              s.classSettingsState.restore(),
+		share:              s.Share,
+		credit:             s.Credit,
+		recentBudgets:      s.RecentBudgets,
+		budgetsSeen:        s.BudgetsSeen,
+		usualBudget:        s.UsualBudget,
+		arrivals:           s.Arrivals,
+		completed:          s.Completed,
+		latencySum:         s.LatencySum,
+		attemptsMeasured:   s.AttemptsMeasured,
+		attemptLatencySum:  s.AttemptLatencySum,
+		arrivalRate:        s.ArrivalRate,
+		meanLatency:        s.MeanLatency,
+		meanSquaredLatency: s.MeanSquaredLatency,
+		latencySamples:     s.LatencySamples,
+		idleLatency:        s.IdleLatency,
+	}
+}
+
+func newClassSettingsState(x Class) classSettingsState {
+	return classSettingsState{
+		Name:              x.Name,
+		Effect:            x.Idempotency,
+		IdempotencyScope:  x.IdempotencyScope,
+		IdempotencyWindow: x.IdempotencyWindow,
+		LatencyObjective:  x.LatencyObjective,
+		Deadline:          x.Deadline,
+		Weight:            x.Weight,
+	}
+}
+
+func (s classSettingsState) restore() Class {
+	return Class{
+		Name:              s.Name,
+		Idempotency:       s.Effect,
+		IdempotencyScope:  s.IdempotencyScope,
+		IdempotencyWindow: s.IdempotencyWindow,
+		LatencyObjective:  s.LatencyObjective,
+		Deadline:          s.Deadline,
+		Weight:            s.Weight,
+	}
+}
+
+func newBackendState(x *backend) backendState {
+	return backendState{
+		backendEntryState:    newBackendEntryState(x.Backend),
+		LatencyPerAttempt:    x.latencyPerAttempt,
+		Samples:              x.samples,
+		LastResponseAt:       x.lastResponseAt,
+		FailureRate:          x.failureRate,
+		EjectedUntil:         x.nextRecoveryAt,
+		ConsecutiveEjections: x.consecutiveEjections,
+		RejectedUntil:        x.rejectedUntil,
+		Unavailable:          x.unavailable,
+		RemovedAt:            x.removedAt,
+		GossipKey:            x.gossipKey,
+		RelativeLoad:         x.relativeLoad,
+		ObservedAt:           x.observedAt,
+		GossipRepeats:        x.gossipRepeats,
+		AnnouncedFailureRate: x.announcedFailureRate,
+		InitialReportSeen:    x.initialReportSeen,
+	}
+}
+
+func (s backendState) restore() *backend {
+	return &backend{
+		Backend:              s.backendEntryState.restore(),
+		latencyPerAttempt:    s.LatencyPerAttempt,
+		samples:              s.Samples,
+		lastResponseAt:       s.LastResponseAt,
+		failureRate:          s.FailureRate,
+		nextRecoveryAt:       s.EjectedUntil,
+		consecutiveEjections: s.ConsecutiveEjections,
+		rejectedUntil:        s.RejectedUntil,
+		unavailable:          s.Unavailable,
+		removedAt:            s.RemovedAt,
+		gossipKey:            s.GossipKey,
+		relativeLoad:         s.RelativeLoad,
+		observedAt:           s.ObservedAt,
+		gossipRepeats:        s.GossipRepeats,
+		announcedFailureRate: s.AnnouncedFailureRate,
+		initialReportSeen:    s.InitialReportSeen,
+	}
+}
+
+func newBackendEntryState(x Backend) backendEntryState {
+	return backendEntryState{
+		ID:               x.ID,
+		Zone:             x.Zone,
+		Cell:             x.Cell,
+		State:            x.State,
+		RelativeCapacity: x.RelativeCapacity,
+		StartedAt:        x.StartedAt,
+	}
+}
+
+func (s backendEntryState) restore() Backend {
+	return Backend{
+		ID:               s.ID,
+		Zone:             s.Zone,
+		Cell:             s.Cell,
+		State:            s.State,
+		RelativeCapacity: s.RelativeCapacity,
+		StartedAt:        s.StartedAt,
+	}
+}
+
+func newCustomerState(x *customer) customerState {
+	return customerState{
+		Name:         x.name,
+		PlanIndex:    x.planIndex,
+		FirstLimiter: x.firstLimiter,
+		SetSize:      x.setSize,
+		LastSeen:     x.lastSeen,
+		MeanUnits:    x.meanUnits,
+	}
+}
+
+func (s customerState) restore() *customer {
+	return &customer{
+		name:         s.Name,
+		planIndex:    s.PlanIndex,
+		firstLimiter: s.FirstLimiter,
+		setSize:      s.SetSize,
+		lastSeen:     s.LastSeen,
+		meanUnits:    s.MeanUnits,
+	}
+}
+
+func newPeerState(x *peer) peerState {
+	return peerState{
+		Number:          x.number,
+		Epoch:           x.epoch,
+		Known:           x.known,
+		LastReceivedSeq: x.lastReceivedSeq,
+		LastSentSeq:     x.lastSentSeq,
+		DueAt:           x.dueAt,
+		PacedUntil:      x.pacedUntil,
+		Queued:          x.queued,
+	}
+}
+
+func (s peerState) restore() *peer {
+	return &peer{
+		number:          s.Number,
+		epoch:           s.Epoch,
+		known:           s.Known,
+		lastReceivedSeq: s.LastReceivedSeq,
+		lastSentSeq:     s.LastSentSeq,
+		dueAt:           s.DueAt,
+		pacedUntil:      s.PacedUntil,
+		queued:          s.Queued,
+	}
+}
+
+func newAllowanceState(x rate.Allowance) allowanceState {
+	return allowanceState{
+		Amount:    x.Amount,
+		UpdatedAt: x.UpdatedAt,
+	}
+}
+
+func (s allowanceState) restore() rate.Allowance {
+	return rate.Allowance{
+		Amount:    s.Amount,
+		UpdatedAt: s.UpdatedAt,
+	}
+}
+
+func newRejectionsState(x RejectionCounts) rejectionsState {
+	return rejectionsState{
+		OverQuota:        x.OverQuota,
+		WindowFull:       x.WindowFull,
+		QueueTimeout:     x.QueueTimeout,
+		RetriesExhausted: x.RetriesExhausted,
+	}
+}
+
+func (s rejectionsState) restore() RejectionCounts {
+	return RejectionCounts{
+		OverQuota:        s.OverQuota,
+		WindowFull:       s.WindowFull,
+		QueueTimeout:     s.QueueTimeout,
+		RetriesExhausted: s.RetriesExhausted,
+	}
+}
+
+func newRateState(x rate.Decaying) rateState {
+	return rateState{
+		Rate:      x.PerSecond,
+		UpdatedAt: x.UpdatedAt,
+	}
+}
+
+func (s rateState) restore() rate.Decaying {
+	return rate.Decaying{
+		PerSecond: s.Rate,
+		UpdatedAt: s.UpdatedAt,
+	}
+}
+
+func newSettingsState(x Settings) settingsState {
+	return settingsState{
+		Epoch:                 x.Epoch,
+		Self:                  x.Self,
+		Limiters:              x.Limiters,
+		Zone:                  x.Zone,
+		ClockResolution:       x.ClockResolution,
+		Classes:               memento.List(x.Classes, newClassSettingsState),
+		Plans:                 memento.List(x.Plans, newPlanState),
+		ClientsMarkRetries:    x.ClientsMarkRetries,
+		MaxAttempts:           x.MaxAttempts,
+		MayCancel:             x.MayCancel,
+		MayProbe:              x.MayProbe,
+		GossipEnabled:         x.GossipEnabled,
+		PeerMessagesPerSecond: x.PeerMessagesPerSecond,
+		MaxRetryAfter:         x.MaxRetryAfter,
+		LoadReportFields:      x.LoadReportFields,
+		CapacitiesKnown:       x.CapacitiesKnown,
+		PollEndpoints:         x.PollEndpoints,
+		DrainGrace:            x.DrainGrace,
+		SlowStartFraction:     x.SlowStartFraction,
+		SlowStartDuration:     x.SlowStartDuration,
+		OverloadMultiple:      x.OverloadMultiple,
+		OverloadDuration:      x.OverloadDuration,
+	}
+}
+
+func newPlanState(x Plan) planState {
+	return planState{
+		Name:           x.Name,
+		Rate:           x.Rate,
+		Burst:          x.Burst,
+		MaxConcurrent:  x.MaxConcurrent,
+		WeightFactor:   x.WeightFactor,
+		ExcessFraction: x.ExcessFraction,
+		OverQuotaCost:  x.OverQuotaCost,
+		CeilingRate:    x.CeilingRate,
+		CeilingBurst:   x.CeilingBurst,
+	}
+}
--- /dev/null
+++ b/internal/core/metrics.go
@@ -0,0 +1,102 @@
+package core
+
+import (
+	"slices"
+	"time"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/lease"
+)
+
+// This file counts by request class and publishes metrics.
+
+// metricsInterval is how old published metrics may be while anything happens. Readers allow half a
+// second, and to publish at each event would cost a pass over the backends.
+const metricsInterval = 100 * time.Millisecond
+
+// ClassCounts counts how the requests of one class ended, from the start of the process.
+type ClassCounts struct {
+	Class     string
+	Completed uint64 // with a backend's response
+	Rejected  uint64 // with a local reply: they may be sent again
+	Failed    uint64 // with a local reply: they may have run
+}
+
+// Metrics are what operators see. Counts are from the start of the process.
+type Metrics struct {
+	Classes      []ClassCounts   // in the order of the settings
+	Pending      int             // requests without a response
+	Members      int             // backends in the list, draining ones included
+	Unavailable  int             // those of Members that drain or that the admission controller avoids
+	Leases       []lease.View    // by task
+	RestartSlots RestartSlotView // of the rolling restart
+}
+
+// metricsState is the counts of metrics, and the time at which they were published.
+type metricsState struct {
+	classes      []ClassCounts // in the order of the settings
+	publishedAt  time.Duration
+	timerPending bool // a timer is set to publish what changed since
+}
+
+func newMetricsState(classes []admission.Class, now time.Duration) metricsState {
+	s := metricsState{publishedAt: now - metricsInterval}
+	for _, class := range classes {
+		s.classes = append(s.classes, ClassCounts{Class: class.Name})
+	}
+	return s
+}
+
+// countResponse counts how a request of a class, or of noClass, ended.
+func (m *Machine) countResponse(classIndex int, kind ResponseKind) {
+	class := &ClassCounts{} // dropped where there is no class
+	if classIndex != noClass {
+		class = &m.metrics.classes[classIndex]
+	}
+	switch kind {
+	case Served:
+		m.counters.Served++
+		class.Completed++
+	case Rejected:
+		m.counters.Rejected++
+		class.Rejected++
+	case Failed:
+		m.counters.Failed++
+		class.Failed++
+	}
+}
+
+// publishMetrics publishes where metrics are wanted and the last ones are old enough, and otherwise
+// makes sure that the last change is published too. An idle program publishes nothing.
+func (m *Machine) publishMetrics() {
+	if !m.config.PublishesMetrics {
+		return
+	}
+	nextAt := m.metrics.publishedAt + metricsInterval
+	if m.now >= nextAt {
+		m.metrics.publishedAt = m.now
+		m.metrics.timerPending = false
+		m.emit(PublishMetrics{Metrics: m.currentMetrics()})
+		return
+	}
+	if !m.metrics.timerPending {
+		m.metrics.timerPending = true
+		m.timers.add(timer{at: nextAt, kind: metricsTimer})
+	}
+}
+
+func (m *Machine) currentMetrics() Metrics {
+	metrics := Metrics{
+		Classes:      slices.Clone(m.metrics.classes),
+		Pending:      m.requests.pending,
+		Members:      len(m.endpoints.byID),
+		Leases:       m.Leases(),
+		RestartSlots: m.RestartSlots(),
+	}
+	for id, endpoint := range m.endpoints.byID {
+		if endpoint.State != admission.Live || m.admission.controller.AvoidsBackend(id) {
+			metrics.Unavailable++
+		}
+	}
+	return metrics
+}
--- /dev/null
+++ b/internal/eventloop/frames.go
@@ -0,0 +1,399 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	jsoniter "github.com/json-iterator/go"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+	"lemongate/internal/hotrestart"
+	"lemongate/internal/hotrestart/link"
+	"lemongate/internal/lease"
+	"lemongate/internal/memento"
+	"lemongate/internal/upstream"
+	"lemongate/internal/usage"
+)
+
+// This file is the form of the frames between two processes of a limiter, and the one place where it is
+// mapped to the types of package core. Bodies are JSON, so that releases that know more fields than others
+// understand each other. Kinds and field tags are a format that other releases read.
+
+// frameFormat is the version of the format. A process of another one is denied, and waits until the
+// listening address is free.
+const frameFormat = 1
+
+// The kinds of frames beside those of package hotrestart.
+const (
+	frameAttemptStarted uint8 = uint8(hotrestart.NumKinds) + iota
+	frameAttemptFinished
+	frameForwardedRequest
+	frameCanceledRequest // its body is the request's ID
+	frameForwardedResponse
+	frameClientConn // has no body, and the connection's socket
+)
+
+var (
+	errUnknownKind     = errors.New("unknown kind of frame")
+	errMissingResponse = errors.New("response of a backend without content")
+)
+
+// frameCodec encodes the bodies of frames.
+var frameCodec = jsoniter.Config{CaseSensitive: true}.Froze()
+
+// helloFrame is the body of Hello: who the successor is.
+type helloFrame struct {
+	Format int    `json:"Format"`
+	Name   string `json:"Name"`
+	Listen string `json:"Listen"`
+	Peers  string `json:"Peers"` // listening address for peers
+}
+
+// mismatch returns why a process is no successor of this one, "" if it is one.
+func (f helloFrame) mismatch(own helloFrame) string {
+	switch {
+	case f.Format != own.Format:
+		return fmt.Sprintf("speaks format %d, not %d", f.Format, own.Format)
+	case f != own:
+		return "is another limiter, or listens elsewhere"
+	}
+	return ""
+}
+
+// requestFrame is an admission.Request.
+type requestFrame struct {
+	ID       admission.RequestID `json:"ID"`
+	Class    string              `json:"Class"`
+	Plan     string              `json:"Plan"`
+	Customer string              `json:"Customer"`
+	Units    float64             `json:"Units"`
+	Budget   time.Duration       `json:"Budget"`
+	First    int                 `json:"First"`
+	Spread   int                 `json:"Spread"`
+	Retry    bool                `json:"Retry"`
+}
+
+// attemptStartedFrame is a core.OpenAttempt.
+type attemptStartedFrame struct {
+	requestFrame
+	CallID  string `json:"CallID"`
+	Attempt int    `json:"Attempt"`
+	Backend string `json:"Backend"`
+	Booked  bool   `json:"Booked"`
+}
+
+// attemptFinishedFrame is a core.FinishedAttempt.
+type attemptFinishedFrame struct {
+	Attempt attemptIDFrame   `json:"Fetch"`
+	Backend string           `json:"Backend"`
+	Result  admission.Result `json:"Result"`
+	Latency time.Duration    `json:"Latency"`
+	Report  []float64        `json:"Report"`
+}
+
+// attemptIDFrame is a core.AttemptID.
+type attemptIDFrame struct {
+	Request core.RequestID `json:"Req"`
+	Number  int            `json:"Attempt"`
+}
+
+// forwardedRequestFrame is a core.ForwardedRequest.
+type forwardedRequestFrame struct {
+	requestFrame
+	CallID  string               `json:"CallID"`
+	Content *requestContentFrame `json:"Content"`
+}
+
+// requestContentFrame is an upstream.Request.
+type requestContentFrame struct {
+	Method string `json:"Method"`
+	URI    string `json:"URI"`
+	Host   string `json:"Host"`
+	CallID string `json:"CallID"`
+	Key    string `json:"Key"`
+	Type   string `json:"Type"`
+	Body   []byte `json:"Body"`
+}
+
+// forwardedResponseFrame is a core.Respond.
+type forwardedResponseFrame struct {
+	Request    core.RequestID        `json:"Req"`
+	Kind       core.ResponseKind     `json:"Kind"`
+	RetryAfter time.Duration         `json:"RetryAfter"`
+	Content    *responseContentFrame `json:"Reply"`
+}
+
+// responseContentFrame is an upstream.Response.
+type responseContentFrame struct {
+	Type string `json:"Type"`
+	Body []byte `json:"Body"`
+}
+
+// stateFrame is a core.HandoverState, the body of Transfer.
+type stateFrame struct {
+	Now            time.Duration         `json:"Now"`
+	Controller     []byte                `json:"Gate"`
+	Endpoints      []endpointFrame       `json:"Entries"`
+	Generation     int64                 `json:"Generation"`
+	Source         string                `json:"Source"`
+	LastRequest    core.RequestID        `json:"Last"`
+	OpenAttempts   []attemptStartedFrame `json:"Out"`
+	Usage          *usage.RecorderState  `json:"Use"`
+	LeaseAcceptors []lease.AcceptorState `json:"Keepers"`
+}
+
+// endpointFrame is a core.Endpoint.
+type endpointFrame struct {
+	ID      string                 `json:"ID"`
+	Zone    string                 `json:"Zone"`
+	Cell    int                    `json:"Cell"`
+	State   admission.BackendState `json:"State"`
+	Size    float64                `json:"Size"`
+	Started time.Duration          `json:"Started"`
+	Addr    string                 `json:"Addr"`
+}
+
+func newRequestFrame(r admission.Request) requestFrame {
+	return requestFrame{
+		ID:       r.ID,
+		Class:    r.Class,
+		Plan:     r.Plan,
+		Customer: r.Customer,
+		Units:    r.Units,
+		Budget:   r.Budget,
+		First:    r.FirstLimiter,
+		Spread:   r.SetSize,
+		Retry:    r.IsRetry,
+	}
+}
+
+func (f requestFrame) request() admission.Request {
+	return admission.Request{
+		ID:           f.ID,
+		Class:        f.Class,
+		Plan:         f.Plan,
+		Customer:     f.Customer,
+		Units:        f.Units,
+		Budget:       f.Budget,
+		FirstLimiter: f.First,
+		SetSize:      f.Spread,
+		IsRetry:      f.Retry,
+	}
+}
+
+func newAttemptStartedFrame(a core.OpenAttempt) attemptStartedFrame {
+	return attemptStartedFrame{
+		requestFrame: newRequestFrame(a.Request),
+		CallID:       a.CallID,
+		Attempt:      a.Attempt,
+		Backend:      a.Backend,
+		Booked:       a.UsageRecorded,
+	}
+}
+
+func (f attemptStartedFrame) attempt() core.OpenAttempt {
+	return core.OpenAttempt{
+		Request:       f.request(),
+		CallID:        f.CallID,
+		Attempt:       f.Attempt,
+		Backend:       f.Backend,
+		UsageRecorded: f.Booked,
+	}
+}
+
+func newAttemptFinishedFrame(a core.FinishedAttempt) attemptFinishedFrame {
+	return attemptFinishedFrame{
+		Attempt: attemptIDFrame{Request: a.Attempt.Request, Number: a.Attempt.Number},
+		Backend: a.Backend,
+		Result:  a.Result,
+		Latency: a.Latency,
+		Report:  a.Report,
+	}
+}
+
+func (f attemptFinishedFrame) attempt() core.FinishedAttempt {
+	return core.FinishedAttempt{
+		Attempt: core.AttemptID{Request: f.Attempt.Request, Number: f.Attempt.Number},
+		Backend: f.Backend,
+		Result:  f.Result,
+		Latency: f.Latency,
+		Report:  f.Report,
+	}
+}
+
+func newForwardedRequestFrame(r core.ForwardedRequest) forwardedRequestFrame {
+	f := forwardedRequestFrame{requestFrame: newRequestFrame(r.Request), CallID: r.CallID}
+	if content, ok := r.Content.(*upstream.Request); ok && content != nil {
+		f.Content = newRequestContentFrame(content)
+	}
+	return f
+}
+
+func (f forwardedRequestFrame) forwardedRequest() core.ForwardedRequest {
+	return core.ForwardedRequest{Request: f.request(), CallID: f.CallID, Content: f.Content.content()}
+}
+
+func newRequestContentFrame(r *upstream.Request) *requestContentFrame {
+	return &requestContentFrame{
+		Method: r.Method,
+		URI:    r.URI,
+		Host:   r.Host,
+		CallID: r.CallID,
+		Key:    r.Key,
+		Type:   r.Type,
+		Body:   r.Body,
+	}
+}
+
+// content returns the content of a request, nil if it has none.
+func (f *requestContentFrame) content() *upstream.Request {
+	if f == nil {
+		return nil
+	}
+	return &upstream.Request{
+		Method: f.Method,
+		URI:    f.URI,
+		Host:   f.Host,
+		CallID: f.CallID,
+		Key:    f.Key,
+		Type:   f.Type,
+		Body:   f.Body,
+	}
+}
+
+func newForwardedResponseFrame(r core.Respond) forwardedResponseFrame {
+	f := forwardedResponseFrame{Request: r.Request, Kind: r.Kind, RetryAfter: r.RetryAfter}
+	if content, ok := r.Response.(*upstream.Response); ok && content != nil {
+		f.Content = &responseContentFrame{Type: content.Type, Body: content.Body}
+	}
+	return f
+}
+
+// respond returns the response, and errMissingResponse if it is one of a backend that has no content.
+func (f forwardedResponseFrame) respond() (core.Respond, error) {
+	r := core.Respond{Request: f.Request, Kind: f.Kind, RetryAfter: f.RetryAfter, Response: f.Content.content()}
+	if f.Content == nil && f.Kind == core.Served {
+		return r, errMissingResponse
+	}
+	return r, nil
+}
+
+// content returns the content of a response, nil if it has none.
+func (f *responseContentFrame) content() *upstream.Response {
+	if f == nil {
+		return nil
+	}
+	return &upstream.Response{Type: f.Type, Body: f.Body}
+}
+
+func newEndpointFrame(e core.Endpoint) endpointFrame {
+	return endpointFrame{
+		ID:      e.ID,
+		Zone:    e.Zone,
+		Cell:    e.Cell,
+		State:   e.State,
+		Size:    e.RelativeCapacity,
+		Started: e.StartedAt,
+		Addr:    e.Addr,
+	}
+}
+
+func (f endpointFrame) endpoint() core.Endpoint {
+	return core.Endpoint{
+		Backend: admission.Backend{
+			ID:               f.ID,
+			Zone:             f.Zone,
+			Cell:             f.Cell,
+			State:            f.State,
+			RelativeCapacity: f.Size,
+			StartedAt:        f.Started,
+		},
+		Addr: f.Addr,
+	}
+}
+
+func newStateFrame(s core.HandoverState) stateFrame {
+	return stateFrame{
+		Now:            s.Now,
+		Controller:     s.Controller,
+		Endpoints:      memento.List(s.Endpoints, newEndpointFrame),
+		Generation:     s.Generation,
+		Source:         s.Discovery,
+		LastRequest:    s.LastRequest,
+		OpenAttempts:   memento.List(s.OpenAttempts, newAttemptStartedFrame),
+		Usage:          s.Usage,
+		LeaseAcceptors: s.LeaseAcceptors,
+	}
+}
+
+func (f stateFrame) state() core.HandoverState {
+	return core.HandoverState{
+		Now:            f.Now,
+		Controller:     f.Controller,
+		Endpoints:      memento.List(f.Endpoints, endpointFrame.endpoint),
+		Generation:     f.Generation,
+		Discovery:      f.Source,
+		LastRequest:    f.LastRequest,
+		OpenAttempts:   memento.List(f.OpenAttempts, attemptStartedFrame.attempt),
+		Usage:          f.Usage,
+		LeaseAcceptors: f.LeaseAcceptors,
+	}
+}
+
+// decode returns the event of a frame. It has none with an error, and none for frameClientConn.
+func decode(f link.Frame) (core.Event, error) {
+	ev, err := decodeBody(f)
+	if err != nil {
+		return nil, err
+	}
+	return ev, nil
+}
+
+func decodeBody(f link.Frame) (core.Event, error) {
+	switch f.Kind {
+	case uint8(hotrestart.Transfer):
+		return decodeTransfer(f), nil
+	case frameAttemptStarted:
+		body, err := unmarshal[attemptStartedFrame](f)
+		return &core.PredecessorAttemptStarted{OpenAttempt: body.attempt()}, err
+	case frameAttemptFinished:
+		body, err := unmarshal[attemptFinishedFrame](f)
+		return &core.PredecessorAttemptFinished{FinishedAttempt: body.attempt()}, err
+	case frameForwardedRequest:
+		body, err := unmarshal[forwardedRequestFrame](f)
+		return &core.ForwardedRequestReceived{ForwardedRequest: body.forwardedRequest()}, err
+	case frameCanceledRequest:
+		id, err := unmarshal[core.RequestID](f)
+		return core.ForwardedRequestCanceled{Request: id}, err
+	case frameForwardedResponse:
+		body, err := unmarshal[forwardedResponseFrame](f)
+		response, incomplete := body.respond()
+		return &core.ForwardedResponseReceived{Respond: response}, errors.Join(err, incomplete)
+	case frameClientConn:
+		return nil, nil
+	}
+	if f.Kind >= uint8(hotrestart.NumKinds) {
+		return nil, errUnknownKind
+	}
+	return &core.LinkMessageReceived{Kind: hotrestart.Kind(f.Kind)}, nil
+}
+
+// decodeTransfer returns the event of a Transfer. A state that cannot be read is left out: the successor
+// takes over without it.
+func decodeTransfer(f link.Frame) core.Event {
+	ev := &core.LinkMessageReceived{Kind: hotrestart.Transfer, Sockets: f.Sockets}
+	body, err := unmarshal[stateFrame](f)
+	if err == nil {
+		state := body.state()
+		ev.State = &state
+	}
+	return ev
+}
+
+// unmarshal reads the body of a frame.
+func unmarshal[T any](f link.Frame) (body T, err error) {
+	err = frameCodec.Unmarshal(f.Body, &body)
+	return body, err
+}
--- /dev/null
+++ b/internal/eventloop/hotrestart.go
@@ -0,0 +1,378 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"lemongate/internal/core"
+	"lemongate/internal/hotrestart"
+	"lemongate/internal/hotrestart/link"
+	"lemongate/internal/peertransport"
+)
+
+// This file carries the events and effects of a hot restart over the link to the other process. The form
+// of frames is in frames.go, the protocol in internal/hotrestart.
+
+// sharedResources is the fraction of its resources that a process uses while there are two.
+const sharedResources = 0.5
+
+var errNoListener = errors.New("the predecessor sent no listener")
+
+// otherProcess is what a Loop has of the other process of a hot restart. It belongs to the goroutine of
+// Run.
+type otherProcess struct {
+	path       string         // where successors connect
+	link       *link.Conn     // the current one; nil for none
+	successors *link.Listener // nil until successors may connect
+}
+
+func (o *otherProcess) close() {
+	if o.successors != nil {
+		o.successors.Close()
+	}
+	if o.link != nil {
+		o.link.Close()
+	}
+}
+
+// linkEvent is an event that came over a link. It counts only while that link is the current one.
+type linkEvent struct {
+	core.Event // nil if the frame carried a client connection
+	from       *link.Conn
+	clientConn []*os.File
+}
+
+// unwrapLinkEvent returns the event that came over a link, and reports whether it is for the core. Other
+// events pass.
+func (l *Loop) unwrapLinkEvent(ev core.Event) (core.Event, bool) {
+	received, ok := ev.(linkEvent)
+	if !ok {
+		return ev, true
+	}
+	if received.clientConn != nil { // also from a former link: the client must not be dropped
+		l.adoptClientConns(received.clientConn)
+		return nil, false
+	}
+	if received.from != l.other.link {
+		closeSockets(received.Event)
+		return nil, false
+	}
+	if _, closed := received.Event.(core.LinkClosed); closed {
+		l.other.link = nil
+	}
+	return received.Event, true
+}
+
+// closeSockets closes the sockets that came with an event which does not count.
+func closeSockets(ev core.Event) {
+	message, ok := ev.(*core.LinkMessageReceived)
+	if ok && message.Sockets != nil {
+		closeFiles(message.Sockets.([]*os.File))
+	}
+}
+
+func closeFiles(files []*os.File) {
+	for _, f := range files {
+		_ = f.Close() // only this process's copy of a socket
+	}
+}
+
+// carryOutHotRestart carries out an effect that concerns the other process, or hands it on.
+func (l *Loop) carryOutHotRestart(e core.Effect) {
+	switch e := e.(type) {
+	case core.ConnectPredecessor:
+		l.connectPredecessor()
+	case core.ListenForSuccessors:
+		l.acceptSuccessors()
+	case core.AcceptSuccessor:
+		l.other.link = e.Link.(*link.Conn)
+	case core.DenySuccessor:
+		l.denySuccessor(e)
+	case core.TransferState:
+		l.transferState(e.State)
+	case core.CloseLink:
+		l.closeLink()
+	case core.KillOtherProcess:
+		l.other.link.Kill()
+	case core.OpenListeners:
+		l.failOn(l.openListeners(e.Wait))
+	case core.AdoptSockets:
+		l.failOn(l.adoptSockets(e))
+	case core.PauseListeners:
+		l.pauseListeners()
+	case core.ResumeListeners:
+		l.resumeListeners()
+	case core.MoveClientConns:
+		l.moveClientConns()
+	case core.SetAcceptingClients:
+		l.setAcceptingClients(e.Accepting)
+	case core.SetResourceShare:
+		l.setResourceShare(e.Fraction)
+	case core.Abort:
+		l.fail(errors.New(e.Reason))
+	default:
+		l.sendEffect(e)
+	}
+}
+
+// sendEffect sends the other process an effect that is nothing but a frame.
+func (l *Loop) sendEffect(e core.Effect) {
+	switch e := e.(type) {
+	case core.SendLinkMessage:
+		l.sendFrame(uint8(e.Kind), nil)
+	case core.ReportAttemptStarted:
+		l.sendFrame(frameAttemptStarted, newAttemptStartedFrame(e.OpenAttempt))
+	case core.ReportAttemptFinished:
+		l.sendFrame(frameAttemptFinished, newAttemptFinishedFrame(e.FinishedAttempt))
+	case core.ForwardRequest:
+		l.sendFrame(frameForwardedRequest, newForwardedRequestFrame(e.ForwardedRequest))
+	case core.CancelForwardedRequest:
+		l.sendFrame(frameCanceledRequest, e.Request)
+	case core.SendForwardedResponse:
+		l.sendFrame(frameForwardedResponse, newForwardedResponseFrame(e.Respond))
+	}
+}
+
+// failOn ends the program on an error.
+func (l *Loop) failOn(err error) {
+	if err != nil {
+		l.fail(err)
+	}
+}
+
+// sendFrame sends a frame with a body, nil for none. One that cannot be sent is on a link that has ended,
+// which its reader posts.
+func (l *Loop) sendFrame(kind uint8, body any) {
+	if l.other.link == nil {
+		return
+	}
+	var data []byte
+	if body != nil {
+		var err error
+		data, err = frameCodec.Marshal(body)
+		if err != nil {
+			l.log.Error("frame for the other process could not be encoded", zap.Uint8("frame", kind), zap.Error(err))
+			return
+		}
+	}
+	l.other.link.Send(kind, data)
+}
+
+func (l *Loop) closeLink() {
+	if l.other.link != nil {
+		l.other.link.CloseAfterFlush()
+		l.other.link = nil
+	}
+}
+
+// hello returns what this process says of itself.
+func (l *Loop) hello() helloFrame {
+	return helloFrame{
+		Format: frameFormat,
+		Name:   l.config.Name,
+		Listen: l.config.ListenAddr,
+		Peers:  l.config.PeerListen.String(),
+	}
+}
+
+// connectPredecessor connects to the process that runs, if there is one, and says hello. The goroutine
+// that reads from it ends with the link.
+func (l *Loop) connectPredecessor() {
+	l.other.path = l.config.HotRestart.SocketPath(l.config.Name)
+	c, err := link.Dial(l.other.path)
+	if err != nil {
+		l.log.Debug("no process to take over from", zap.Error(err))
+		// In a goroutine of its own, which ends when the loop has read it: the loop is in this call.
+		go l.post(linkEvent{Event: core.LinkClosed{Epoch: newEpoch()}})
+		return
+	}
+	l.log.Info("takes over", zap.Int("from", c.PID()))
+	l.other.link = c
+	l.sendFrame(uint8(hotrestart.Hello), l.hello())
+	go l.readLink(c)
+}
+
+// newEpoch returns the epoch of a limiter that starts now, see package config.
+func newEpoch() uint32 { return uint32(time.Now().UnixMilli()) }
+
+// acceptSuccessors lets successors connect to this process. Without Unix sockets none can. Its goroutine
+// ends when otherProcess is closed.
+func (l *Loop) acceptSuccessors() {
+	if l.config.HotRestart == nil || l.other.successors != nil {
+		return
+	}
+	successors, err := link.Listen(l.other.path)
+	if err != nil {
+		l.log.Info("no successor can take over", zap.Error(err))
+		return
+	}
+	l.other.successors = successors
+	go func() {
+		for {
+			c, err := successors.Accept()
+			if err != nil {
+				return
+			}
+			go l.greetSuccessor(c) // ends with its link
+		}
+	}()
+}
+
+// greetSuccessor reads the hello of a process that has connected, posts it, and reads on.
+func (l *Loop) greetSuccessor(c *link.Conn) {
+	f, err := c.Read()
+	var hello helloFrame
+	if err != nil || f.Kind != uint8(hotrestart.Hello) || frameCodec.Unmarshal(f.Body, &hello) != nil {
+		c.Close()
+		return
+	}
+	l.post(&core.SuccessorConnected{Link: c, Reason: hello.mismatch(l.hello())})
+	l.readLink(c)
+}
+
+func (l *Loop) denySuccessor(e core.DenySuccessor) {
+	c := e.Link.(*link.Conn)
+	l.log.Info("successor denied", zap.Int("pid", c.PID()), zap.String("reason", e.Reason))
+	c.Send(uint8(hotrestart.Deny), []byte(e.Reason))
+	c.CloseAfterFlush()
+}
+
+// readLink posts what the other process sends until the link ends.
+func (l *Loop) readLink(c *link.Conn) {
+	for {
+		f, err := c.Read()
+		if err != nil {
+			l.post(linkEvent{Event: core.LinkClosed{Epoch: newEpoch()}, from: c})
+			c.Close()
+			return
+		}
+		if f.Kind == frameClientConn {
+			l.post(linkEvent{from: c, clientConn: f.Sockets})
+			continue
+		}
+		ev, err := decode(f)
+		if err != nil {
+			l.log.Error("frame of the other process could not be decoded", zap.Uint8("frame", f.Kind), zap.Error(err))
+			closeFiles(f.Sockets)
+			continue
+		}
+		l.post(linkEvent{Event: ev, from: c})
+	}
+}
+
+// transferState sends a successor the state, the listener of clients and the socket of peers. One that
+// cannot read the state takes over without it.
+func (l *Loop) transferState(state core.HandoverState) {
+	body, err := frameCodec.Marshal(newStateFrame(state))
+	if err != nil {
+		l.log.Error("state for the successor could not be encoded", zap.Error(err))
+	}
+	sockets := []syscall.Conn{l.listener.(syscall.Conn)}
+	if l.peers != nil {
+		sockets = append(sockets, l.peers.Socket())
+	}
+	l.other.link.Send(uint8(hotrestart.Transfer), body, sockets...)
+}
+
+// adoptSockets serves on the sockets that the predecessor sent, by its clock.
+func (l *Loop) adoptSockets(e core.AdoptSockets) error {
+	files, _ := e.Sockets.([]*os.File)
+	defer closeFiles(files)
+	listener, err := l.adoptListeners(files)
+	if err != nil {
+		return fmt.Errorf("hot restart: %w", err)
+	}
+	clock := newClockAt(e.Now, l.clock.Load().rate)
+	l.clock.Store(&clock)
+	l.serve(listener, e.LastRequest, e.Discovery, e.Generation)
+	l.server.SetResourceShare(sharedResources)
+	return nil
+}
+
+// adoptListeners returns the listener of clients, the first of the files, and keeps the socket of peers,
+// the second.
+func (l *Loop) adoptListeners(files []*os.File) (net.Listener, error) {
+	if len(files) == 0 {
+		return nil, errNoListener
+	}
+	listener, err := net.FileListener(files[0])
+	if err != nil {
+		return nil, err
+	}
+	if len(files) == 1 || !l.config.PeerListen.IsValid() {
+		return listener, nil
+	}
+	conn, err := net.FilePacketConn(files[1])
+	if err != nil {
+		_ = listener.Close() // no client was accepted
+		return nil, err
+	}
+	l.peers = peertransport.NewTransport(conn.(*net.UDPConn), l.config.Peers, l.config.PeerBroadcast, l.post, l.log)
+	return listener, nil
+}
+
+func (l *Loop) pauseListeners() {
+	l.server.Pause()
+	if l.peers != nil {
+		l.peers.Pause()
+	}
+}
+
+func (l *Loop) resumeListeners() {
+	l.server.Resume()
+	if l.peers != nil {
+		l.peers.Resume()
+	}
+}
+
+// moveClientConns moves the client connections between requests to the successor, now and as they get
+// there.
+func (l *Loop) moveClientConns() {
+	successor := l.other.link
+	l.server.MoveConns(func(c syscall.Conn) error { return successor.SendSync(frameClientConn, nil, c) })
+}
+
+// adoptClientConns serves client connections that the predecessor moved here, once the server is there.
+// The goroutine for each ends by then, or with the loop.
+func (l *Loop) adoptClientConns(files []*os.File) {
+	for _, f := range files {
+		conn, err := net.FileConn(f)
+		_ = f.Close() // conn has its own copy of the socket
+		if err != nil {
+			l.log.Warn("client connection could not be adopted", zap.Error(err))
+			continue
+		}
+		go func() {
+			select {
+			case <-l.serving:
+				l.server.AdoptConn(conn)
+			case <-l.ctx.Done():
+				_ = conn.Close() // no request was read from it here
+			}
+		}()
+	}
+}
+
+// setAcceptingClients sets which of the two processes is ready by its administration server.
+func (l *Loop) setAcceptingClients(accepting bool) {
+	if l.admin != nil {
+		l.admin.SetReady(accepting)
+	}
+}
+
+// setResourceShare sets the fraction of its resources that this process uses.
+func (l *Loop) setResourceShare(fraction float64) {
+	l.upstream.SetResourceShare(fraction)
+	if l.server != nil {
+		l.server.SetResourceShare(fraction)
+	}
+	if l.setShare != nil {
+		l.setShare(fraction)
+	}
+}
--- /dev/null
+++ b/internal/experiment/experiment.go
@@ -0,0 +1,63 @@
+// Package experiment reads experiments, plays their cases over seeds and decides the verdict. An
+// experiment is a JSON file that experiment.schema.json describes.
+package experiment
+
+import (
+	_ "embed" // for Schema
+	"encoding/json"
+	"slices"
+
+	"lemongate/internal/simulation"
+)
+
+// Schema is the JSON schema of an experiment.
+//
+//go:embed experiment.schema.json
+var Schema []byte
+
+// Experiment is a scenario, the faults of each of its cases, and what must hold.
+type Experiment struct {
+	Name  string              `json:"name"`
+	About string              `json:"about"`
+	Seeds int                 `json:"seeds"`   // runs of each case, where the command line has none
+	Shift float64             `json:"shift_s"` // faults start up to this much later, by the seed
+	Base  simulation.Scenario `json:"scenario"`
+	Cases []Case              `json:"cases"`
+	All   []Bound             `json:"expect"` // of every case
+}
+
+// Case is a run of the scenario with faults of its own.
+type Case struct {
+	Name   string             `json:"name"`
+	Faults []simulation.Fault `json:"faults"`
+	Change json.RawMessage    `json:"change"` // fields of the scenario that differ
+	Expect []Bound            `json:"expect"`
+}
+
+// Bound is what a measure must keep to over all seeds: its mean, or the value of each run.
+type Bound struct {
+	Measure string   `json:"measure"` // a field of simulation.Result, as it is named in files
+	Over    string   `json:"over"`    // "mean" (default) or "each"
+	Max     *float64 `json:"most"`    // nil for no bound
+	Min     *float64 `json:"least"`   // nil for no bound
+}
+
+// overEach is the value of Bound.Over for a bound on each run.
+const overEach = "each"
+
+// scenario is what a case plays.
+func (e *Experiment) scenario(c Case) (simulation.Scenario, error) {
+	sc := e.Base
+	sc.Plans = slices.Clone(sc.Plans)
+	if sc.Leases != nil {
+		leases := *sc.Leases
+		sc.Leases = &leases
+	}
+	if len(c.Change) > 0 {
+		if err := json.Unmarshal(c.Change, &sc); err != nil {
+			return sc, err
+		}
+	}
+	sc.Faults = slices.Concat(sc.Faults, c.Faults)
+	return sc, nil
+}
--- /dev/null
+++ b/internal/hotrestart/machine.go
@@ -0,0 +1,169 @@
+// Package hotrestart is the protocol by which a successor process of a limiter takes over from its
+// predecessor: which of the two admits requests, from which step on, and what each side does when the
+// other is late, hangs or dies. It does no I/O, reads no clock and starts no goroutine.
+// docs/design/upgrade.md weighs the alternatives.
+//
+// The two processes exchange messages over one link, a stream that keeps their order and that ends when
+// a process ends, as a Unix socket does. At any instant at most one process admits:
+//
+//   - The predecessor stops before it sends Transfer. From its Commit on, it admits again only after
+//     the link has ended: the successor, which may have read that Commit, is dead then. During
+//     probation it watches the successor's heartbeats; one that misses them is killed first, as a
+//     stopped process would admit when it continues.
+//   - The successor admits when it has read Commit, or when the link has ended after a complete
+//     Transfer with no Withdraw behind it: the predecessor is dead then, as one that closes the link
+//     says Withdraw first.
+//   - A side that needs the other not to admit, and does not learn that from it in time, kills the
+//     other process and waits for the end of the link.
+//
+// A commit becomes final with the message Final: after probation, or when the predecessor is requested
+// to shut down.
+//
+// The phases, messages, limits and effects have files of their own. predecessor.go and successor.go
+// have one function for each event that each side meets.
+package hotrestart
+
+import "time"
+
+// Machine is one side of a hot restart. It is not safe for concurrent use; see New.
+type Machine struct {
+	limits            Limits
+	phase             Phase
+	deadline          time.Duration // of the phase; 0 for none
+	killing           bool          // the other process is being killed; only the end of the link counts
+	shutdownRequested bool          // of this process
+	effects           []Effect      // of the call in hand
+
+	successor   successorState
+	predecessor predecessorState
+}
+
+// New returns a Machine of a process that is alone, or of a successor that looks for its predecessor
+// first; the owner has to connect to it at once. Times are of a clock that both sides need not share.
+func New(limits Limits, isSuccessor bool, now time.Duration) *Machine {
+	m := &Machine{limits: limits}
+	if isSuccessor {
+		m.greet(now)
+	}
+	return m
+}
+
+// Phase returns the current phase.
+func (m *Machine) Phase() Phase { return m.phase }
+
+// LongestSilence returns the longest time between two heartbeats that the predecessor has seen.
+func (m *Machine) LongestSilence() time.Duration { return m.predecessor.longestSilence }
+
+// Admits reports whether this process may admit requests.
+func (m *Machine) Admits() bool { return m.phase == Alone || m.phase == Offered || m.phase == Serving }
+
+// NextDeadline returns when Tick has to be called; false for never.
+func (m *Machine) NextDeadline() (time.Duration, bool) {
+	if m.killing {
+		return 0, false
+	}
+	deadline := m.deadline
+	switch m.phase {
+	case Serving:
+		deadline = earlier(deadline, m.successor.nextHeartbeatAt)
+	case Probation:
+		deadline = earlier(deadline, m.predecessor.checkedAt+m.limits.HeartbeatInterval)
+	}
+	return deadline, deadline != 0
+}
+
+// earlier returns the earlier of a deadline, 0 for none, and a time.
+func earlier(deadline, at time.Duration) time.Duration {
+	if deadline == 0 {
+		return at
+	}
+	return min(deadline, at)
+}
+
+// MessageReceived takes in a message of the other process. One that does not belong to the phase was
+// sent before a change of phase, and is ignored.
+func (m *Machine) MessageReceived(now time.Duration, kind Kind) []Effect {
+	switch kind {
+	case Prepared:
+		m.onPrepared(now)
+	case Adopted:
+		m.onAdopted(now)
+	case Heartbeat:
+		m.onHeartbeat(now)
+	case Offer:
+		m.onOffer()
+	case Deny:
+		m.onDeny()
+	case Transfer:
+		m.onTransfer(now)
+	case Commit:
+		m.onCommit(now)
+	case Withdraw:
+		m.onWithdraw(now)
+	case Final:
+		m.onFinal()
+	}
+	return m.takeEffects()
+}
+
+// LinkClosed takes in that the link has ended without this side closing it: the other process is dead,
+// or has closed it.
+func (m *Machine) LinkClosed(time.Duration) []Effect {
+	switch m.phase {
+	case Offered, Transferring, Probation:
+		m.onSuccessorLost()
+	case Greeting, Receiving, Adopting, Serving:
+		m.onPredecessorLost()
+	}
+	return m.takeEffects()
+}
+
+// ShutdownRequested takes in that this process is to end. It reports whether the process has to shut
+// down at once as one that is alone; otherwise what is to be done comes as effects, now or later.
+func (m *Machine) ShutdownRequested(time.Duration) (effects []Effect, alone bool) {
+	m.shutdownRequested = true
+	switch m.phase {
+	case Offered, Transferring, Probation, Finishing:
+		alone = m.shutDownPredecessor()
+	case Greeting, Receiving, Adopting, Abandoned:
+		m.abandon("shut down before it took over")
+	case Alone, Serving:
+		alone = true
+	}
+	return m.takeEffects(), alone
+}
+
+// Tick does what is due.
+func (m *Machine) Tick(now time.Duration) []Effect {
+	if m.killing {
+		return nil
+	}
+	due := m.deadline != 0 && now >= m.deadline
+	switch m.phase {
+	case Offered, Transferring, Probation:
+		m.tickPredecessor(now, due)
+	case Greeting, Adopting, Serving:
+		m.tickSuccessor(now, due)
+	}
+	return m.takeEffects()
+}
+
+// enter begins a phase with a deadline, 0 for none.
+func (m *Machine) enter(phase Phase, deadline time.Duration) {
+	m.phase, m.deadline, m.killing = phase, deadline, false
+}
+
+// kill has the other process killed. The phase stays until the end of the link.
+func (m *Machine) kill() {
+	m.killing = true
+	m.emit(KillPeer{})
+}
+
+func (m *Machine) emit(effects ...Effect) { m.effects = append(m.effects, effects...) }
+
+// takeEffects returns the effects of a call. They are valid until the next call.
+func (m *Machine) takeEffects() []Effect {
+	effects := m.effects
+	m.effects = m.effects[:0]
+	return effects
+}
--- /dev/null
+++ b/internal/httpserver/model_test.go
@@ -0,0 +1,283 @@
+package httpserver
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"lemongate/internal/core"
+	"lemongate/internal/rapidtest"
+	"lemongate/internal/upstream"
+)
+
+// TestMain fixes the seed, so that the steps are the same every time; how they interleave is not.
+func TestMain(m *testing.M) {
+	os.Exit(rapidtest.Main(m, "20261202", map[string]string{"rapid.steps": "40"}))
+}
+
+// A model has clients of a server, and plays the part of the event loop.
+type model struct {
+	t        *rapid.T
+	server   *testServer
+	clients  []*modelClient
+	requests int // sent, at least in part
+
+	mu     sync.Mutex
+	open   map[string]core.RequestID // posted and not answered, by X-Call-Id
+	posted map[string]bool
+}
+
+// A modelClient is a client with its connection, and what it has sent.
+type modelClient struct {
+	*testClient
+	calls        []string // of its requests, in order
+	rest         string   // of a request of which the other part was sent
+	writeClosed  bool     // it has ended its sending
+	disconnected bool
+	responses    chan []string // all that came, once the connection has ended
+}
+
+// maySend reports whether the client may begin a request.
+func (c *modelClient) maySend() bool { return !c.writeClosed && !c.disconnected && c.rest == "" }
+
+// handle takes what the server posts: a client that has disconnected is answered.
+func (m *model) handle(ev core.Event) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	switch ev := ev.(type) {
+	case *core.RequestReceived:
+		if m.posted[ev.CallID] {
+			panic("posted twice: " + ev.CallID)
+		}
+		m.posted[ev.CallID], m.open[ev.CallID] = true, ev.ID
+	case *core.ClientDisconnected:
+		for call, id := range m.open {
+			if id == ev.Request {
+				delete(m.open, call)
+				m.server.reject(id)
+			}
+		}
+	}
+}
+
+// answer serves an open request, with its X-Call-Id as the body: one that t draws, or without t the first.
+func (m *model) answer(t *rapid.T) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var calls []string
+	for i := range m.requests {
+		if call := fmt.Sprint("call", i); m.open[call] != 0 {
+			calls = append(calls, call)
+		}
+	}
+	if len(calls) == 0 {
+		return
+	}
+	call := calls[0]
+	if t != nil {
+		call = rapid.SampledFrom(calls).Draw(t, "answered")
+	}
+	m.server.Respond(core.Respond{Request: m.open[call], Kind: core.Served, Response: &upstream.Response{Body: []byte(call)}})
+	delete(m.open, call)
+}
+
+// readResponses reads all that comes until the connection ends.
+func (c *modelClient) readResponses() {
+	var list []string
+	defer func() { c.responses <- list }()
+	for {
+		resp, err := http.ReadResponse(c.in, nil)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(resp.Body)
+		if err != nil {
+			return
+		}
+		list = append(list, fmt.Sprint(resp.StatusCode, " ", string(body)))
+	}
+}
+
+// newRequest returns a request with an X-Call-Id of its own.
+func (m *model) newRequest() (call, text string) {
+	call = fmt.Sprint("call", m.requests)
+	m.requests++
+	return call, strings.Replace(good, "9b1f03aa5c7e2d41", call, 1)
+}
+
+// draw returns one of the clients that fit.
+func (m *model) draw(t *rapid.T, fits func(*modelClient) bool) *modelClient {
+	var list []*modelClient
+	for _, c := range m.clients {
+		if fits(c) {
+			list = append(list, c)
+		}
+	}
+	if len(list) == 0 {
+		t.Skip("none")
+	}
+	return list[rapid.IntRange(0, len(list)-1).Draw(t, "client")]
+}
+
+// connect adds a client.
+func (m *model) connect(t *rapid.T) {
+	conn, err := net.Dial("tcp", m.server.addr)
+	if len(m.clients) >= 8 || err != nil {
+		t.Skip("no more")
+	}
+	c := &modelClient{
+		testClient: &testClient{conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)}, responses: make(chan []string, 1),
+	}
+	m.clients = append(m.clients, c)
+	go c.readResponses() // ends with the connection
+}
+
+// send sends a request.
+func (m *model) send(t *rapid.T) {
+	c := m.draw(t, (*modelClient).maySend)
+	call, text := m.newRequest()
+	c.calls = append(c.calls, call)
+	c.send(text)
+}
+
+// pipeline sends several requests at once.
+func (m *model) pipeline(t *rapid.T) {
+	c := m.draw(t, (*modelClient).maySend)
+	var requests strings.Builder
+	for range rapid.IntRange(2, 4).Draw(t, "requests") {
+		call, text := m.newRequest()
+		size := rapid.SampledFrom([]int{5, 3000, 9000}).Draw(t, "size")
+		c.calls = append(c.calls, call)
+		body := fmt.Sprintf("Length: %d\n\n%s", size, strings.Repeat("x", size))
+		requests.WriteString(strings.Replace(text, "Length: 5\n\n12345", body, 1))
+	}
+	c.send(requests.String())
+}
+
+// sendHalf sends a part of a request.
+func (m *model) sendHalf(t *rapid.T) {
+	c := m.draw(t, (*modelClient).maySend)
+	call, text := m.newRequest()
+	at := rapid.IntRange(1, len(text)-1).Draw(t, "at")
+	c.rest = text[at:]
+	c.calls = append(c.calls, call)
+	c.send(text[:at])
+}
+
+// sendRest sends what is missing of a request.
+func (m *model) sendRest(t *rapid.T) {
+	c := m.draw(t, func(c *modelClient) bool { return c.rest != "" && !c.writeClosed && !c.disconnected })
+	c.send(c.rest)
+	c.rest = ""
+}
+
+// endSending has a client end its sending.
+func (m *model) endSending(t *rapid.T) {
+	c := m.draw(t, func(c *modelClient) bool { return !c.writeClosed && !c.disconnected })
+	c.writeClosed = true
+	_ = c.conn.CloseWrite() // the server may have closed the connection
+}
+
+// disconnect has a client close its connection.
+func (m *model) disconnect(t *rapid.T) {
+	c := m.draw(t, func(c *modelClient) bool { return !c.disconnected })
+	c.disconnected = true
+	if rapid.Bool().Draw(t, "reset") {
+		c.closeWithReset()
+		return
+	}
+	c.close()
+}
+
+// close closes the server, and answers until it is closed.
+func (m *model) close() {
+	m.server.finalReadMargin = time.Hour // at once
+	closed := make(chan bool)
+	go func() {
+		m.server.Close(time.Minute)
+		close(closed)
+	}()
+	for {
+		select {
+		case <-closed:
+			return
+		case <-time.After(time.Millisecond):
+			m.answer(nil)
+		}
+	}
+}
+
+// Clients send, pipeline, stop half way, end their sending and disconnect, requests are answered, connections
+// are closed for room and for want of use, and the server shuts down, in any order. A request gets one response,
+// its own, or its connection ends and the request was never posted.
+func TestConnModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		m := &model{t: t, open: map[string]core.RequestID{}, posted: map[string]bool{}}
+		m.server = newTestServer(l, func(o *Options) { o.MaxConns, o.Post = 4, m.handle })
+		go func() { _ = m.server.Serve(l) }() // ends with Close; a client that it does not accept fails the check
+		<-m.server.serving
+		// The names' order decides what a seed draws.
+		t.Repeat(map[string]func(*rapid.T){
+			"answer":         m.answer,
+			"connect":        m.connect,
+			"drain":          func(*rapid.T) { m.server.DrainConns() },
+			"end sending":    m.endSending,
+			"half":           m.sendHalf,
+			"hang up":        m.disconnect,
+			"pipeline":       m.pipeline,
+			"remaining half": m.sendRest,
+			"run eviction":   func(*rapid.T) { m.server.evict((*connSet).evictLeastUseful) },
+			"send":           m.send,
+			"sweep":          func(*rapid.T) { m.server.connSet().sweep() },
+		})
+		m.close()
+		if conns, waiting := m.server.Conns(), len(m.server.waiting); conns+waiting > 0 {
+			t.Fatalf("%d connections and %d requests left", conns, waiting)
+		}
+		for i, c := range m.clients {
+			got := <-c.responses
+			c.close()
+			if !c.disconnected {
+				m.check(i, c, got)
+			}
+		}
+	})
+}
+
+// check compares what a client read with what it sent.
+func (m *model) check(i int, c *modelClient, got []string) {
+	for _, call := range c.calls {
+		switch {
+		case len(got) == 0 && m.posted[call]:
+			m.t.Fatalf("client %d: %s was received and has no response", i, call)
+		case len(got) == 0:
+			return // the connection ended before it was read
+		case got[0] == "429 " && !m.posted[call] && len(got) == 1:
+			return // there was no room for the connection
+		case got[0] != "200 "+call && !c.mayFail(got[0]):
+			m.t.Fatalf("client %d: %s was answered %q", i, call, got[0])
+		}
+		got = got[1:]
+	}
+	if len(got) > 0 {
+		m.t.Fatalf("client %d: more responses than requests: %q", i, got)
+	}
+}
+
+// mayFail reports whether a client that ended its sending may have got a response that is not a backend's.
+func (c *modelClient) mayFail(response string) bool {
+	return c.writeClosed && (strings.HasPrefix(response, "429") || c.rest != "" && strings.HasPrefix(response, "400"))
+}
--- /dev/null
+++ b/internal/httpserver/server_test.go
@@ -0,0 +1,95 @@
+package httpserver
+
+import (
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"lemongate/internal/core"
+)
+
+// A local reply says whether the request may have run, and when to come back.
+func TestLocalReplies(t *testing.T) {
+	server := startServer(t)
+	client := server.connect(t)
+	for _, c := range []struct {
+		reply      core.Respond
+		status     int
+		retryAfter string
+	}{
+		{core.Respond{Kind: core.Rejected, RetryAfter: 250 * time.Millisecond}, 429, "0.250"},
+		{core.Respond{Kind: core.Rejected}, 429, ""},
+		{core.Respond{Kind: core.Failed, RetryAfter: time.Second}, 502, ""},
+	} {
+		client.send(good)
+		c.reply.Request = (<-server.events).(*core.RequestReceived).ID
+		server.Respond(c.reply)
+		if resp, _ := client.response(); resp.StatusCode != c.status || resp.Header.Get("Retry-After") != c.retryAfter {
+			t.Errorf("%+v: %d, Retry-After %q", c.reply, resp.StatusCode, resp.Header.Get("Retry-After"))
+		}
+	}
+}
+
+// A client that disconnects is posted, and its request is forgotten with the response.
+func TestClientDisconnects(t *testing.T) {
+	server := startServer(t)
+	client := server.connect(t)
+	client.send(good)
+	id := (<-server.events).(*core.RequestReceived).ID
+	client.close()
+	if ev, ok := (<-server.events).(*core.ClientDisconnected); !ok || ev.Request != id {
+		t.Errorf("posted %+v", ev)
+	}
+	server.Respond(core.Respond{Request: id})
+	if n := len(server.waiting); n != 0 {
+		t.Errorf("%d requests still wait", n)
+	}
+}
+
+// GET /ready is answered as SetReady says.
+func TestReady(t *testing.T) {
+	server := startServer(t)
+	client := server.connect(t)
+	for _, want := range []int{503, 200, 503} {
+		server.SetReady(want == 200)
+		client.send("GET /ready HTTP/1.1\nHost: x\n\n")
+		if resp, _ := client.response(); resp.StatusCode != want {
+			t.Errorf("%d, want %d", resp.StatusCode, want)
+		}
+	}
+}
+
+// At a shutdown idle connections end, new ones are still accepted, what was received is answered, and each
+// connection ends with its response.
+func TestDrainAndClose(t *testing.T) {
+	server := startServer(t)
+	busy, idle := server.connect(t), server.connect(t)
+	idle.requestReady()
+	busy.send(good)
+	first := (<-server.events).(*core.RequestReceived).ID
+	server.DrainConns()
+	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("idle connection: %v", err)
+	}
+	late := server.connect(t)
+	late.send(good)
+	second := (<-server.events).(*core.RequestReceived).ID
+	closed := make(chan bool)
+	go func() {
+		server.Close(time.Minute)
+		close(closed)
+	}()
+	for id, client := range map[core.RequestID]*testClient{first: busy, second: late} {
+		server.reject(id)
+		if resp, _ := client.response(); !resp.Close {
+			t.Error("a response does not end its connection")
+		}
+	}
+	<-closed
+	if c, err := net.Dial("tcp", server.addr); err == nil {
+		_ = c.Close() // it should not be there
+		t.Error("still accepts")
+	}
+}
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -1,81 +1,69 @@
 package lease
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
-// Settings are what a limiter is told of leases.
+// Settings are the settings of an Agent.
 type Settings struct {
-	Tasks   []string
-	Keepers int           // of each task, at most as many as there are limiters
-	Length  time.Duration // of a lease
-	Drift   float64       // most that a clock's rate is off, as a part
+	Tasks         []string
+	AcceptorCount int           // acceptors per task, at most as many as there are limiters
+	Duration      time.Duration // of a lease
+	ClockDrift    float64       // the most by which a clock's rate is off, as a fraction
 
-	Self, Limiters int
-	Epoch          uint32 // grows with each start of the process
-	Floor          uint64 // the wall clock at the start, in ms
+	Self, Limiters int    // this limiter, and how many there are
+	Epoch          uint32 // greater with each start of the process
+	MinToken       uint64 // the wall clock at the start, in ms
 }
 
-// Counts count what became of a task's lease here.
-type Counts struct {
-	Won     uint64 `json:"won"`
-	Renewed uint64 `json:"renewed"`
-	Lost    uint64 `json:"lost"`    // it ran out
-	Given   uint64 `json:"given"`   // given back
-	Refused uint64 `json:"refused"` // acts that came too late
-	Bad     uint64 `json:"bad"`     // messages that did not belong
-	Waited  uint64 `json:"waited"`  // asked as a keeper that still kept out after its start
-}
-
-// A View is how a task stands, as seen here.
-type View struct {
-	Task    string        `json:"task"`
-	Keepers []Limiter     `json:"keepers"`
-	Keeps   bool          `json:"keeps"`  // this limiter takes part as a keeper
-	Phase   string        `json:"phase"`  // of its own try
-	Holder  int           `json:"holder"` // as last told here; -1 for none
-	Holds   bool          `json:"holds"`
-	Token   uint64        `json:"token"` // of this limiter's lease
-	For     time.Duration `json:"for"`   // that it may still act
-	Known   uint64        `json:"known"` // the greatest token heard of
-	Mark    uint64        `json:"mark"`  // the greatest mark heard of
-	Counts  Counts        `json:"counts"`
-}
-
-// An Agent has all tasks of one limiter. It is not safe for concurrent use.
+// Agent takes part for one limiter in the agreement on all tasks, as acceptor and as proposer. It is not
+// safe for concurrent use. Where a method takes chance, that returns a random number from 0 to 1.
 type Agent struct {
 	self  Limiter
 	tasks []*task
 }
 
+// task is one task of an Agent.
 type task struct {
-	name   string
-	config Config
-	keeper *Keeper // nil where this limiter keeps it not
-	seeks  Contender
-	until  time.Duration
-	count  Counts
+	name         string
+	config       Config
+	acceptor     *Acceptor // nil if this limiter is no acceptor of the task
+	proposer     Proposer
+	countedUntil time.Duration // until when the lease is held that counts has last; 0 for none
+	counts       Counts
 }
 
-// NewAgent starts with nothing known, at a time.
+// NewAgent returns an agent that starts now and knows of no lease.
 func NewAgent(s Settings, now time.Duration) *Agent {
 	a := &Agent{self: Limiter(s.Self)}
 	for _, name := range s.Tasks {
-		hash := Hash(name)
-		c := Config{
-			Task: hash, Self: a.self, Epoch: s.Epoch, Keepers: KeepersOf(hash, max(s.Limiters, 1), s.Keepers), Seekers: s.Limiters,
-			Length: s.Length, Drift: s.Drift, Floor: s.Floor,
-		}
-		t := &task{name: name, config: c, seeks: NewContender(c)}
-		for _, k := range c.Keepers {
-			if k == a.self {
-				keeper := NewKeeper(c, now)
-				t.keeper = &keeper
-			}
-		}
-		a.tasks = append(a.tasks, t)
+		a.tasks = append(a.tasks, newTask(s, name, now))
 	}
 	return a
 }
 
+func newTask(s Settings, name string, now time.Duration) *task {
+	id := TaskID(name)
+	c := Config{
+		Task:       id,
+		Self:       Limiter(s.Self),
+		Epoch:      s.Epoch,
+		Acceptors:  AcceptorsOf(id, max(s.Limiters, 1), s.AcceptorCount),
+		Candidates: s.Limiters,
+		Duration:   s.Duration,
+		ClockDrift: s.ClockDrift,
+		MinToken:   s.MinToken,
+	}
+	t := &task{name: name, config: c, proposer: NewProposer(c)}
+	if slices.Contains(c.Acceptors, c.Self) {
+		acceptor := NewAcceptor(c, now)
+		t.acceptor = &acceptor
+	}
+	return t
+}
+
+// task returns a task by its name, nil for none.
 func (a *Agent) task(name string) *task {
 	for _, t := range a.tasks {
 		if t.name == name {
@@ -85,125 +73,98 @@
 	return nil
 }
 
-// Want sets whether a task's lease is wanted.
-func (a *Agent) Want(now time.Duration, name string, is bool, chance func() float64) []Envelope {
+// taskByID returns a task by its ID in messages, nil for none.
+func (a *Agent) taskByID(id uint32) *task {
+	for _, t := range a.tasks {
+		if t.config.Task == id {
+			return t
+		}
+	}
+	return nil
+}
+
+// SetWanted sets whether a task's lease is wanted; one that is held and no longer wanted is released. It
+// returns what is to be sent.
+func (a *Agent) SetWanted(now time.Duration, name string, wanted bool, chance func() float64) []Envelope {
 	t := a.task(name)
 	if t == nil {
 		return nil
 	}
-	if _, _, held := t.seeks.Holds(now); held && !is {
-		t.count.Given++
-		t.until = 0
+	if _, _, held := t.proposer.Holds(now); held && !wanted {
+		t.counts.Released++
+		t.countedUntil = 0
 	}
-	return a.local(now, t.seeks.Want(now, is, chance()), chance)
+	return a.deliverLocal(now, t.proposer.SetWanted(now, wanted, chance()), chance)
 }
 
-// Holds gives a task's token and the instant from which on nothing may be begun under it.
+// Holds reports whether this limiter holds a task's lease, with its fencing token and the time from
+// which on nothing may be begun under it.
 func (a *Agent) Holds(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	if t := a.task(name); t != nil {
-		return t.seeks.Holds(now)
+		return t.proposer.Holds(now)
 	}
 	return 0, 0, false
 }
 
-// Holder gives who holds a task's lease, as far as this limiter was told of late: one that renewed it
-// since may have lost it by now.
-func (a *Agent) Holder(name string) (who Limiter, known bool) {
-	t := a.task(name)
-	if t == nil {
-		return 0, false
+// Holder returns the holder of a task's lease as last learned here; it may have lost the lease since.
+func (a *Agent) Holder(name string) (holder Limiter, known bool) {
+	if t := a.task(name); t != nil {
+		return t.proposer.holder, t.proposer.holderKnown
 	}
-	return t.seeks.holder, t.seeks.holds
+	return 0, false
 }
 
-// Mark gives the greatest mark of a task that is known here; see Contender.Mark.
-func (a *Agent) Mark(name string) uint64 {
+// Payload returns the greatest payload of a task that is known here; see Proposer.Payload.
+func (a *Agent) Payload(name string) uint64 {
 	if t := a.task(name); t != nil {
-		return t.seeks.Mark()
+		return t.proposer.Payload()
 	}
 	return 0
 }
 
-// SetMark has the holder of a task set a mark, and tells whether it stands; see Contender.SetMark.
-func (a *Agent) SetMark(now time.Duration, name string, mark uint64) bool {
+// SetPayload sets the payload of a task whose lease is held here, and reports whether a quorum has
+// accepted it; see Proposer.SetPayload.
+func (a *Agent) SetPayload(now time.Duration, name string, payload uint64) bool {
 	t := a.task(name)
-	return t != nil && t.seeks.SetMark(now, mark)
+	return t != nil && t.proposer.SetPayload(now, payload)
 }
 
-// Late books an act that came after its lease's end, and was not begun.
-func (a *Agent) Late(name string) {
+// RecordLateAction counts an action that was not begun as the lease had ended.
+func (a *Agent) RecordLateAction(name string) {
 	if t := a.task(name); t != nil {
-		t.count.Refused++
-	}
-}
-
-// Heard takes a message of another limiter in.
-func (a *Agent) Heard(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
-	for _, t := range a.tasks {
-		if t.config.Task == m.Task {
-			return a.local(now, a.hear(t, now, from, m, chance), chance)
-		}
+		t.counts.LateActions++
 	}
-	return nil
 }
 
-func (a *Agent) hear(t *task, now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
-	if m.Kind == Prepare || m.Kind == Propose {
-		if m.Ballot.By != from || t.keeper == nil { // another's ballot, or a list of keepers that is not ours
-			t.count.Bad++
-			return nil
-		}
-	}
-	out := t.seeks.Heard(now, from, m, chance())
-	if t.keeper != nil {
-		if answer, ok := t.keeper.Heard(now, from, m); ok {
-			out = append(out, Envelope{from, answer})
-		} else if m.Kind == Prepare || m.Kind == Propose {
-			t.count.Waited++
-		}
-	}
-	t.note(now)
-	return out
-}
-
-// note counts what changed.
-func (t *task) note(now time.Duration) {
-	_, until, ok := t.seeks.Holds(now)
-	switch {
-	case !ok && t.until > 0:
-		t.count.Lost++
-		t.until = 0
-	case ok && t.until == 0:
-		t.count.Won++
-		t.until = until
-	case ok && until > t.until:
-		t.count.Renewed++
-		t.until = until
+// HandleMessage takes in a message of another limiter, and returns what is to be sent.
+func (a *Agent) HandleMessage(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
+	t := a.taskByID(m.Task)
+	if t == nil {
+		return nil
 	}
+	return a.deliverLocal(now, t.deliver(now, from, m, chance), chance)
 }
 
-// Tick does what is due, and tells when it wants to be called again; 0 for never.
+// Tick does what is due, and returns what is to be sent and when it has to be called again; 0 for never.
 func (a *Agent) Tick(now time.Duration, chance func() float64) (out []Envelope, due time.Duration) {
 	for _, t := range a.tasks {
-		sent, at := t.seeks.Tick(now, chance())
-		t.note(now)
-		if t.keeper != nil {
-			more, again := t.keeper.Tick(now)
-			sent = append(sent, more...)
-			if again > 0 && (at == 0 || again < at) {
-				at = again
-			}
-		}
-		out = append(out, a.local(now, sent, chance)...)
-		if at > 0 && (due == 0 || at < due) {
-			due = at
-		}
+		sent, next := t.tick(now, chance)
+		out = append(out, a.deliverLocal(now, sent, chance)...)
+		due = earliest(due, next)
 	}
 	return out, due
 }
 
-// local takes in at once what this limiter says to itself, and gives what is for others.
-func (a *Agent) local(now time.Duration, out []Envelope, chance func() float64) (others []Envelope) {
+// earliest returns the earlier of two times, of which 0 is never.
+func earliest(a, b time.Duration) time.Duration {
+	if a == 0 || b == 0 {
+		return max(a, b)
+	}
+	return min(a, b)
+}
+
+// deliverLocal delivers messages of this limiter to itself at once, and returns those to others.
+func (a *Agent) deliverLocal(now time.Duration, out []Envelope, chance func() float64) (others []Envelope) {
 	for len(out) > 0 {
 		e := out[0]
 		out = out[1:]
@@ -211,72 +172,78 @@
 			others = append(others, e)
 			continue
 		}
-		for _, t := range a.tasks {
-			if t.config.Task == e.Message.Task {
-				out = append(out, a.hear(t, now, a.self, e.Message, chance)...)
-			}
+		if t := a.taskByID(e.Message.Task); t != nil {
+			out = append(out, t.deliver(now, a.self, e.Message, chance)...)
 		}
 	}
 	return others
 }
 
-// A KeeperLegacy is what a keeper remembers, on its way to another process of its limiter.
-type KeeperLegacy struct {
-	Task     uint32
-	Born     time.Duration // by the clock that both go by
-	Promised Ballot
-	Under    Ballot // of the lease that it has noted, until Until
-	Life     uint32
-	Token    uint64
-	Until    time.Duration
-	Known    uint64
-	Mark     uint64
-	Told     []Limiter
-	Sure     []Limiter
+// deliver hands a message to the proposer and to the acceptor. A proposal with the ballot of another
+// limiter, or from a limiter with another list of acceptors, is ignored.
+func (t *task) deliver(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
+	isProposal := m.Kind == Prepare || m.Kind == Propose
+	if isProposal && (m.Ballot.By != from || t.acceptor == nil) {
+		t.counts.InvalidMessages++
+		return nil
+	}
+	out := t.proposer.HandleMessage(now, from, m, chance())
+	if t.acceptor != nil {
+		reply, ok := t.acceptor.HandleMessage(now, from, m)
+		switch {
+		case ok:
+			out = append(out, Envelope{from, reply})
+		case isProposal:
+			t.counts.Waited++
+		}
+	}
+	t.recordChange(now)
+	return out
 }
 
-// Legacy packs what this limiter's keepers remember. The agent must answer nobody after it: whoever
-// inherits goes on where it stands.
-func (a *Agent) Legacy() (list []KeeperLegacy) {
-	for _, t := range a.tasks {
-		if k := t.keeper; k != nil {
-			list = append(list, KeeperLegacy{
-				Task: k.Task, Born: k.born, Promised: k.promised, Under: k.accepted.ballot, Life: k.accepted.life,
-				Token: k.accepted.token, Until: k.accepted.until, Known: k.known, Mark: k.mark, Told: k.told, Sure: k.sure,
-			})
-		}
+func (t *task) tick(now time.Duration, chance func() float64) (out []Envelope, due time.Duration) {
+	out, due = t.proposer.Tick(now, chance())
+	t.recordChange(now)
+	if t.acceptor == nil {
+		return out, due
 	}
-	return list
+	queries, next := t.acceptor.Tick(now)
+	return append(out, queries...), earliest(due, next)
 }
 
-// Inherit has the keepers go on with what those of another process of this limiter remembered. It is
-// lost if that process ever answers again: then it starts empty.
-func (a *Agent) Inherit(list []KeeperLegacy) {
-	for _, x := range list {
-		for _, t := range a.tasks {
-			if k := t.keeper; k != nil && k.Task == x.Task {
-				k.born, k.promised, k.known, k.mark = x.Born, x.Promised, max(k.known, x.Known), max(k.mark, x.Mark)
-				k.accepted = accepted{ballot: x.Under, holder: x.Under.By, life: x.Life, token: x.Token, until: x.Until}
-				k.told, k.sure = x.Told, x.Sure
-			}
-		}
+// recordChange counts what has become of the lease.
+func (t *task) recordChange(now time.Duration) {
+	_, until, held := t.proposer.Holds(now)
+	switch {
+	case !held && t.countedUntil > 0:
+		t.counts.Lost++
+		t.countedUntil = 0
+	case held && t.countedUntil == 0:
+		t.counts.Won++
+		t.countedUntil = until
+	case held && until > t.countedUntil:
+		t.counts.Renewed++
+		t.countedUntil = until
 	}
 }
 
-// Views tell how all tasks stand.
-func (a *Agent) Views(now time.Duration) (list []View) {
+// State returns what this limiter's acceptors remember, for another process of this limiter. The agent
+// must not be used after it: the acceptors go on there.
+func (a *Agent) State() (list []AcceptorState) {
 	for _, t := range a.tasks {
-		v := View{
-			Task: t.name, Keepers: t.config.Keepers, Keeps: t.keeper != nil && t.keeper.Keeps(now), Phase: t.seeks.Phase().String(),
-			Holder: -1, Known: t.seeks.known, Mark: t.seeks.mark, Counts: t.count,
-		}
-		if t.seeks.holds {
-			v.Holder = int(t.seeks.holder)
+		if t.acceptor != nil {
+			list = append(list, t.acceptor.state())
 		}
-		if token, until, ok := t.seeks.Holds(now); ok {
-			v.Holds, v.Token, v.For = true, token, until-now
-		}
-		list = append(list, v)
 	}
 	return list
 }
+
+// Restore has the acceptors go on from what those of another process of this limiter remembered. If
+// that process ever votes again, it has to start with empty acceptors.
+func (a *Agent) Restore(list []AcceptorState) {
+	for _, s := range list {
+		if t := a.taskByID(s.Task); t != nil && t.acceptor != nil {
+			t.acceptor.restore(s)
+		}
+	}
+}
--- /dev/null
+++ b/internal/processharness/load.go
@@ -0,0 +1,248 @@
+package processharness
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	// requestTimeout is how long a client waits for a response.
+	requestTimeout = 5 * time.Second
+	// budgetIdempotent and budgetKeyed are the budgets of requests in ms, by their class.
+	budgetIdempotent = 2000
+	budgetKeyed      = 3000
+)
+
+// Load sends requests at a constant rate whatever comes of them, over connections that are kept. The one
+// that is idle longest is used first, so that all of them are used.
+type Load struct {
+	// Resends has a request sent again, on a new connection, where a kept one was closed without a byte of a
+	// response: a limiter may close one between requests while the next is on its way to it.
+	Resends bool
+	// Resent counts these.
+	Resent int
+	// Results are those so far, in no order.
+	Results []Result
+
+	tier        *Tier
+	interval    time.Duration
+	makeRequest func(n int) Req
+	stop        chan struct{} // closed by End
+	running     sync.WaitGroup
+
+	mu   sync.Mutex      // of Resent, Results and what follows
+	idle [][]*clientConn // by limiter, the one idle longest first
+	each func(Result)    // nil to keep Results
+}
+
+// Req is a request to be sent.
+type Req struct {
+	Limiter  int // that it is sent to
+	Class    string
+	Plan     string
+	Customer uint64
+	Key      string // idempotency key, "" for none
+	First    int    // first limiter of the customer's set
+	Spread   int    // limiters in the customer's set, 0 for one
+	Body     int    // bytes
+	Units    int    // 0 for one
+}
+
+// Result is what came of a request.
+type Result struct {
+	Req
+	ID     string
+	At     time.Time // when its last byte was written
+	Took   time.Duration
+	Status int    // 0 without a complete response
+	Fault  string // what happened to the connection, "" for nothing
+	Body   string
+}
+
+// Begin sends requests until End, at a rate per second. makeRequest makes the request of each number.
+func (tier *Tier) Begin(perSecond float64, makeRequest func(n int) Req) *Load {
+	l := &Load{
+		tier:        tier,
+		interval:    time.Duration(float64(time.Second) / perSecond),
+		makeRequest: makeRequest,
+		stop:        make(chan struct{}),
+		idle:        make([][]*clientConn, len(tier.Limiters)),
+	}
+	l.running.Go(l.run)
+	return l
+}
+
+// Each hands over each result as it comes instead of keeping it, from any goroutine.
+func (l *Load) Each(f func(Result)) {
+	l.mu.Lock()
+	l.each = f
+	l.mu.Unlock()
+}
+
+// run starts a goroutine for each request, until End.
+func (l *Load) run() {
+	begin := time.Now()
+	for n := 0; ; n++ {
+		if wait := time.Until(begin.Add(time.Duration(n) * l.interval)); wait > 0 {
+			select {
+			case <-l.stop:
+				return
+			case <-time.After(wait):
+			}
+		}
+		l.running.Go(func() { l.record(l.sendNumber(n)) })
+	}
+}
+
+// record keeps a result, or hands it over.
+func (l *Load) record(result Result) {
+	l.mu.Lock()
+	each := l.each
+	if each == nil {
+		l.Results = append(l.Results, result)
+	}
+	l.mu.Unlock()
+	if each != nil {
+		each(result)
+	}
+}
+
+// End stops sending, waits for all responses and returns the results in the order of their sending.
+func (l *Load) End() []Result {
+	close(l.stop)
+	l.running.Wait()
+	for _, conns := range l.idle {
+		for _, c := range conns {
+			c.close()
+		}
+	}
+	slices.SortFunc(l.Results, func(a, b Result) int { return a.At.Compare(b.At) })
+	return l.Results
+}
+
+// sendNumber sends the request of a number, once more if it is to be resent.
+func (l *Load) sendNumber(n int) Result {
+	request := l.makeRequest(n)
+	id := fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, n)
+	conn, kept, err := l.connection(request.Limiter)
+	if err != nil {
+		return Result{Req: request, ID: id, At: time.Now(), Fault: "connect: " + err.Error()}
+	}
+	result, closed := l.send(request, id, conn)
+	if !closed || !kept || !l.Resends {
+		return result
+	}
+	l.mu.Lock()
+	l.Resent++
+	l.mu.Unlock()
+	conn, err = l.connect(request.Limiter)
+	if err != nil {
+		return result
+	}
+	result, _ = l.send(request, id, conn)
+	return result
+}
+
+// send sends a request on a connection. closed reports that this was closed without a byte of a response.
+func (l *Load) send(request Req, id string, conn *clientConn) (result Result, closed bool) {
+	result = Result{Req: request, ID: id, At: time.Now()}
+	conn.setDeadline(time.Now().Add(requestTimeout))
+	if _, err := io.WriteString(conn, requestText(request, id)); err != nil {
+		result.Fault = "write: " + err.Error()
+		conn.close()
+		return result, true
+	}
+	result.At = time.Now()
+	_, firstByteErr := conn.reader.Peek(1)
+	resp, body, err := conn.readResponse()
+	result.Took = time.Since(result.At)
+	if err != nil {
+		result.Fault = "read: " + err.Error()
+		conn.close()
+		return result, firstByteErr != nil
+	}
+	result.Status, result.Body = resp.StatusCode, body
+	if resp.Close {
+		conn.close()
+	} else {
+		l.keep(request.Limiter, conn)
+	}
+	return result, false
+}
+
+// requestText is a request as it is written to a connection.
+func requestText(r Req, id string) string {
+	method, budget := http.MethodGet, budgetIdempotent
+	if r.Class == classKeyed {
+		method, budget = http.MethodPost, budgetKeyed
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s /%s/%016x HTTP/1.1\r\nHost: backend.local\r\n", method, r.Class, r.Customer)
+	fmt.Fprintf(&b, "X-Call-Id: %s\r\nPlan: %s\r\nX-Budget: %dm\r\n", id, r.Plan, budget)
+	fmt.Fprintf(&b, "Quota-Info: units=%d,spread=%d,first=%d\r\n", max(r.Units, 1), max(r.Spread, 1), r.First)
+	if r.Key != "" {
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Key)
+	}
+	if method == http.MethodPost {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", r.Body)
+	}
+	b.WriteString("\r\n" + strings.Repeat("x", r.Body))
+	return b.String()
+}
+
+// Warm opens connections to a limiter and keeps them idle.
+func (l *Load) Warm(limiter, count int) error {
+	for range count {
+		conn, err := l.connect(limiter)
+		if err != nil {
+			return err
+		}
+		l.keep(limiter, conn)
+	}
+	return nil
+}
+
+// connection returns the connection that is idle longest, or a new one. It is no fault if a kept one was
+// closed: a limiter may do so between requests, and the client sees it before it writes.
+func (l *Load) connection(limiter int) (conn *clientConn, kept bool, err error) {
+	for {
+		conn := l.takeIdle(limiter)
+		if conn == nil {
+			conn, err := l.connect(limiter)
+			return conn, false, err
+		}
+		if conn.isOpen() {
+			return conn, true, nil
+		}
+		conn.close()
+	}
+}
+
+// takeIdle takes the connection that is idle longest, nil if there is none.
+func (l *Load) takeIdle(limiter int) *clientConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	conns := l.idle[limiter]
+	if len(conns) == 0 {
+		return nil
+	}
+	l.idle[limiter] = conns[1:]
+	return conns[0]
+}
+
+// keep keeps an idle connection.
+func (l *Load) keep(limiter int, conn *clientConn) {
+	l.mu.Lock()
+	l.idle[limiter] = append(l.idle[limiter], conn)
+	l.mu.Unlock()
+}
+
+// connect opens a connection to a limiter.
+func (l *Load) connect(limiter int) (*clientConn, error) {
+	return dialClient(l.tier.Limiters[limiter].Addr)
+}
--- /dev/null
+++ b/internal/quota/owner.go
@@ -0,0 +1,201 @@
+package quota
+
+import (
+	"slices"
+	"time"
+
+	"lemongate/internal/gossip"
+	"lemongate/internal/rate"
+)
+
+// This file is the accounts of large sets: their owner and backup owners, what these have, and what the
+// others know of it. owner_reserve.go decides on requests, owner_transfer.go is the exchange with the owner,
+// and owner_ceiling.go what an owner borrows of a ceiling. Account.owners and "owners" in names are the owner
+// and its backup owners together; HoldersOf also covers small sets, in which all limiters are holders.
+//
+// The owner has the customer's complete quota, and two backup owners decide, in their order, while those
+// before them are silent: a limiter sends its transfer request to the first that is not.
+//
+// A quota may be exceeded by what a backup owner grants while the owner grants too, at most its level; by
+// restartLevelFraction of the burst at each start of an owner; and by credit: a limiter that gets no
+// decision at all consumes from a small bucket of its own. All credit of a set together is at most
+// creditRateFactor times the rate, and one request for each limiter.
+
+const (
+	// ownerCount is the number of owners of a customer: the owner and its backups.
+	ownerCount = 3
+	// notOwner is the rank of a limiter that is neither the owner nor a backup owner.
+	notOwner = -1
+	// restartLevelFraction of the burst is what an owner that lost its state assumes the quota to hold.
+	restartLevelFraction = 0.5
+	// ownerViewDuration is how long an owner's report of its level is used.
+	ownerViewDuration = 5 * time.Second
+	// A hot customer is one whose demand is more than hotDemandFactor times its rate while its level is
+	// below hotLevelFraction of the burst. Its owner reports it, in messages with fewer than
+	// hotUpdatesPerMessage grants, for hotCustomerDuration after its last request.
+	hotDemandFactor      = 1.2
+	hotLevelFraction     = 1.0 / 4
+	hotUpdatesPerMessage = 2
+	hotCustomerDuration  = 2 * time.Second
+)
+
+// ceilingFractions are the parts of a ceiling that the owners have, by rank. As a ceiling is well above
+// the quota, the owner's part is the quota's rate and more.
+var ceilingFractions = [ownerCount]float64{0.6, 0.3, 0.1}
+
+// An ownerDecision is the owner's reply to a transfer request.
+type ownerDecision int
+
+const (
+	ownerUndecided ownerDecision = iota // nothing yet
+	ownerGranted
+	ownerRejected
+)
+
+// An ownerView is what a limiter knows of a customer's quota at its owner.
+type ownerView struct {
+	known      bool
+	level      float64 // units
+	demand     float64 // units per second, at all limiters
+	receivedAt time.Duration
+}
+
+// inTransit is units that an owner or a backup owner granted of a ceiling, until they have arrived or never
+// will. They count against its capacity: else its part would fill again meanwhile, and all parts together
+// could hold more than the ceiling.
+type inTransit struct {
+	units     float64
+	arrivesBy time.Duration
+}
+
+// initOwned gives an account of a large set what this limiter's rank among its owners brings.
+func (a *Account) initOwned() {
+	l := a.ledger
+	plan := a.plan()
+	a.owners = rank(a.CustomerHash, a.firstLimiter, a.setSize, l.Limiters, ownerCount)
+	a.credit = rate.Allowance{Amount: plan.Quota.Burst, UpdatedAt: l.startedAt}
+	a.ownerRank = slices.Index(a.owners, l.Self)
+	if a.ownerRank == notOwner {
+		return
+	}
+	a.baseFraction, a.ceilingFraction = 1, ceilingFractions[a.ownerRank]
+	if a.ownerRank == 0 {
+		a.baseSlots = plan.Slots
+		l.ownedAccounts = append(l.ownedAccounts, a)
+	}
+	full := plan.Quota.Burst
+	a.quotaLevel = full * restartLevelFraction
+	switch l.startState {
+	case TierStarted:
+		a.quotaLevel = full
+	case StartUnknown:
+		a.unresolvedUnits = full - a.quotaLevel
+	}
+}
+
+// advanceOwned refills the parts of an owner or a backup owner, from one end of a transit to the next. Only
+// slots are lent.
+func (a *Account) advanceOwned(now time.Duration) {
+	for a.advancedTo < now {
+		next := now
+		if len(a.ceilingInTransit) > 0 {
+			next = min(max(a.ceilingInTransit[0].arrivesBy, a.advancedTo), now)
+		}
+		a.refill((next - a.advancedTo).Seconds(), true)
+		a.advancedTo = next
+		a.endTransits()
+	}
+	a.expireLoans()
+}
+
+// endTransits forgets the units whose transit has ended.
+func (a *Account) endTransits() {
+	ended := 0
+	for ended < len(a.ceilingInTransit) && a.ceilingInTransit[ended].arrivesBy <= a.advancedTo {
+		a.ceilingUnitsInTransit -= a.ceilingInTransit[ended].units
+		ended++
+	}
+	a.ceilingInTransit = a.ceilingInTransit[ended:]
+	if len(a.ceilingInTransit) == 0 {
+		a.ceilingInTransit, a.ceilingUnitsInTransit = nil, 0
+	}
+}
+
+// decides reports whether this limiter decides on an account: it is the owner, or a backup owner while
+// all before it are silent.
+func (l *Ledger) decides(a *Account, now time.Duration) bool {
+	return a.ownerRank == 0 || a.ownerRank > 0 && l.firstLiveOwner(a, now) == notOwner
+}
+
+// firstLiveOwner is the rank of the first owner or backup owner before this limiter that is not silent,
+// notOwner if there is none.
+func (l *Ledger) firstLiveOwner(a *Account, now time.Duration) int {
+	for i, owner := range a.owners {
+		if owner == l.Self {
+			return notOwner
+		}
+		peer := l.peer(owner)
+		if peer.available(now) && !peer.unresponsive {
+			return i
+		}
+	}
+	return notOwner
+}
+
+// predictOwnerView is the level at the owner expected now from its last report. It is not known if there
+// was none within ownerViewDuration.
+func (a *Account) predictOwnerView(now time.Duration) ownerView {
+	view := a.ownerView
+	age := now - view.receivedAt
+	if !view.known || age > ownerViewDuration {
+		return ownerView{}
+	}
+	quota := a.plan().Quota
+	view.level = min(max(view.level+(quota.Rate-view.demand)*age.Seconds(), 0), quota.Burst)
+	return view
+}
+
+// addOwnerView adds this owner's level and demand to a grant.
+func (a *Account) addOwnerView(grant *gossip.Grant, now time.Duration) {
+	grant.TotalLevel = uint8(min(a.relativeToBurst(max(a.quotaLevel, 0)), 1) * gossip.TotalSteps)
+	grant.Demand = a.encodeDemand(now)
+}
+
+// recordOwnerView records the level and demand that an owner reported in a grant.
+func (a *Account) recordOwnerView(grant gossip.Grant, now time.Duration) {
+	if a.ownerRank == 0 || grant.TotalLevel == gossip.UnknownTotal {
+		return
+	}
+	a.ownerView = ownerView{
+		known:      true,
+		receivedAt: now,
+		level:      a.decodeTotal(grant.TotalLevel),
+		demand:     a.decodeDemand(grant.Demand),
+	}
+}
+
+// hotCustomerUpdates returns grants that nobody requested and that move nothing: they report hot
+// customers of this owner. Limiters that receive them need not send a transfer request for each
+// client request.
+func (l *Ledger) hotCustomerUpdates(most int, now time.Duration) (list []gossip.Grant) {
+	for range l.ownedAccounts {
+		if len(list) >= most {
+			return list
+		}
+		l.hotCursor = (l.hotCursor + 1) % len(l.ownedAccounts)
+		a := l.ownedAccounts[l.hotCursor]
+		if a.isHot(now) {
+			update := gossip.Grant{Customer: a.CustomerHash}
+			a.addOwnerView(&update, now)
+			list = append(list, update)
+		}
+	}
+	return list
+}
+
+// isHot reports whether other limiters should know of the demand for an account of this owner.
+func (a *Account) isHot(now time.Duration) bool {
+	quota := a.plan().Quota
+	return now-a.lastSeen <= hotCustomerDuration && quota.Rate > 0 && a.quotaLevel < quota.Burst*hotLevelFraction &&
+		a.demandRate(now) > hotDemandFactor*quota.Rate
+}
--- /dev/null
+++ b/internal/quota/refill.go
@@ -0,0 +1,126 @@
+package quota
+
+import "time"
+
+// This file is the arithmetic of allocations: which fraction of each bucket is this limiter's, and how
+// levels change with time.
+
+// ClockDrift is the most that a clock may run fast or slow, as a fraction.
+const ClockDrift = 0.01
+
+// advance brings an account up to a clock time.
+func (a *Account) advance(now time.Duration) {
+	if a.isAllocated() {
+		a.advanceAllocated(now)
+	} else {
+		a.advanceOwned(now)
+	}
+}
+
+// advanceAllocated refills an allocation step by step, from one change of its fractions to the next.
+func (a *Account) advanceAllocated(now time.Duration) {
+	a.dropStaleLinks()
+	for a.advancedTo < now {
+		earlierLoansEndedAt := a.earlierLoansEndedAt()
+		next := a.nextChange(earlierLoansEndedAt, now)
+		a.refill((next - a.advancedTo).Seconds(), a.advancedTo >= earlierLoansEndedAt)
+		a.advancedTo = next
+		a.expireLoans()
+	}
+}
+
+// nextChange is the first clock time, now at the latest, at which a loan or a grant ends or the loans of
+// earlier epochs have ended.
+func (a *Account) nextChange(earlierLoansEndedAt, now time.Duration) time.Duration {
+	next := now
+	consider := func(at time.Duration) {
+		if at > a.advancedTo && at < next {
+			next = at
+		}
+	}
+	consider(earlierLoansEndedAt)
+	for i := range a.links {
+		consider(a.links[i].borrowed.expiresAt)
+		for _, lent := range a.links[i].lent {
+			consider(lent.expiresAt)
+			consider(lent.deliveredBy)
+		}
+	}
+	return next
+}
+
+// refill adds what some seconds bring. An allocation that holds more than its capacity, as after lending a
+// share or at the end of a loan, drains as fast as the others may fill: so all allocations together never
+// gain while they hold as much as the bucket can.
+func (a *Account) refill(seconds float64, earlierLoansEnded bool) {
+	plan := a.plan()
+	f := a.fractions(earlierLoansEnded)
+	if plan.Quota.Rate > 0 {
+		gain := seconds * plan.Quota.Rate
+		capacity := f.quota*plan.Quota.Burst - f.quotaInTransit
+		a.totalLevel = min(a.totalLevel+gain, plan.Quota.Burst)
+		a.quotaLevel = refilled(a.quotaLevel, capacity, gain, f.quota, 1)
+	}
+	if plan.Ceiling.Rate > 0 {
+		gain := seconds * plan.Ceiling.Rate
+		capacity := f.ceiling*plan.Ceiling.Burst - f.ceilingInTransit - a.reservedUnits
+		a.ceilingLevel = refilled(a.ceilingLevel, capacity, gain, f.ceiling, 1-ClockDrift)
+	}
+}
+
+// refilled returns the level of an allocation after the complete bucket gained some units. Fraction is the
+// allocation's part of the rate, and slowdown a factor on it.
+func refilled(level, capacity, gain, fraction, slowdown float64) float64 {
+	capacity = max(capacity, 0)
+	if level > capacity {
+		return max(capacity, level-gain*(1-fraction))
+	}
+	return min(level+gain*fraction*slowdown, capacity)
+}
+
+// fractions are the parts of the two buckets that are this limiter's to fill, and the units of its
+// grants that are in transit and count against its capacity.
+type fractions struct {
+	quota, ceiling                   float64
+	quotaInTransit, ceilingInTransit float64 // units
+}
+
+// fractions returns the fractions of this limiter now. Until the loans of its earlier epochs have ended,
+// peers may use MaxLentFraction of its ceiling. A quota is not reduced for that, as it may be exceeded.
+func (a *Account) fractions(earlierLoansEnded bool) fractions {
+	f := fractions{quota: a.baseFraction, ceiling: a.ceilingFraction}
+	if !earlierLoansEnded {
+		f.ceiling *= 1 - MaxLentFraction
+	}
+	if !a.isAllocated() {
+		f.ceilingInTransit = a.ceilingUnitsInTransit
+		return f
+	}
+	borrowed := 0.0 // less what is lent
+	for i := range a.links {
+		lk := &a.links[i]
+		borrowed += lk.borrowed.share - lk.lentShare()
+		for _, lent := range lk.lent {
+			f.quotaInTransit += lent.quotaUnits
+			f.ceilingInTransit += lent.ceilingUnits
+		}
+	}
+	if a.baseFraction > 0 {
+		f.quota += a.fractionOfDead()
+	}
+	f.quota, f.ceiling = max(f.quota+borrowed, 0), max(f.ceiling+borrowed, 0)
+	return f
+}
+
+// fractionOfDead is this limiter's part of the quota allocations of dead peers. Ceilings are not
+// divided up: a peer that counts as dead may live.
+func (a *Account) fractionOfDead() float64 {
+	dead := 0
+	for _, peerID := range a.lenders {
+		peer := a.ledger.peers[peerID]
+		if peer != nil && peer.dead {
+			dead++
+		}
+	}
+	return a.baseFraction * float64(dead) / float64(len(a.lenders)+1-dead)
+}
--- /dev/null
+++ b/internal/simulation/clients.go
@@ -0,0 +1,268 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"lemongate/internal/admission"
+	"lemongate/internal/core"
+)
+
+const (
+	// clientDelay is how long a request takes to a limiter.
+	clientDelay = 500 * time.Microsecond
+	// responseSlack is how much later than its deadline a response may be.
+	responseSlack = 100 * time.Millisecond
+)
+
+// customer sends requests through the limiters of its set, with the reference buckets of its quota.
+type customer struct {
+	name         string
+	plan         int // index
+	firstLimiter int
+	setSize      int
+	busiest      int    // index in the set
+	quota        Bucket // of what reaches the backends
+	ceiling      Bucket // of what reaches the backends
+	ideal        Bucket // of one limiter that receives all first tries
+	tally        tally
+}
+
+// tally counts what one customer got, in units.
+type tally struct {
+	requested           float64 // first tries
+	due                 float64 // see Result.Due
+	within, beyond      float64 // forwarded, within the quota and beyond it
+	rejected            float64 // tries rejected without an attempt
+	rejectedWithinQuota float64 // see Result.RefusedRoom
+	ceilingDebt         float64 // most that the ceiling's bucket was below zero
+}
+
+// request is one try of a client at a limiter.
+type request struct {
+	id       uint64
+	customer *customer
+	limiter  *limiter
+	units    float64
+	keyed    bool
+	key      uint64 // idempotency key
+	retries  int    // that the client has left
+	sentAt   time.Duration
+	counted  bool // an attempt has reached a backend
+	answered bool
+	lost     bool // with its limiter
+	attempts map[int]*attempt
+}
+
+// requestKey identifies a request of a limiter, whichever of its processes has it.
+type requestKey struct {
+	limiter int
+	id      core.RequestID
+}
+
+// cancelAttempt cancels an attempt, if there is one with the number.
+func (r *request) cancelAttempt(number int) {
+	if a := r.attempts[number]; a != nil {
+		a.over = true
+	}
+}
+
+// startTraffic creates the customers and starts their requests.
+func (w *world) startTraffic() {
+	for i, plan := range w.scenario.Plans {
+		for n := range plan.Customers {
+			c := w.newCustomer(i, n)
+			w.customers = append(w.customers, c)
+			w.scheduleArrival(c)
+			if moves := w.scenario.Traffic.BusiestDuration; moves > 0 {
+				w.scheduleMove(c, seconds(moves*w.random.Float64()))
+			}
+		}
+	}
+}
+
+// newCustomer creates a customer of a plan.
+func (w *world) newCustomer(planIndex, number int) *customer {
+	plan := w.scenario.Plans[planIndex]
+	setSize := w.scenario.SetSize()
+	return &customer{
+		name:         fmt.Sprintf("%s-%04d", plan.Name, number),
+		plan:         planIndex,
+		firstLimiter: w.random.IntN(w.scenario.Limiters),
+		setSize:      setSize,
+		busiest:      w.random.IntN(setSize),
+		quota:        NewBucket(plan.Rate, plan.Burst, start),
+		ideal:        NewBucket(plan.Rate, plan.Burst, start),
+		ceiling:      NewBucket(plan.CeilingRate, plan.CeilingBurst, start),
+	}
+}
+
+// scheduleMove has another limiter become the busiest of a customer, again and again.
+func (w *world) scheduleMove(c *customer, wait time.Duration) {
+	w.after(wait, func() {
+		c.busiest = (c.busiest + 1 + w.random.IntN(max(c.setSize-1, 1))) % c.setSize
+		w.scheduleMove(c, seconds(w.scenario.Traffic.BusiestDuration))
+	})
+}
+
+// scheduleArrival schedules the next request of a customer. Arrivals do not wait for responses.
+func (w *world) scheduleArrival(c *customer) {
+	plan := w.scenario.Plans[c.plan]
+	interval := w.exponential(seconds(w.scenario.Traffic.MeanUnits() / (plan.Rate * plan.LoadFactor)))
+	w.after(interval, func() {
+		w.sendFirstTry(c)
+		w.scheduleArrival(c)
+	})
+}
+
+// sendFirstTry sends a new request of a customer.
+func (w *world) sendFirstTry(c *customer) {
+	traffic := &w.scenario.Traffic
+	units := traffic.Units[w.random.IntN(len(traffic.Units))]
+	c.tally.requested += units
+	if c.ideal.Take(w.now, units) {
+		c.tally.due += units
+	}
+	keyed := w.random.Float64() < traffic.KeyedFraction
+	w.lastID++
+	r := &request{customer: c, units: units, keyed: keyed, key: w.lastID, retries: traffic.Retries}
+	w.send(r, w.selectLimiter(c))
+}
+
+// selectLimiter chooses the limiter for a request: the busiest of the customer's set or another one. If it
+// is down it is the next of the set that is not; nil if all are.
+func (w *world) selectLimiter(c *customer) *limiter {
+	index := c.busiest
+	if w.random.Float64() >= w.scenario.Traffic.BusiestFraction && c.setSize > 1 {
+		index = (c.busiest + 1 + w.random.IntN(c.setSize-1)) % c.setSize
+	}
+	for i := range c.setSize {
+		l := w.limiters[(c.firstLimiter+(index+i)%c.setSize)%w.scenario.Limiters]
+		if l.machine != nil {
+			return l.selectProcess()
+		}
+	}
+	return nil
+}
+
+// send sends a request to a limiter; nil for none that is up.
+func (w *world) send(r *request, l *limiter) {
+	w.lastID++
+	r.id, r.limiter, r.sentAt, r.attempts = w.lastID, l, w.now, map[int]*attempt{}
+	if l == nil {
+		w.result.NoLimiter++
+		return
+	}
+	w.result.Requests++
+	budget := milliseconds(w.scenario.Traffic.Deadline)
+	w.openRequests[requestKey{l.number, core.RequestID(r.id)}] = r
+	w.after(clientDelay, l.ifAlive(func() { l.post(w.requestReceived(r, budget)) }))
+	deadline := w.now + clientDelay + budget
+	w.at(deadline+w.slack(l), func() {
+		if !r.answered && !r.lost && w.now >= l.stalledUntil {
+			w.breach("request %d at limiter %d has no response at its deadline", r.id, l.number)
+		}
+	})
+}
+
+// requestReceived is the event of a request that has arrived at its limiter.
+func (w *world) requestReceived(r *request, budget time.Duration) *core.RequestReceived {
+	class := classIdempotent
+	if r.keyed {
+		class = classKeyed
+	}
+	return &core.RequestReceived{
+		Request: admission.Request{
+			ID:           core.RequestID(r.id),
+			Class:        class,
+			Plan:         w.scenario.Plans[r.customer.plan].Name,
+			Customer:     r.customer.name,
+			Units:        r.units,
+			Budget:       budget,
+			FirstLimiter: r.customer.firstLimiter,
+			SetSize:      r.customer.setSize,
+			IsRetry:      r.retries < w.scenario.Traffic.Retries,
+		},
+		ReceivedAt: r.limiter.clock(),
+		CallID:     fmt.Sprintf("%016x", r.id),
+		Content:    r.id,
+	}
+}
+
+// slack is how much later than its deadline a response may be: a limiter that is stalled responds after
+// its stall.
+func (w *world) slack(l *limiter) time.Duration {
+	return max(l.stalledUntil-w.now, 0) + responseSlack
+}
+
+// judgeQuota counts the first attempt of a request that has reached a backend: the request consumes its
+// units from the reference buckets.
+func (w *world) judgeQuota(a *attempt) {
+	r := a.request
+	if r.counted || r.answered && a.over {
+		return // counted before, or canceled on its way
+	}
+	r.counted = true
+	w.usage.unitsReached += r.units
+	w.queueTimes = append(w.queueTimes, (w.now-backendDelay-r.sentAt-clientDelay).Seconds()*1e3)
+	c := r.customer
+	if c.quota.Take(w.now, r.units) {
+		c.tally.within += r.units
+	} else {
+		c.tally.beyond += r.units
+	}
+	plan := w.scenario.Plans[c.plan]
+	if plan.CeilingRate <= 0 {
+		return
+	}
+	level := c.ceiling.Consume(w.now, r.units)
+	c.tally.ceilingDebt = max(c.tally.ceilingDebt, -level)
+	if -level > plan.Tolerance {
+		w.breach("the ceiling's bucket of %s is at %.1f, %.1f allowed", c.name, level, -plan.Tolerance)
+	}
+}
+
+// respond delivers a limiter's response to the client.
+func (w *world) respond(l *limiter, e core.Respond) {
+	key := requestKey{l.number, e.Request}
+	r := w.openRequests[key]
+	if r == nil || r.answered {
+		w.breach("limiter %d responds to request %d, which is not open", l.number, e.Request)
+		return
+	}
+	r.answered = true
+	delete(w.openRequests, key)
+	switch e.Kind {
+	case core.Served:
+		w.result.Served++
+		if id, ok := e.Response.(uint64); !ok || id != r.id {
+			w.breach("request %d got the response of another one", r.id)
+		}
+	case core.Failed:
+		w.result.Failed++
+	default:
+		w.result.Rejected++
+		w.handleRejection(r, e.RetryAfter)
+	}
+}
+
+// handleRejection counts a rejected request, and has its client retry.
+func (w *world) handleRejection(r *request, retryAfter time.Duration) {
+	if r.counted {
+		return
+	}
+	c := r.customer
+	c.tally.rejected += r.units
+	if c.quota.Refill(w.now) > c.quota.burst/2 {
+		c.tally.rejectedWithinQuota += r.units
+	}
+	if r.retries <= 0 {
+		return
+	}
+	wait := milliseconds(w.scenario.Traffic.RetryWait)
+	if retryAfter > 0 && w.random.Float64() < w.scenario.Traffic.RetryAfterFraction {
+		wait = max(wait, retryAfter)
+	}
+	retry := &request{customer: c, units: r.units, keyed: r.keyed, key: r.key, retries: r.retries - 1}
+	w.after(wait, func() { w.send(retry, w.selectLimiter(c)) })
+}
--- /dev/null
+++ b/internal/simulation/result.go
@@ -0,0 +1,141 @@
+package simulation
+
+import (
+	"slices"
+	"strings"
+
+	"lemongate/internal/usage"
+)
+
+// Result is what came of a run. Units are those of a customer, on average, unless the name says Worst
+// or 99 (over the customers). The names in files are kept: "refused" are rejections, "fetches" attempts,
+// "reqs" requests.
+type Result struct {
+	Requested           float64 `json:"asked"`         // units of first tries
+	Due                 float64 `json:"due"`           // units that one limiter would forward that received all first tries
+	WithinQuota         float64 `json:"inside"`        // units forwarded within the quota
+	BeyondQuota         float64 `json:"beyond"`        // units forwarded beyond it
+	BeyondWorst         float64 `json:"beyond_worst"`  // units, of the customer with most
+	Beyond99            float64 `json:"beyond_99"`     // units
+	RejectedUnits       float64 `json:"refused_units"` // units of tries rejected without an attempt
+	RejectedWithinQuota float64 `json:"refused_room"`  // of these, while the reference bucket was over half full
+	CeilingDebtWorst    float64 `json:"under_worst"`   // units that a ceiling's reference bucket was below zero
+	CeilingDebt99       float64 `json:"under_99"`      // units
+
+	Requests       int `json:"reqs"`
+	Served         int `json:"served"`
+	Lost           int `json:"lost"`    // without a complete response, though the limiter lived; of processes alone
+	Resent         int `json:"resent"`  // on a new connection, as a kept one had ended; of processes alone
+	Doubled        int `json:"doubled"` // requests with an idempotency key that ran twice; of processes alone
+	Rejected       int `json:"refused"`
+	Failed         int `json:"failed"`
+	NoLimiter      int `json:"no_limiter"` // tries that found every limiter of their set down
+	Attempts       int `json:"fetches"`
+	AttemptsInZone int `json:"near"` // of these, those at a backend of the limiter's own zone
+	AttemptsAtDown int `json:"dead"` // of these, those at a backend that is down
+
+	Messages           int     `json:"messages"`
+	Bytes              int     `json:"bytes"`
+	Dropped            int     `json:"dropped"` // datagrams beyond what a limiter receives
+	MessagesPerRequest float64 `json:"messages_per_req"`
+	BytesPerRequest    float64 `json:"bytes_per_req"`
+	CPUPerRequest      float64 `json:"cpu_us_per_req"` // of the state machines; the only figure that a seed does not fix
+
+	QueueTime50 float64 `json:"wait_50_ms"` // from a request's arrival to its first attempt
+	QueueTime99 float64 `json:"wait_99_ms"`
+
+	// Of the first task that is done under a lease.
+	Holders         int     `json:"holders"`      // times that another incarnation of a limiter acquired it
+	Overlaps        int     `json:"overlaps"`     // observations of two holders
+	NoHolder        float64 `json:"no_holder_ms"` // mean time without one, of the times after the first
+	NoHolderWorst   float64 `json:"no_holder_worst_ms"`
+	LeasedAttempts  int     `json:"acts"`        // attempts that reached backends under it
+	TokenFalls      int     `json:"token_falls"` // of these, under a lower token than an earlier one
+	Periods         int     `json:"periods"`     // usage reports that count
+	UsageFaults     int     `json:"use_faults"`  // faults of their summary
+	UsageDuplicates int     `json:"use_twice"`   // periods in two reports
+	UsageRepeats    int     `json:"use_again"`   // reports that count and were written again
+	UsageOver       float64 `json:"use_over"`    // units in the reports beyond what reached backends
+	UsageUnder      float64 `json:"use_under"`   // units that reached them and are neither reported nor recorded
+	Restarted       int     `json:"walked"`      // limiters that restarted under a restart slot and serve again
+	RestartsOpen    int     `json:"walking"`     // those that wait for one or restart, at the end
+	LeaseMessages   float64 `json:"lease_messages_per_s"`
+	LeaseBytes      float64 `json:"lease_bytes_per_s"`
+	LeaseBusiest    float64 `json:"lease_busiest_per_s"` // messages to the limiter that receives most
+
+	Breaches int      `json:"breaches"` // of rules
+	Broken   []string `json:"broken,omitempty"`
+}
+
+// maxBreachesKept is how many breaches of rules a Result describes.
+const maxBreachesKept = 5
+
+// RecordBreach counts a breach of a rule, and keeps the description of the first ones.
+func (r *Result) RecordBreach(description string) {
+	r.Breaches++
+	if len(r.Broken) < maxBreachesKept {
+		r.Broken = append(r.Broken, description)
+	}
+}
+
+// RecordUsage records the summary of all usage reports, and returns the units that they report. breach is
+// called for each period that is in two reports which do not say so.
+func (r *Result) RecordUsage(summary usage.Summary, breach func(format string, args ...any)) float64 {
+	r.Periods = len(summary.Reports)
+	r.UsageFaults = len(summary.Faults)
+	for _, fault := range summary.Faults {
+		if strings.Contains(fault, "twice") {
+			r.UsageDuplicates++
+			breach("%s", fault)
+		}
+	}
+	reported := 0.0
+	for _, u := range summary.Usage {
+		reported += u.Units
+	}
+	return reported
+}
+
+// finish summarizes the run.
+func (w *world) finish() Result {
+	w.summarizeCustomers()
+	slices.Sort(w.queueTimes)
+	r := &w.result
+	r.QueueTime50, r.QueueTime99 = quantile(w.queueTimes, 0.5), quantile(w.queueTimes, 0.99)
+	requests := float64(max(r.Requests, 1))
+	r.MessagesPerRequest = float64(r.Messages) / requests
+	r.BytesPerRequest = float64(r.Bytes) / requests
+	r.CPUPerRequest = float64(w.coreTime.Microseconds()) / requests
+	w.summarizeLeases()
+	return *r
+}
+
+// summarizeCustomers puts the means and worst figures of the customers into the result.
+func (w *world) summarizeCustomers() {
+	r := &w.result
+	count := float64(max(len(w.customers), 1))
+	var beyond, ceilingDebts []float64
+	for _, c := range w.customers {
+		t := c.tally
+		r.Requested += t.requested / count
+		r.Due += t.due / count
+		r.WithinQuota += t.within / count
+		r.BeyondQuota += t.beyond / count
+		r.RejectedWithinQuota += t.rejectedWithinQuota / count
+		r.RejectedUnits += t.rejected / count
+		beyond = append(beyond, t.beyond)
+		ceilingDebts = append(ceilingDebts, t.ceilingDebt)
+	}
+	slices.Sort(beyond)
+	slices.Sort(ceilingDebts)
+	r.BeyondWorst, r.Beyond99 = quantile(beyond, 1), quantile(beyond, 0.99)
+	r.CeilingDebtWorst, r.CeilingDebt99 = quantile(ceilingDebts, 1), quantile(ceilingDebts, 0.99)
+}
+
+// quantile is a quantile of sorted values, 0 if there are none.
+func quantile(sorted []float64, q float64) float64 {
+	if len(sorted) == 0 {
+		return 0
+	}
+	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
+}
