--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -6,25 +6,28 @@
 	"time"
 )
 
-// This file holds what is known of request classes: settings, queue, share, and what was measured.
+// This file holds the state of request classes: settings, queue, share and measurements.
 
 const (
 	// backendTargetFraction is the fraction of a latency objective that is meant for the backend;
 	// the rest may be spent in the queue.
 	backendTargetFraction = 0.33
-	// idleLatencyFactor: the backend target is at least this many times what idle backends take,
-	// and at most maxTargetFactor times the fraction of the objective.
+	// idleLatencyFactor: the backend target is at least this many idle latencies, but at most
+	// maxTargetFactor times the fraction of the objective.
 	idleLatencyFactor = 2.0
 	maxTargetFactor   = 2
-	// spikeFactor bounds what one latency, or the arrivals of one period, may count: so many times the
-	// mean.
+	// spikeFactor bounds what one latency, or the arrivals of one period, count for: so many times the mean
+	// or the objective.
 	spikeFactor = 3.0
 	// meanWeight is the weight of a new value in a running mean: about 20 values count.
 	meanWeight = 0.05
+	// minRoomOfAttempt is the least ratio of backend target to latency that one attempt counts with: a few
+	// stuck ones would otherwise take the window to its least for all.
+	minRoomOfAttempt = 0.4
 	// targetWeight is the weight of the backend target in an expected latency, in measured latencies.
 	targetWeight = 3.0
-	// recentBudgets is how many budgets of clients are remembered per class.
-	recentBudgets = 16
+	// recentBudgetCount is how many budgets of clients are remembered per class.
+	recentBudgetCount = 16
 )
 
 // classSet is all request classes, and the objectives that other times are multiples of.
@@ -43,24 +46,24 @@
 	Class
 	queue  []*request
 	share  float64 // of the window, 0 to 1
-	credit float64 // dispatches that it has a claim to, see chargeCredit; negative if it had too many
+	credit float64 // dispatches that are due to it, see chargeCredit; below zero if it had more than its share
 
-	recentBudgets [recentBudgets]time.Duration // of clients, a ring
+	recentBudgets [recentBudgetCount]time.Duration // of clients, a ring
 	budgetsSeen   int
 	usualBudget   time.Duration // the most common of them; 0 if they differ
 
 	// Measured in the current control period.
 	arrivals          int     // requests whose quota was granted
 	completed         int     // answered requests
-	latencySum        float64 // of these, time in the queue included
+	latencySum        float64 // of completed requests, time in the queue included
 	attemptsMeasured  int
-	attemptLatencySum float64 // of these
+	attemptLatencySum float64 // of measured attempts
 
 	arrivalRate        float64 // per second
 	meanLatency        float64 // of attempts
 	meanSquaredLatency float64
 	latencySamples     int     // latencies that the means come from
-	idleLatency        float64 // least meanLatency of late: what attempts take at idle backends
+	idleLatency        float64 // recent minimum of meanLatency: what attempts take at idle backends
 }
 
 // newClassSet returns the classes of the settings, with equal shares. A class without a latency objective
@@ -93,24 +96,29 @@
 	})
 }
 
-// pollInterval is the time after which what waits for a backend or a grant is decided again.
+// pollInterval is the time after which requests that wait for a backend or a grant are looked at again.
 func (s *classSet) pollInterval() time.Duration { return s.shortestObjective / pollsPerObjective }
 
 // pollsPerObjective is how many poll intervals there are in the shortest objective.
 const pollsPerObjective = 100
 
-// backendTarget is the latency in seconds that an attempt should take. No window brings latency under
-// what idle backends take, and one that tried would end up shut; so it is a multiple of that at least.
+// backendTarget is the latency in seconds that an attempt should take. No window brings latency below that of
+// idle backends, and one that tried would shrink to its least; so the target is a multiple of it at least.
 func (c *requestClass) backendTarget() float64 {
-	fraction := backendTargetFraction * c.LatencyObjective.Seconds()
-	return max(fraction, min(idleLatencyFactor*c.idleLatency, maxTargetFactor*fraction))
+	usual := c.usualBackendTarget()
+	return max(usual, min(idleLatencyFactor*c.idleLatency, maxTargetFactor*usual))
+}
+
+// usualBackendTarget is the backend target, in seconds, unless idle backends are slow.
+func (c *requestClass) usualBackendTarget() float64 {
+	return backendTargetFraction * c.LatencyObjective.Seconds()
 }
 
 // exceedsTarget reports whether attempts take longer than they should.
 func (c *requestClass) exceedsTarget() bool { return c.meanLatency > c.backendTarget() }
 
-// expectedLatency is what an attempt is expected to take, in seconds: the mean, or while few latencies
-// were measured rather the backend target, as one early response may come far sooner than most.
+// expectedLatency is the latency expected of an attempt, in seconds: the mean, weighted with the backend
+// target while few latencies were measured, as one early response may come far sooner than most.
 func (c *requestClass) expectedLatency() float64 {
 	samples := float64(c.latencySamples)
 	prior := max(c.backendTarget(), c.meanLatency)
@@ -128,11 +136,10 @@
 	c.meanSquaredLatency += meanWeight * (latency*latency - c.meanSquaredLatency)
 }
 
-// recordAttemptLatency measures an attempt, in seconds, against the backend target. A stuck attempt
-// counts for little more than a slow one, or a few would shut the window for all.
+// recordAttemptLatency measures the latency of an attempt, in seconds, for the window.
 func (c *requestClass) recordAttemptLatency(latency float64) {
 	c.attemptsMeasured++
-	c.attemptLatencySum += min(latency, c.backendTarget()/windowMinFactor)
+	c.attemptLatencySum += min(latency, c.backendTarget()/minRoomOfAttempt)
 }
 
 // recordCompletion measures the time from the arrival to the end of a request, for the control loop.
@@ -143,28 +150,28 @@
 }
 
 // recordBudget remembers the budget of a client and, each time the ring is full, which one is usual:
-// the most common one, if enough of them are equal within the width.
-func (c *requestClass) recordBudget(budget, width time.Duration) {
-	c.recentBudgets[c.budgetsSeen%recentBudgets] = budget
+// the most common one, if enough of them are equal within the tolerance.
+func (c *requestClass) recordBudget(budget, tolerance time.Duration) {
+	c.recentBudgets[c.budgetsSeen%recentBudgetCount] = budget
 	c.budgetsSeen++
-	if c.budgetsSeen%recentBudgets > 0 {
+	if c.budgetsSeen%recentBudgetCount > 0 {
 		return
 	}
-	usual, count := mostCommon(c.recentBudgets[:], width)
-	if float64(count) < usualBudgetFraction*recentBudgets {
+	usual, count := mostCommon(c.recentBudgets[:], tolerance)
+	if float64(count) < usualBudgetFraction*recentBudgetCount {
 		usual = 0
 	}
 	c.usualBudget = usual
 }
 
-// mostCommon returns the least of the largest group of values that lie within the same width, and how
-// many these are.
-func mostCommon(values []time.Duration, width time.Duration) (time.Duration, int) {
+// mostCommon returns the least of the largest group of values that differ by no more than the tolerance, and
+// the size of the group.
+func mostCommon(values []time.Duration, tolerance time.Duration) (time.Duration, int) {
 	sorted := slices.Sorted(slices.Values(values))
 	var least time.Duration
 	largest, from := 0, 0
 	for i, v := range sorted {
-		for v-sorted[from] > width {
+		for v-sorted[from] > tolerance {
 			from++
 		}
 		if size := i - from + 1; size > largest {
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -13,28 +13,32 @@
 // shares by a queueing model, with an integral correction on the error of the latency objective.
 
 const (
-	// controlPeriodObjectives is the control period in longest objectives: a jam shows within one.
+	// controlPeriodObjectives is the control period in longest objectives: an overload shows within one.
 	controlPeriodObjectives = 0.5
-	// controlGain is the fraction of the model's Newton step that one period takes: small, against
+	// controlGain is the fraction of the model's Newton step that is made in one period: small, to avoid
 	// overshoot.
 	controlGain = 0.3
-	// maxShareStep bounds the change of a share by the error of one period, so that a stall does
-	// not swing it.
+	// maxShareStep bounds the change of a share by the error of one period, so that a short stall does
+	// not set it.
 	maxShareStep = 0.15
 	// minShare keeps a class from being starved.
 	minShare = 0.01
+	// minSpareShare is the least share that a class is taken to have beyond its load, see queueing.Slope.
+	minSpareShare = 0.01
+	// minPressure keeps from dividing by a pressure near 0.
+	minPressure = 0.01
 	// arrivalWeight is the weight of a new period in the arrival rate.
 	arrivalWeight = 0.5
-	// idleLatencyGrowth is how much of the mean the least mean latency grows per period, towards a
-	// longer one.
+	// idleLatencyGrowth is the fraction by which the idle latency grows per period while the mean latency is
+	// above it, so that it follows a mean that stays higher.
 	idleLatencyGrowth = 0.01
 )
 
-// controlLoop is the timing of the control loop, and of rates that fade.
+// controlLoop is the timing of the control loop, and of decaying rates.
 type controlLoop struct {
 	nextAt        time.Duration // clock time of its next run
 	periodSeconds float64
-	memorySeconds float64 // time after which an event counts 1/e in a rate
+	memorySeconds float64 // the longest objective: after it an event counts 1/e in a decaying rate
 }
 
 func newControlLoop(longestObjective time.Duration) controlLoop {
@@ -47,18 +51,18 @@
 // periodTotals adds up what was measured of all classes in a control period.
 type periodTotals struct {
 	shares     float64 // sum of the wanted shares
-	room       float64 // least ratio of backend target to latency, of classes that were measured enough
-	attempts   float64 // how many were measured
-	latencySum float64 // of these, seconds
-	targetSum  float64 // what these should have taken, seconds
+	room       float64 // least ratio of backend target to latency of the classes that count, see addPeriod
+	attempts   float64 // measured attempts
+	latencySum float64 // latencies of the measured attempts, seconds
+	targetSum  float64 // backend targets of the measured attempts, seconds
 }
 
 // runControlLoop sets the shares of the next control period and the scale of the window.
 func (ctl *Controller) runControlLoop() {
-	ctl.resolveStartByTime()
+	ctl.inferStartStateByTime()
 	ctl.customers.ledger.Tick(ctl.now)
 	window := ctl.windowSize()
-	ctl.recordOpenAttempts()
+	ctl.recordLateAttempts()
 
 	totals := periodTotals{room: math.Inf(1)}
 	wanted, modelled := make([]float64, len(ctl.classes.byWeight)), make([]float64, len(ctl.classes.byWeight))
@@ -77,23 +81,24 @@
 	}
 
 	ctl.window.measurePressure(totals.attempts, totals.latencySum, totals.targetSum)
-	room := min(totals.room, 1/max(ctl.window.pressure, minShare))
+	room := min(totals.room, 1/max(ctl.window.pressure, minPressure))
+	ctl.forgetIdleCustomers()
 	ctl.measureQuotaRate()
 	ctl.endpoints.medianLatencyPerAttempt = ctl.measureMedianLatency()
 	ctl.scaleWindow(room, totals.attempts > 0)
 }
 
-// resolveStartByTime takes the tier of limiters for new, so that customers have a full burst, if no
-// backend has reported its utilization within one longest objective of the first request.
-func (ctl *Controller) resolveStartByTime() {
+// inferStartStateByTime decides that the tier of limiters is new, so that customers have a full burst, if the
+// start state is still unknown one longest objective after the first request: the backends report too little.
+func (ctl *Controller) inferStartStateByTime() {
 	first := ctl.customers.firstRequestAt
 	if first > 0 && ctl.now-first > ctl.classes.longestObjective {
 		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now)
 	}
 }
 
-// addPeriod adds what was measured of a class. The lightest classes do not narrow the window, as they
-// get what is left; the heaviest class does in any case, as all may weigh the same.
+// addPeriod adds what was measured of a class. The latencies of the lightest classes do not shrink the window,
+// as these get what is left; those of the heaviest class do in any case, as all may weigh the same.
 func (ctl *Controller) addPeriod(totals *periodTotals, c *requestClass, heaviest bool) {
 	lightest := ctl.classes.byWeight[len(ctl.classes.byWeight)-1].Weight
 	target := c.backendTarget()
@@ -115,8 +120,8 @@
 }
 
 // wantedShare is the share of a window (in attempts) that meets the latency objective of a class: as the
-// queueing model has it, and that corrected by the error of the last period. In the model all of the
-// window is one server, so a request takes it for its latency over the size of the window.
+// queueing model gives it, and corrected by the error of the last period. The model takes the window for one
+// server, which a request occupies for its latency over the size of the window.
 func (c *requestClass) wantedShare(window float64) (wanted, modelled float64) {
 	service := queueing.ServiceTime{
 		Mean:   c.meanLatency / window,
@@ -130,7 +135,7 @@
 	return clampShare(modelled + shareCorrection(slack, c.arrivalRate, service, modelled)), modelled
 }
 
-// startPeriod clears what is measured per control period.
+// startPeriod updates the idle latency, and clears the measurements of the last control period.
 func (c *requestClass) startPeriod() {
 	c.idleLatency = min(c.meanLatency, cmp.Or(c.idleLatency, c.meanLatency)*(1+idleLatencyGrowth))
 	c.arrivals, c.completed, c.latencySum = 0, 0, 0
@@ -144,12 +149,12 @@
 	if service.Mean <= 0 {
 		return 0
 	}
-	step := controlGain * slack / queueing.Slope(arrivalRate, service, share, minShare)
+	step := controlGain * slack / queueing.Slope(arrivalRate, service, share, minSpareShare)
 	return min(max(step, -maxShareStep), maxShareStep)
 }
 
-// fitShares fits shares, in the order of falling weight, that sum to more than one: one that does not fit
-// goes without its correction, and takes no more than the heavier ones have left.
+// fitShares reduces shares, in the order of falling weight, that sum to more than one: a share that exceeds
+// what the heavier classes left loses its correction, and is cut to what they left.
 func fitShares(wanted, modelled []float64) {
 	left := 1.0
 	for i := range wanted {
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -10,22 +10,23 @@
 	"lemongate/internal/quota"
 )
 
-// This file keeps the endpoint list: which backends there are, and which of them this limiter uses. In
-// a large tier each limiter uses a subset of the backends, chosen by rendezvous hashing.
+// This file keeps the endpoint list: which backends there are, and which of them this limiter uses:
+// all, or a subset chosen by rendezvous hashing if there are many limiters and backends (see subsetSize).
 
 const (
 	// minSubset is the least number of backends in the subset of a limiter: enough to avoid one that fails.
 	minSubset = 8
-	// minLimitersPerBackend is the least mean number of limiters that use a backend; in a small tier all do.
+	// minLimitersPerBackend is the least mean number of limiters that use a backend. Where there are no more
+	// limiters than that, each uses all backends.
 	minLimitersPerBackend = 12.0
 )
 
-// endpointSet is all backends known.
+// endpointSet is all known backends.
 type endpointSet struct {
 	listed                  []*backend // live; the subset of this limiter first
 	byID                    map[string]*backend
 	byGossipKey             map[uint32]*backend // listed; nil where two share a key
-	medianLatencyPerAttempt float64             // median latencyPerAttempt of the listed ones
+	medianLatencyPerAttempt float64             // median latencyPerAttempt of the listed ones; no unit, 1 is typical
 	forgetAfter             time.Duration       // time after which removed backends are forgotten
 	pollDue                 bool                // the last poll failed or ended
 }
@@ -89,13 +90,13 @@
 	return started
 }
 
-// newBackend returns a backend that is new or has restarted: it takes over the attempts that are still out
-// at its earlier self, nil for none, but nothing that was measured of that.
+// newBackend returns a backend that is new or has restarted. It takes over the attempts that are still in
+// flight at the backend before its restart, nil for none, but no measurements.
 func newBackend(id string, earlier *backend) *backend {
 	b := &backend{relativeLoad: 1, gossipKey: gossip.BackendKey(hashOf(id))}
 	if earlier != nil {
-		b.open = earlier.open
-		for _, r := range b.open {
+		b.inFlight = earlier.inFlight
+		for _, r := range b.inFlight {
 			r.backend = b
 		}
 	}
@@ -109,14 +110,14 @@
 	}
 }
 
-// relist derives the listed backends from all that are known, and forgets those that were removed long
-// ago: a removed backend may come back as it was, but most are replaced under new IDs.
+// relist derives the listed backends from all known ones, and forgets those that were removed long ago: a
+// removed backend may come back as it was, but most are replaced under new IDs.
 func (ctl *Controller) relist() {
 	set := &ctl.endpoints
 	clear(set.listed) // otherwise the array would keep backends alive beyond the new end
 	set.listed = set.listed[:0]
 	for id, b := range set.byID {
-		forgotten := len(b.open) == 0 && b.removedAt > 0 && ctl.now-b.removedAt > set.forgetAfter
+		forgotten := len(b.inFlight) == 0 && b.removedAt > 0 && ctl.now-b.removedAt > set.forgetAfter
 		switch {
 		case !b.unavailable:
 			set.listed = append(set.listed, b)
@@ -165,8 +166,8 @@
 }
 
 // usableSubset returns how many of the listed backends, from the first on, this limiter chooses from, and
-// their capacity in warm backends: as many as contain subsetSize backends that are not ejected, and more
-// where many of these are warming up.
+// their capacity in warm backends. They include subsetSize backends that are not ejected, and more if many
+// are warming up.
 func (ctl *Controller) usableSubset() (size int, capacity float64) {
 	usable, wanted := 0, ctl.subsetSize()
 	for size < len(ctl.endpoints.listed) && (usable < wanted || capacity < minWarmFraction*float64(wanted)) {
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -11,13 +11,13 @@
 // RecoveryLease, *AttemptAdopted and EpochRenewed.
 type Event interface{ event() }
 
-// BackendState is what the endpoint list says of a backend.
+// BackendState is the state of a backend by the endpoint list.
 type BackendState uint8
 
 const (
-	// Live backends take requests.
+	// Live backends accept requests.
 	Live BackendState = iota
-	// Draining backends finish what they have and take nothing new.
+	// Draining backends finish the requests they have and accept no others.
 	Draining
 	// Removed backends no longer exist.
 	Removed
@@ -74,7 +74,7 @@
 	Succeeded Result = iota
 	// Errored attempts were failed by the backend; they may have run.
 	Errored
-	// Rejected attempts met a full or draining backend; they never ran.
+	// Rejected attempts were refused by a full or draining backend; they never ran.
 	Rejected
 	// TimedOut attempts may have run.
 	TimedOut
@@ -110,7 +110,8 @@
 // TimerFired reports that the clock time of the last SetTimer has come.
 type TimerFired struct{}
 
-// RequestEnded reports that a client disconnected or its deadline passed: the request is over.
+// RequestEnded reports that a request is over here: its client disconnected, its deadline passed, or it
+// was withdrawn for another process of this limiter, see Snapshot.
 type RequestEnded struct{ Request RequestID }
 
 // PeerMessage is a message received from another limiter.
@@ -134,16 +135,17 @@
 	Attempt int
 }
 
-// ShutdownStarted reports that this limiter shuts down: it forwards nothing new, and its allocations of the
-// customers' quotas are for the others until it starts again.
+// ShutdownStarted reports that this limiter shuts down: it admits no more requests of rate-limited plans, and
+// the other limiters use its allocations of the customers' quotas until it starts again.
 type ShutdownStarted struct{}
 
-// RecoveryLease reports that one limiter makes the recovery attempts at ejected backends for all, and
-// until which clock time that is this one. Before the first of them each limiter makes its own.
+// RecoveryLease reports that the holder of a lease makes the recovery attempts at ejected backends for all
+// limiters. Until is the clock time up to which this limiter holds it, 0 if it does not hold it. Before the
+// first RecoveryLease each limiter makes its own attempts.
 type RecoveryLease struct{ Until time.Duration }
 
-// AttemptAdopted reports an attempt that another process of this limiter has out: it counts at its backend
-// and among its customer's slots until its AttemptFinished.
+// AttemptAdopted reports an attempt that another process of this limiter has in flight: it counts at its
+// backend and among its customer's slots until its AttemptFinished.
 type AttemptAdopted struct {
 	Request
 	Attempt int
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// request is a request that has not ended or has an attempt out. It waits for a grant of its customer's
-// quota, is queued (its quota is granted, it waits for the window), has an attempt out, or waits for a
-// backend that its retry may use.
+// request is a request that has not ended or has an attempt in flight. It waits for a grant of its
+// customer's quota, is queued (its quota is granted, it waits for the window), has an attempt in flight, or
+// waits for a backend that its retry may use.
 type request struct {
 	*Request
 	class       *requestClass
@@ -17,18 +17,18 @@
 	deadline    time.Duration // clock time at which the client stops waiting
 
 	queued     bool // units are reserved, and no attempt was made yet
-	ended      bool // answered, or the client disconnected
+	ended      bool // answered, or ended by the caller
 	responding bool // the client is being sent a response
 
 	attempts          int           // made so far
 	attemptedBackends []*backend    // by attempt
-	backend           *backend      // where an attempt is out; nil for none
+	backend           *backend      // where an attempt is in flight; nil for none
 	sentAt            time.Duration // clock time of the last attempt
-	openAtSend        int           // attempts out at the backend when it was sent, itself included
-	canceled          bool          // the attempt that is out has been canceled
-	ageRecorded       bool          // the attempt that is out has counted by its age, see recordOpenAttempts
+	inFlightAtSend    int           // attempts in flight at the backend when it was sent, itself included
+	canceled          bool          // the attempt in flight has been canceled
+	ageRecorded       bool          // the attempt in flight has counted by its age, see recordLateAttempts
 
-	retryPrepaid bool // the retry after a canceled attempt has been paid for
+	retryPrepaid bool // a token is reserved for the retry after the cancellation, see cancelStuckAttempts
 
 	// mayHaveRunOn is the backend of the first attempt that may have run, nil for none, and
 	// mayHaveRunFrom the clock time at which it was sent.
@@ -39,38 +39,38 @@
 // startAt records that an attempt starts at a backend.
 func (r *request) startAt(b *backend, now time.Duration) {
 	r.customer.inFlight++
-	b.open = append(b.open, r)
+	b.inFlight = append(b.inFlight, r)
 	r.backend = b
 	r.sentAt = now
-	r.openAtSend = len(b.open)
+	r.inFlightAtSend = len(b.inFlight)
 	r.canceled = false
 	r.ageRecorded = false
 	r.attemptedBackends = append(r.attemptedBackends, b)
 	r.attempts++
 }
 
-// finishAttempt records that the attempt that is out has ended, and returns its backend.
+// finishAttempt records that the attempt in flight has ended, and returns its backend.
 func (r *request) finishAttempt() *backend {
 	b := r.backend
 	r.backend = nil
-	b.open = slices.DeleteFunc(b.open, func(o *request) bool { return o == r })
+	b.inFlight = slices.DeleteFunc(b.inFlight, func(o *request) bool { return o == r })
 	r.customer.inFlight--
 	return b
 }
 
-// cancelable reports whether the attempt that is out may be canceled.
+// cancelable reports whether the attempt in flight may be canceled.
 func (ctl *Controller) cancelable(r *request) bool {
 	return ctl.settings.MayCancel && !r.ended && !r.canceled && !r.responding
 }
 
-// cancelAttempt cancels the attempt that is out.
+// cancelAttempt cancels the attempt in flight.
 func (ctl *Controller) cancelAttempt(r *request) {
 	r.canceled = true
 	ctl.emit(CancelAttempt{Request: r.ID, Attempt: r.attempts - 1})
 }
 
-// endUnserved answers a request that no backend served: it rejects the request where a new try of the
-// client does no harm, and fails it where it may have run.
+// endUnserved answers a request that no backend served: it rejects the request if the client may safely send
+// it again, and fails it if it may have run.
 func (ctl *Controller) endUnserved(r *request) {
 	if r.retryByClientIsHarmless() {
 		ctl.emit(Reject{Request: r.ID, RetryAfter: ctl.settings.MaxRetryAfter})
@@ -96,7 +96,7 @@
 }
 
 // release ends a request, and returns the units that it reserved if no attempt was made. It is forgotten
-// once no attempt of it is out.
+// once it has no attempt in flight.
 func (ctl *Controller) release(r *request) {
 	if r.queued {
 		r.queued = false
@@ -113,13 +113,17 @@
 	}
 }
 
-// RejectionCounts counts the requests that were ended without an answer of a backend, by cause. The
-// tags are read by scripts.
+// RejectionCounts counts the requests that were ended without an answer of a backend, by cause. It does
+// not count those that were rejected at once for an unknown class, because an answer was of no use any more,
+// or in a shutdown, nor those that the caller ended (RequestEnded, AttemptFinished.Final). The tags are read by
+// scripts.
 type RejectionCounts struct {
-	OverQuota        uint64 `json:"beyond"` // beyond the quota or ceiling, as far as was known
-	WindowFull       uint64 `json:"full"`   // the window was full and the queue too long
-	QueueTimeout     uint64 `json:"held"`   // queued until no answer could be in time
-	RetriesExhausted uint64 `json:"tried"`  // attempted, and not to be retried
+	// OverQuota counts requests beyond the quota, the ceiling or the slots of their customer as far as known
+	// here, so while the start state is unknown also ones that the quota might have covered.
+	OverQuota    uint64 `json:"beyond"`
+	WindowFull   uint64 `json:"full"`  // the window was full and the queue too long
+	QueueTimeout uint64 `json:"held"`  // queued until no answer could be in time
+	NotRetried   uint64 `json:"tried"` // attempted without success, and not retried for whatever cause
 }
 
 // Rejections returns the counts since the start.
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -10,15 +10,16 @@
 	Tasks         []string
 	AcceptorCount int           // acceptors per task, at most as many as there are limiters
 	Duration      time.Duration // of a lease
-	ClockDrift    float64       // the most by which a clock's rate is off, as a fraction
+	// ClockDrift is the most by which the rate of any one clock is off from true time, as a fraction.
+	ClockDrift float64
 
 	Self, Limiters int    // this limiter, and how many there are
-	Epoch          uint32 // greater with each start of the process
+	Epoch          uint32 // of this limiter's start, see Ballot.Epoch
 	MinToken       uint64 // the wall clock at the start, in ms
 }
 
 // Agent takes part for one limiter in the agreement on all tasks, as acceptor and as proposer. It is not
-// safe for concurrent use. Where a method takes chance, that returns a random number from 0 to 1.
+// safe for concurrent use. The parameter chance of its methods returns a random number from 0 to 1.
 type Agent struct {
 	self  Limiter
 	tasks []*task
@@ -30,7 +31,7 @@
 	config       Config
 	acceptor     *Acceptor // nil if this limiter is no acceptor of the task
 	proposer     Proposer
-	countedUntil time.Duration // until when the lease is held that counts has last; 0 for none
+	countedUntil time.Duration // end of the lease as last counted; 0 for none
 	counts       Counts
 }
 
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// SetWanted sets whether a task's lease is wanted; one that is held and no longer wanted is released. It
+// SetWanted sets whether a task's lease is wanted; a lease that is held is released once it is not. It
 // returns what is to be sent.
 func (a *Agent) SetWanted(now time.Duration, name string, wanted bool, chance func() float64) []Envelope {
 	t := a.task(name)
@@ -98,7 +99,7 @@
 }
 
 // Holds reports whether this limiter holds a task's lease, with its fencing token and the time from
-// which on nothing may be begun under it.
+// which on nothing may be begun under it. Token and until have no meaning if ok is false.
 func (a *Agent) Holds(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	if t := a.task(name); t != nil {
 		return t.proposer.Holds(now)
@@ -136,7 +137,7 @@
 	}
 }
 
-// HandleMessage takes in a message of another limiter, and returns what is to be sent.
+// HandleMessage handles a message of another limiter, and returns what is to be sent.
 func (a *Agent) HandleMessage(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
 	t := a.taskByID(m.Task)
 	if t == nil {
@@ -228,7 +229,7 @@
 }
 
 // State returns what this limiter's acceptors remember, for another process of this limiter. The agent
-// must not be used after it: the acceptors go on there.
+// must not be used afterwards: the acceptors vote in the other process.
 func (a *Agent) State() (list []AcceptorState) {
 	for _, t := range a.tasks {
 		if t.acceptor != nil {
@@ -238,8 +239,8 @@
 	return list
 }
 
-// Restore has the acceptors go on from what those of another process of this limiter remembered. If
-// that process ever votes again, it has to start with empty acceptors.
+// Restore replaces the state of the acceptors by that of another process of this limiter. If that process
+// ever votes again, it has to start with empty acceptors.
 func (a *Agent) Restore(list []AcceptorState) {
 	for _, s := range list {
 		if t := a.taskByID(s.Task); t != nil && t.acceptor != nil {
