--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -3,6 +3,8 @@
 
 import (
 	"net"
+	"net/netip"
+	"syscall"
 	"testing"
 )
 
@@ -41,3 +43,27 @@
 	_ = listener.Close()                       // nobody else comes
 	return accepted, dialed
 }
+
+// RefusingAddr returns an address on this machine that refuses connections until the end of the test. The
+// port stays bound: one that was merely closed could be another process's listener the moment after, which
+// would then get the connection.
+func RefusingAddr(t testing.TB) string {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = syscall.Close(fd) }) // nothing was sent
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	bound, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	inet, ok := bound.(*syscall.SockaddrInet4)
+	if !ok {
+		t.Fatalf("bound to %T", bound)
+	}
+	return netip.AddrPortFrom(netip.AddrFrom4(inet.Addr), uint16(inet.Port)).String()
+}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -15,9 +15,9 @@
 
 // A refused connection proves that the request never ran.
 func TestConnectionRefused(t *testing.T) {
-	backend := startBackend(t)
-	_ = backend.listener.Close()
-	if got := newTestClient(backend.listener.Addr().String()).attempt(get); got.Result != admission.Unreachable {
+	client := newTestClient(testnet.RefusingAddr(t))
+	defer client.Close()
+	if got := client.attempt(get); got.Result != admission.Unreachable {
 		t.Errorf("result %v", got.Result)
 	}
 }
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -226,8 +226,7 @@
 	if got := client.attempt(get); got.Result != admission.ConnectFailed {
 		t.Errorf("late: %v", got.Result)
 	}
-	_ = l.Close()
-	client = newTestClient(l.Addr().String())
+	client = newTestClient(testnet.RefusingAddr(t))
 	defer client.Close()
 	if got := client.attempt(get); got.Result != admission.Unreachable {
 		t.Errorf("refused: %v", got.Result)
--- a/internal/upstream/fakebackend_test.go
+++ b/internal/upstream/fakebackend_test.go
@@ -68,8 +68,18 @@
 			return
 		}
 		body, _ := io.ReadAll(r.Body) // tests compare it
+		// The response is taken before the test learns of the request: it may send the next one at once, on
+		// another connection, which must not get this response.
+		text, taken := "", false
+		select {
+		case text = <-next:
+			taken = true
+		default: // no response is left
+		}
 		b.requests <- received{n, r, string(body)}
-		text := <-next
+		if !taken {
+			text = <-next
+		}
 		switch text {
 		case closeInstead:
 			return
