--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -124,7 +124,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	// Unix time in ms, modulo 2^32. Every machine reads the same clock, so a later start has a later epoch.
-	c.Settings.Epoch = uint32(time.Now().UnixMilli())
+	c.Settings.Epoch = NewEpoch()
 	if err := c.decodeKnownEndpoints(f.Known, origin); err != nil {
 		return nil, err
 	}
@@ -251,3 +251,7 @@
 	_, _ = hash.Write([]byte(text)) // a hash takes everything
 	return hash.Sum64()
 }
+
+// NewEpoch returns the epoch of a limiter that starts now: the wall clock in ms, modulo 2^32. It wraps every
+// 49.7 days, so epochs differ from start to start but do not only grow.
+func NewEpoch() uint32 { return uint32(time.Now().UnixMilli()) }
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -6,10 +6,10 @@
 	"net"
 	"os"
 	"syscall"
-	"time"
 
 	"go.uber.org/zap"
 
+	"lemongate/internal/config"
 	"lemongate/internal/core"
 	"lemongate/internal/hotrestart"
 	"lemongate/internal/hotrestart/link"
@@ -199,7 +199,7 @@
 		l.log.Debug("no process to take over from", zap.Error(err))
 		// In a goroutine of its own, which ends once the event is queued: the loop, which reads the queue,
 		// is in this call.
-		go l.post(linkEvent{Event: core.LinkClosed{Epoch: newEpoch()}})
+		go l.post(linkEvent{Event: core.LinkClosed{Epoch: config.NewEpoch()}})
 		return
 	}
 	l.log.Info("takes over", zap.Int("from", c.PID()))
@@ -211,10 +211,6 @@
 // successorPath is where successors connect to a process of this limiter.
 func (l *Loop) successorPath() string { return l.config.HotRestart.SocketPath(l.config.Name) }
 
-// newEpoch returns the epoch of a limiter that starts now: the wall clock in ms, modulo 2^32. It wraps every
-// 49.7 days, so epochs differ from start to start but do not only grow.
-func newEpoch() uint32 { return uint32(time.Now().UnixMilli()) }
-
 // acceptSuccessors lets successors connect to this process. If it cannot listen, this process serves
 // without. Its goroutine ends when otherProcess is closed, or when no connection can be accepted.
 func (l *Loop) acceptSuccessors() {
@@ -262,7 +258,7 @@
 	for {
 		f, err := c.Read()
 		if err != nil {
-			l.post(linkEvent{Event: core.LinkClosed{Epoch: newEpoch()}, from: c})
+			l.post(linkEvent{Event: core.LinkClosed{Epoch: config.NewEpoch()}, from: c})
 			c.Close()
 			return
 		}
--- a/internal/httpserver/clientconn.go
+++ b/internal/httpserver/clientconn.go
@@ -8,6 +8,8 @@
 	"os"
 	"syscall"
 	"time"
+
+	"lemongate/internal/rawread"
 )
 
 const (
@@ -194,7 +196,7 @@
 	if watchesForClose(p) {
 		return c.receiveAhead(fd, p)
 	}
-	n, err = readNonblocking(fd, p)
+	n, err = rawread.Nonblocking(fd, p)
 	c.noteRead(n)
 	c.readerWaits = errors.Is(err, syscall.EAGAIN)
 	return n, err
@@ -218,7 +220,7 @@
 			p[0], c.readAhead = c.readAhead[0], c.readAhead[1:]
 			return 1, nil
 		}
-		n, err = readNonblocking(fd, c.set.scratch[:])
+		n, err = rawread.Nonblocking(fd, c.set.scratch[:])
 		c.noteRead(n)
 		if n == 0 {
 			return 0, err
@@ -227,16 +229,6 @@
 	}
 }
 
-// readNonblocking reads from a socket that does not block.
-func readNonblocking(fd uintptr, p []byte) (n int, err error) {
-	for {
-		n, err = syscall.Read(int(fd), p)
-		if !errors.Is(err, syscall.EINTR) {
-			return max(n, 0), err
-		}
-	}
-}
-
 // noteRead notes that bytes were read. The caller holds set.mu.
 func (c *clientConn) noteRead(n int) {
 	if n <= 0 {
--- a/internal/upstream/backendconn.go
+++ b/internal/upstream/backendconn.go
@@ -6,6 +6,8 @@
 	"net"
 	"sync"
 	"syscall"
+
+	"lemongate/internal/rawread"
 )
 
 var (
@@ -101,7 +103,7 @@
 func (c *backendConn) receive(fd uintptr, p []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, err = readNonblocking(fd, p)
+	n, err = rawread.Nonblocking(fd, p)
 	c.readerWaits = errors.Is(err, syscall.EAGAIN)
 	switch {
 	case c.readerWaits:
@@ -114,16 +116,6 @@
 	return n, err
 }
 
-// readNonblocking reads from a socket that does not block.
-func readNonblocking(fd uintptr, p []byte) (n int, err error) {
-	for {
-		n, err = syscall.Read(int(fd), p)
-		if err != syscall.EINTR {
-			return max(n, 0), err
-		}
-	}
-}
-
 // Write implements net.Conn. The first byte of a request goes to no backend that was closed, however long
 // its attempt was dialing or queued, and to no stale connection.
 func (c *backendConn) Write(data []byte) (int, error) {
@@ -180,7 +172,7 @@
 func (c *backendConn) isEmpty() bool {
 	var one [1]byte
 	var readErr error
-	err := c.raw.Control(func(fd uintptr) { _, readErr = readNonblocking(fd, one[:]) })
+	err := c.raw.Control(func(fd uintptr) { _, readErr = rawread.Nonblocking(fd, one[:]) })
 	return err == nil && errors.Is(readErr, syscall.EAGAIN)
 }
 
