--- a/cmd/lemongate/crossrelease_test.go
+++ b/cmd/lemongate/crossrelease_test.go
@@ -3,7 +3,6 @@
 package main
 
 import (
-	"fmt"
 	"os"
 	"syscall"
 	"testing"
@@ -20,7 +19,7 @@
 // round, again and again: no request is lost, none runs twice, the ceiling holds to the unit, and the
 // peers see one epoch of the limiter.
 func TestHotRestartAcrossReleases(t *testing.T) {
-	const restarts, rate, burst = 8, 100.0, 60.0
+	const restarts, rate, burst = 10, 100.0, 60.0
 	previous := os.Getenv(previousReleaseVariable)
 	if previous == "" {
 		t.Fatalf("%s is not set", previousReleaseVariable)
@@ -33,16 +32,7 @@
 	for _, b := range x.Backends {
 		b.Delay(15 * time.Millisecond)
 	}
-	load := x.StartLoad(500, func(n int) processharness.Request {
-		q := processharness.Request{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), SetSize: 3}
-		switch n % 5 {
-		case 0, 1: // twice the ceiling, by all three
-			q.Plan, q.Customer = "capped", 7
-		case 2:
-			q.Class, q.Key, q.Body = "post", fmt.Sprintf("%032x", n), 2000
-		}
-		return q
-	})
+	load := x.StartLoad(500, mixedRequest)
 	if err := load.Warm(0, 30); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lemongate/hotrestart_test.go
+++ b/cmd/lemongate/hotrestart_test.go
@@ -27,16 +27,7 @@
 	for _, b := range tier.Backends {
 		b.Delay(15 * time.Millisecond)
 	}
-	load := tier.StartLoad(500, func(n int) processharness.Request {
-		request := processharness.Request{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), SetSize: 3}
-		switch n % 5 {
-		case 0, 1: // twice the ceiling, by all three
-			request.Plan, request.Customer = "capped", 7
-		case 2:
-			request.Class, request.Key, request.Body = "post", fmt.Sprintf("%032x", n), 2000
-		}
-		return request
-	})
+	load := tier.StartLoad(500, mixedRequest)
 	if err := load.Warm(0, 30); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lemongate/tier_test.go
+++ b/cmd/lemongate/tier_test.go
@@ -242,3 +242,16 @@
 	}
 	return tier
 }
+
+// mixedRequest is the nth request of a load over three limiters: two in five of customer 7 on the plan
+// "capped", one in five with an idempotency key.
+func mixedRequest(n int) processharness.Request {
+	request := processharness.Request{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), SetSize: 3}
+	switch n % 5 {
+	case 0, 1:
+		request.Plan, request.Customer = "capped", 7
+	case 2:
+		request.Class, request.Key, request.Body = "post", fmt.Sprintf("%032x", n), 2000
+	}
+	return request
+}
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -7,7 +7,7 @@
 type RequestID uint64
 
 // Event is something that happened outside: one of *EndpointList, *Request, *AttemptFinished,
-// TimerFired, *RequestEnded, *PeerMessage, *ProbeResult, *ResponseStarted, ShutdownStarted,
+// TimerFired, TimePassed, *RequestEnded, *PeerMessage, *ProbeResult, *ResponseStarted, ShutdownStarted,
 // RecoveryLease, *AttemptAdopted and EpochRenewed.
 type Event interface{ event() }
 
@@ -110,6 +110,9 @@
 // TimerFired reports that the clock time of the last SetTimer has come.
 type TimerFired struct{}
 
+// TimePassed reports that the clock has come to a later time, and nothing else.
+type TimePassed struct{}
+
 // RequestEnded reports that a request is over here: its client disconnected, its deadline passed, or it
 // was withdrawn for another process of this limiter, see Snapshot.
 type RequestEnded struct{ Request RequestID }
@@ -160,6 +163,7 @@
 func (*Request) event()         {}
 func (*AttemptFinished) event() {}
 func (TimerFired) event()       {}
+func (TimePassed) event()       {}
 func (*RequestEnded) event()    {}
 func (*PeerMessage) event()     {}
 func (*ProbeResult) event()     {}
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -132,10 +132,11 @@
 	return &admission.RequestEnded{Request: l.request()}
 }
 
-// decodeFired reads that a timer is due: fired, limiter, token.
+// decodeFired reads that a timer is due: fired, limiter, token. A token that no controller sets says only that
+// time has passed.
 func decodeFired(l *line) admission.Event {
 	if l.parts[2] != timerToken {
-		return nil // not set by a controller
+		return admission.TimePassed{}
 	}
 	return admission.TimerFired{}
 }
--- a/internal/simprotocol/mapping_test.go
+++ b/internal/simprotocol/mapping_test.go
@@ -27,7 +27,7 @@
 		},
 		"aborted\tdoor_3\t77":                    &admission.RequestEnded{Request: 77},
 		"fired\tdoor_3\tbeat":                    admission.TimerFired{},
-		"fired\tdoor_3\tsweep":                   nil,
+		"fired\tdoor_3\tsweep":                   admission.TimePassed{},
 		"message\tdoor_3\t5\taGkgNw==":           &admission.PeerMessage{From: 5, Data: []byte("hi 7")},
 		"reckoned\tdoor_3\t38\tdone\t0.1\tsweep": nil,
 		"probed\tdoor_3\tb_one\tetimedout\t0.4\t1,2": &admission.ProbeResult{
