--- a/internal/checksum/checksum.go
+++ b/internal/checksum/checksum.go
@@ -1,5 +1,5 @@
-// Package checksum ends datagrams with a checksum, so that noise and datagrams of other programs are
-// not taken for messages of a limiter. It is no protection against forged messages.
+// Package checksum appends checksums to datagrams, so that noise and datagrams of other programs are not taken
+// for messages of a limiter. It does not protect against forged messages.
 package checksum
 
 import (
@@ -13,7 +13,7 @@
 // Append appends the checksum of all of data to data.
 func Append(data []byte) []byte { return binary.BigEndian.AppendUint32(data, sum(data)) }
 
-// Verify returns data without the checksum at its end, and reports whether that checksum is right.
+// Verify returns data without the checksum at its end, and reports whether the checksum is correct.
 func Verify(data []byte) ([]byte, bool) {
 	n := len(data) - Size
 	if n < 0 {
@@ -22,7 +22,7 @@
 	return data[:n], binary.BigEndian.Uint32(data[n:]) == sum(data[:n])
 }
 
-// sum is the FNV-1a hash of data.
+// sum returns the FNV-1a hash of data.
 func sum(data []byte) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write(data) // never fails
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the configuration of a limiter: that of the platform (platform.go), from a file
-// and the environment, and that of the operators (operator.go), from a file of theirs. Errors have one
-// line and report the first fault found.
+// Package config reads the configuration of a limiter: the platform's (platform.go), from a file and the
+// environment, and the operators' (operator.go), from a file of their own. Each error is one line and reports
+// the first fault found.
 package config
 
 import (
@@ -18,7 +18,7 @@
 	ListenAddr    string // host:port at which clients connect
 	DiscoveryAddr string // host:port of endpoint discovery
 	AdminAddr     string // host:port of the administration server; empty for none
-	Seed          uint64 // of all choices made by chance
+	Seed          uint64 // of all random choices
 	Limits        Limits
 
 	PeerListen    netip.AddrPort   // where datagrams of other limiters are received; zero for no gossip
@@ -30,8 +30,8 @@
 	Usage        Usage                    // usage accounting
 	RestartSlots core.RestartSlotSettings // of rolling restarts; zero if they are disabled
 
-	KnownEndpoints  []core.Endpoint   // the endpoint list as the platform last knew it
-	KnownGeneration int64             // of that list
+	KnownEndpoints  []core.Endpoint   // the endpoint list that the platform knew last
+	KnownGeneration int64             // generation of that list
 	Settings        settings.Settings // of the service: classes, plans and what the site allows
 }
 
--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -12,7 +12,7 @@
 	"lemongate/internal/golden"
 )
 
-// The operators' file of 0.8.0 is read as it was then: each of its fields has a value of its own.
+// Guards the operators' file of release 0.8.0: each field has a distinct value and is read as it was then.
 func TestOperatorFileOfEarlierRelease(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.json")
 	err := os.WriteFile(path, []byte(`{"takeover": {"on": true, "dir": "/here", "silence_ms": 1001, "trial_s": 12},
@@ -34,7 +34,7 @@
 	golden.Equal(t, "operator.schema.json", OperatorSchema())
 }
 
-// The environment variables that are read, at the start and at a reload.
+// Guards the set of environment variables that are read at the start and at a reload.
 func TestEnvironmentOfEarlierRelease(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"name": "of the file", "discovery": "127.0.0.1:1"}`), 0o600); err != nil {
@@ -53,7 +53,7 @@
 		slices.Sort(names)
 		fmt.Fprintf(&b, "%v\n", names)
 		if err == nil {
-			t.Error("a configuration without settings")
+			t.Error("a configuration without settings was accepted")
 		}
 	}
 	golden.Equal(t, "environment.txt", []byte(b.String()))
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,10 +20,10 @@
 	"lemongate/internal/schema"
 )
 
-// This file reads the operators' file, whose path is an option of the command line. It keeps the names
-// of release 0.8.0.
+// This file reads the operators' file, whose path is a command-line option. The keys are those of release
+// 0.8.0.
 
-// operatorSchemaName is the name of the schema in errors.
+// operatorSchemaName names the schema in errors.
 const operatorSchemaName = "operator.schema.json"
 
 //go:embed operator.schema.json
@@ -42,19 +42,19 @@
 )
 
 const (
-	// clockDrift is the most by which the rate of any one clock is off, as a fraction, for leases.
+	// clockDrift is the maximum rate error of a clock, as a fraction, that leases tolerate.
 	clockDrift = 0.01
-	// repliesPerLease is how many replies a lease holder gets from each other acceptor per duration of the
-	// lease. It renews the lease each 0.4 of that, and gets a promise and an accept each time.
+	// repliesPerLease is the number of replies that a lease holder receives from each other acceptor per lease
+	// duration. It renews the lease every 0.4 of the duration, and receives a promise and an accept each time.
 	repliesPerLease = 5
-	// leaseMessageFraction is the fraction of the datagrams received that may be about leases; the rest is
+	// leaseMessageFraction is the fraction of the received datagrams that may be about leases; the rest is
 	// left to gossip about quotas and backends.
 	leaseMessageFraction = 0.3
 )
 
 var (
-	errNoUsageDir  = errors.New("/rollup/dir: missing, where /leases/tasks has the roll-up")
-	errNoLeasePeer = errors.New("/leases: there are no peers to agree with")
+	errNoUsageDir  = errors.New("/rollup/dir: required if /leases/tasks contains rollup")
+	errNoLeasePeer = errors.New("/leases: leases among several limiters require the addresses of the peers")
 )
 
 // operatorFile is the operators' file. Its schema bounds the values.
@@ -65,7 +65,7 @@
 	RestartSlots restartSlotsOptions `json:"restarts"`
 }
 
-// hotRestartOptions let a second process of a limiter take over from the one that runs.
+// hotRestartOptions configure hot restarts: a successor process takes over from the limiter's running process.
 type hotRestartOptions struct {
 	Enabled            bool   `json:"on"`         // enables hot restarts
 	Dir                string `json:"dir"`        // directory that both processes share; default: the system's for temporary files
@@ -73,7 +73,7 @@
 	ProbationS         int    `json:"trial_s"`    // after which the predecessor ends, in s; default: hotrestart.DefaultLimits
 }
 
-// leaseOptions have each of some tasks done by one limiter at a time.
+// leaseOptions configure leases, under each of which one limiter at a time does a task.
 type leaseOptions struct {
 	Enabled    bool     `json:"on"`        // enables leases
 	DurationMS int      `json:"length_ms"` // of a lease, in ms; default: 4000
@@ -81,21 +81,21 @@
 	Tasks      []string `json:"tasks"`     // names of core.Task...; a task is enabled by being in the list
 }
 
-// usageOptions are those of usage accounting, which is a task under a lease.
+// usageOptions configure usage accounting, which is a task under a lease.
 type usageOptions struct {
 	Dir     string `json:"dir"`      // directory of the usage files; required with the task
-	PeriodS int    `json:"period_s"` // that a report covers, in s; default: 60
+	PeriodS int    `json:"period_s"` // period that a report covers, in s; default: 60
 }
 
-// restartSlotsOptions are those of rolling restarts, whose coordination is a task under a lease.
+// restartSlotsOptions configure rolling restarts, whose coordination is a task under a lease.
 type restartSlotsOptions struct {
-	MaxConcurrent int `json:"most"`   // limiters that may restart at once; default: 1
-	DurationS     int `json:"turn_s"` // within which a granted restart has to begin, in s; default: 30
+	MaxConcurrent int `json:"most"`   // maximum number of limiters that restart at once; default: 1
+	DurationS     int `json:"turn_s"` // time within which a granted restart has to begin, in s; default: 30
 }
 
-// LoadOperator reads the operators' file into a configuration that Load has returned: it is validated against
-// the settings and the peers in there. Functions that the file does not enable stay disabled; with an empty
-// path all do.
+// LoadOperator reads the operators' file into a configuration that Load has returned, and validates it against
+// the settings and the peers of that configuration. Features that the file does not enable stay disabled; with
+// an empty path all of them do.
 func (c *Config) LoadOperator(path string) error {
 	if path == "" {
 		return nil
@@ -136,7 +136,7 @@
 	}
 }
 
-// setLeases enables leases and the tasks under them, and validates both.
+// setLeases enables leases and the tasks under them, and validates their options.
 func (c *Config) setLeases(f *operatorFile) error {
 	o := &f.Leases
 	if !o.Enabled {
@@ -174,7 +174,7 @@
 		return nil
 	}
 	if n := c.Settings.Limiters; n > rollingrestart.MaxLimiters {
-		return fmt.Errorf("/leases/tasks: turns at restarts are for %d limiters at most, there are %d", rollingrestart.MaxLimiters, n)
+		return fmt.Errorf("/leases/tasks: restart slots support at most %d limiters, there are %d", rollingrestart.MaxLimiters, n)
 	}
 	c.RestartSlots = core.RestartSlotSettings{
 		MaxConcurrent: cmp.Or(o.MaxConcurrent, defaultMaxRestarts),
@@ -187,7 +187,7 @@
 	rate := c.Settings.PeerMessagesPerSecond
 	shortest := minLeaseDuration(c.Leases, c.Settings.Limiters, rate)
 	if c.Leases.Duration < shortest {
-		return fmt.Errorf("/leases/length_ms: %d tasks with %d keepers want %d at least, as a limiter takes in %g datagrams a second",
+		return fmt.Errorf("/leases/length_ms: %d tasks with %d acceptors (keepers) require at least %d ms, as a limiter may receive %g datagrams per second",
 			len(c.Leases.Tasks), c.Leases.AcceptorCount, shortest.Milliseconds(), rate)
 	}
 	if len(c.Peers) == 0 && c.Settings.Limiters > 1 {
@@ -196,8 +196,8 @@
 	return nil
 }
 
-// minLeaseDuration is the shortest duration of leases with which one limiter can hold all of them: it has to
-// receive the replies of the acceptors, and may receive so many datagrams per second. 0 means no such limit.
+// minLeaseDuration returns the shortest lease duration with which one limiter can hold all leases: it has to
+// receive the replies of the acceptors, and may receive only datagramsPerSecond. 0 means no such limit.
 func minLeaseDuration(s *lease.Settings, limiters int, datagramsPerSecond float64) time.Duration {
 	if datagramsPerSecond <= 0 {
 		return 0
@@ -207,10 +207,10 @@
 	return time.Duration(replies / (leaseMessageFraction * datagramsPerSecond) * float64(time.Second))
 }
 
-// SocketPath returns the path of the socket at which the processes of a limiter find each other.
+// SocketPath returns the path of the socket through which the processes of a limiter find each other.
 func (h *HotRestart) SocketPath(name string) string { return link.Path(filepath.Clean(h.Dir), name) }
 
-// limits returns the timeouts of hot restarts, nil if these are disabled.
+// limits returns the timeouts of hot restarts; nil if hot restarts are disabled.
 func (h *HotRestart) limits() *hotrestart.Limits {
 	if h == nil {
 		return nil
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -18,7 +18,8 @@
 	return path
 }
 
-// The operators' file enables what it names. One that is wrong gives an error of one line with the field.
+// The operators' file enables the features it names. An invalid file gives an error of one line that names the
+// field.
 func TestOperatorFile(t *testing.T) {
 	var c Config
 	if err := c.LoadOperator(""); err != nil || c.HotRestart != nil {
@@ -31,10 +32,10 @@
 		t.Fatal(err)
 	}
 	if l := c.HotRestart.limits(); c.HotRestart.Dir != "/x" || l.HeartbeatTimeout != 200*time.Millisecond || l.ProbationDuration != 9*time.Second {
-		t.Errorf("%+v", c.HotRestart)
+		t.Errorf("hot restart configuration: %+v", c.HotRestart)
 	}
 	if err := c.LoadOperator("../../deploy/lemongate.json"); err != nil || c.HotRestart == nil {
-		t.Errorf("the file that is deployed: %v", err)
+		t.Errorf("deployed file: error %v, or hot restarts not enabled", err)
 	}
 	for text, want := range map[string]string{
 		`{`:                                      "bad JSON",
@@ -47,15 +48,15 @@
 	} {
 		err := c.LoadOperator(writeOperatorFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: error %v, want one line with %s", text, err, want)
 		}
 	}
 	if err := c.LoadOperator("no such file"); err == nil {
-		t.Error("a file that does not exist is read")
+		t.Error("no error for a file that does not exist")
 	}
 }
 
-// Tasks under leases require their options, and no more datagrams than a limiter may receive.
+// Tasks under leases require their options, and a lease long enough for the datagrams that a limiter may receive.
 func TestOperatorFileLeases(t *testing.T) {
 	var c Config
 	c.Settings.Limiters, c.Settings.PeerMessagesPerSecond, c.Peers = 5, 40, make([]netip.AddrPort, 5)
@@ -64,11 +65,11 @@
 		t.Fatal(err)
 	}
 	if c.Leases.AcceptorCount != defaultAcceptors || c.Usage.Period != 7*time.Second || c.RestartSlots.MaxConcurrent != 2 || c.RestartSlots.Duration != defaultRestartDuration {
-		t.Errorf("%+v, %+v, %+v", c.Leases, c.Usage, c.RestartSlots)
+		t.Errorf("leases %+v, usage %+v, restart slots %+v", c.Leases, c.Usage, c.RestartSlots)
 	}
 	for text, want := range map[string]string{
 		`{"leases":{"on":true,"tasks":["rollup"]}}`:                                                "/rollup/dir",
-		`{"leases":{"on":true,"tasks":["trials","restarts"],"length_ms":3000}}`:                    "/leases/length_ms: 2 tasks with 5 keepers want 3333",
+		`{"leases":{"on":true,"tasks":["trials","restarts"],"length_ms":3000}}`:                    "/leases/length_ms: 2 tasks with 5 acceptors (keepers) require at least 3333 ms",
 		`{"leases":{"on":true,"tasks":["trials"]},"restarts":{"most":5}}`:                          "/restarts/most: ",
 		`{"leases":{"on":true,"tasks":["trials"]},"rollup":{"period_s":1}}`:                        "/rollup: missing property 'dir'",
 		`{"leases":{"on":true,"tasks":["walks"]}}`:                                                 "/leases/tasks/0: ",
@@ -78,7 +79,7 @@
 	} {
 		err := c.LoadOperator(writeOperatorFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: error %v, want one line with %s", text, err, want)
 		}
 	}
 	c.Settings.Limiters = 600
@@ -96,7 +97,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var c Config
 		if err := c.LoadOperator(writeOperatorFile(t, text)); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than a line: %v", err)
+			t.Errorf("error of more than one line: %v", err)
 		}
 	})
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -28,12 +28,12 @@
 	consoleVariable   = "ROUTER_CONSOLE"
 )
 
-// maxPlans is how many plans gossip can distinguish: it has a byte for the plan of a customer.
+// maxPlans is the number of plans that gossip can distinguish: it has one byte for the plan of a customer.
 const maxPlans = 255
 
 var (
 	errNoPath         = errors.New(pathVariable + " is not set")
-	errNegativeLimits = errors.New("limits: below zero")
+	errNegativeLimits = errors.New("limits: negative value")
 	errNoPlans        = errors.New("settings: no plans")
 )
 
@@ -52,14 +52,14 @@
 	Settings   jsoniter.RawMessage `json:"settings"`    // of the service, see package settings; required
 }
 
-// Load reads the platform's configuration at the start of the program. Env returns an environment
-// variable. Origin is the Unix time at which the program's clock was at zero.
+// Load reads the platform's configuration at the start of the program. env returns the value of an
+// environment variable. origin is the wall-clock time at which the program's clock was at zero.
 func Load(env func(string) string, origin time.Time) (*Config, error) {
 	return load(env, origin, false)
 }
 
-// Reload reads the platform's configuration again. The address of discovery is the one in the file, if it has
-// one: the environment still has that of the start.
+// Reload reads the platform's configuration again. The address of discovery in the file, if there is one,
+// takes precedence over the environment, which still has the address from the start.
 func Reload(env func(string) string, origin time.Time) (*Config, error) {
 	return load(env, origin, true)
 }
@@ -85,16 +85,16 @@
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &f); err != nil {
 		return nil, fmt.Errorf("bad JSON: %s", singleLine(err))
 	}
-	f.override(env, reloading)
+	f.applyEnvironment(env, reloading)
 	return f.decode(origin)
 }
 
 // singleLine returns the text of an error as one line.
 func singleLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", " ") }
 
-// override sets the options for which there is an environment variable. When reloading, discovery is one only
-// if the file has none.
-func (f *platformFile) override(env func(string) string, reloading bool) {
+// applyEnvironment sets the options for which an environment variable is set. When reloading, the address of
+// discovery is taken from the environment only if the file has none.
+func (f *platformFile) applyEnvironment(env func(string) string, reloading bool) {
 	for _, option := range []struct {
 		variable string
 		value    *string
@@ -113,7 +113,7 @@
 	}
 }
 
-// decode returns the configuration that the file says, after validating it.
+// decode validates the file and returns its configuration.
 func (f *platformFile) decode(origin time.Time) (*Config, error) {
 	c := &Config{
 		Name: f.Name, ListenAddr: f.Listen, DiscoveryAddr: f.Discovery, AdminAddr: f.Console,
@@ -123,7 +123,7 @@
 	if c.Settings, err = settings.Decode(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	// Unix time in ms, modulo 2^32. Every machine reads the same clock, so a later start has a later epoch.
+	// All machines read the same clock, so a later start has a later epoch, unless it has wrapped in between.
 	c.Settings.Epoch = NewEpoch()
 	if err := c.decodeKnownEndpoints(f.Known, origin); err != nil {
 		return nil, err
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// decodePeers reads the addresses of the limiters. Without one of its own a limiter has no gossip,
-// whatever the settings allow.
+// decodePeers decodes the addresses of the limiters. Without peer_listen gossip is disabled, whatever the
+// settings allow.
 func (c *Config) decodePeers(f *platformFile) (err error) {
 	if f.PeerListen == "" {
 		c.Settings.GossipEnabled = false
@@ -186,19 +186,19 @@
 	for number, text := range f.Peers {
 		peer, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return fmt.Errorf("peers: number %d: %w", number, err)
+			return fmt.Errorf("peers: address of limiter %d: %w", number, err)
 		}
 		c.Peers = append(c.Peers, peer)
 	}
 	return nil
 }
 
-// validate finds errors that would otherwise show only later, or never.
+// validate finds errors that would otherwise show later or not at all.
 func (c *Config) validate() error {
 	s := &c.Settings
 	switch {
 	case s.Limiters > 1 && (s.Self < 0 || s.Self >= s.Limiters):
-		return fmt.Errorf("settings: me is %d of %d", s.Self, s.Limiters)
+		return fmt.Errorf("settings: me: limiter number %d is out of range for %d limiters", s.Self, s.Limiters)
 	case c.PeerListen.IsValid() && len(c.Peers) != max(s.Limiters, 1):
 		return fmt.Errorf("peers: %d addresses for %d limiters", len(c.Peers), s.Limiters)
 	case c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0:
@@ -221,7 +221,7 @@
 	names := map[string]bool{}
 	for _, plan := range plans {
 		if names[plan.Name] {
-			return fmt.Errorf("settings: plan %q twice", plan.Name)
+			return fmt.Errorf("settings: duplicate plan %q", plan.Name)
 		}
 		names[plan.Name] = true
 	}
@@ -232,26 +232,26 @@
 	names := map[string]bool{}
 	for _, class := range c.Settings.Classes {
 		if class.Name == "" || class.Deadline <= 0 {
-			return fmt.Errorf("settings: class %q: no deadline", class.Name)
+			return fmt.Errorf("settings: class %q: a name and a positive deadline are required", class.Name)
 		}
 		if names[class.Name] {
-			return fmt.Errorf("settings: class %q twice", class.Name)
+			return fmt.Errorf("settings: duplicate class %q", class.Name)
 		}
 		names[class.Name] = true
 	}
 	return nil
 }
 
-// parseSeed returns hex digits as the number that they are, and the hash of any other text.
+// parseSeed returns the value of hexadecimal digits, and the hash of any other text.
 func parseSeed(text string) uint64 {
 	if number, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return number
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(text)) // a hash takes everything
+	_, _ = hash.Write([]byte(text)) // never fails
 	return hash.Sum64()
 }
 
-// NewEpoch returns the epoch of a limiter that starts now: the wall clock in ms, modulo 2^32. It wraps every
-// 49.7 days, so epochs differ from start to start but do not only grow.
+// NewEpoch returns the epoch of a limiter that starts now: the Unix time in ms, modulo 2^32. It wraps every
+// 49.7 days, so epochs differ from start to start but do not always increase.
 func NewEpoch() uint32 { return uint32(time.Now().UnixMilli()) }
--- a/internal/memento/memento.go
+++ b/internal/memento/memento.go
@@ -1,6 +1,6 @@
-// Package memento converts between live types and the explicit types in which state is stored or
-// sent to another process. Stored types carry their own field tags, so that renaming a live field
-// cannot change what is stored.
+// Package memento converts lists and maps between the types used in memory and the types in which state is
+// stored or sent to another process. The latter have field tags of their own, so that renaming a field in
+// memory cannot change what is stored.
 package memento
 
 // List converts each element of a list. A nil list stays nil.
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,4 @@
-// Package schema validates JSON that people write against a JSON schema, and names the first field that
-// is wrong.
+// Package schema validates JSON that people write against a JSON schema, and reports the first invalid field.
 package schema
 
 import (
@@ -13,8 +12,8 @@
 	"golang.org/x/text/message"
 )
 
-// Validate validates data against a schema. Name is the name of the schema in errors about itself. An
-// error has one line; it begins with the path of the field if one is wrong.
+// Validate validates data against a schema. name identifies the schema in errors about the schema itself. An
+// error has one line; if a field is invalid, it begins with the path of the field.
 func Validate(name string, schema, data []byte) error {
 	compiled, err := compile(name, schema)
 	if err != nil {
@@ -27,7 +26,7 @@
 	err = compiled.Validate(value)
 	var invalid *jsonschema.ValidationError
 	if errors.As(err, &invalid) {
-		return firstFault(invalid)
+		return firstViolation(invalid)
 	}
 	return err
 }
@@ -44,8 +43,8 @@
 	return compiler.Compile(name)
 }
 
-// firstFault describes the innermost first cause of an error, with the path of its field.
-func firstFault(invalid *jsonschema.ValidationError) error {
+// firstViolation describes the innermost first cause of an error, preceded by the path of its field.
+func firstViolation(invalid *jsonschema.ValidationError) error {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
--- a/internal/usage/closed.go
+++ b/internal/usage/closed.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Bounds of the unconfirmed usage of a recorder. With the most pages of a closed period the numbers of
-// pages stay within 16 bits.
+// Limits on the unconfirmed usage of a recorder. maxUnconfirmedPages leaves enough of the 16-bit page numbers
+// for the largest closed period.
 const (
 	maxUnconfirmedPeriods = 16
 	maxUnconfirmedPages   = math.MaxUint16 / 2
 )
 
-// closedPeriod is the usage since the last period that was closed and is reported apart, up to the end of
-// this one.
+// closedPeriod is the usage from FirstPeriod up to the end of Period: all usage since the last period that
+// was closed and is reported separately.
 type closedPeriod struct {
 	Period      uint32   `json:"Period"`
 	FirstPeriod uint32   `json:"From"` // see Page.FirstPeriod
@@ -28,40 +28,41 @@
 	return list
 }
 
-// delivery is what a recorder knows of whom its closed period was sent to.
+// delivery records whether, and to which lease holder, the closed period of a recorder was sent.
 type delivery struct {
-	sent  bool   // all pages have left the limiter: a report may have them
-	token uint64 // of the last lease holder that they were sent to; 0 for one that is not known
-	// mayRepeat means that they were sent for a report that counts only if there is no other: nobody knows
-	// which report counts.
+	sent  bool   // all pages have left the limiter: a report may include them
+	token uint64 // of the last lease holder that they were sent to; 0 if it is not known
+	// mayRepeat means that the pages were sent for a report that counts only if there is no other report of
+	// the period: no lease holder knows which report counts.
 	mayRepeat bool
 	// withUnconfirmed means that the lease holder has the unconfirmed usage too if it has the period.
 	withUnconfirmed bool
-	reported        bool // a report that counts has the period
+	reported        bool // a report that counts includes the period
 }
 
-// record records that the last page was sent in reply to a request. If an earlier lease holder collected
-// the period without MayRepeat, it did not have a report written: else this one would set MayRepeat.
+// record records that the last page was sent in reply to a request. An earlier lease holder that collected
+// the period without MayRepeat had no report written: otherwise this request would have MayRepeat set.
 func (d *delivery) record(p PageRequest) {
 	sameHolder := d.sent && d.token == p.Token
 	d.withUnconfirmed = p.TakesUnconfirmed && (d.withUnconfirmed || !sameHolder)
 	d.sent, d.token, d.mayRepeat = true, p.Token, p.MayRepeat
 }
 
-// isKnownTo reports whether the holder of a lease knows for certain if a report that counts has the period.
+// isKnownTo reports whether the lease holder with the given token knows for certain whether a report that
+// counts includes the period.
 func (d *delivery) isKnownTo(token uint64) bool {
 	return d.sent && !d.mayRepeat && d.token == token
 }
 
-// unconfirmed are closed periods of which their limiter does not know whether a report has them, the
-// oldest first.
+// unconfirmed are closed periods, the oldest first, for which the limiter does not know whether a report
+// includes them.
 type unconfirmed []closedPeriod
 
-// add returns the list with one more period. If it is too long then, the oldest one is dropped: what is
-// not in its report is lost, and Summary says so.
+// add returns the list with one more period. If the list then exceeds its limits, the oldest periods are
+// dropped: their usage is lost unless their own reports include it, and Summary lists the loss as a fault.
 func (u unconfirmed) add(c closedPeriod) unconfirmed {
-	c.Pages = pack(total(c.entries()))
-	u = append(slices.Clip(u), c) // another process of the limiter may have the list too
+	c.Pages = pack(sumByKey(c.entries()))
+	u = append(slices.Clip(u), c) // Clip forces a copy: another process of the limiter may have the list too
 	for len(u) > maxUnconfirmedPeriods || u.pages() > maxUnconfirmedPages {
 		u = u[1:]
 	}
@@ -75,8 +76,9 @@
 	return count
 }
 
-// pageOf returns a page of a closed period and the unconfirmed usage to be sent with it. A number beyond the
-// last one is that of a collector which has pages of an earlier incarnation, and learns it from the first.
+// pageOf returns a page of a closed period, or of the unconfirmed usage, whose pages follow those of the
+// period. A number beyond the last page comes from a collector that has pages of an earlier incarnation: it
+// gets the first page, which shows the new incarnation.
 func pageOf(c *closedPeriod, earlier unconfirmed, number uint16) Page {
 	page := Page{
 		Period:      c.Period,
--- a/internal/usage/confirm.go
+++ b/internal/usage/confirm.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// This file decides which unconfirmed usage counts. Its limiter sent it for the report of its period, and
-// the reports themselves show whether it got there.
+// This file decides which unconfirmed usage counts. A limiter sent the usage for the report of its period;
+// the reports themselves show whether one of them includes it.
 
-// confirmUsage adds the unconfirmed usage that counts.
+// confirmUsage adds the unconfirmed usage that counts to s.confirmed.
 func (s *Summary) confirmUsage() {
 	for _, r := range s.Reports {
 		for _, u := range r.Unconfirmed {
-			s.confirm(r.Period, u)
+			s.addIfUnreported(r.Period, u)
 		}
 	}
 }
 
-// confirm adds the unconfirmed usage of the report of a period unless another one has it. Of what is before
-// the first report that is not known.
-func (s *Summary) confirm(period uint32, u UnconfirmedUsage) {
+// addIfUnreported adds the unconfirmed usage u, from the report of a period, unless a report that counts
+// includes it. For usage from before the first report that is not known: it does not count and is a fault.
+func (s *Summary) addIfUnreported(period uint32, u UnconfirmedUsage) {
 	if u.Period < s.Reports[0].Period {
 		if len(u.Usage) == 0 {
 			return
 		}
-		s.fault("period %d: limiter %d has usage up to period %d, which does not count: the report of that one is not here", period, u.Limiter, u.Period)
+		s.addFault("period %d: limiter %d has unconfirmed usage up to period %d, which does not count: the report of that period is not among those read", period, u.Limiter, u.Period)
 		return
 	}
 	if s.isReported(u) {
@@ -32,12 +32,12 @@
 	}
 	s.confirmed = append(s.confirmed, u)
 	if u.FirstPeriod == 0 && u.Period > s.Reports[0].Period {
-		s.restartFault(u.Period, u.Limiter)
+		s.addRestartFault(u.Period, u.Limiter)
 	}
 }
 
-// isReported reports whether a report that counts has the usage: that of its period, a later one that has
-// the limiter's usage since then, or one before with the same unconfirmed usage.
+// isReported reports whether a report that counts includes the usage: the report of its period, a later one
+// with the limiter's usage since then, or an earlier one with the same unconfirmed usage.
 func (s *Summary) isReported(u UnconfirmedUsage) bool {
 	next, found := slices.BinarySearchFunc(s.Reports, u.Period, func(r Report, period uint32) int {
 		return cmp.Compare(r.Period, period)
@@ -48,7 +48,7 @@
 	return reportedLater(s.Reports[next:], u.Limiter, u.Period) || slices.ContainsFunc(s.confirmed, u.isSame)
 }
 
-// isSame reports whether the usage is the same: no limiter closes a period in which it has usage more than once.
+// isSame reports whether both are the same usage: no limiter closes a period in which it has usage more than once.
 func (u UnconfirmedUsage) isSame(other UnconfirmedUsage) bool {
 	return u.Limiter == other.Limiter && u.Period == other.Period
 }
@@ -56,7 +56,7 @@
 // isConfirmed reports whether the usage of a limiter in a period is part of the unconfirmed usage that counts.
 func (s *Summary) isConfirmed(limiter int, period uint32) bool {
 	return slices.ContainsFunc(s.confirmed, func(u UnconfirmedUsage) bool {
-		inBefore := u.FirstPeriod > 0 && u.FirstPeriod <= period && period < u.Period
-		return u.Limiter == limiter && (u.Period == period || inBefore)
+		covered := u.FirstPeriod > 0 && u.FirstPeriod <= period && period < u.Period
+		return u.Limiter == limiter && (u.Period == period || covered)
 	})
 }
--- a/internal/usage/entry.go
+++ b/internal/usage/entry.go
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// UnitParts is how many parts a unit is counted in.
+// UnitParts is the number of parts into which a unit is divided for counting.
 const UnitParts = 1000
 
-// OverflowCustomer is the name under which a recorder counts the customers that it has no room for, or
-// whose names are longer than 64 bytes.
+// OverflowCustomer is the name under which a recorder counts the usage of customers that exceed its capacity
+// or whose names are longer than 64 bytes.
 const OverflowCustomer = ""
 
-// Key is a customer on a plan.
+// Key identifies a customer on a plan.
 type Key struct {
 	Customer string `json:"Customer"`
 	Plan     uint8  `json:"Plan"` // number of the plan in the settings
@@ -31,11 +31,11 @@
 	Units uint64 `json:"Units"` // in parts of a unit
 }
 
-// parts converts units to parts of a unit.
-func parts(units float64) uint64 { return uint64(math.Round(units * UnitParts)) }
+// toUnitParts converts units to parts of a unit.
+func toUnitParts(units float64) uint64 { return uint64(math.Round(units * UnitParts)) }
 
-// total sorts entries, and adds up those with the same key.
-func total(entries []Entry) (list []Entry) {
+// sumByKey sorts entries and adds up those with the same key.
+func sumByKey(entries []Entry) (list []Entry) {
 	slices.SortFunc(entries, func(a, b Entry) int { return a.compare(b.Key) })
 	for _, e := range entries {
 		last := len(list) - 1
@@ -48,16 +48,16 @@
 	return list
 }
 
-// A packed entry: the length of the name in bytes, the name, the plan, and the units as a varint. A name
-// of hexDigits lower case hexadecimal digits, as customers usually have, goes as hexNameFlag and half
-// as many bytes.
+// Format of a packed entry: the length of the name in bytes, the name, the plan, and the units as a varint.
+// A name of hexDigits lower-case hexadecimal digits, as customers usually have, is encoded as hexNameFlag
+// and half as many bytes.
 const (
 	maxNameBytes = 64 // see OverflowCustomer
 	hexDigits    = 16
 	hexNameFlag  = byte(0x80)
 )
 
-// pack packs entries into pages, at least one.
+// pack packs entries into pages. It returns at least one page.
 func pack(entries []Entry) (pages [][]byte) {
 	var page []byte
 	for _, e := range entries {
@@ -84,7 +84,7 @@
 	return binary.AppendUvarint(data, e.Units)
 }
 
-// hexName returns the bytes of a name of hexadecimal digits, and reports whether it is one.
+// hexName decodes a name of hexDigits lower-case hexadecimal digits, and reports whether the name is one.
 func hexName(customer string) (name []byte, ok bool) {
 	if len(customer) != hexDigits {
 		return nil, false
@@ -93,7 +93,7 @@
 	return name, err == nil && hex.EncodeToString(name) == customer
 }
 
-// unpackFirst unpacks the first entry of data, which is not empty, and reports whether it is complete.
+// unpackFirst unpacks the first entry of data, which must not be empty, and reports whether it is complete.
 func unpackFirst(data []byte) (e Entry, rest []byte, ok bool) {
 	nameBytes := int(data[0])
 	isHex := data[0] == hexNameFlag
--- a/internal/usage/format_test.go
+++ b/internal/usage/format_test.go
@@ -12,7 +12,7 @@
 	"lemongate/internal/golden"
 )
 
-// Datagrams that 0.8.0 packed are read as what they were packed from, and packed to the same bytes.
+// Datagrams that 0.8.0 encoded decode to the same values, and encode to the same bytes.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var b strings.Builder
 	var requests []PageRequest
@@ -42,19 +42,19 @@
 	}
 	for i, want := range requests {
 		if got, ok := ParsePageRequest(packed[i]); !ok || got != want {
-			t.Errorf("read as %+v, want %+v", got, want)
+			t.Errorf("decoded as %+v, want %+v", got, want)
 		}
 	}
 	if got, ok := ParsePendingReport(packed[2]); !ok || got != pending {
-		t.Errorf("read as %+v, want %+v", got, pending)
+		t.Errorf("decoded as %+v, want %+v", got, pending)
 	}
 	got, ok := ParsePage(packed[3])
 	if !ok || !reflect.DeepEqual(got, page) || !reflect.DeepEqual(unpack(got.Entries), entries) {
-		t.Errorf("read as %+v with %+v, want %+v", got, unpack(got.Entries), page)
+		t.Errorf("decoded as %+v with entries %+v, want %+v", got, unpack(got.Entries), page)
 	}
 }
 
-// A line that 0.8.0 wrote to a file is read as the report that it was written from, and written as then.
+// A line that 0.8.0 wrote to a usage file decodes to the same report, and encodes to the same line.
 func TestLineOfEarlierRelease(t *testing.T) {
 	var report Report
 	(&golden.Filler{}).Fill(&report)
@@ -65,6 +65,6 @@
 	golden.Equal(t, "line.json", append(data, '\n'))
 	reports, badLines, err := ReadReports(bytes.NewReader(golden.Read(t, "line.json")))
 	if err != nil || len(badLines) > 0 || len(reports) != 1 || !reflect.DeepEqual(reports[0], report) {
-		t.Errorf("read as %+v, %v, %v", reports, badLines, err)
+		t.Errorf("decoded as %+v, bad lines %v, error %v", reports, badLines, err)
 	}
 }
--- a/internal/usage/harness_test.go
+++ b/internal/usage/harness_test.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// testPeriods plays the lease holders of a task one after another: what they keep in the payload, which
-// datagrams get through, and which reports they write.
-type testPeriods struct {
+// testTier simulates recorders and successive holders of the lease: the payload that the holders store, the
+// datagrams that arrive, and the reports that are written.
+type testTier struct {
 	t         *testing.T
 	recorders []*Recorder
 	reports   []Report
 
 	token        uint64
 	holder       Limiter
-	period       uint32 // payload: the last period opened, and the one before
-	previous     uint32
-	mayBeWritten bool // payload: there may be a report of period
-	written      bool // payload: there is one
+	period       uint32 // payload: the last period opened
+	previous     uint32 // payload: the period before it
+	mayBeWritten bool   // payload: there may be a report of period
+	written      bool   // payload: there is a report of period
 	reportedUpTo []uint32
 
 	sent []Query // all queries
 }
 
-func newTestPeriods(t *testing.T, limiters int) *testPeriods {
-	p := &testPeriods{t: t}
+func newTestTier(t *testing.T, limiters int) *testTier {
+	p := &testTier{t: t}
 	for n := range limiters {
 		p.recorders = append(p.recorders, NewRecorder(uint32(n+1)))
 	}
 	return p
 }
 
-// changeLease has a limiter win the lease: it knows the payload and nothing else.
-func (p *testPeriods) changeLease(holder Limiter) {
+// changeLease makes a limiter the lease holder. It knows the payload and nothing else.
+func (p *testTier) changeLease(holder Limiter) {
 	p.token++
 	p.holder = holder
 	reported := p.period
@@ -45,8 +45,8 @@
 	p.reportedUpTo = slices.Repeat([]uint32{reported}, len(p.recorders))
 }
 
-// hotRestart has another process take over from that of a limiter.
-func (p *testPeriods) hotRestart(limiter int) {
+// hotRestart replaces the recorder of a limiter by that of a successor process.
+func (p *testTier) hotRestart(limiter int) {
 	p.t.Helper()
 	data, err := json.Marshal(p.recorders[limiter].State())
 	if err != nil {
@@ -60,8 +60,8 @@
 	p.recorders[limiter].Restore(&state)
 }
 
-// open begins the next period, or the last one again if it is not known to be written.
-func (p *testPeriods) open() *Collector {
+// open opens the next period, or the last one again if its report is not known to be written.
+func (p *testTier) open() *Collector {
 	knowsAll := p.period > 0
 	if p.period == 0 || p.written {
 		p.previous, p.period = p.period, p.period+1
@@ -72,9 +72,9 @@
 	return c
 }
 
-// query has the collector query all limiters; lost decides whether a query, or the reply to it, is lost on
-// the way between two limiters.
-func (p *testPeriods) query(c *Collector, lost func(to Limiter, isReply bool) bool) {
+// query makes the collector query all limiters. lost decides whether a query, or the reply to it, is lost
+// between two limiters.
+func (p *testTier) query(c *Collector, lost func(to Limiter, isReply bool) bool) {
 	p.t.Helper()
 	now := time.Second
 	for n := 0; !c.Complete(); n++ {
@@ -91,32 +91,32 @@
 			}
 			reply, ok := p.recorders[q.To].HandleRequest(q.Request)
 			if ok && !lost(q.To, true) && !c.HandleMessage(q.To, reply) {
-				p.t.Fatalf("not read: %x", reply)
+				p.t.Fatalf("reply not decoded: %x", reply)
 			}
 		}
 		now = max(now+time.Millisecond, due)
 		if n > 100_000 {
-			p.t.Fatal("never complete")
+			p.t.Fatal("collection not complete after 100000 ticks")
 		}
 	}
 }
 
-// claim has the acceptors keep that there may be a report.
-func (p *testPeriods) claim(c *Collector) {
+// storeMayBeWritten stores in the payload that there may be a report. The holder's own pages may be in it too.
+func (p *testTier) storeMayBeWritten(c *Collector) {
 	p.mayBeWritten = true
 	p.recorders[p.holder].MarkSent(c)
 }
 
-func (p *testPeriods) write(c *Collector) { p.reports = append(p.reports, c.Report([]string{"gold"})) }
+func (p *testTier) write(c *Collector) { p.reports = append(p.reports, c.Report([]string{"gold"})) }
 
-// confirm has the acceptors keep that there is a report.
-func (p *testPeriods) confirm(c *Collector) {
+// storeWritten stores in the payload that there is a report.
+func (p *testTier) storeWritten(c *Collector) {
 	p.written = true
 	p.reportedUpTo = c.Reported()
 }
 
-// sendConfirmations tells the limiters what the report has.
-func (p *testPeriods) sendConfirmations(c *Collector, lost func(to Limiter, isReply bool) bool) {
+// sendConfirmations sends the confirmation of a report to the limiters whose usage it includes.
+func (p *testTier) sendConfirmations(c *Collector, lost func(to Limiter, isReply bool) bool) {
 	for _, to := range c.ToConfirm() {
 		if to == p.holder || !lost(to, false) {
 			p.recorders[to].HandleConfirmation(c.Confirmation())
@@ -124,31 +124,31 @@
 	}
 }
 
-// report does all the work on one period.
-func (p *testPeriods) report(lost func(to Limiter, isReply bool) bool) {
+// report collects and reports one period without a crash.
+func (p *testTier) report(lost func(to Limiter, isReply bool) bool) {
 	p.t.Helper()
 	c := p.open()
 	p.query(c, lost)
-	p.claim(c)
+	p.storeMayBeWritten(c)
 	p.write(c)
-	p.confirm(c)
+	p.storeWritten(c)
 	p.sendConfirmations(c, lost)
 }
 
 func nothingLost(Limiter, bool) bool { return false }
 
-// cutOff loses all messages of one limiter.
+// cutOff returns a function that loses all messages to and from one limiter.
 func cutOff(limiter Limiter) func(Limiter, bool) bool {
 	return func(to Limiter, _ bool) bool { return to == limiter }
 }
 
-// repliesLost loses the replies of one limiter.
+// repliesLost returns a function that loses the replies of one limiter.
 func repliesLost(limiter Limiter) func(Limiter, bool) bool {
 	return func(to Limiter, isReply bool) bool { return to == limiter && isReply }
 }
 
-// check compares the usage by the reports with what was recorded.
-func (p *testPeriods) check(want float64) Summary {
+// check compares the usage in the merged reports with the recorded units.
+func (p *testTier) check(want float64) Summary {
 	p.t.Helper()
 	s := Merge(p.reports)
 	units := 0.0
@@ -156,7 +156,7 @@
 		units += u.Units
 	}
 	if math.Abs(units-want) > 1e-6 {
-		p.t.Errorf("%v units by the reports, %v recorded; %+v", units, want, p.reports)
+		p.t.Errorf("%v units reported, want the %v recorded; reports %+v", units, want, p.reports)
 	}
 	return s
 }
--- a/internal/usage/message.go
+++ b/internal/usage/message.go
@@ -6,7 +6,7 @@
 	"lemongate/internal/checksum"
 )
 
-// Limiter is the number of one limiter of the tier.
+// Limiter is the number of a limiter in the tier.
 type Limiter = uint16
 
 // PageRequest requests a page of a limiter's usage in a period.
@@ -17,17 +17,17 @@
 	Token           uint64 // fencing token of the lease holder
 	KnowsAllReports bool   // see Collector.KnowsAllReports; a closed period beyond ReportedUpTo becomes part of this one
 	MayRepeat       bool   // see Collector.MayRepeat; a limiter that has not closed the period leaves it open
-	// TakesUnconfirmed means that the lease holder takes unconfirmed usage too. Limiters of 0.9.3 ignore
-	// such a request.
+	// TakesUnconfirmed means that the lease holder accepts unconfirmed usage too. Limiters of release 0.9.3
+	// ignore a request that has it set.
 	TakesUnconfirmed bool `since:"0.9.4"`
 }
 
-// PendingReport is the reply of a limiter that has closed another period, to a lease holder that does
-// not know whether there is a report of it.
+// PendingReport is the reply of a limiter that has closed another period, to a lease holder that does not
+// know whether there is a report of that period.
 type PendingReport struct{ Period uint32 }
 
-// Confirmation tells a limiter, soon after a report was written, that the report has what the limiter sent for
-// its period. There is no reply; if it is lost, the next request says the same.
+// Confirmation tells a limiter, soon after a report was written, that the report includes what the limiter
+// sent for its period. There is no reply; if the message is lost, the next request has the same information.
 type Confirmation struct {
 	Period uint32
 	Token  uint64 // fencing token of the lease holder
@@ -37,30 +37,30 @@
 type Page struct {
 	Period      uint32
 	Incarnation uint32 // of the limiter
-	FirstPeriod uint32 // the first period whose usage is included; 0 for all since the incarnation's start
+	FirstPeriod uint32 // the first period whose usage is included; 0 for all usage since the incarnation started
 	Page        uint16
-	Pages       uint16 // how many there are
+	Pages       uint16 // number of pages
 	Entries     []byte // packed
-	// ClosedPeriod is set where the reply has unconfirmed usage: Period on the pages of the period itself,
-	// and on the others, which come after them, the earlier period that their usage was closed with. Those
-	// have the FirstPeriod of that one.
+	// ClosedPeriod is set if the reply includes unconfirmed usage. It equals Period on the pages of the period
+	// itself. On the pages of unconfirmed usage, which follow them, it is the earlier period with which that
+	// usage was closed, and FirstPeriod is that of the earlier period.
 	ClosedPeriod uint32
 }
 
-// isUnconfirmed reports whether the page has unconfirmed usage, of an earlier period.
+// isUnconfirmed reports whether the page has unconfirmed usage of an earlier period.
 func (p Page) isUnconfirmed() bool { return p.ClosedPeriod > 0 && p.ClosedPeriod != p.Period }
 
-// A datagram, big-endian: magic, its kind, the fields in their order, a checksum. The first byte differs
-// from every version number of the limiters' other messages.
+// Format of a datagram, big-endian: magic, kind, the fields in order, a checksum. The first byte differs from
+// every version number of the limiters' other messages.
 const (
-	magic            = 'U'
-	kindBytes        = 2   // magic and kind
-	pageRequestBytes = 19  // of the fields: 4, 2, 4, 8, and 1 for flags
-	pageHeaderBytes  = 16  // of the fields before Entries: 4, 4, 4, 2 and 2
-	closedBytes      = 4   // of ClosedPeriod, which follows them in a page that has it
-	confirmBytes     = 12  // of the fields: 4 and 8
-	maxSize          = 256 // of a datagram, in bytes
-	maxPageBytes     = maxSize - kindBytes - pageHeaderBytes - closedBytes - checksum.Size
+	magic             = 'U'
+	kindBytes         = 2  // magic and kind
+	pageRequestBytes  = 19 // of the fields: 4, 2, 4, 8, and 1 for flags
+	pageHeaderBytes   = 16 // of the fields before Entries: 4, 4, 4, 2 and 2
+	closedPeriodBytes = 4  // of ClosedPeriod, which follows them in a page that has it
+	confirmationBytes = 12 // of the fields: 4 and 8
+	maxDatagramBytes  = 256
+	maxPageBytes      = maxDatagramBytes - kindBytes - pageHeaderBytes - closedPeriodBytes - checksum.Size
 
 	flagKnowsAllReports  = 1 << 0
 	flagMayRepeat        = 1 << 1
@@ -72,16 +72,17 @@
 	kindPageRequest byte = iota
 	kindPage
 	kindPendingReport
-	kindPageWithClosedPeriod // from 0.9.4 on
-	kindConfirmation         // from 0.9.4 on
+	kindPageWithClosedPeriod // since 0.9.4
+	kindConfirmation         // since 0.9.4
 )
 
 // IsMessage reports whether a datagram is a message of this package.
 func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == magic }
 
-// fields returns what a datagram of some kind has between its kind and its checksum.
-func fields(data []byte, kind byte) ([]byte, bool) {
-	if len(data) < kindBytes+checksum.Size || len(data) > maxSize || data[0] != magic || data[1] != kind {
+// messageBody returns the fields of a datagram, between its kind and its checksum, and reports whether the
+// datagram is valid and of the given kind.
+func messageBody(data []byte, kind byte) ([]byte, bool) {
+	if len(data) < kindBytes+checksum.Size || len(data) > maxDatagramBytes || data[0] != magic || data[1] != kind {
 		return nil, false
 	}
 	data, ok := checksum.Verify(data)
@@ -110,9 +111,9 @@
 	return checksum.Append(data)
 }
 
-// ParsePageRequest reads a datagram, and reports whether it is a PageRequest.
+// ParsePageRequest decodes a datagram and reports whether it is a PageRequest.
 func ParsePageRequest(data []byte) (p PageRequest, ok bool) {
-	data, ok = fields(data, kindPageRequest)
+	data, ok = messageBody(data, kindPageRequest)
 	if !ok || len(data) != pageRequestBytes || data[18] > allFlags {
 		return p, false
 	}
@@ -135,9 +136,9 @@
 	return checksum.Append(data)
 }
 
-// ParsePendingReport reads a datagram, and reports whether it is a PendingReport.
+// ParsePendingReport decodes a datagram and reports whether it is a PendingReport.
 func ParsePendingReport(data []byte) (p PendingReport, ok bool) {
-	data, ok = fields(data, kindPendingReport)
+	data, ok = messageBody(data, kindPendingReport)
 	if !ok || len(data) != 4 {
 		return p, false
 	}
@@ -152,10 +153,10 @@
 	return checksum.Append(data)
 }
 
-// ParseConfirmation reads a datagram, and reports whether it is a Confirmation.
+// ParseConfirmation decodes a datagram and reports whether it is a Confirmation.
 func ParseConfirmation(data []byte) (c Confirmation, ok bool) {
-	data, ok = fields(data, kindConfirmation)
-	if !ok || len(data) != confirmBytes {
+	data, ok = messageBody(data, kindConfirmation)
+	if !ok || len(data) != confirmationBytes {
 		return c, false
 	}
 	return Confirmation{Period: binary.BigEndian.Uint32(data), Token: binary.BigEndian.Uint64(data[4:])}, true
@@ -181,21 +182,21 @@
 	return checksum.Append(data)
 }
 
-// ParsePage reads a datagram, and reports whether it is a Page with complete entries.
+// ParsePage decodes a datagram and reports whether it is a Page with complete entries.
 func ParsePage(data []byte) (p Page, ok bool) {
-	if body, ok := fields(data, kindPage); ok && len(body) >= pageHeaderBytes {
+	if body, ok := messageBody(data, kindPage); ok && len(body) >= pageHeaderBytes {
 		return parsePage(body[:pageHeaderBytes], body[pageHeaderBytes:])
 	}
-	body, ok := fields(data, kindPageWithClosedPeriod)
-	if !ok || len(body) < pageHeaderBytes+closedBytes {
+	body, ok := messageBody(data, kindPageWithClosedPeriod)
+	if !ok || len(body) < pageHeaderBytes+closedPeriodBytes {
 		return p, false
 	}
-	p, ok = parsePage(body[:pageHeaderBytes], body[pageHeaderBytes+closedBytes:])
+	p, ok = parsePage(body[:pageHeaderBytes], body[pageHeaderBytes+closedPeriodBytes:])
 	p.ClosedPeriod = binary.BigEndian.Uint32(body[pageHeaderBytes:])
 	return p, ok && p.ClosedPeriod > 0 && p.ClosedPeriod <= p.Period
 }
 
-// parsePage reads the fields of a page but for ClosedPeriod.
+// parsePage decodes all fields of a page except ClosedPeriod.
 func parsePage(header, entries []byte) (p Page, ok bool) {
 	order := binary.BigEndian
 	p = Page{
--- a/internal/usage/random_test.go
+++ b/internal/usage/random_test.go
@@ -7,39 +7,39 @@
 	"testing"
 )
 
-// Under random losses, cuts, late requests, lease holders that die at any point and hot restarts of
-// limiters, all that was recorded is reported once.
+// All recorded usage is reported exactly once under random faults: lost messages, isolated limiters, requests
+// delivered again late, lease holders that crash at any point, and hot restarts of limiters.
 func TestUsageIsReportedOnceUnderRandomFaults(t *testing.T) {
 	const seeds = 400
 	for seed := range uint64(seeds) {
-		play := randomPeriods{testPeriods: newTestPeriods(t, 4), random: rand.New(rand.NewPCG(seed, 0))}
-		play.run()
+		tier := randomTier{testTier: newTestTier(t, 4), random: rand.New(rand.NewPCG(seed, 0))}
+		tier.run()
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 }
 
-// randomPeriods are testPeriods with random faults.
-type randomPeriods struct {
-	*testPeriods
+// randomTier is a testTier with random faults.
+type randomTier struct {
+	*testTier
 	random   *rand.Rand
 	recorded float64
 }
 
-func (p *randomPeriods) run() {
+func (p *randomTier) run() {
 	const rounds = 14
 	p.changeLease(0)
 	p.report(nothingLost)
 	for range rounds {
 		p.addUsage()
-		p.restartOne()
-		p.repeatLateRequest()
-		if !p.reportOrDie() {
+		p.maybeHotRestart()
+		p.redeliverRequest()
+		if !p.reportOrCrash() {
 			p.changeLease(Limiter(p.random.IntN(len(p.recorders))))
 		}
 	}
-	p.report(nothingLost) // the last one to die left a period
+	p.report(nothingLost) // the last lease holder may have crashed and left a period without a report
 	p.changeLease(1)
 	p.report(nothingLost)
 	p.report(nothingLost)
@@ -50,9 +50,9 @@
 	}
 }
 
-func (p *randomPeriods) chance(part float64) bool { return p.random.Float64() < part }
+func (p *randomTier) chance(part float64) bool { return p.random.Float64() < part }
 
-func (p *randomPeriods) addUsage() {
+func (p *randomTier) addUsage() {
 	for _, r := range p.recorders {
 		for range p.random.IntN(30) {
 			units := float64(1 + p.random.IntN(9))
@@ -62,49 +62,49 @@
 	}
 }
 
-// restartOne has another process take over from that of some limiter.
-func (p *randomPeriods) restartOne() {
+// maybeHotRestart hot-restarts a random limiter with a probability of 0.2.
+func (p *randomTier) maybeHotRestart() {
 	if !p.chance(0.2) {
 		return
 	}
 	p.hotRestart(p.random.IntN(len(p.recorders)))
 }
 
-// repeatLateRequest delivers an earlier request once more; the reply finds nobody.
-func (p *randomPeriods) repeatLateRequest() {
+// redeliverRequest delivers an earlier request again with a probability of 0.3; the reply is dropped.
+func (p *randomTier) redeliverRequest() {
 	if len(p.sent) > 0 && p.chance(0.3) {
 		late := p.sent[p.random.IntN(len(p.sent))]
 		p.recorders[late.To].HandleRequest(late.Request)
 	}
 }
 
-// reportOrDie does the work on one period, and reports whether the lease holder lived to its end.
-func (p *randomPeriods) reportOrDie() bool {
+// reportOrCrash collects and reports one period, and reports whether the lease holder did not crash before the end.
+func (p *randomTier) reportOrCrash() bool {
 	const steps = 6
-	diesAfter := p.random.IntN(4 * steps)
-	cut := Limiter(p.random.IntN(4 * len(p.recorders)))
+	crashAfter := p.random.IntN(4 * steps)
+	isolated := Limiter(p.random.IntN(4 * len(p.recorders)))
 	loss := p.random.Float64() * 0.5
-	lost := func(to Limiter, _ bool) bool { return to == cut || p.chance(loss) }
+	lost := func(to Limiter, _ bool) bool { return to == isolated || p.chance(loss) }
 	c := p.open()
-	if diesAfter == 0 {
+	if crashAfter == 0 {
 		return false
 	}
 	p.query(c, lost)
-	if diesAfter == 1 {
+	if crashAfter == 1 {
 		return false
 	}
-	p.claim(c)
-	if diesAfter == 2 {
+	p.storeMayBeWritten(c)
+	if crashAfter == 2 {
 		return false
 	}
 	p.write(c)
-	if diesAfter == 3 {
+	if crashAfter == 3 {
 		return false
 	}
-	p.confirm(c)
-	if diesAfter == 4 {
+	p.storeWritten(c)
+	if crashAfter == 4 {
 		return false
 	}
 	p.sendConfirmations(c, lost)
-	return diesAfter != 5
+	return crashAfter != 5
 }
--- a/internal/usage/recorder.go
+++ b/internal/usage/recorder.go
@@ -1,25 +1,25 @@
-// Package usage accounts for what all limiters of a tier forwarded, per customer and plan: one period
-// after another, each in one report, written by whoever holds the lease of the task. It does no I/O,
-// reads no clock and starts no goroutine.
+// Package usage accounts for the units of the requests that all limiters of a tier forwarded, per customer and
+// plan. It divides time into periods. Each period has one report, written by the holder of the task's lease. The
+// package does no I/O, reads no clock and starts no goroutine.
 //
-// Each limiter has a Recorder. The lease holder collects from all of them, a page at a time, with a
-// Collector. The first request for a period closes it at a limiter, so that each unit is in one period of
-// its limiter, whatever the clocks. A closed period is kept until a report that includes it is known to
-// be written; otherwise it becomes part of the next period. That is known to the lease holder that collected
-// it, and to nobody else: where the lease changed hands since, the period is sent along with the next one as
-// unconfirmed usage, and the reader of all reports, Merge, decides whether it counts.
+// Each limiter has a Recorder. The lease holder collects the usage of all of them, one page at a time, with a
+// Collector. The first request for a period closes it at a limiter, so that each unit is in one period of its
+// limiter, regardless of the clocks. A closed period is kept until a report that includes it is known to be
+// written; otherwise it becomes part of the next period. Only the lease holder that collected a period knows
+// whether the report was written. If the lease has changed hands since, the period is sent along with the
+// next one as unconfirmed usage, and Merge, which reads all reports, decides whether it counts.
 //
-// A period is known by its number: the wall clock of the lease holder that begins to collect it, divided
-// by the length of a period, or one more than the last period's number if that is greater. 0 is no
-// period.
+// A period is identified by its number: the wall clock of the lease holder that begins to collect it, divided
+// by the length of a period, or one more than the last period's number if that is greater. 0 means no period.
 //
-// docs/design/leases.md says what is promised, and why it holds.
+// docs/design/leases.md says what is guaranteed, and why it holds.
 package usage
 
-// maxKeys bounds the keys of a recorder: the usage of further ones is that of OverflowCustomer.
+// maxKeys is the maximum number of keys in a recorder: the usage of further ones counts for OverflowCustomer.
 const maxKeys = 1 << 16
 
-// Recorder records what one limiter forwarded. It is not safe for concurrent use; see NewRecorder.
+// Recorder records the units of the requests that one limiter forwarded. It is not safe for concurrent use;
+// NewRecorder returns one.
 type Recorder struct {
 	incarnation uint32
 	open        map[Key]uint64 // in parts of a unit
@@ -27,12 +27,12 @@
 	delivery    delivery       // of closed
 	lastClosed  uint32         // the last period closed by this incarnation; 0 for none
 	token       uint64         // the greatest fencing token of a request
-	unconfirmed unconfirmed    // closed before closed
+	unconfirmed unconfirmed    // periods closed before closed
 
-	// What two processes of a limiter both have during a hot restart, so that only one reports it.
+	// Usage that both processes of a limiter have during a hot restart, of which only one may report it.
 	handedOver      []Entry // open usage that the successor has too; nil for none
 	inheritedOpen   bool    // open has usage that the predecessor has too
-	inheritedClosed bool    // closed has some
+	inheritedClosed bool    // closed has usage that the predecessor has too
 }
 
 // NewRecorder returns an empty recorder. The incarnation has to differ from those of the other processes
@@ -41,7 +41,7 @@
 	return &Recorder{incarnation: incarnation, open: map[Key]uint64{}}
 }
 
-// Add records usage. Units that are not positive do not count.
+// Add records usage. It ignores units that are not positive.
 func (r *Recorder) Add(k Key, units float64) {
 	if units <= 0 {
 		return
@@ -50,11 +50,11 @@
 	if !known && (len(r.open) >= maxKeys || len(k.Customer) > maxNameBytes) {
 		k.Customer = OverflowCustomer
 	}
-	r.open[k] += parts(units)
+	r.open[k] += toUnitParts(units)
 }
 
 // HandleRequest returns the reply to a request: a Page, or a PendingReport if another period is closed
-// that may have to be reported first. There is no reply to a request of a former lease holder, nor to one
+// that may have to be reported first. It does not reply to a request from a former lease holder, nor to one
 // for a period that was closed and is no longer kept.
 func (r *Recorder) HandleRequest(p PageRequest) (reply []byte, ok bool) {
 	reply, complete, ok := r.handle(p)
@@ -64,22 +64,22 @@
 	return reply, ok
 }
 
-// HandleOwnRequest is HandleRequest for a request of this limiter itself. The pages leave the limiter only
-// with a report: the caller calls MarkSent before it has one written.
+// HandleOwnRequest is HandleRequest for a request that this limiter makes as the lease holder. The pages
+// leave the limiter only in a report: the caller calls MarkSent before it has one written.
 func (r *Recorder) HandleOwnRequest(p PageRequest) (reply []byte, ok bool) {
 	reply, _, ok = r.handle(p)
 	return reply, ok
 }
 
-// MarkSent records that the pages which a collector has from HandleOwnRequest may be in a report from now on.
+// MarkSent records that the pages that a collector got from HandleOwnRequest may be in a report from now on.
 func (r *Recorder) MarkSent(c *Collector) {
 	if r.closed != nil && r.closed.Period == c.Period {
 		r.delivery.record(PageRequest{Token: c.Token, MayRepeat: c.MayRepeat, TakesUnconfirmed: true})
 	}
 }
 
-// HandleConfirmation takes the closed period for reported, if the sender knows that for certain. The pages are
-// kept until the next period is closed: if all acceptors lose their memory, they are requested again.
+// HandleConfirmation marks the closed period as reported, if the sender knows that for certain. The pages are
+// kept until the next period is closed: if all acceptors lose their state, the pages are requested again.
 func (r *Recorder) HandleConfirmation(c Confirmation) {
 	if r.closed != nil && r.closed.Period == c.Period && r.delivery.isKnownTo(c.Token) {
 		r.setReported()
@@ -92,10 +92,10 @@
 		return nil, false, false
 	}
 	r.token = p.Token
-	r.settleClosed(p)
+	r.updateClosed(p)
 	if p.Period > r.lastClosed {
 		switch {
-		case r.closed != nil && !p.KnowsAllReports: // an earlier period may be in a report or not
+		case r.closed != nil && !p.KnowsAllReports: // the earlier period may or may not be in a report
 			return PendingReport{r.closed.Period}.Append(nil), false, true
 		case p.MayRepeat: // open usage must not go into a report that may not count
 			return r.emptyPage(p), false, true
@@ -105,10 +105,10 @@
 	return r.reply(p)
 }
 
-// settleClosed applies what the sender of a request knows of the closed period, if it knows that for
-// certain. Any other lease holder counts all limiters as reported up to the last period known to be
+// updateClosed updates the closed period with what the sender of a request knows of it, if the sender knows
+// that for certain. Any other lease holder counts all limiters as reported up to the last period known to be
 // written, although some may be missing in that report.
-func (r *Recorder) settleClosed(p PageRequest) {
+func (r *Recorder) updateClosed(p PageRequest) {
 	if r.closed == nil || !r.delivery.isKnownTo(p.Token) {
 		return
 	}
@@ -121,7 +121,7 @@
 	}
 }
 
-// setReported takes the closed period for reported, and forgets the unconfirmed usage sent with it.
+// setReported marks the closed period as reported, and clears the unconfirmed usage if it was sent with it.
 func (r *Recorder) setReported() {
 	r.delivery.reported = true
 	if r.delivery.withUnconfirmed {
@@ -129,13 +129,13 @@
 	}
 }
 
-// emptyPage returns the reply to a request that may repeat a report. Such a report counts only if there is
-// no other one of its period, so the open usage is kept for a later period.
+// emptyPage returns the reply to a request for a report that may repeat an earlier one. Such a report counts
+// only if there is no other report of its period, so the open usage is kept for a later period.
 func (r *Recorder) emptyPage(p PageRequest) []byte {
 	return Page{Period: p.Period, Incarnation: r.incarnation, FirstPeriod: p.Period, Pages: 1}.Append(nil)
 }
 
-// reply returns the page of the closed period that was requested, and whether it is the last one.
+// reply returns the requested page of the closed period, and whether it is the last one.
 func (r *Recorder) reply(p PageRequest) (reply []byte, complete, ok bool) {
 	c := r.closed
 	if c != nil && c.Period > p.Period { // the usage of p.Period is part of it, unconfirmed, or in a report
@@ -153,8 +153,8 @@
 	return page.Append(nil), page.Page+1 == page.Pages, true
 }
 
-// closePeriod closes the open period. A period that was closed before and is in no report becomes part of
-// it, see Page.FirstPeriod; one that may be in a report is kept apart, as unconfirmed.
+// closePeriod closes the open period. The period closed before becomes part of it if that is in no report,
+// see Page.FirstPeriod; if it may be in a report, it is kept separately, as unconfirmed.
 func (r *Recorder) closePeriod(period uint32) {
 	c := closedPeriod{Period: period}
 	if r.lastClosed > 0 {
@@ -169,14 +169,14 @@
 		c.FirstPeriod = r.closed.FirstPeriod
 		entries = append(entries, r.closed.entries()...)
 	}
-	c.Pages = pack(total(entries))
+	c.Pages = pack(sumByKey(entries))
 	r.inheritedClosed = r.inheritedClosed || r.inheritedOpen
 	r.inheritedOpen = false
 	r.closed, r.delivery, r.lastClosed = &c, delivery{}, period
 	clear(r.open)
 }
 
-// openEntries returns the usage of the open period, in no order.
+// openEntries returns the usage of the open period, in no particular order.
 func (r *Recorder) openEntries() []Entry {
 	entries := make([]Entry, 0, len(r.open))
 	for k, units := range r.open {
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -8,36 +8,36 @@
 	"io"
 )
 
-// maxLineBytes is the longest line of a file that is read.
+// maxLineBytes is the maximum length of a line of a usage file.
 const maxLineBytes = 64 << 20
 
-// Report is the usage of a period: a line of a file. The tags that differ from the names of their fields
-// are read by operators' scripts.
+// Report is the usage of a period: one line of a usage file. Operators' scripts read the tags that differ from
+// the names of their fields.
 type Report struct {
 	Period    uint32 `json:"period"`
-	Previous  uint32 `json:"after"`           // the period before; 0 if unknown
+	Previous  uint32 `json:"after"`           // the previous period; 0 if unknown
 	Token     uint64 `json:"token"`           // fencing token of the lease holder
-	Limiter   int    `json:"limiter"`         // that wrote it
-	At        string `json:"at"`              // by its wall clock
+	Limiter   int    `json:"limiter"`         // limiter that wrote the report
+	At        string `json:"at"`              // time of the report, by that limiter's wall clock
 	MayRepeat bool   `json:"again,omitempty"` // see Collector.MayRepeat
-	// Missing are the limiters whose usage is not in this report, as they did not reply in time or had
-	// closed another period. It may be in a later one, see Since.
+	// Missing are the limiters whose usage is not in this report, because they did not reply in time or had
+	// closed another period. A later report may include it, see Since.
 	Missing []int `json:"missing,omitempty"`
-	// Restarted are the limiters that have started since the report before: what they used before that
-	// and had not reported is lost.
+	// Restarted are the limiters that have restarted since the previous report: the earlier usage that they
+	// had not reported is lost.
 	Restarted []int `json:"anew,omitempty"`
-	// Since has, by limiter, the first period whose usage is in this report, unless it is Period or the one
+	// Since has, by limiter, the first period whose usage is in this report, unless it is Period or the period
 	// after Previous.
 	Since map[string]uint32 `json:"since,omitempty"`
 	Usage []CustomerUsage   `json:"use"`
-	// Unconfirmed is usage of earlier periods beside Usage, whose limiters do not know whether a report has
-	// it. Merge decides whether it counts.
+	// Unconfirmed is usage of earlier periods, in addition to Usage, for which the limiters do not know whether
+	// a report includes it. Merge decides whether it counts.
 	Unconfirmed []UnconfirmedUsage `json:"unconfirmed,omitempty" since:"0.9.4"`
 }
 
-// UnconfirmedUsage is the usage of one limiter in the periods from FirstPeriod to Period, which it had sent
-// whole to a lease holder for the report of Period. It did not learn from that lease holder whether the
-// report has it.
+// UnconfirmedUsage is the usage of one limiter in the periods from FirstPeriod to Period. The limiter sent all
+// of it to a lease holder for the report of Period, but did not learn from that lease holder whether the
+// report includes it.
 type UnconfirmedUsage struct {
 	Limiter     int             `json:"limiter"`
 	FirstPeriod uint32          `json:"since"` // 0 for all since the limiter's start
@@ -52,7 +52,7 @@
 	Units    float64 `json:"units"`
 }
 
-// customerUsage converts entries. Plans are the names of plans by their numbers.
+// customerUsage converts entries. plans are the names of the plans by number.
 func customerUsage(entries []Entry, plans []string) []CustomerUsage {
 	list := make([]CustomerUsage, 0, len(entries))
 	for _, e := range entries {
@@ -65,8 +65,8 @@
 	return list
 }
 
-// ReadReports reads the lines of a file. Lines that are not reports, such as one that was cut short, are
-// left out, and their numbers returned. The error is that of the reader, or of a line that is too long.
+// ReadReports reads the lines of a usage file. It skips lines that are not reports, such as a truncated one,
+// and returns their numbers. The error is that of the reader, or of a line that is too long.
 func ReadReports(r io.Reader) (reports []Report, badLines []int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -83,7 +83,7 @@
 		reports = append(reports, report)
 	}
 	if err := scanner.Err(); err != nil {
-		return reports, badLines, fmt.Errorf("lines: %w", err)
+		return reports, badLines, fmt.Errorf("read reports: %w", err)
 	}
 	return reports, badLines, nil
 }
--- a/internal/usage/summary.go
+++ b/internal/usage/summary.go
@@ -8,19 +8,19 @@
 	"strconv"
 )
 
-// Summary is the usage of a tier by all its reports.
+// Summary is the usage of a tier according to all its reports.
 type Summary struct {
-	Reports []Report        // those that count, one for each period, in order
-	Usage   []CustomerUsage // in all of them
-	Faults  []string        // what is missing, in doubt or repeated, a line each
+	Reports []Report        // the reports that count, one for each period, in order
+	Usage   []CustomerUsage // total usage in them
+	Faults  []string        // what is missing, uncertain or reported twice, one line each
 
-	Duplicates []string           // those of Faults that name a period with two reports which both count
-	confirmed  []UnconfirmedUsage // of Reports, what counts as no other report has it
+	Duplicates []string           // the Faults about a period with two reports without MayRepeat
+	confirmed  []UnconfirmedUsage // unconfirmed usage of Reports that counts, as no other report includes it
 }
 
-// Merge merges the reports of all files. One report of each period counts: one without MayRepeat before one
-// with it, and then that with the least token. A second report without MayRepeat is a fault. The unconfirmed
-// usage of a report that counts is added once if no report that counts has it.
+// Merge merges the reports of all files. One report of each period counts: one without MayRepeat takes
+// precedence over one with it, then the one with the lowest token. A second report without MayRepeat is a
+// fault. The unconfirmed usage of a report that counts is added once if no report that counts includes it.
 func Merge(reports []Report) Summary {
 	var s Summary
 	s.addReports(reports)
@@ -34,7 +34,7 @@
 	return s
 }
 
-func (s *Summary) fault(format string, args ...any) {
+func (s *Summary) addFault(format string, args ...any) {
 	s.Faults = append(s.Faults, fmt.Sprintf(format, args...))
 }
 
@@ -49,13 +49,13 @@
 			continue
 		}
 		if !r.MayRepeat {
-			s.fault("period %d: twice, under tokens %d and %d", r.Period, s.Reports[last].Token, r.Token)
+			s.addFault("period %d: reported twice, under tokens %d and %d", r.Period, s.Reports[last].Token, r.Token)
 			s.Duplicates = append(s.Duplicates, s.Faults[len(s.Faults)-1])
 		}
 	}
 }
 
-// compareReports orders reports by period, and in a period the report that counts first.
+// compareReports orders reports by period; within a period the report that counts is first.
 func compareReports(a, b Report) int {
 	return cmp.Or(
 		cmp.Compare(a.Period, b.Period),
@@ -75,7 +75,7 @@
 	return -1
 }
 
-// checkPrevious checks that no report is missing before one.
+// checkPrevious checks that no report is missing before the one at index.
 func (s *Summary) checkPrevious(index int) {
 	if index == 0 {
 		return
@@ -83,41 +83,42 @@
 	r, before := s.Reports[index], s.Reports[index-1]
 	switch r.Previous {
 	case 0:
-		s.fault("before period %d: not known whether lines are missing", r.Period)
+		s.addFault("before period %d: unknown whether lines are missing", r.Period)
 	case before.Period:
 	default:
-		s.fault("between periods %d and %d: a line is missing, as %d comes after %d", before.Period, r.Period, r.Period, r.Previous)
+		s.addFault("between periods %d and %d: a line is missing: the report of period %d follows that of period %d", before.Period, r.Period, r.Period, r.Previous)
 	}
 }
 
-// checkMissing checks that the usage of limiters that are missing is in a later report.
+// checkMissing checks that the usage of limiters missing in a report is in a later report or confirmed.
 func (s *Summary) checkMissing(index int) {
 	r := s.Reports[index]
 	for _, limiter := range r.Missing {
 		if !reportedLater(s.Reports[index+1:], limiter, r.Period) && !s.isConfirmed(limiter, r.Period) {
-			s.fault("period %d: limiter %d is missing", r.Period, limiter)
+			s.addFault("period %d: limiter %d is missing", r.Period, limiter)
 		}
 	}
 }
 
-// checkRestarted notes the limiters that lost usage as they restarted.
+// checkRestarted adds a fault for each limiter that lost usage by a restart.
 func (s *Summary) checkRestarted(index int) {
 	if index == 0 {
 		return
 	}
 	r := s.Reports[index]
 	for _, limiter := range r.Restarted {
-		s.restartFault(r.Period, limiter)
+		s.addRestartFault(r.Period, limiter)
 	}
 }
 
-// restartFault notes a limiter that lost usage as it restarted before a period.
-func (s *Summary) restartFault(period uint32, limiter int) {
-	s.fault("period %d: limiter %d started anew, what it had not reported before is lost", period, limiter)
+// addRestartFault adds the fault that a limiter lost usage by a restart before a period.
+func (s *Summary) addRestartFault(period uint32, limiter int) {
+	s.addFault("period %d: limiter %d restarted, its unreported usage from before the restart is lost", period, limiter)
 }
 
 // reportedLater reports whether the usage of a limiter in a period is in the next report that has the
-// limiter. One that MayRepeat may have an empty page of it, while its usage is kept for a later report.
+// limiter. A report with MayRepeat may have an empty page of the limiter, whose usage is kept for a later
+// report.
 func reportedLater(reports []Report, limiter int, period uint32) bool {
 	for _, r := range reports {
 		if slices.Contains(r.Missing, limiter) {
@@ -132,7 +133,7 @@
 	return false
 }
 
-// sumUsage adds up the usage in reports, and what is confirmed, by customer and plan.
+// sumUsage adds up the usage in the reports and the confirmed usage, by customer and plan.
 func (s *Summary) sumUsage() (list []CustomerUsage) {
 	type key struct{ customer, plan string }
 	units := map[key]float64{}
--- a/internal/usage/unconfirmed_test.go
+++ b/internal/usage/unconfirmed_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// A limiter's last page is lost, it is missing in the report, and the lease changes hands: its usage comes
-// with a later report.
+// The last page of a limiter is lost, so the limiter is missing in the report, and the lease changes hands:
+// a later report includes its usage.
 func TestUsageOfLostLastPageIsReported(t *testing.T) {
-	p := newTestPeriods(t, 2)
+	p := newTestTier(t, 2)
 	p.changeLease(0)
 	p.report(nothingLost)
 	for _, r := range p.recorders {
@@ -23,54 +23,54 @@
 	p.report(cutOff(1))
 	p.report(nothingLost)
 	if s := p.check(21 + 21 + 5); len(s.Faults) > 0 {
-		t.Errorf("%q", s.Faults)
+		t.Errorf("faults %q, want none", s.Faults)
 	}
 }
 
-// A lease holder has all pages of a limiter and dies before its report is written; the limiter is missing
-// in the report that takes its place, and the lease changes hands once more.
+// A lease holder crashes after it received all pages of a limiter and before its report is written. The limiter
+// is missing in the report that replaces it, and the lease changes hands again: a later report includes its usage.
 func TestUsageOfReportNeverWrittenIsReported(t *testing.T) {
-	p := newTestPeriods(t, 2)
+	p := newTestTier(t, 2)
 	for _, r := range p.recorders {
 		r.Add(Key{"c", 0}, 136)
 	}
 	p.changeLease(0)
 	c := p.open()
 	p.query(c, nothingLost)
-	p.claim(c)
+	p.storeMayBeWritten(c)
 	p.changeLease(0)
 	p.report(cutOff(1))
 	p.changeLease(0)
 	p.report(nothingLost)
 	if s := p.check(2 * 136); len(s.Faults) > 0 {
-		t.Errorf("%q", s.Faults)
+		t.Errorf("faults %q, want none", s.Faults)
 	}
 }
 
-// A lease holder writes its report and is cut off before the acceptors know of it; it is missing in the
-// repeated report of the next one, and does not have its usage reported once more.
+// A lease holder writes its report and is cut off before the acceptors know of it. It is missing in the repeated
+// report of the next lease holder, and its usage must not be counted twice.
 func TestUsageMissingInRepeatedReportIsReportedOnce(t *testing.T) {
-	p := newTestPeriods(t, 2)
+	p := newTestTier(t, 2)
 	for _, r := range p.recorders {
 		r.Add(Key{"c", 0}, 43)
 	}
 	p.changeLease(0)
 	c := p.open()
 	p.query(c, nothingLost)
-	p.claim(c)
+	p.storeMayBeWritten(c)
 	p.write(c)
 	p.changeLease(1)
 	p.report(cutOff(0))
 	p.report(nothingLost)
 	if s := p.check(2 * 43); len(s.Faults) > 0 || len(p.reports[2].Unconfirmed) != 2 {
-		t.Errorf("%q, %+v", s.Faults, p.reports)
+		t.Errorf("faults %q, want none; want unconfirmed usage of 2 limiters in the third of the reports %+v", s.Faults, p.reports)
 	}
 }
 
-// A holder that stays knows what its reports have: no usage is sent as unconfirmed, also where a limiter
-// was missing.
+// A lease holder that keeps the lease knows which usage its reports include: limiters send no usage as
+// unconfirmed, not even one that was missing in a report.
 func TestUsageIsConfirmedUnderOneLease(t *testing.T) {
-	p := newTestPeriods(t, 2)
+	p := newTestTier(t, 2)
 	p.changeLease(0)
 	for range 3 {
 		p.recorders[1].Add(Key{"c", 0}, 2)
@@ -81,73 +81,73 @@
 	p.check(15)
 	for _, r := range p.reports {
 		if len(r.Unconfirmed) > 0 {
-			t.Errorf("%+v", r)
+			t.Errorf("report with unconfirmed usage: %+v", r)
 		}
 	}
 }
 
-// Where the lease changes hands between two periods, usage that was confirmed is not sent again, over a hot
-// restart either, and that of a limiter which got no confirmation is.
+// When the lease changes hands between two periods, confirmed usage is not sent again, not even after a hot
+// restart. A limiter that received no confirmation sends its usage again.
 func TestConfirmedUsageIsNotSentAgain(t *testing.T) {
-	p := newTestPeriods(t, 3)
+	p := newTestTier(t, 3)
 	for _, r := range p.recorders {
 		r.Add(Key{"c", 0}, 4)
 	}
 	p.changeLease(0)
 	c := p.open()
 	p.query(c, nothingLost)
-	p.claim(c)
+	p.storeMayBeWritten(c)
 	p.write(c)
-	p.confirm(c)
+	p.storeWritten(c)
 	p.sendConfirmations(c, cutOff(2))
 	p.hotRestart(1)
 	p.changeLease(1)
 	p.report(nothingLost)
 	p.check(3 * 4)
 	if u := p.reports[1].Unconfirmed; len(u) != 1 || u[0].Limiter != 2 {
-		t.Errorf("sent again: %+v", u)
+		t.Errorf("unconfirmed usage %+v, want that of limiter 2 only", u)
 	}
 }
 
-// Limiters that may be of 0.9.3 get no confirmation, nor does any of a report that may not count; and one of
-// another lease holder changes nothing.
+// No confirmation is sent to limiters that may run 0.9.3, nor for a report that may not count. A confirmation of
+// another lease holder or of another period has no effect.
 func TestNoConfirmationOfWhatIsNotCertain(t *testing.T) {
 	r := NewRecorder(1)
 	r.Add(Key{"c", 0}, 4)
 	c := newTestCollector(5, 0, []uint32{0})
 	reply, _ := r.HandleRequest(PageRequest{Period: 5, Token: c.Token})
 	c.Tick(time.Second)
-	c.Tick(time.Second + 2*queryRetryAfter) // without a reply to the first query
+	c.Tick(time.Second + 2*queryRetryInterval) // without a reply to the first query
 	c.HandleMessage(0, reply)
 	if !c.Complete() || len(c.ToConfirm()) > 0 {
-		t.Errorf("to confirm: %v", c.ToConfirm())
+		t.Errorf("limiters to confirm: %v, want none after a complete collection", c.ToConfirm())
 	}
 	for _, other := range []Confirmation{{Period: 5, Token: c.Token + 1}, {Period: 4, Token: c.Token}} {
 		if r.HandleConfirmation(other); r.delivery.reported {
-			t.Errorf("%+v is believed", other)
+			t.Errorf("confirmation %+v was accepted", other)
 		}
 	}
 	if r.HandleConfirmation(c.Confirmation()); !r.delivery.reported {
-		t.Error("not confirmed")
+		t.Error("the confirmation of the lease holder was not accepted")
 	}
 	for _, later := range []PageRequest{{Period: 5, Token: 20}, {Period: 6, Token: 20, KnowsAllReports: true}} {
-		r.HandleRequest(later) // all acceptors have lost their memory, and the period is collected once more
+		r.HandleRequest(later) // all acceptors have lost their state, and the period is collected again
 	}
 	if units := r.UnreportedUnits(0); units != 0 || len(r.unconfirmed) > 0 {
-		t.Errorf("%v units kept though reported, %d periods unconfirmed", units, len(r.unconfirmed))
+		t.Errorf("%v units unreported and %d periods unconfirmed after the confirmation, want none", units, len(r.unconfirmed))
 	}
 	repeated := NewCollector(6, 5, []uint32{5}, true, c.Token, time.Millisecond, 0)
 	repeated.Token = 21
 	collect(t, repeated, []*Recorder{r}, neverLost)
 	if len(repeated.ToConfirm()) > 0 {
-		t.Errorf("to confirm: %v", repeated.ToConfirm())
+		t.Errorf("limiters to confirm: %v, want none for a report that may repeat another", repeated.ToConfirm())
 	}
 }
 
-// A limiter keeps unconfirmed usage until a report that counts has it, however often the lease changes
-// hands, and no longer; it keeps no more than it has room for, and the summary says what is missing then.
+// A limiter keeps unconfirmed usage until a report that counts includes it, however often the lease changes
+// hands, and no longer. It keeps at most maxUnconfirmedPeriods; the summary then says which usage is missing.
 func TestUnconfirmedUsageIsBounded(t *testing.T) {
-	p := newTestPeriods(t, 2)
+	p := newTestTier(t, 2)
 	p.changeLease(0)
 	p.report(nothingLost)
 	const periods = maxUnconfirmedPeriods + 3
@@ -157,21 +157,21 @@
 		p.report(repliesLost(1))
 	}
 	if count := len(p.recorders[1].unconfirmed); count != maxUnconfirmedPeriods {
-		t.Errorf("%d periods kept, of at most %d", count, maxUnconfirmedPeriods)
+		t.Errorf("%d unconfirmed periods kept, want %d", count, maxUnconfirmedPeriods)
 	}
 	p.changeLease(0)
 	p.report(nothingLost)
 	p.report(nothingLost)
 	if kept := p.recorders[1].unconfirmed; len(kept) > 0 {
-		t.Errorf("kept though reported: %+v", kept)
+		t.Errorf("unconfirmed usage kept after it was reported: %+v", kept)
 	}
 	if s := p.check(maxUnconfirmedPeriods); len(s.Faults) != periods-maxUnconfirmedPeriods {
-		t.Errorf("%q", s.Faults)
+		t.Errorf("faults %q, want one for each dropped period", s.Faults)
 	}
 }
 
-// Unconfirmed usage of many pages goes with the period's own, and only to a lease holder that takes it:
-// one of 0.9.3 gets pages as it knows them, and the usage is kept for a later one.
+// Unconfirmed usage of many pages is sent with that of the period itself, and only to a lease holder that accepts
+// it: a lease holder of 0.9.3 gets only pages of the kind it knows, and the usage is kept for a later one.
 func TestUnconfirmedUsageIsKeptForHolderThatTakesIt(t *testing.T) {
 	r := NewRecorder(1)
 	addMany := func(units float64) {
@@ -179,13 +179,13 @@
 			r.Add(Key{strings.Repeat("n", 40) + fmt.Sprint(i), 0}, units)
 		}
 	}
-	plain := func(request PageRequest) (units float64) {
+	collectWithoutUnconfirmed := func(request PageRequest) (units float64) {
 		request.KnowsAllReports = true
 		for pages := uint16(1); request.Page < pages; request.Page++ {
 			reply, _ := r.HandleRequest(request)
 			page, ok := ParsePage(reply)
 			if !ok || page.ClosedPeriod != 0 || page.Page != request.Page {
-				t.Fatalf("page %d: %+v, %v", request.Page, page, ok)
+				t.Fatalf("request for page %d without unconfirmed usage: reply %+v, decoded: %v", request.Page, page, ok)
 			}
 			for _, e := range unpack(page.Entries) {
 				units += float64(e.Units) / UnitParts
@@ -195,22 +195,22 @@
 		return units
 	}
 	addMany(1)
-	if units := plain(PageRequest{Period: 5, Token: 1}); units != 100 {
-		t.Fatalf("%v units", units)
+	if units := collectWithoutUnconfirmed(PageRequest{Period: 5, Token: 1}); units != 100 {
+		t.Fatalf("period 5: %v units, want 100", units)
 	}
 	addMany(2)
-	if units := plain(PageRequest{Period: 6, ReportedUpTo: 5, Token: 2}); units != 200 {
-		t.Errorf("%v units", units)
+	if units := collectWithoutUnconfirmed(PageRequest{Period: 6, ReportedUpTo: 5, Token: 2}); units != 200 {
+		t.Errorf("period 6: %v units, want 200", units)
 	}
 	addMany(3)
-	if units := plain(PageRequest{Period: 7, ReportedUpTo: 6, Token: 2}); units != 300 {
-		t.Errorf("%v units", units)
+	if units := collectWithoutUnconfirmed(PageRequest{Period: 7, ReportedUpTo: 6, Token: 2}); units != 300 {
+		t.Errorf("period 7: %v units, want 300", units)
 	}
 	c := NewCollector(8, 7, []uint32{7}, false, 3, time.Millisecond, 0)
 	c.KnowsAllReports = true
 	report := collect(t, c, []*Recorder{r}, func(n int) bool { return n > 0 && n%5 == 0 })
 	if len(report.Unconfirmed) != 2 || len(report.Usage) != 0 {
-		t.Fatalf("%+v", report)
+		t.Fatalf("report %+v, want unconfirmed usage of 2 periods and no other usage", report)
 	}
 	for i, want := range []struct {
 		period uint32
@@ -218,12 +218,12 @@
 	}{{5, 100}, {7, 300}} {
 		u := report.Unconfirmed[i]
 		if units := sumOfUnits(Report{Usage: u.Usage}); u.Period != want.period || units != want.units {
-			t.Errorf("period %d: %v units, want %d, %v", u.Period, units, want.period, want.units)
+			t.Errorf("period %d: %v units, want period %d with %v", u.Period, units, want.period, want.units)
 		}
 	}
 }
 
-// A limiter of 0.9.3 does not reply to a request for unconfirmed usage: the next one is as it knows them.
+// A limiter of 0.9.3 does not reply to a request for unconfirmed usage: the next request is without it.
 func TestLimiterThatIgnoresUnconfirmedUsage(t *testing.T) {
 	r := NewRecorder(1)
 	for i := range 60 { // several pages
@@ -245,12 +245,12 @@
 		now = max(now+time.Millisecond, due)
 	}
 	if units := sumOfUnits(c.Report(nil)); units != 120 || ignored != 1 || c.Missing() != 0 {
-		t.Errorf("%v units, %d requests ignored, %d missing", units, ignored, c.Missing())
+		t.Errorf("%v units, want 120; %d requests ignored, want 1; %d limiters missing, want 0", units, ignored, c.Missing())
 	}
 }
 
-// The reply to the first request comes after a second one was sent, which is for limiters of 0.9.3: the
-// collector goes on with the first.
+// The reply to the first request arrives after the second request, which is meant for limiters of 0.9.3, was
+// sent: the collector continues with unconfirmed usage.
 func TestLateReplyWithUnconfirmedUsage(t *testing.T) {
 	r := NewRecorder(1)
 	r.Add(Key{"c", 0}, 1)
@@ -259,15 +259,15 @@
 	c := NewCollector(5, 4, []uint32{4}, false, 2, time.Millisecond, 0)
 	c.KnowsAllReports = true
 	first, due := c.Tick(time.Second)
-	second, _ := c.Tick(due + queryRetryAfter)
+	second, _ := c.Tick(due + queryRetryInterval)
 	if len(first) != 1 || len(second) != 1 || second[0].Request.TakesUnconfirmed {
-		t.Fatalf("%+v, %+v", first, second)
+		t.Fatalf("first queries %+v, second queries %+v; want one each, the second without unconfirmed usage", first, second)
 	}
 	reply, _ := r.HandleRequest(first[0].Request)
 	c.HandleMessage(0, reply)
 	report := collect(t, c, []*Recorder{r}, neverLost)
 	if len(report.Unconfirmed) != 1 || sumOfUnits(report) != 2 || report.Missing != nil {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want 2 units, one entry of unconfirmed usage and no limiter missing", report)
 	}
 }
 
@@ -281,29 +281,29 @@
 		{Period: 3, Previous: 2, Token: 1, Usage: usage(1), Missing: []int{1, 2, 3}},
 		{Period: 4, Previous: 3, Token: 1, Usage: usage(1), Missing: []int{2, 3}, Since: map[string]uint32{"1": 3}},
 		{Period: 4, Previous: 3, Token: 2, Usage: usage(7), MayRepeat: true, Unconfirmed: []UnconfirmedUsage{
-			unconfirmed(2, 3, 3, 1000), // of a report that does not count
+			unconfirmed(2, 3, 3, 1000), // in a report that does not count
 		}},
 		{Period: 5, Previous: 4, Token: 2, Usage: usage(1), Unconfirmed: []UnconfirmedUsage{
-			unconfirmed(0, 3, 3, 1000), // in the report of its period
-			unconfirmed(1, 3, 3, 1000), // in the next one that has the limiter
-			unconfirmed(2, 3, 4, 10),   // in none
-			unconfirmed(3, 2, 2, 1000), // of a period before all reports
+			unconfirmed(0, 3, 3, 1000), // included in the report of its period
+			unconfirmed(1, 3, 3, 1000), // included in the next report that has the limiter
+			unconfirmed(2, 3, 4, 10),   // included in no report
+			unconfirmed(3, 2, 2, 1000), // of a period before the first report
 		}},
 		{Period: 6, Previous: 5, Token: 2, Usage: usage(1), Unconfirmed: []UnconfirmedUsage{
-			unconfirmed(2, 3, 4, 1000), // once more
-			unconfirmed(3, 0, 4, 100),  // in none, of a limiter that started again
+			unconfirmed(2, 3, 4, 1000), // repeated
+			unconfirmed(3, 0, 4, 100),  // included in no report, of a limiter that restarted
 		}},
 	}
 	s := Merge(reports)
 	if s.Usage[0].Units != 4+10+100 {
-		t.Errorf("%v units", s.Usage[0].Units)
+		t.Errorf("%v units, want 114", s.Usage[0].Units)
 	}
 	want := []string{
-		"period 5: limiter 3 has usage up to period 2, which does not count: the report of that one is not here",
-		"period 4: limiter 3 started anew, what it had not reported before is lost",
+		"period 5: limiter 3 has unconfirmed usage up to period 2, which does not count: the report of that period is not among those read",
+		"period 4: limiter 3 restarted, its unreported usage from before the restart is lost",
 		"period 3: limiter 3 is missing",
 	}
 	if !slices.Equal(s.Faults, want) {
-		t.Errorf("%q", s.Faults)
+		t.Errorf("unexpected faults %q", s.Faults)
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Messages come through unchanged, and noise is not taken for one.
+// Messages that are decoded encode to the same bytes, and a datagram with a wrong byte is not decoded.
 func FuzzMessages(f *testing.F) {
 	r := NewRecorder(7)
 	r.Add(Key{"00000000000000ff", 2}, 1.5)
 	r.Add(Key{"a name that is no number", 0}, 1e6)
 	page, ok := r.HandleRequest(PageRequest{Period: 3, Token: 9})
-	if p, isPage := ParsePage(page); !ok || !isPage || p.Incarnation != 7 || p.Pages != 1 || len(unpack(p.Entries)) != 2 || len(page) > maxSize {
-		f.Fatalf("%+v, %v, %d bytes", p, isPage, len(page))
+	if p, isPage := ParsePage(page); !ok || !isPage || p.Incarnation != 7 || p.Pages != 1 || len(unpack(p.Entries)) != 2 || len(page) > maxDatagramBytes {
+		f.Fatalf("page %+v, decoded: %v, %d bytes", p, isPage, len(page))
 	}
 	for _, data := range [][]byte{
 		page,
@@ -36,22 +36,22 @@
 			_, isPending := ParsePendingReport(changed)
 			_, isConfirmation := ParseConfirmation(changed)
 			if isRequest || isPage || isPending || isConfirmation {
-				f.Errorf("a wrong byte %d is not noticed", i)
+				f.Errorf("change of byte %d not detected", i)
 			}
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if m, ok := ParsePageRequest(data); ok && !bytes.Equal(m.Append(nil), data) {
-			t.Error("two datagrams of one request")
+			t.Error("request encodes to other bytes than it was decoded from")
 		}
 		if m, ok := ParsePage(data); ok && !bytes.Equal(m.Append(nil), data) {
-			t.Error("two datagrams of one page")
+			t.Error("page encodes to other bytes than it was decoded from")
 		}
 		if m, ok := ParsePendingReport(data); ok && !bytes.Equal(m.Append(nil), data) {
-			t.Error("two datagrams of one pending report")
+			t.Error("pending report encodes to other bytes than it was decoded from")
 		}
 		if m, ok := ParseConfirmation(data); ok && !bytes.Equal(m.Append(nil), data) {
-			t.Error("two datagrams of one confirmation")
+			t.Error("confirmation encodes to other bytes than it was decoded from")
 		}
 		if reports, _, err := ReadReports(bytes.NewReader(data)); err == nil {
 			Merge(reports)
@@ -59,7 +59,7 @@
 	})
 }
 
-// collect has a collector query recorders until it is complete. Each reply may be lost.
+// collect makes a collector query recorders until it is complete. lost decides whether a reply is lost.
 func collect(t *testing.T, c *Collector, recorders []*Recorder, lost func(n int) bool) Report {
 	t.Helper()
 	now := time.Second
@@ -68,12 +68,12 @@
 		for _, q := range queries {
 			if reply, ok := recorders[q.To].HandleRequest(q.Request); ok && !lost(n) {
 				c.HandleMessage(q.To, reply)
-				c.HandleMessage(q.To, reply) // twice
+				c.HandleMessage(q.To, reply) // a duplicate
 			}
 		}
 		now = max(now+time.Millisecond, due)
 		if n > 10000 {
-			t.Fatal("never complete")
+			t.Fatal("collection not complete after 10000 ticks")
 		}
 	}
 	return c.Report([]string{"gold", "iron"})
@@ -92,8 +92,9 @@
 	return units
 }
 
-// A period of many pages comes complete through loss; a limiter that dies between two pages counts from
-// its new start alone, and one that replies too late becomes part of the next period, which says so.
+// A period of many pages is collected completely despite losses. If a limiter restarts between two pages, only
+// its usage since the restart counts. If a limiter replies too late, its usage becomes part of the next period,
+// whose report says so.
 func TestCollect(t *testing.T) {
 	recorders := []*Recorder{NewRecorder(1), NewRecorder(2), NewRecorder(3)}
 	for i := range 300 {
@@ -105,7 +106,7 @@
 	c := newTestCollector(5, 0, reported)
 	report := collect(t, c, recorders, func(n int) bool { return n%3 == 0 })
 	if sumOfUnits(report) != 3*300*1.25 || len(report.Usage) != 600 || !slices.Equal(report.Restarted, []int{0, 1, 2}) || report.Missing != nil {
-		t.Errorf("%v units of %d, restarted %v, missing %v", sumOfUnits(report), len(report.Usage), report.Restarted, report.Missing)
+		t.Errorf("%v units in %d entries, restarted %v, missing %v", sumOfUnits(report), len(report.Usage), report.Restarted, report.Missing)
 	}
 	reported = c.Reported()
 
@@ -115,7 +116,7 @@
 	c = newTestCollector(6, 5, reported)
 	report = collect(t, c, recorders, neverLost)
 	if sumOfUnits(report) != 6 || report.Restarted != nil || report.Since != nil {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want 6 units, no limiter restarted and no entry in Since", report)
 	}
 	reported = c.Reported()
 
@@ -128,34 +129,34 @@
 	recorders[1] = NewRecorder(8)
 	recorders[1].Add(Key{"y", 0}, 3)
 	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 3 || !slices.Equal(report.Restarted, []int{1}) {
-		t.Errorf("%v units after a limiter died between two pages, restarted %v", sumOfUnits(report), report.Restarted)
+		t.Errorf("%v units, want 3; restarted %v, want limiter 1, which restarted between two pages", sumOfUnits(report), report.Restarted)
 	}
 	reported = c.Reported()
 
 	recorders[2].Add(Key{"z", 0}, 5)
 	c = newTestCollector(9, 7, reported)
-	c.setMissing(&c.sources[2]) // it did not reply in time, though it received the request
+	c.markMissing(&c.sources[2]) // it did not reply in time, though it received the request
 	recorders[2].HandleRequest(PageRequest{Period: 9, ReportedUpTo: 7, Token: 9})
 	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 0 || !slices.Equal(report.Missing, []int{2}) {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want no units and limiter 2 missing", report)
 	}
 	c = newTestCollector(10, 9, c.Reported())
 	c.KnowsAllReports = true
 	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 5 || report.Since["2"] != 8 {
-		t.Errorf("%+v", report)
+		t.Errorf("report %+v, want 5 units, those of limiter 2 since period 8", report)
 	}
 
-	recorders[0].Add(Key{"w", 0}, 6) // of no period that an earlier lease holder may have reported
+	recorders[0].Add(Key{"w", 0}, 6) // must not go into a report that may repeat an earlier one
 	c = NewCollector(11, 9, []uint32{10, 10, 10}, true, 9, time.Millisecond, 0)
 	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 0 || report.Missing != nil || recorders[0].UnreportedUnits(11) != 6 {
-		t.Errorf("%+v, %v unreported", report, recorders[0].UnreportedUnits(11))
+		t.Errorf("report %+v, want no units and no limiter missing; %v units unreported, want 6", report, recorders[0].UnreportedUnits(11))
 	}
 	if _, ok := recorders[0].HandleRequest(PageRequest{Period: 11, Token: 8}); ok {
-		t.Error("replied to the holder of an earlier lease")
+		t.Error("replied to a former lease holder")
 	}
 }
 
-// A recorder has room for so many customers and no more; the usage of the others is added up.
+// A recorder has at most maxKeys keys; the usage of further customers is added up under OverflowCustomer.
 func TestFullRecorder(t *testing.T) {
 	r := NewRecorder(1)
 	for i := range maxKeys + 50 {
@@ -164,11 +165,11 @@
 	r.Add(Key{strings.Repeat("n", maxNameBytes+1), 0}, 1)
 	overflow := r.open[Key{OverflowCustomer, 0}]
 	if len(r.open) != maxKeys+1 || overflow != 51*UnitParts || r.UnreportedUnits(0) != maxKeys+51 {
-		t.Errorf("%d customers, overflow %d", len(r.open), overflow)
+		t.Errorf("%d keys, overflow %d", len(r.open), overflow)
 	}
 }
 
-// The reports of several lease holders are merged: one for each period, and what is wrong with the rest.
+// Reports of several lease holders are merged to one for each period, and Faults lists what is wrong with them.
 func TestMerge(t *testing.T) {
 	usage := func(units float64) []CustomerUsage { return []CustomerUsage{{"c", "gold", units}} }
 	reports := []Report{
@@ -182,26 +183,26 @@
 	}
 	s := Merge(reports)
 	if len(s.Reports) != 5 || s.Usage[0].Units != 1+2+3+6+7 {
-		t.Errorf("%+v", s)
+		t.Errorf("want 5 reports and 19 units, got summary %+v", s)
 	}
-	want := []string{"period 7: twice", "period 2: limiter 1 is missing", "a line is missing, as 6 comes after 5", "limiter 0 started anew"}
+	want := []string{"period 7: reported twice", "period 2: limiter 1 is missing", "a line is missing: the report of period 6 follows that of period 5", "limiter 0 restarted"}
 	if len(s.Faults) != len(want) {
-		t.Errorf("%q", s.Faults)
+		t.Errorf("unexpected number of faults: %q", s.Faults)
 	}
 	for _, w := range want {
 		if !strings.Contains(strings.Join(s.Faults, "\n"), w) {
-			t.Errorf("%q is missing in %q", w, s.Faults)
+			t.Errorf("fault %q not found in %q", w, s.Faults)
 		}
 	}
 	data, _ := json.Marshal(reports[1])
 	back, badLines, err := ReadReports(strings.NewReader(string(data) + "\n\n" + string(data[:20])))
 	if err != nil || len(back) != 1 || !slices.Equal(badLines, []int{3}) || Merge(back).Faults == nil {
-		t.Errorf("%+v, %v, %v", back, badLines, err)
+		t.Errorf("reports %+v, bad lines %v, error %v; want one report with faults, and line 3 bad", back, badLines, err)
 	}
 }
 
-// A limiter is missing in a report, and in the next one, which may repeat an earlier one, has an empty page:
-// its usage comes with the report after that and is not called missing.
+// A limiter is missing in a report, and has an empty page in the next one, which may repeat an earlier report: the
+// report after that includes its usage, and the summary does not list the limiter as missing.
 func TestUsageKeptOverRepeatedReportIsNotMissing(t *testing.T) {
 	r := NewRecorder(1)
 	r.HandleRequest(PageRequest{Period: 1, Token: 1})
@@ -211,7 +212,7 @@
 	missing := newTestCollector(2, 1, []uint32{1})
 	missing.KnowsAllReports = true
 	reply, _ := r.HandleRequest(PageRequest{Period: 2, ReportedUpTo: 1, Token: 9, KnowsAllReports: true})
-	missing.setMissing(&missing.sources[0]) // the pages after the first are lost
+	missing.markMissing(&missing.sources[0]) // the pages after the first are lost
 	repeated := NewCollector(3, 2, []uint32{1}, true, 10, time.Millisecond, 0)
 	repeated.KnowsAllReports = true
 	next := NewCollector(4, 3, []uint32{1}, false, 10, time.Millisecond, 0)
@@ -222,12 +223,12 @@
 	}
 	s := Merge(reports)
 	if len(reply) == 0 || sumOfUnits(Report{Usage: s.Usage}) != 120 || len(s.Faults) > 0 {
-		t.Errorf("%v units, %q", sumOfUnits(Report{Usage: s.Usage}), s.Faults)
+		t.Errorf("%v units, want 120; faults %q, want none", sumOfUnits(Report{Usage: s.Usage}), s.Faults)
 	}
 }
 
-// Usage is not lost where a limiter is missing in a report and the lease then changes hands: the new
-// holder takes every limiter for reported, and a period that was never sent completely is kept all the same.
+// A limiter is missing in a report and the lease then changes hands: the new lease holder counts every limiter as
+// reported. A period that was never sent completely must be kept nevertheless.
 func TestUnsentPeriodIsKept(t *testing.T) {
 	r := NewRecorder(1)
 	for i := range 60 { // several pages
