--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -6,18 +6,18 @@
 	"lemongate/internal/admission"
 )
 
-// This file starts attempts, bounds their duration, and takes in their results.
+// This file starts attempts, bounds their duration, and handles their results.
 
-// attempt is an attempt in flight.
+// attempt is the state of an attempt in flight.
 type attempt struct {
 	request    *request
 	backend    string // ID
 	startedAt  time.Duration
-	underLease bool // a recovery attempt
+	underLease bool // a recovery attempt, made under the lease of TaskRecovery
 }
 
-// startAttempt starts an attempt. If it comes too late or would be one too many, the admission
-// controller is notified that it was not sent.
+// startAttempt starts an attempt, or notifies the admission controller that it was not sent: if its deadline has
+// passed, the request may have no further attempt, the backend takes none, or the lease of a recovery attempt has ended.
 func (m *Machine) startAttempt(action admission.StartAttempt) {
 	r := m.requests.byID[action.Request]
 	if r == nil {
@@ -45,8 +45,8 @@
 	})
 }
 
-// startConditions returns the token that an attempt carries, 0 for none, and the clock time before
-// which it must begin, 0 for no bound. It fails for a recovery attempt whose lease has ended.
+// startConditions returns the fencing token that an attempt carries, 0 for none, and the clock time before which it
+// must begin, 0 for no bound. ok is false for a recovery attempt whose lease has ended.
 func (m *Machine) startConditions(action admission.StartAttempt) (token uint64, startBefore time.Duration, ok bool) {
 	if !action.Recovery {
 		return 0, action.StartBefore, true
@@ -69,10 +69,10 @@
 	return endpoint != nil && endpoint.State == admission.Live && endpoint.Addr != ""
 }
 
-// refuseAttempt notifies the admission controller that an attempt is not sent.
+// refuseAttempt counts an attempt as not sent and notifies the admission controller.
 func (m *Machine) refuseAttempt(r *request, id AttemptID, backend string) {
 	m.counters.NotSent++
-	m.decide(&admission.AttemptFinished{
+	m.stepController(&admission.AttemptFinished{
 		Request: r.ID, Attempt: id.Number, Backend: backend, Result: admission.NotSent, Final: r.answered,
 	})
 }
@@ -86,8 +86,8 @@
 	m.attempts[id] = &attempt{request: r, backend: action.Backend, startedAt: m.now, underLease: action.Recovery}
 }
 
-// onAttemptFinished takes in the result of an attempt, unless the attempt was given up before: then it has
-// had its result.
+// onAttemptFinished handles the result of an attempt. It ignores an attempt that was canceled or timed out before:
+// its result has been reported already.
 func (m *Machine) onAttemptFinished(ev *AttemptFinished) {
 	a := m.attempts[ev.Attempt]
 	if a == nil {
@@ -123,14 +123,14 @@
 	}
 }
 
-// onAttemptTimeout gives up an attempt that takes too long.
+// onAttemptTimeout cancels an attempt that has reached its time limit.
 func (m *Machine) onAttemptTimeout(id AttemptID) {
 	m.emit(CancelAttempt{Attempt: id})
 	m.counters.TimedOut++
 	m.closeAttempt(id, admission.TimedOut, nil)
 }
 
-// cancelAttempt gives up an attempt that the admission controller no longer wants, if it is in flight.
+// cancelAttempt cancels an attempt at the admission controller's request, if it is in flight.
 func (m *Machine) cancelAttempt(id AttemptID) {
 	if m.attempts[id] == nil {
 		return
@@ -139,8 +139,8 @@
 	m.closeAttempt(id, admission.Canceled, nil)
 }
 
-// withdrawAttempts ends the attempts of a request that have written no byte. The admission
-// controller has canceled them already where the settings allow to cancel.
+// withdrawAttempts withdraws the attempts of a request of which no byte has been written. Where the settings allow
+// canceling, the admission controller has canceled them already.
 func (m *Machine) withdrawAttempts(r *request) {
 	for number := range r.attempts {
 		id := AttemptID{r.ID, number}
@@ -150,8 +150,8 @@
 	}
 }
 
-// closeAttempt ends an attempt and notifies the admission controller. The attempt is the final one of its
-// request if that is answered.
+// closeAttempt ends an attempt and notifies the admission controller. The attempt counts as the final one of its
+// request if the request is answered.
 func (m *Machine) closeAttempt(id AttemptID, result admission.Result, report []float64) {
 	a := m.attempts[id]
 	r := a.request
@@ -160,14 +160,14 @@
 	r.openAttempts--
 	if !r.mayHaveRun && !result.NeverRan() {
 		r.mayHaveRun = true
-		m.recordUsage(&r.Request) // also once the state is sent: this process may admit again
+		m.recordUsage(&r.Request) // also after the state was sent: this process may admit again
 	}
 	if m.hotRestart.stateSent {
 		m.emit(ReportAttemptFinished{FinishedAttempt{
 			Attempt: id, Backend: a.backend, Result: result, Latency: latency, Report: report,
 		}})
 	}
-	m.decide(&admission.AttemptFinished{
+	m.stepController(&admission.AttemptFinished{
 		Request: id.Request, Attempt: id.Number, Backend: a.backend, Result: result,
 		Latency: latency, Final: r.answered, Report: report,
 	})
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -7,8 +7,8 @@
 	"lemongate/internal/admission"
 )
 
-// An attempt that comes too late or is one too many, or goes to a backend that takes nothing new, is
-// not sent, and is counted as such.
+// An attempt past its deadline, beyond the number allowed, or at a backend that takes no attempts is not sent, and is
+// counted as such.
 func TestUnfitAttemptIsNotSent(t *testing.T) {
 	live, draining := newEndpoint("b1", "h:1", admission.Live, 0), newEndpoint("b2", "h:2", admission.Draining, 0)
 	for name, c := range map[string]struct {
@@ -27,15 +27,15 @@
 		m.requests.byID[9] = &c.request
 		m.startAttempt(admission.StartAttempt{Request: 9, Backend: c.backend})
 		if n := m.Counters().NotSent; n != 1 || len(effectsOf[StartAttempt](m.effects)) != 0 {
-			t.Errorf("%s: counted %d, effects %v", name, n, m.effects)
+			t.Errorf("%s: %d attempts counted as not sent, want 1; effects %v, want no attempt started", name, n, m.effects)
 		}
 	}
 }
 
-// An attempt that takes until its request's deadline is canceled, and a late result changes nothing.
+// An attempt that runs until its request's deadline is canceled, and a late result changes nothing.
 func TestAttemptTimesOut(t *testing.T) {
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
-	m.Step(time.Hour, readRequest(1, time.Hour, 500*time.Millisecond))
+	m.Step(time.Hour, newReadRequest(1, time.Hour, 500*time.Millisecond))
 	got := m.Step(time.Hour+500*time.Millisecond-responseMargin, TimerFired{})
 	canceled, responses := effectsOf[CancelAttempt](got), effectsOf[Respond](got)
 	if len(canceled) != 1 || len(responses) != 1 || responses[0].Kind != Rejected {
@@ -43,6 +43,6 @@
 	}
 	late := m.Step(time.Hour+time.Second, &AttemptFinished{Attempt: AttemptID{1, 0}, Result: admission.Succeeded})
 	if len(effectsOf[Respond](late)) != 0 {
-		t.Errorf("a late result brought %+v", late)
+		t.Errorf("a late result caused a response: %+v", late)
 	}
 }
--- a/internal/core/closing_test.go
+++ b/internal/core/closing_test.go
@@ -9,17 +9,17 @@
 	"lemongate/internal/hotrestart"
 )
 
-// closingModel is a predecessor of which the edges know whether its server was closed.
+// closingModel is a predecessor in a hot restart, and what the test observed of its server.
 type closingModel struct {
 	t       *rapid.T
 	machine *Machine
 	now     time.Duration
 	timerAt time.Duration
-	paused  bool // accepting
+	paused  bool // PauseListeners was the last of PauseListeners and ResumeListeners
 	closed  bool // CloseServer was emitted
 }
 
-// step hands an event to the machine, and checks that a closed server is not paused or resumed.
+// step sends an event to the machine, and checks that listeners are not paused or resumed after CloseServer.
 func (m *closingModel) step(ev Event) {
 	for _, e := range m.machine.Step(m.now, ev) {
 		switch e := e.(type) {
@@ -30,7 +30,7 @@
 			}
 		case CloseServer:
 			if m.closed {
-				m.t.Fatal("closed twice")
+				m.t.Fatal("CloseServer emitted twice")
 			}
 			m.closed = true
 		case SetTimer:
@@ -39,8 +39,8 @@
 	}
 }
 
-// pass lets time pass, and fires the timer at its end if it is due: a process that was suspended is late.
-func (m *closingModel) pass(by time.Duration) {
+// advance advances the clock, and fires the timer at the end if it is due: a suspended process handles it late.
+func (m *closingModel) advance(by time.Duration) {
 	m.now += by
 	if m.timerAt <= m.now {
 		m.timerAt = m.now + time.Hour // until the next SetTimer
@@ -48,8 +48,8 @@
 	}
 }
 
-// Whatever the other process of a hot restart sends, and whenever it ends or a shutdown is requested, accepting is
-// neither paused nor resumed once the server was closed.
+// Listeners are neither paused nor resumed after the server was closed, whatever the other process of a hot restart
+// sends, and whenever that process ends or a shutdown is requested.
 func TestListenersStayAsTheyAreAfterClose(t *testing.T) {
 	closedWhilePaused, closedAccepting := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -57,7 +57,7 @@
 		m := &closingModel{t: t, now: time.Hour, timerAt: 2 * time.Hour}
 		m.machine, _ = New(m.now, Config{Settings: testSettings, Seed: 1, HotRestart: &limits})
 		m.step(LinkClosed{}) // there is no predecessor
-		m.pass(discoveryTimeout)
+		m.advance(discoveryTimeout)
 		t.Repeat(map[string]func(*rapid.T){
 			"connect successor": func(*rapid.T) { m.step(&SuccessorConnected{}) },
 			"end link":          func(*rapid.T) { m.step(LinkClosed{}) },
@@ -66,7 +66,7 @@
 				m.step(&LinkMessageReceived{Kind: rapid.SampledFrom(kinds).Draw(t, "kind")})
 			},
 			"pass": func(t *rapid.T) {
-				m.pass(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
+				m.advance(time.Duration(rapid.IntRange(1, 700).Draw(t, "ms")) * time.Millisecond)
 			},
 			"shut down": func(t *rapid.T) {
 				if rapid.IntRange(0, 4).Draw(t, "sure") == 0 {
@@ -82,7 +82,7 @@
 		}
 	})
 	if closedWhilePaused == 0 || closedAccepting == 0 {
-		t.Errorf("closed %d times while paused, %d times while accepting", closedWhilePaused, closedAccepting)
+		t.Errorf("closed %d times while paused, %d times while accepting; want both at least once", closedWhilePaused, closedAccepting)
 	}
 	t.Logf("closed %d times while paused, %d times while accepting", closedWhilePaused, closedAccepting)
 }
--- a/internal/core/collection.go
+++ b/internal/core/collection.go
@@ -7,17 +7,17 @@
 	"lemongate/internal/usage"
 )
 
-// This file collects the tier's usage by periods and has a report of each written, where this limiter
-// holds the lease of TaskUsage. The lease's payload, which the acceptors keep, carries the state on to
-// the next lease holder; docs/design/leases.md says why no period counts twice.
+// This file collects the tier's usage by periods and has a report of each period written, while this limiter
+// holds the lease of TaskUsage. The acceptors store the lease's payload, which passes the state on to the next
+// lease holder; docs/design/leases.md explains why no period counts twice.
 
 const (
 	// writeRetryDelay is the time after which a report that could not be written is retried.
 	writeRetryDelay = time.Second
-	// writeStuckLeases is how many lease durations a write may take. After that the lease is released.
-	writeStuckLeases = 4
-	// usageReplyFraction is the fraction of the messages that a limiter may receive that may be replies
-	// to usage queries.
+	// writeTimeoutLeaseDurations is how many lease durations a write may take. After that the lease is released.
+	writeTimeoutLeaseDurations = 4
+	// usageReplyFraction is the fraction of the messages a limiter may receive that replies to usage queries may
+	// make up.
 	usageReplyFraction = 0.2
 )
 
@@ -25,7 +25,7 @@
 type collectionPhase uint8
 
 const (
-	collectionIdle       collectionPhase = iota // waits for the next collection
+	collectionIdle       collectionPhase = iota // waits until the next collection is due
 	collectionOpening                           // sets the payload: the period is being collected
 	collectionQuerying                          // queries all limiters
 	collectionClaiming                          // sets the payload: the report is being written
@@ -35,16 +35,16 @@
 
 // collection is the lease holder's work on one period.
 type collection struct {
-	phase        collectionPhase
-	collector    *usage.Collector // of the period; nil while idle
-	token        uint64           // of the lease under which the period is collected; 0 for none
-	reportedUpTo []uint32         // by limiter: the last period that has a known report with its usage
-	startedAt    time.Duration    // clock time at which the collection of the period began
-	nextAt       time.Duration    // clock time at which the phase goes on: the next collection, a retry, or writeStuck
-	writeStuck   bool             // a write did not finish in time, and the lease was released for it
+	phase         collectionPhase
+	collector     *usage.Collector // of the period; nil while idle
+	token         uint64           // of the lease under which the period is collected; 0 for none
+	reportedUpTo  []uint32         // by limiter: the last period that has a known report with its usage
+	startedAt     time.Duration    // clock time at which the collection of the period began
+	nextAt        time.Duration    // clock time of the phase's next action: a collection, a retry, or the write's time-out
+	writeTimedOut bool             // a write did not finish in time, and the lease was released for it
 }
 
-// periodStage is how far the report of a period is. The values are part of the payload.
+// periodStage is the progress of the report of a period. The values are part of the payload.
 type periodStage uint8
 
 const (
@@ -53,7 +53,7 @@
 	periodWritten                    // there is a report
 )
 
-// usagePayload is what the acceptors keep of usage reports. Its encoding only grows.
+// usagePayload is what the acceptors store about usage reports. Later releases may only extend its encoding.
 type usagePayload struct {
 	previous uint32 // period before this one; 0 for none
 	period   uint32 // 31 bits; 0 for none
@@ -80,21 +80,21 @@
 	}
 }
 
-// usagePayload returns what the acceptors keep, as far as known here.
+// usagePayload returns the payload that the acceptors store, as far as this limiter knows it.
 func (m *Machine) usagePayload() usagePayload {
 	return decodeUsagePayload(m.leases.agent.Payload(TaskUsage))
 }
 
-// setUsageStage has the acceptors keep the stage of the period that is collected, and reports whether
-// a quorum of them does.
+// setUsageStage asks the acceptors to store the stage of the period that is collected, and reports whether a quorum
+// of them has stored it.
 func (m *Machine) setUsageStage(stage periodStage) bool {
 	collector := m.usage.collection.collector
 	payload := usagePayload{previous: collector.Previous, period: collector.Period, stage: stage}
 	return m.leases.agent.SetPayload(m.now, TaskUsage, payload.encode())
 }
 
-// runUsage does what is due where this limiter holds the lease, and returns the clock time at which it
-// is to run again, 0 for never.
+// runUsage does what is due while this limiter holds the lease, and returns the clock time at which it is to run
+// again, 0 for never.
 func (m *Machine) runUsage() (due time.Duration) {
 	if m.usage.recorder == nil {
 		return 0
@@ -119,8 +119,8 @@
 	}
 }
 
-// stepCollection does the work of one phase, under a lease that is held until a clock time. It returns
-// the clock time at which it is to run again if the phase stays, 0 for never.
+// stepCollection does the work of one phase, under a lease that is held until a clock time. It returns the clock time
+// at which it is to run again if the phase does not change, 0 for never.
 func (m *Machine) stepCollection(until time.Duration) (due time.Duration) {
 	switch m.usage.collection.phase {
 	case collectionIdle:
@@ -132,15 +132,15 @@
 	case collectionClaiming:
 		return m.claimPeriod(until)
 	case collectionWriting:
-		return m.checkWriteStuck()
+		return m.checkWriteTimeout()
 	case collectionConfirming:
 		m.confirmPeriod()
 	}
 	return 0
 }
 
-// onUsageLeaseWon starts from the payload that the acceptors keep: a period that is not known to be written
-// is collected again, and its report says so if there may be one already.
+// onUsageLeaseWon continues from the payload that the acceptors store: a period not known to be written is collected
+// again, and its report says so if an earlier report of the period may exist.
 func (m *Machine) onUsageLeaseWon(token uint64) {
 	payload := m.usagePayload()
 	reported := payload.period
@@ -161,8 +161,8 @@
 	}
 }
 
-// startNextPeriod starts to collect the usage up to now. Its period number is that of the wall-clock period
-// in which the collection starts, or the one after the last number if that is later.
+// startNextPeriod starts to collect the usage up to now. The number of the period is that of the wall-clock period in
+// which the collection starts, but greater than the last number.
 func (m *Machine) startNextPeriod() (due time.Duration) {
 	if m.now < m.usage.collection.nextAt {
 		return m.usage.collection.nextAt
@@ -173,18 +173,18 @@
 	return 0
 }
 
-// startCollection starts to collect a period, of which there may be a report already if mayBeReported.
+// startCollection starts to collect a period. With mayBeReported, a report of the period may exist already.
 func (m *Machine) startCollection(period, previous uint32, mayBeReported bool) {
 	c := &m.usage.collection
 	c.phase = collectionOpening
 	c.startedAt = m.now
 	c.nextAt = m.now
 	c.collector = usage.NewCollector(period, previous, c.reportedUpTo, mayBeReported, c.token, m.usageQueryInterval(), m.now)
-	// Without a payload no earlier lease holder is known of.
+	// Without a payload no earlier lease holder is known.
 	c.collector.KnowsAllReports = m.leases.agent.Payload(TaskUsage) > 0
 }
 
-// usageQueryInterval is the time between two queries, for the replies not to exceed their fraction.
+// usageQueryInterval is the time between two queries, chosen so that the replies do not exceed usageReplyFraction.
 func (m *Machine) usageQueryInterval() time.Duration {
 	perSecond := m.config.Settings.PeerMessagesPerSecond
 	if perSecond <= 0 {
@@ -193,7 +193,7 @@
 	return time.Duration(float64(time.Second) / (perSecond * usageReplyFraction))
 }
 
-// openPeriod goes on to query the limiters once the acceptors keep that the period is collected.
+// openPeriod starts to query the limiters once the acceptors have stored that the period is being collected.
 func (m *Machine) openPeriod() {
 	c := &m.usage.collection
 	stage := periodOpened
@@ -205,9 +205,9 @@
 	}
 }
 
-// queryUsage queries the limiters that are due, this one included, and goes on once all have replied
-// or are missing. A limiter may have an earlier period that the acceptors no longer know of, as all of
-// them lost their memory: that one is collected first.
+// queryUsage queries the limiters that are due, this one included, and enters the next phase once every limiter has
+// replied or counts as missing. A limiter may have a pending report of an earlier period that the acceptors no longer
+// know because all of them lost their memory: that period is collected first.
 func (m *Machine) queryUsage() (due time.Duration) {
 	c := &m.usage.collection
 	queries, due := c.collector.Tick(m.now)
@@ -234,7 +234,7 @@
 	}
 }
 
-// claimPeriod has the report written once the acceptors keep that there may be one.
+// claimPeriod requests the write of the report once the acceptors have stored that the report may exist.
 func (m *Machine) claimPeriod(until time.Duration) (due time.Duration) {
 	c := &m.usage.collection
 	if m.now < c.nextAt {
@@ -244,14 +244,14 @@
 		return 0
 	}
 	c.phase = collectionWriting
-	c.nextAt = m.now + writeStuckLeases*m.config.Leases.Duration
+	c.nextAt = m.now + writeTimeoutLeaseDurations*m.config.Leases.Duration
 	m.usage.recorder.MarkSent(c.collector)
 	m.reportInheritedUsage()
 	m.emit(WriteUsage{Token: c.token, StartBefore: until, Report: m.usageReport()})
 	return 0
 }
 
-// usageReport returns the report of the period that was collected, a line of JSON.
+// usageReport returns the report of the collected period as one line of JSON.
 func (m *Machine) usageReport() []byte {
 	plans := make([]string, 0, len(m.config.Settings.Plans))
 	for _, plan := range m.config.Settings.Plans {
@@ -260,35 +260,35 @@
 	report := m.usage.collection.collector.Report(plans)
 	report.Limiter = m.config.Settings.Self
 	report.At = time.UnixMilli(int64(m.wallClock())).UTC().Format(time.RFC3339Nano)
-	data, _ := json.Marshal(report) // strings and numbers alone
+	data, _ := json.Marshal(report) // the report has only strings and numbers
 	return append(data, '\n')
 }
 
-// checkWriteStuck leaves the task to other limiters if the report is not written in time.
-func (m *Machine) checkWriteStuck() (due time.Duration) {
+// checkWriteTimeout releases the lease to other limiters if the report is not written in time.
+func (m *Machine) checkWriteTimeout() (due time.Duration) {
 	c := &m.usage.collection
 	if m.now < c.nextAt {
 		return c.nextAt
 	}
-	c.writeStuck = true
+	c.writeTimedOut = true
 	c.phase = collectionIdle
 	m.logf("usage report not written in time, lease released for another limiter to write it")
 	m.setLeaseWanted(TaskUsage, false)
 	return 0
 }
 
-// onUsageWritten goes on once a report is written, or retries one that is not.
+// onUsageWritten handles the result of a write: it confirms a report that was written, and retries one that was not.
 func (m *Machine) onUsageWritten(ev UsageWritten) {
 	if m.leases.agent == nil {
 		return
 	}
 	c := &m.usage.collection
-	if c.writeStuck {
-		c.writeStuck = false
+	if c.writeTimedOut {
+		c.writeTimedOut = false
 		m.setLeaseWanted(TaskUsage, true)
 	}
 	if ev.Token != c.token || c.phase != collectionWriting {
-		return // the lease is another limiter's by now, which writes the period again
+		return // another limiter holds the lease by now and writes the period again
 	}
 	switch {
 	case ev.LeaseExpired:
@@ -297,7 +297,7 @@
 		m.retryWriteAt(m.now)
 	case ev.Err != nil:
 		m.usage.counts.Failed++
-		m.logf("usage report could not be written, it is retried: %v", ev.Err)
+		m.logf("writing the usage report failed, will be retried: %v", ev.Err)
 		m.retryWriteAt(m.now + writeRetryDelay)
 	default:
 		m.countWrittenReport()
@@ -320,7 +320,7 @@
 	m.usage.counts.Missing += uint64(collector.Missing())
 }
 
-// confirmPeriod ends the work on a period once the acceptors keep that its report is written.
+// confirmPeriod ends the work on a period once the acceptors have stored that its report is written.
 func (m *Machine) confirmPeriod() {
 	if !m.setUsageStage(periodWritten) {
 		return
@@ -333,7 +333,7 @@
 	c.nextAt = c.startedAt + m.config.UsagePeriod
 }
 
-// sendUsageConfirmations tells the limiters whose usage the report has that it is written.
+// sendUsageConfirmations notifies the limiters whose usage is in the report that the report is written.
 func (m *Machine) sendUsageConfirmations() {
 	collector := m.usage.collection.collector
 	confirmation := collector.Confirmation()
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -6,25 +6,25 @@
 	"lemongate/internal/admission"
 )
 
-// This file is the bridge to the admission controller, which decides which requests are forwarded,
-// when and to which backend: events go to it, and its actions become effects.
+// This file connects the machine to the admission controller, which decides which requests are forwarded, when and
+// to which backend: the machine passes events to it and turns its actions into effects.
 
-// controllerBridge is the admission controller, with its timer, queued events and actions.
-type controllerBridge struct {
+// admissionState is the admission controller with its timer, queued events and actions.
+type admissionState struct {
 	controller *admission.Controller
-	timerAt    time.Duration      // clock time of its timer in force; 0 for none
+	timerAt    time.Duration      // clock time for which its timer is set; 0 for none
 	events     []admission.Event  // queued; the first is being handled
-	actions    []admission.Action // of the event that is being handled
+	actions    []admission.Action // for the event that is being handled
 }
 
-// decide hands an event to the admission controller and carries out its actions. An event that an action
-// brings about at once, such as an attempt that is not sent, is handled after all actions, as if it came
-// from outside.
-func (m *Machine) decide(ev admission.Event) {
+// stepController passes an event to the admission controller and applies its actions. An event that results from an
+// action at once, such as an attempt that is not sent, is queued and handled after all actions, like an event from
+// outside.
+func (m *Machine) stepController(ev admission.Event) {
 	c := &m.admission
 	c.events = append(c.events, ev)
 	if len(c.events) > 1 {
-		return // the loop below runs further up the stack, and gets there
+		return // called from an action: the loop further up the stack handles the event
 	}
 	for len(c.events) > 0 {
 		c.actions = c.controller.Handle(m.now, c.events[0], c.actions[:0])
@@ -36,7 +36,7 @@
 	c.events = nil
 }
 
-// applyAction carries out an action of the admission controller.
+// applyAction applies an action of the admission controller.
 func (m *Machine) applyAction(action admission.Action) {
 	switch action := action.(type) {
 	case admission.StartAttempt:
@@ -54,15 +54,15 @@
 		m.sendGossip(action)
 	case admission.ProbeBackend:
 		m.probeBackend(action.Backend)
-	case admission.PollEndpoints: // the endpoint list is watched in any case
+	case admission.PollEndpoints: // nothing to do: the endpoint list is watched in any case
 	case admission.Log:
 		m.emit(Log{Text: action.Text})
 	default:
-		m.logf("unknown action %T", action)
+		m.logf("unknown action of the admission controller: %T", action)
 	}
 }
 
 func (m *Machine) onControllerTimer() {
 	m.admission.timerAt = 0
-	m.decide(admission.TimerFired{})
+	m.stepController(admission.TimerFired{})
 }
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -6,20 +6,20 @@
 	"lemongate/internal/hotrestart"
 )
 
-// Effect is something that the caller is to do, in the order given: one of the types of this file.
+// Effect is an action that the caller carries out, in the order given: one of the types of this file.
 type Effect interface{ effect() }
 
 // Effects on the HTTP server.
 
-// Respond gives a request its one response.
+// Respond sends the response to a request. Every request gets exactly one.
 type Respond struct {
 	Request    RequestID
 	Kind       ResponseKind
-	RetryAfter time.Duration // with Rejected; 0 for no advice
+	RetryAfter time.Duration // with Rejected; 0 for no Retry-After
 	Response   Content       // with Served
 }
 
-// ResponseKind says how a request ended.
+// ResponseKind is the kind of response with which a request ends.
 type ResponseKind uint8
 
 const (
@@ -29,18 +29,17 @@
 	Rejected
 	// Failed is a local reply: the request was not served, and may have run.
 	Failed
-	// DuplicateID is a local reply: an open request has the same call ID.
+	// DuplicateID is a local reply: another open request has the same call ID.
 	DuplicateID
 )
 
-// SetReady sets whether clients may use this process, as its health check says.
+// SetReady sets whether the health check reports this process as ready for clients.
 type SetReady struct{ Ready bool }
 
 // DrainClientConns closes each client connection between requests.
 type DrainClientConns struct{}
 
-// CloseServer closes the listener and answers the requests received. ServerClosed follows, within the time
-// given.
+// CloseServer closes the listener and answers the requests received. ServerClosed follows within the given time.
 type CloseServer struct{ Within time.Duration }
 
 // Effects on the HTTP client of the backends.
@@ -50,44 +49,44 @@
 	Attempt AttemptID
 	Backend string        // ID
 	Addr    string        // host:port
-	Timeout time.Duration // from now; then CancelAttempt follows
+	Timeout time.Duration // from now; CancelAttempt follows at its end
 	Content Content
 
 	// Token is the fencing token of the lease that the attempt is made under; 0 for none.
 	Token uint64
-	// StartBefore is the clock time from which on no byte of the request may be written any more, as
-	// the lease or the idempotency window has ended; 0 for no bound.
+	// StartBefore is the clock time before which the first byte of the request must be written, because
+	// the lease or the idempotency window ends then; 0 for no bound.
 	StartBefore time.Duration
 }
 
-// CancelAttempt gives an attempt up: its connection is closed, and its result is not wanted.
+// CancelAttempt cancels an attempt: its connection is closed, and its result is ignored.
 type CancelAttempt struct{ Attempt AttemptID }
 
-// WithdrawAttempt ends an attempt with the result NotSent, unless a byte of its request is written already:
-// then the attempt goes on.
+// WithdrawAttempt ends an attempt with the result NotSent, unless a byte of its request has been written:
+// in that case the attempt continues.
 type WithdrawAttempt struct{ Attempt AttemptID }
 
-// ProbeBackend requests a load report of a backend. ProbeFinished follows.
+// ProbeBackend sends a probe to a backend, which asks for its load report. ProbeFinished follows.
 type ProbeBackend struct {
 	Backend string // ID
 	Addr    string // host:port
 }
 
-// CloseBackendConns closes the idle connections to a backend that drains, was removed or restarted, or
-// moved. Attempts that have begun go on on theirs; no first byte of another request may be written on a
-// connection that is open now.
+// CloseBackendConns closes the idle connections to a backend that drains, was removed, restarted, or
+// moved to another address. Attempts that have begun continue on their connections; no first byte of another request
+// may be written on a connection that is open now.
 type CloseBackendConns struct {
 	Backend string // ID
 }
 
-// WatchEndpoints watches the endpoint list at another address, at once.
+// WatchEndpoints switches the watch of the endpoint list to another address, at once.
 type WatchEndpoints struct {
 	Addr string // host:port
 }
 
 // Effects on other limiters.
 
-// SendToPeer sends a datagram to a limiter, or to all of them.
+// SendToPeer sends a datagram to one other limiter, or to all of them.
 type SendToPeer struct {
 	Peer int // number; below 0 for all
 	Data []byte
@@ -95,21 +94,21 @@
 
 // Effects on the process.
 
-// SetTimer requests a TimerFired at a clock time, in place of the one requested before.
+// SetTimer requests a TimerFired at a clock time. It replaces the one requested before.
 type SetTimer struct{ At time.Duration }
 
-// ReloadConfig reads the configuration again. ConfigReloaded follows.
+// ReloadConfig rereads the configuration. ConfigReloaded follows.
 type ReloadConfig struct{}
 
 // WriteUsage appends a usage report to the file of the lease with this token, unless the clock time
-// StartBefore has come. UsageWritten follows.
+// StartBefore has been reached. UsageWritten follows.
 type WriteUsage struct {
 	Token       uint64
 	StartBefore time.Duration
-	Report      []byte // a line
+	Report      []byte // one line
 }
 
-// PublishMetrics publishes metrics. The receiver may keep them.
+// PublishMetrics publishes metrics. The receiver may retain them.
 type PublishMetrics struct{ Metrics Metrics }
 
 // Log writes a message to the log.
@@ -118,16 +117,16 @@
 // Exit ends the process.
 type Exit struct{}
 
-// Abort ends the process, which never served, with an error.
+// Abort ends the process with an error before it has served any client.
 type Abort struct{ Reason string }
 
 // Effects of a hot restart on the link to the other process.
 
-// ConnectPredecessor connects to the process that runs, if there is one, and sends it Hello.
-// LinkMessageReceived follows, or LinkClosed where there is none.
+// ConnectPredecessor connects to the running process, if there is one, and sends it Hello.
+// LinkMessageReceived follows, or LinkClosed if there is none.
 type ConnectPredecessor struct{}
 
-// AcceptSuccessor takes the link of a SuccessorConnected: only events of this link count from now on.
+// AcceptSuccessor accepts the link of a SuccessorConnected: from now on only events of this link are delivered.
 type AcceptSuccessor struct{ Link Content }
 
 // DenySuccessor sends Deny on the link of a SuccessorConnected and closes it.
@@ -136,36 +135,36 @@
 	Reason string
 }
 
-// ListenForSuccessors lets successors connect to this process from now on.
+// ListenForSuccessors makes this process accept connections of successors from now on.
 type ListenForSuccessors struct{}
 
-// SendLinkMessage sends a message of the protocol.
+// SendLinkMessage sends a message of the hot restart protocol.
 type SendLinkMessage struct{ Kind hotrestart.Kind }
 
-// TransferState sends Transfer with the state and the sockets of the listener for clients and of the
-// transport to other limiters.
+// TransferState sends Transfer with the state, and with the sockets of the client listener and of the transport to
+// other limiters.
 type TransferState struct{ State HandoverState }
 
-// CloseLink closes the link after what was sent.
+// CloseLink closes the link once everything queued on it is sent.
 type CloseLink struct{}
 
 // KillOtherProcess kills the other process. LinkClosed follows.
 type KillOtherProcess struct{}
 
-// ReportAttemptStarted notifies the successor of an attempt that started here.
+// ReportAttemptStarted notifies the successor of an attempt that this process started.
 type ReportAttemptStarted struct{ OpenAttempt }
 
-// ReportAttemptFinished notifies the successor of an attempt that ended here.
+// ReportAttemptFinished notifies the successor that an attempt of this process has ended.
 type ReportAttemptFinished struct{ FinishedAttempt }
 
-// ForwardRequest has the successor decide a request. ForwardedResponseReceived follows.
+// ForwardRequest forwards a request to the successor, which decides it. ForwardedResponseReceived follows.
 type ForwardRequest struct{ ForwardedRequest }
 
-// CancelForwardedRequest notifies the successor that a request it is to decide needs no decision.
+// CancelForwardedRequest notifies the successor that a forwarded request needs no decision any more.
 type CancelForwardedRequest struct{ Request RequestID }
 
-// ReportRequestEnded notifies the successor that a request which had attempts here will have no more, where the last
-// one without success left that open.
+// ReportRequestEnded notifies the successor that a request which had attempts in this process will have no more. It is
+// sent where the last attempt ended without success, so that the successor could not tell whether a retry follows.
 type ReportRequestEnded struct{ Request RequestID }
 
 // ReportInheritedUsageSent notifies the predecessor that usage which it handed over may be in a report.
@@ -176,30 +175,30 @@
 
 // Effects of a hot restart on sockets and connections.
 
-// OpenListeners starts to listen to clients and other limiters, with nothing from a predecessor.
+// OpenListeners starts to listen for clients and other limiters, without sockets of a predecessor.
 type OpenListeners struct {
-	Wait bool // another process that ends may hold the addresses for a while
+	Wait bool // another process that is ending may hold the addresses for a while
 }
 
-// AdoptSockets serves on the predecessor's sockets, and goes on with its clock.
+// AdoptSockets serves on the predecessor's sockets, and continues its clock.
 type AdoptSockets struct {
 	Sockets     Content
 	Now         time.Duration // the predecessor's clock time
 	Discovery   string        // address at which the endpoint list is watched
 	Generation  int64         // of the endpoint list
-	LastRequest RequestID     // requests are numbered from beyond this
+	LastRequest RequestID     // the next request gets a greater ID
 }
 
-// PauseListeners stops accepting clients and receiving from other limiters.
+// PauseListeners stops accepting client connections and receiving from other limiters.
 type PauseListeners struct{}
 
 // ResumeListeners ends PauseListeners.
 type ResumeListeners struct{}
 
-// MoveClientConns moves each client connection to the successor once it is between requests.
+// MoveClientConns moves each client connection to the successor once no request is open on it.
 type MoveClientConns struct{}
 
-// SetAcceptingClients sets which of the two processes clients should use, as its health check says.
+// SetAcceptingClients sets whether the health check reports that clients should use this process, not the other one.
 type SetAcceptingClients struct{ Accepting bool }
 
 // SetResourceFraction sets the fraction of the platform's limits that this process may use, 0 to 1.
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/admission"
 )
 
-// This file keeps the endpoint list, and closes connections to what should take no new requests.
+// This file maintains the endpoint list, and closes connections to backends that should take no new requests on them.
 
 // Endpoint is a backend of the endpoint list and its address.
 type Endpoint struct {
@@ -15,7 +15,7 @@
 	Addr string // host:port
 }
 
-// endpointList is the endpoint list and where it comes from.
+// endpointList is the endpoint list and its source.
 type endpointList struct {
 	byID       map[string]*Endpoint // live and draining backends, by ID
 	generation int64
@@ -26,7 +26,7 @@
 	return endpointList{byID: map[string]*Endpoint{}, discovery: discovery}
 }
 
-// onEndpointsUpdated applies a watch event. The first one makes a process that starts ready.
+// onEndpointsUpdated applies a watch event. The first one makes a starting process ready.
 func (m *Machine) onEndpointsUpdated(ev *EndpointsUpdated) {
 	m.applyEndpoints(ev)
 	if m.phase == Starting {
@@ -34,9 +34,9 @@
 	}
 }
 
-// applyEndpoints updates the list. A backend that drains, was removed or restarted, or moved keeps no
-// connection that a new attempt could use. Removed backends are forgotten here: most are replaced under new
-// IDs, and one that comes back is listed again. The admission controller remembers them for longer.
+// applyEndpoints updates the list. It closes the idle connections to a backend that drains, was removed, restarted, or
+// moved to another address, so that no new attempt uses them. Removed backends are deleted here: most are
+// replaced under new IDs, and one that returns is listed again. The admission controller remembers them for longer.
 func (m *Machine) applyEndpoints(ev *EndpointsUpdated) {
 	m.counters.EndpointUpdates++
 	m.endpoints.generation = ev.Generation
@@ -48,10 +48,10 @@
 	if ev.Kind == admission.ListComplete || ev.Kind == admission.ListCached {
 		m.removeUnlisted(ev.Endpoints)
 	}
-	m.decide(list)
+	m.stepController(list)
 }
 
-// applyEndpoint updates one entry of the list.
+// applyEndpoint applies one entry of an update to the list.
 func (m *Machine) applyEndpoint(endpoint *Endpoint) {
 	old := m.endpoints.byID[endpoint.ID]
 	if old != nil && (endpoint.State != admission.Live || endpoint.StartedAt != old.StartedAt || endpoint.Addr != old.Addr) {
@@ -65,13 +65,13 @@
 	m.endpoints.byID[endpoint.ID] = &kept
 }
 
-// removeUnlisted removes the backends that a complete list does not name.
+// removeUnlisted removes the backends that are missing from a complete list.
 func (m *Machine) removeUnlisted(listed []Endpoint) {
 	named := map[string]bool{}
 	for i := range listed {
 		named[listed[i].ID] = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.endpoints.byID)) { // for the same order of effects every time
+	for _, id := range slices.Sorted(maps.Keys(m.endpoints.byID)) { // sorted, so that the order of effects is deterministic
 		if !named[id] {
 			delete(m.endpoints.byID, id)
 			m.emit(CloseBackendConns{Backend: id})
@@ -79,7 +79,7 @@
 	}
 }
 
-// liveBackends is the number of backends that take requests according to the list.
+// liveBackends is the number of backends that the list has as live.
 func (m *Machine) liveBackends() int {
 	live := 0
 	for _, endpoint := range m.endpoints.byID {
@@ -90,7 +90,7 @@
 	return live
 }
 
-// probeBackend sends a probe, unless the backend takes no requests or the successor probes.
+// probeBackend sends a probe, unless the backend is not live or the successor sends the probes.
 func (m *Machine) probeBackend(id string) {
 	endpoint := m.endpoints.byID[id]
 	if endpoint == nil || endpoint.State != admission.Live || m.hotRestart.stateSent {
@@ -101,5 +101,5 @@
 }
 
 func (m *Machine) onProbeFinished(ev *ProbeFinished) {
-	m.decide(&admission.ProbeResult{Backend: ev.Backend, Result: ev.Result, Latency: ev.Latency, Report: ev.Report})
+	m.stepController(&admission.ProbeResult{Backend: ev.Backend, Result: ev.Result, Latency: ev.Latency, Report: ev.Report})
 }
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/admission"
 )
 
-// A connection opened before a drain, a removal, a restart or a move must carry no new request; a backend
-// that is merely listed again keeps its connections.
+// Connections opened before a backend drains, is removed, restarts or moves to another address must carry no new
+// request. A backend that is listed again without a change keeps its connections.
 func TestConnsOfChangedBackendsAreClosed(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind   admission.ListKind
@@ -32,8 +32,8 @@
 	}
 }
 
-// On most days backends are replaced under new IDs: removed ones are forgotten, whether they are listed
-// as removed or left out of a complete list.
+// Backends are often replaced under new IDs. Removed ones must be deleted, whether they are listed as removed or are
+// missing from a complete list.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	m := newTestMachine(t)
 	for i := range 50 {
@@ -44,10 +44,10 @@
 		removal := &EndpointsUpdated{Kind: admission.ListDelta, Endpoints: []Endpoint{newEndpoint(a, "", admission.Removed, 0)}}
 		got := effectsOf[CloseBackendConns](m.Step(time.Hour, removal))
 		if len(got) != 1 || got[0].Backend != a {
-			t.Fatalf("closed the connections of %v", got)
+			t.Fatalf("closed the connections of %v, want those of the removed backend", got)
 		}
 	}
 	if len(m.endpoints.byID) != 1 {
-		t.Errorf("%d backends kept", len(m.endpoints.byID))
+		t.Errorf("%d backends kept, want 1", len(m.endpoints.byID))
 	}
 }
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -10,7 +10,7 @@
 	"lemongate/internal/rapidtest"
 )
 
-// TestMain fixes the seed of the model test, so that its verdict is the same every time.
+// TestMain fixes the seed of the model test, so that its result is the same every time.
 func TestMain(m *testing.M) { os.Exit(rapidtest.Main(m, "20261201", nil)) }
 
 var testSettings = admission.Settings{
@@ -27,7 +27,7 @@
 	SlowStartFraction: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 4, OverloadDuration: time.Second,
 }
 
-// settingsWithFreePlan are the test settings with a plan without a quota.
+// settingsWithFreePlan returns the test settings with an additional plan without a quota.
 func settingsWithFreePlan() admission.Settings {
 	settings := testSettings
 	settings.Plans = append(slices.Clone(settings.Plans), admission.Plan{Name: "free", WeightFactor: 1})
@@ -38,14 +38,14 @@
 	return Endpoint{admission.Backend{ID: id, Zone: "a", State: state, StartedAt: startedAt}, addr}
 }
 
-// newTestMachine returns a machine with the test settings that starts at one hour.
+// newTestMachine returns a machine with the test settings, started at a clock time of one hour.
 func newTestMachine(t *testing.T, endpoints ...Endpoint) *Machine {
 	t.Helper()
 	m, _ := New(time.Hour, Config{Settings: testSettings, Seed: 1, KnownEndpoints: endpoints})
 	return m
 }
 
-// effectsOf picks the effects of one type.
+// effectsOf returns the effects of one type.
 func effectsOf[E Effect](effects []Effect) (list []E) {
 	for _, e := range effects {
 		if e, ok := e.(E); ok {
@@ -55,8 +55,8 @@
 	return list
 }
 
-// readRequest returns a request of class read.
-func readRequest(id RequestID, receivedAt, budget time.Duration) *RequestReceived {
+// newReadRequest returns a request of class read.
+func newReadRequest(id RequestID, receivedAt, budget time.Duration) *RequestReceived {
 	return &RequestReceived{ReceivedAt: receivedAt, Request: admission.Request{
 		ID: id, Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: budget, FirstLimiter: 0, SetSize: 1,
 	}}
--- a/internal/core/format_test.go
+++ b/internal/core/format_test.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/golden"
 )
 
-// The counters and the view of the rolling restart have the fields that scripts read of 0.8.0.
+// The counters and the view of the rolling restart have the JSON fields of 0.8.0, which scripts read.
 func TestCountersOfEarlierRelease(t *testing.T) {
 	var counters Counters
 	(&golden.Filler{}).Fill(&counters)
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -6,22 +6,22 @@
 	"lemongate/internal/admission"
 )
 
-// This file forwards requests between the two processes of a hot restart: the predecessor has the
-// clients, the successor admits.
+// This file forwards requests between the two processes of a hot restart: the predecessor has the client
+// connections, the successor admits requests.
 
-// forwardMargin is how much earlier a successor answers a forwarded request than a request of its own, so
-// that the response is with the predecessor before that one answers in its place; see responseMargin.
+// forwardMargin is how much earlier a successor answers a forwarded request than a request of its own, so that the
+// response reaches the predecessor before the predecessor answers in its place; see responseMargin.
 const forwardMargin = 20 * time.Millisecond
 
 // ForwardedRequest is a request that a predecessor forwards to its successor.
 type ForwardedRequest struct {
-	admission.Request // Budget is what is left of it
+	admission.Request // with the remaining Budget
 	CallID            string
 	Content           Content
 }
 
-// forwardRequests forwards the undecided requests, and all that come from now on. The client connections
-// stay here: if the successor failed in its probation, all requests on them would be lost.
+// forwardRequests forwards the undecided requests, and all that arrive from now on. The client connections stay with
+// this process: if they moved and the successor failed in its probation, all requests on them would be lost.
 func (m *Machine) forwardRequests() {
 	m.hotRestart.forwarding = true
 	m.emit(SetAcceptingClients{Accepting: false})
@@ -32,8 +32,8 @@
 	m.hotRestart.undecided = nil
 }
 
-// forward has the successor decide a request. Until its response the request may have run, as far as known
-// here.
+// forward forwards a request to the successor, which decides it. As this process cannot tell whether the request ran,
+// it counts as one that may have run until the response arrives.
 func (m *Machine) forward(r *request) {
 	if r.answered {
 		return
@@ -45,7 +45,7 @@
 	m.emit(ForwardRequest{ForwardedRequest{Request: forwarded, CallID: r.CallID, Content: r.Content}})
 }
 
-// onForwardedRequest accepts a request that the predecessor forwards, once this process admits.
+// onForwardedRequest accepts a request that the predecessor forwards, if this process admits requests already.
 func (m *Machine) onForwardedRequest(ev *ForwardedRequestReceived) {
 	if m.phase < Serving {
 		return
@@ -54,7 +54,7 @@
 	m.acceptRequest(received, true)
 }
 
-// onForwardedResponse passes on the successor's response.
+// onForwardedResponse answers a request with the successor's response.
 func (m *Machine) onForwardedResponse(ev *ForwardedResponseReceived) {
 	r := m.requests.byID[ev.Request]
 	if r != nil && r.forwarded {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -11,25 +11,26 @@
 	"lemongate/internal/usage"
 )
 
-// This file hands the state over: the predecessor stops admitting and packs it, the successor starts
-// from it and adopts the attempts that the predecessor has in flight; or the predecessor admits again.
+// This file implements the handover of the state: the predecessor stops admitting requests and collects its state, the
+// successor starts from that state and adopts the attempts that the predecessor has in flight. If the successor fails,
+// the predecessor admits requests again.
 
-// requestIDGap is how far the IDs of a successor's requests are from those that its predecessor may
-// still give.
+// requestIDGap is the distance of the IDs of a successor's requests from the last ID of its predecessor, which may
+// still assign further ones.
 const requestIDGap = 1 << 32
 
-// HandoverState is the state that a predecessor hands over. Clock times are by its clock, which the
-// successor goes on with.
+// HandoverState is the state that a predecessor hands over. Clock times are those of its clock, which the
+// successor continues.
 type HandoverState struct {
 	Now            time.Duration
-	Controller     []byte // admission.Controller.Snapshot; empty where there is none or it failed
+	Controller     []byte // admission.Controller.Snapshot; empty if there is none or it failed
 	Endpoints      []Endpoint
 	Generation     int64     // of Endpoints
 	Discovery      string    // address at which the endpoint list is watched
-	LastRequest    RequestID // the successor's requests are numbered from beyond this
+	LastRequest    RequestID // greatest ID of the predecessor's requests; those of the successor are greater
 	OpenAttempts   []OpenAttempt
-	Usage          *usage.RecorderState  // nil where usage is not accounted for
-	LeaseAcceptors []lease.AcceptorState // what this limiter keeps as an acceptor
+	Usage          *usage.RecorderState  // nil if usage is not accounted for
+	LeaseAcceptors []lease.AcceptorState // what this limiter has stored as an acceptor
 }
 
 // OpenAttempt is an attempt that a predecessor has in flight.
@@ -41,7 +42,7 @@
 	UsageRecorded bool   // the predecessor recorded the request's units
 }
 
-// FinishedAttempt is how an attempt of a predecessor ended.
+// FinishedAttempt is the result of an attempt of a predecessor.
 type FinishedAttempt struct {
 	Attempt AttemptID
 	Backend string // ID
@@ -59,21 +60,21 @@
 	}
 }
 
-// stopAdmitting keeps the requests without an attempt for whichever process admits next. Units reserved
-// for them go back.
+// stopAdmitting stops admitting requests. It keeps those without an attempt for the process that admits next; units
+// reserved for them are returned.
 func (m *Machine) stopAdmitting() {
 	m.releaseLeases()
 	m.emit(PauseListeners{})
 	for _, r := range m.requests.inOrder() {
 		if !r.answered && r.attempts == 0 {
-			m.decide(&admission.RequestEnded{Request: r.ID})
+			m.stepController(&admission.RequestEnded{Request: r.ID})
 			m.hotRestart.undecided = append(m.hotRestart.undecided, r)
 		}
 	}
 }
 
-// packState returns the state for the successor, which from now on exchanges messages with other limiters.
-func (m *Machine) packState() HandoverState {
+// buildHandoverState returns the state for the successor, which exchanges messages with other limiters from now on.
+func (m *Machine) buildHandoverState() HandoverState {
 	m.hotRestart.stateSent = true
 	state := HandoverState{
 		Now:            m.now,
@@ -88,7 +89,7 @@
 	}
 	snapshot, err := m.admission.controller.Snapshot()
 	if err != nil {
-		m.logf("successor starts without the admission state: %v", err)
+		m.logf("snapshot of the admission state failed, successor starts without it: %v", err)
 	}
 	state.Controller = snapshot
 	for _, id := range slices.Sorted(maps.Keys(m.endpoints.byID)) {
@@ -106,16 +107,16 @@
 	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Number, b.Number))
 }
 
-// resumeAdmitting admits again. With newEpoch the successor admitted meanwhile.
+// resumeAdmitting admits requests again. With newEpoch, the successor has admitted requests meanwhile.
 func (m *Machine) resumeAdmitting(newEpoch bool) {
 	m.hotRestart.forwarding = false
 	m.hotRestart.stateSent = false
 	m.emit(SetResourceFraction{Fraction: 1})
 	m.emit(ResumeListeners{})
 	m.emit(SetAcceptingClients{Accepting: true})
-	m.phase = Serving // not enterPhase: the process was ready all along
+	m.phase = Serving // enterPhase would report readiness again, but the process was ready all along
 	m.startLeases()
-	m.logf("no successor took over, this process admits again")
+	m.logf("hot restart did not complete, this process admits requests again")
 	if newEpoch {
 		m.renewEpoch()
 	}
@@ -126,13 +127,13 @@
 	}
 }
 
-// renewEpoch starts a new epoch of the limiter, and answers the requests that the successor was to decide:
-// it is not known whether they ran.
+// renewEpoch starts a new epoch of the limiter, and answers the requests that were forwarded to the successor with
+// local replies: it is not known whether they ran.
 func (m *Machine) renewEpoch() {
 	if m.usage.recorder != nil {
 		m.usage.recorder.Reset(m.config.Epoch)
 	}
-	m.decide(admission.EpochRenewed{Epoch: m.config.Epoch})
+	m.stepController(admission.EpochRenewed{Epoch: m.config.Epoch})
 	for _, r := range m.requests.inOrder() {
 		if r.forwarded && !r.answered {
 			m.endUnserved(r)
@@ -140,7 +141,7 @@
 	}
 }
 
-// submitUndecided has the admission controller decide the requests that came while no process admitted.
+// submitUndecided submits the requests that arrived while no process admitted requests to the admission controller.
 func (m *Machine) submitUndecided() {
 	for _, r := range m.hotRestart.undecided {
 		if !r.answered {
@@ -150,7 +151,7 @@
 	m.hotRestart.undecided = nil
 }
 
-// startAdmitting starts with the state and the sockets that the predecessor sent.
+// startAdmitting starts to admit requests with the state and the sockets that the predecessor sent.
 func (m *Machine) startAdmitting() {
 	state := m.takeReceivedState()
 	m.now = max(m.now, state.Now)
@@ -180,8 +181,8 @@
 	m.emit(SetAcceptingClients{Accepting: true})
 }
 
-// takeReceivedState returns the state that the predecessor sent. What it lacks is taken from the
-// configuration, all of it where the state could not be read.
+// takeReceivedState returns the state that the predecessor sent. The endpoint list and its address are taken from the
+// configuration where the state lacks them or could not be read.
 func (m *Machine) takeReceivedState() *HandoverState {
 	state := m.hotRestart.received
 	m.hotRestart.received = nil
@@ -198,8 +199,8 @@
 	return state
 }
 
-// restoreController goes on with the predecessor's admission state, or starts with the endpoint list
-// alone where that cannot be used.
+// restoreController restores the predecessor's admission state. If that fails, it starts with the endpoint list
+// alone.
 func (m *Machine) restoreController(state *HandoverState) {
 	controller, err := admission.Resume(m.config.Settings, m.config.Seed, state.Controller)
 	if err != nil {
@@ -212,11 +213,11 @@
 		endpoint := state.Endpoints[i]
 		m.endpoints.byID[endpoint.ID] = &endpoint
 	}
-	m.decide(admission.TimerFired{})
+	m.stepController(admission.TimerFired{})
 }
 
-// onPredecessorAttemptStarted adopts an attempt that the predecessor has in flight. It counts at its backend
-// and for its customer until it ends.
+// onPredecessorAttemptStarted adopts an attempt that the predecessor has in flight. The attempt counts for its backend
+// and its customer until it ends.
 func (m *Machine) onPredecessorAttemptStarted(open *OpenAttempt) {
 	if state := m.hotRestart.received; state != nil {
 		state.OpenAttempts = append(state.OpenAttempts, *open)
@@ -226,7 +227,7 @@
 	if open.CallID != "" {
 		m.requests.byCallID[open.CallID] = open.ID
 	}
-	m.decide(&admission.AttemptAdopted{Request: open.Request, Attempt: open.Attempt, Backend: open.Backend})
+	m.stepController(&admission.AttemptAdopted{Request: open.Request, Attempt: open.Attempt, Backend: open.Backend})
 }
 
 // onPredecessorAttemptFinished ends an attempt of the predecessor.
@@ -245,14 +246,14 @@
 	if m.requests.byCallID[open.CallID] == open.ID {
 		delete(m.requests.byCallID, open.CallID)
 	}
-	m.decide(&admission.AttemptFinished{
+	m.stepController(&admission.AttemptFinished{
 		Request: finished.Attempt.Request, Attempt: finished.Attempt.Number, Backend: finished.Backend,
 		Result: finished.Result, Latency: finished.Latency, Final: true, Report: finished.Report,
 	})
 }
 
-// removeReceivedAttempt removes an attempt that ended before the received state is applied, and records
-// its units there.
+// removeReceivedAttempt removes an attempt that ended before the received state is applied from that state, and adds
+// its units to the usage there.
 func (m *Machine) removeReceivedAttempt(finished *FinishedAttempt) {
 	state := m.hotRestart.received
 	state.OpenAttempts = slices.DeleteFunc(state.OpenAttempts, func(open OpenAttempt) bool {
@@ -263,26 +264,26 @@
 			state.Usage.Add(m.usageKey(&open.Request), open.Units)
 		}
 		if finished.Result != admission.Succeeded {
-			m.hotRestart.awaited = append(m.hotRestart.awaited, open)
+			m.hotRestart.endedAttempts = append(m.hotRestart.endedAttempts, open)
 		}
 		return true
 	})
 }
 
-// holdSlotsOfRetries holds slots for the predecessor's requests whose attempts ended without success before the state
-// was applied, unless they have ended as well.
+// holdSlotsOfRetries holds slots for the predecessor's requests of which an attempt ended without success before the
+// state was applied, unless the requests have ended as well.
 func (m *Machine) holdSlotsOfRetries() {
-	for _, open := range m.hotRestart.awaited {
-		m.decide(&admission.AttemptAdopted{Request: open.Request, Attempt: open.Attempt})
+	for _, open := range m.hotRestart.endedAttempts {
+		m.stepController(&admission.AttemptAdopted{Request: open.Request, Attempt: open.Attempt})
 	}
-	for _, id := range m.hotRestart.ended {
-		m.decide(&admission.RequestEnded{Request: id})
+	for _, id := range m.hotRestart.endedRequests {
+		m.stepController(&admission.RequestEnded{Request: id})
 	}
-	m.hotRestart.awaited, m.hotRestart.ended = nil, nil
+	m.hotRestart.endedAttempts, m.hotRestart.endedRequests = nil, nil
 }
 
-// reportRequestEnded notifies the successor that a request will have no more attempts, so that its slot is free. It
-// matters for plans with slots alone, and after an attempt that succeeded the successor knows.
+// reportRequestEnded notifies the successor that a request will have no more attempts, so that its slot is free. Only
+// plans with slots need this, and only if no attempt succeeded: of a success the successor has been notified.
 func (m *Machine) reportRequestEnded(r *request) {
 	if !m.hotRestart.stateSent || r.attempts == 0 || r.succeeded || m.requests.byID[r.ID] != r {
 		return
@@ -298,8 +299,8 @@
 // onPredecessorRequestEnded frees the slot of a request of the predecessor.
 func (m *Machine) onPredecessorRequestEnded(id RequestID) {
 	if m.hotRestart.received != nil {
-		m.hotRestart.ended = append(m.hotRestart.ended, id)
+		m.hotRestart.endedRequests = append(m.hotRestart.endedRequests, id)
 		return
 	}
-	m.decide(&admission.RequestEnded{Request: id})
+	m.stepController(&admission.RequestEnded{Request: id})
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/admission"
 )
 
-// A successor adopts open attempts in the order in which they were made, the same every time: a
-// backend's open attempts are kept oldest first.
+// A successor must adopt open attempts in the order in which they were made, the same in every run: the open attempts
+// of a backend are kept oldest first.
 func TestOpenAttemptsAreHandedOverInOrder(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 20 {
@@ -19,13 +19,13 @@
 	m, _ := New(time.Hour, Config{Settings: settingsWithFreePlan(), Seed: 1, KnownEndpoints: endpoints})
 	started := 0
 	for id := range RequestID(30) {
-		ev := readRequest(id+1, time.Hour, time.Second)
+		ev := newReadRequest(id+1, time.Hour, time.Second)
 		ev.Plan = "free"
 		started += len(effectsOf[StartAttempt](m.Step(time.Hour, ev)))
 	}
-	state := m.packState()
+	state := m.buildHandoverState()
 	if started < 10 || len(state.OpenAttempts) != started {
-		t.Fatalf("%d attempts started, %d handed over", started, len(state.OpenAttempts))
+		t.Fatalf("%d attempts started, want at least 10; %d handed over, want all", started, len(state.OpenAttempts))
 	}
 	if !slices.IsSortedFunc(state.OpenAttempts, func(a, b OpenAttempt) int {
 		return compareAttemptIDs(a.attemptID(), b.attemptID())
@@ -34,8 +34,8 @@
 	}
 }
 
-// Attempts of a predecessor that died end in order, the same every time: the map that holds them gave a
-// different order, and with it different effects, to each of two processes with the same events.
+// Attempts of a predecessor that died must end in a deterministic order. Iteration over the map that holds them gave
+// two processes with the same events different orders, and with them different effects.
 func TestPredecessorAttemptsEndInOrder(t *testing.T) {
 	const runs, attempts = 20, 60
 	effectsOfRun := func() string {
@@ -45,7 +45,7 @@
 		}
 		m, _ := New(time.Hour, Config{Settings: settingsWithFreePlan(), Seed: 1, KnownEndpoints: endpoints})
 		for i := range RequestID(attempts) {
-			request := readRequest(i+1, time.Hour, time.Second)
+			request := newReadRequest(i+1, time.Hour, time.Second)
 			request.Plan = "free"
 			m.Step(time.Hour, &PredecessorAttemptStarted{OpenAttempt: OpenAttempt{
 				Request: request.Request, Attempt: 1, Backend: fmt.Sprintf("b%d", i%10),
@@ -53,7 +53,7 @@
 		}
 		var effects []Effect
 		for i := range RequestID(attempts) {
-			request := readRequest(1000+i, time.Hour, time.Second)
+			request := newReadRequest(1000+i, time.Hour, time.Second)
 			request.Plan = "free"
 			effects = append(effects, m.Step(time.Hour, request)...)
 		}
@@ -63,7 +63,7 @@
 	first := effectsOfRun()
 	for range runs {
 		if got := effectsOfRun(); got != first {
-			t.Fatalf("the same events gave other effects:\n%s\n%s", first, got)
+			t.Fatalf("the same events caused different effects:\n%s\n%s", first, got)
 		}
 	}
 }
--- a/internal/core/heldslots_test.go
+++ b/internal/core/heldslots_test.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/admission"
 )
 
-// follow hands a successor what a predecessor reports of its attempts and requests.
-func follow(successor *Machine, effects []Effect) {
+// deliverReports passes what a predecessor reports of its attempts and requests to a successor.
+func deliverReports(successor *Machine, effects []Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case ReportAttemptStarted:
@@ -22,16 +22,16 @@
 	}
 }
 
-// startedOf starts requests at a successor and returns how many of them have an attempt in flight.
-func startedOf(successor *Machine, first RequestID, requests int) (started int) {
+// startRequests sends requests to a successor and returns how many attempts it starts.
+func startRequests(successor *Machine, first RequestID, requests int) (started int) {
 	for i := range requests {
-		started += len(effectsOf[StartAttempt](successor.Step(time.Hour, readRequest(first+RequestID(i), time.Hour, time.Second))))
+		started += len(effectsOf[StartAttempt](successor.Step(time.Hour, newReadRequest(first+RequestID(i), time.Hour, time.Second))))
 	}
 	return started
 }
 
-// The slot of a predecessor's request is free at the successor at once when the request ended, with whichever result,
-// and held while it may be retried; also for what is reported before the successor has applied the state.
+// The slot of a predecessor's request must be free at the successor as soon as the request has ended, with any result,
+// and held while the request may be retried, also if the reports arrive before the successor has applied the state.
 func TestSlotOfPredecessorIsFreedWithItsRequest(t *testing.T) {
 	for name, test := range map[string]struct {
 		end  func(predecessor *Machine, first AttemptID) []Effect
@@ -65,32 +65,32 @@
 	} {
 		for _, early := range []bool{false, true} {
 			predecessor, successor := newSlotMachine(), newSlotMachine()
-			first := effectsOf[StartAttempt](predecessor.Step(time.Hour, readRequest(1, time.Hour, time.Second)))[0]
-			state := predecessor.packState()
+			first := effectsOf[StartAttempt](predecessor.Step(time.Hour, newReadRequest(1, time.Hour, time.Second)))[0]
+			state := predecessor.buildHandoverState()
 			successor.hotRestart.received = &state
 			if !early {
 				successor.startAdmitting()
 			}
-			follow(successor, test.end(predecessor, first.Attempt))
+			deliverReports(successor, test.end(predecessor, first.Attempt))
 			if early {
 				successor.startAdmitting()
 			}
-			if got := startedOf(successor, requestIDGap*2, 3); got != test.free {
-				t.Errorf("%s, before the state is applied %v: %d attempts start, %d slots are free", name, early, got, test.free)
+			if got := startRequests(successor, requestIDGap*2, 3); got != test.free {
+				t.Errorf("%s, reported before the state is applied: %v: %d attempts started, want %d, one for each free slot", name, early, got, test.free)
 			}
 		}
 	}
 }
 
-// The end of a request is reported where its plan has slots, and once.
+// The end of a request is reported once, and only if its plan has slots.
 func TestEndOfARequestIsReportedForPlansWithSlots(t *testing.T) {
 	for plan, want := range map[string]int{"small": 1, "free": 0} {
 		m := newSlotMachine()
 		if plan == "free" {
 			m.config.Settings.Plans = []admission.Plan{{Name: "small", WeightFactor: 1}}
 		}
-		first := effectsOf[StartAttempt](m.Step(time.Hour, readRequest(1, time.Hour, time.Second)))[0]
-		m.packState()
+		first := effectsOf[StartAttempt](m.Step(time.Hour, newReadRequest(1, time.Hour, time.Second)))[0]
+		m.buildHandoverState()
 		effects := slices.Clone(m.Step(time.Hour, &ClientDisconnected{Request: 1}))
 		effects = append(effects, m.Step(time.Hour, &AttemptFinished{Attempt: first.Attempt, Result: admission.NotSent})...)
 		effects = append(effects, m.Step(time.Hour, &AttemptFinished{Attempt: first.Attempt, Result: admission.NotSent})...)
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -10,37 +10,37 @@
 	"lemongate/internal/lease"
 )
 
-// This file is the hot restart as the program sees it: of the two processes of one limiter, one admits.
-// Package hotrestart decides which, and this file carries that out. Requests with an
-// attempt of the predecessor stay with it until they are answered. Other requests, and those it receives
-// after it has stopped admitting, it forwards to the successor, which decides them, and passes the
+// This file connects the machine to the hot restart protocol. Of the two processes of one limiter, one admits requests.
+// Package hotrestart decides which one, and this file carries the decisions out. Requests with an
+// attempt of the predecessor stay with the predecessor until they are answered. It forwards other requests, and those
+// that it receives after it has stopped admitting, to the successor, which decides them, and passes the
 // responses on to its clients.
 
-// sharedFraction is the fraction of the platform's limits that each process may use while there are two.
+// sharedFraction is the fraction of the platform's limits that each of the two processes may use.
 const sharedFraction = 0.5
 
-// hotRestartState is the hot restart that is under way, if one is.
+// hotRestartState is the state of the hot restart in progress, if there is one.
 type hotRestartState struct {
 	protocol          *hotrestart.Machine
-	timerAt           time.Duration // clock time of its timer in force; 0 for none
+	timerAt           time.Duration // clock time for which its timer is set; 0 for none
 	shutdownRequested bool
 
-	// As the predecessor.
-	stateSent      bool                  // the successor exchanges messages with other limiters, and follows the attempts here
-	forwarding     bool                  // the successor admits: requests are forwarded to it
-	undecided      []*request            // requests to be decided by whichever process admits next
+	// State of a predecessor.
+	stateSent      bool                  // the successor exchanges messages with other limiters, and follows attempts here
+	forwarding     bool                  // the successor admits requests: they are forwarded to it
+	undecided      []*request            // requests to be decided by the process that admits next
 	leaseAcceptors []lease.AcceptorState // to be sent with the state
 
-	// As the successor.
-	received *HandoverState             // state that is not applied yet; nil for none
-	sockets  Content                    // that came with the state
-	adopted  map[AttemptID]*OpenAttempt // the predecessor's attempts in flight
-	awaited  []OpenAttempt              // ended without success before the state is applied, and may be retried
-	ended    []RequestID                // ended before the state is applied
+	// State of a successor.
+	received      *HandoverState             // state that is not applied yet; nil for none
+	sockets       Content                    // sockets that were sent with the state
+	adopted       map[AttemptID]*OpenAttempt // the predecessor's attempts in flight
+	endedAttempts []OpenAttempt              // ended without success before the state is applied, and may be retried
+	endedRequests []RequestID                // ended before the state is applied
 }
 
-// newHotRestartState returns the state of a process that looks for a predecessor, or where limits is nil
-// of one that never does a hot restart.
+// newHotRestartState returns the state of a process that looks for a predecessor, or of one without hot restart if
+// limits is nil.
 func newHotRestartState(limits *hotrestart.Limits, now time.Duration) hotRestartState {
 	s := hotRestartState{adopted: map[AttemptID]*OpenAttempt{}}
 	if limits == nil {
@@ -51,7 +51,7 @@
 	return s
 }
 
-// handleLinkEvent takes in an event from the link to the other process.
+// handleLinkEvent handles an event of the link to the other process.
 func (m *Machine) handleLinkEvent(ev Event) {
 	switch ev := ev.(type) {
 	case *SuccessorConnected:
@@ -77,7 +77,7 @@
 	}
 }
 
-// onSuccessorConnected accepts a successor, unless it does not fit or this process can have none now.
+// onSuccessorConnected accepts a successor, unless it does not fit or this process cannot have one now.
 func (m *Machine) onSuccessorConnected(ev *SuccessorConnected) {
 	reason := ev.Reason
 	if reason == "" && m.phase != Serving {
@@ -92,7 +92,7 @@
 		m.emit(DenySuccessor{Link: ev.Link, Reason: "another takeover is under way"})
 		return
 	}
-	m.logf("successor connected, it gets ready")
+	m.logf("successor connected, waiting until it is prepared")
 	m.emit(AcceptSuccessor{Link: ev.Link})
 	m.applyHotRestart(effects)
 }
@@ -100,13 +100,13 @@
 func (m *Machine) onLinkMessage(ev *LinkMessageReceived) {
 	if ev.Kind == hotrestart.Transfer {
 		m.hotRestart.received = ev.State
-		m.hotRestart.awaited, m.hotRestart.ended = nil, nil
+		m.hotRestart.endedAttempts, m.hotRestart.endedRequests = nil, nil
 		m.hotRestart.sockets = ev.Sockets
 	}
 	m.applyHotRestart(m.hotRestart.protocol.MessageReceived(m.now, ev.Kind))
 }
 
-// onLinkClosed goes on without the other process, and ends the attempts that a predecessor had.
+// onLinkClosed continues without the other process, and ends the attempts that a predecessor had in flight.
 func (m *Machine) onLinkClosed(ev LinkClosed) {
 	m.config.Epoch = ev.Epoch
 	m.applyHotRestart(m.hotRestart.protocol.LinkClosed(m.now))
@@ -121,7 +121,7 @@
 	m.applyHotRestart(m.hotRestart.protocol.Tick(m.now))
 }
 
-// armHotRestartTimer sets a timer for what the protocol has due.
+// armHotRestartTimer sets a timer for the next deadline of the protocol.
 func (m *Machine) armHotRestartTimer() {
 	at, ok := m.hotRestart.protocol.NextDeadline()
 	if !ok || at == m.hotRestart.timerAt {
@@ -131,8 +131,8 @@
 	m.timers.add(timer{at: at, kind: hotRestartTimer})
 }
 
-// applyHotRestart carries out what the protocol decided. The effects are copied, as one of them may
-// lead to another call of the protocol, which reuses them.
+// applyHotRestart carries out effects of the protocol. It copies them first, as one of them may lead to another call
+// of the protocol, which reuses the slice.
 func (m *Machine) applyHotRestart(effects []hotrestart.Effect) {
 	for _, effect := range slices.Clone(effects) {
 		m.applyHotRestartEffect(effect)
@@ -161,7 +161,7 @@
 	case hotrestart.ConnectPredecessor:
 		m.emit(ConnectPredecessor{})
 	case hotrestart.KillOtherProcess:
-		m.logf("killing the other process of the hot restart, it does not respond")
+		m.logf("killing the other process of the hot restart, which does not respond")
 		m.emit(KillOtherProcess{})
 	case hotrestart.CloseLink:
 		m.emit(CloseLink{})
@@ -170,19 +170,19 @@
 	}
 }
 
-// sendLinkMessage sends a message of the protocol, the state along with Transfer.
+// sendLinkMessage sends a message of the protocol; Transfer is sent with the state.
 func (m *Machine) sendLinkMessage(kind hotrestart.Kind) {
 	if kind == hotrestart.Transfer {
-		m.emit(TransferState{State: m.packState()})
+		m.emit(TransferState{State: m.buildHandoverState()})
 		return
 	}
 	m.emit(SendLinkMessage{Kind: kind})
 }
 
-// finishHotRestart ends this process, as the successor has passed its probation.
+// finishHotRestart ends this process after the successor has passed its probation.
 func (m *Machine) finishHotRestart() {
 	silence := m.hotRestart.protocol.LongestSilence().Round(time.Millisecond)
-	m.logf("successor committed, longest time between its heartbeats %v", silence)
+	m.logf("successor committed, longest time between two of its heartbeats: %v", silence)
 	if m.phase < Closing {
 		m.enterPhase(Closing)
 	}
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -9,28 +9,28 @@
 	"lemongate/internal/lease"
 )
 
-// This file holds the leases of this limiter, for tasks that one limiter of the tier does at a time,
-// and does the recovery attempts under theirs. See docs/design/leases.md.
+// This file manages the leases of this limiter, for tasks that one limiter of the tier does at a time,
+// and makes recovery attempts under one of them. See docs/design/leases.md.
 
-// TaskRecovery is the task of making recovery attempts at ejected backends: one limiter makes them for
-// all, and what it observes reaches the others by gossip.
+// TaskRecovery is the task of making recovery attempts at ejected backends. One limiter makes them for all limiters;
+// the others receive its observations by gossip.
 const TaskRecovery = "trials"
 
-// idleLeases is how many lease durations without a request make a limiter idle.
-const idleLeases = 3
+// idleLeaseDurations is the number of lease durations without a request after which a limiter counts as idle.
+const idleLeaseDurations = 3
 
-// leaseState is the leases of this limiter.
+// leaseState is the state of this limiter's leases.
 type leaseState struct {
-	agent         *lease.Agent  // nil where there are none, or another process of this limiter has them
+	agent         *lease.Agent  // nil if there are no leases, or if another process of this limiter has them
 	startedAt     time.Duration // clock time of the start, at which the wall clock was Config.Leases.MinToken ms
-	random        *rand.Rand    // spreads the attempts of many limiters
-	dueAt         time.Duration // clock time of the timer in force; 0 for none
-	recoveryUntil time.Duration // clock time up to which the admission controller may make recovery attempts
+	random        *rand.Rand    // spreads the lease requests of many limiters over time
+	dueAt         time.Duration // clock time for which the timer is set; 0 for none
+	recoveryUntil time.Duration // clock time until which the admission controller may make recovery attempts
 	lastRequestAt time.Duration // clock time
-	idle          bool          // no request came for idleLeases: recovery is left to other limiters
+	idle          bool          // no request for idleLeaseDurations: recovery attempts are left to other limiters
 }
 
-// Holds returns the token of a task's lease if this limiter holds it at a clock time.
+// Holds returns the token of a task's lease. ok tells whether this limiter holds the lease at a clock time.
 func (m *Machine) Holds(now time.Duration, task string) (token uint64, ok bool) {
 	if m.leases.agent == nil {
 		return 0, false
@@ -39,7 +39,7 @@
 	return token, ok
 }
 
-// Leases returns the state of each task's lease as seen here, nil where there are none.
+// Leases returns the state of each task's lease as this limiter knows it, nil if there are no leases.
 func (m *Machine) Leases() []lease.View {
 	if m.leases.agent == nil {
 		return nil
@@ -47,7 +47,7 @@
 	return m.leases.agent.Views(m.now)
 }
 
-// startLeases starts with nothing known of leases, and competes for those of all tasks.
+// startLeases starts without any knowledge of leases, and competes for those of all tasks.
 func (m *Machine) startLeases() {
 	if m.config.Leases == nil || m.config.Settings.Limiters < 1 {
 		return
@@ -56,7 +56,7 @@
 	settings.Self = m.config.Settings.Self
 	settings.Limiters = m.config.Settings.Limiters
 	settings.Epoch = m.config.Epoch
-	settings.MinToken = m.wallClock() // beyond all tokens given since the process started
+	settings.MinToken = m.wallClock() // greater than all tokens given since the process started
 	m.leases.random = rand.New(rand.NewPCG(m.config.Seed, uint64(m.config.Epoch)))
 	m.leases.agent = lease.NewAgent(settings, m.now)
 	m.leases.lastRequestAt = m.now
@@ -64,11 +64,11 @@
 	for _, task := range settings.Tasks {
 		m.setLeaseWanted(task, true)
 	}
-	m.decide(admission.RecoveryLease{}) // no recovery attempts until the lease is held
+	m.stepController(admission.RecoveryLease{}) // no recovery attempts until the lease is held
 	m.runLeases()
 }
 
-// releaseLeases releases all leases, and keeps the acceptors' state for a successor.
+// releaseLeases releases all leases, and keeps the acceptor state for a successor.
 func (m *Machine) releaseLeases() {
 	if m.leases.agent == nil {
 		return
@@ -76,22 +76,22 @@
 	for _, task := range m.config.Leases.Tasks {
 		m.setLeaseWanted(task, false)
 	}
-	m.hotRestart.leaseAcceptors = m.leases.agent.State() // it replies to nobody from here on
+	m.hotRestart.leaseAcceptors = m.leases.agent.State() // final: the acceptors reply to no message from here on
 	m.leases.agent = nil
 	m.leases.recoveryUntil = 0
-	m.decide(admission.RecoveryLease{})
+	m.stepController(admission.RecoveryLease{})
 }
 
-// setLeaseWanted competes for the lease of a task, or releases it.
+// setLeaseWanted sets whether this limiter competes for the lease of a task; if not, it releases the lease.
 func (m *Machine) setLeaseWanted(task string, wanted bool) {
 	m.sendLeaseMessages(m.leases.agent.SetWanted(m.now, task, wanted, m.random))
 }
 
-// random returns a number from 0 to below 1.
+// random returns a random number from 0 to below 1.
 func (m *Machine) random() float64 { return m.leases.random.Float64() }
 
-// wallClock returns the wall clock in milliseconds: Config.Leases.MinToken, which is the wall clock at the
-// start of the process, and the time since.
+// wallClock returns the wall clock in milliseconds, computed as Config.Leases.MinToken, the wall clock at the start of
+// the process, plus the time since.
 func (m *Machine) wallClock() uint64 {
 	return m.config.Leases.MinToken + uint64((m.now-m.leases.startedAt)/time.Millisecond)
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// onLeaseMessage takes in a datagram about leases.
+// onLeaseMessage handles a datagram about leases.
 func (m *Machine) onLeaseMessage(ev *PeerMessageReceived) {
 	message, ok := lease.Parse(ev.Data)
 	if !ok || !m.isPeer(ev.From) {
@@ -139,36 +139,35 @@
 	m.timers.add(timer{at: dueAt, kind: leaseTimer})
 }
 
-// extendRecovery has the admission controller make recovery attempts for as long as the lease is held.
+// extendRecovery lets the admission controller make recovery attempts for as long as the lease is held.
 func (m *Machine) extendRecovery() {
 	_, until, ok := m.leases.agent.Holds(m.now, TaskRecovery)
 	if !ok || until == m.leases.recoveryUntil {
 		return
 	}
 	m.leases.recoveryUntil = until
-	m.decide(admission.RecoveryLease{Until: until})
+	m.stepController(admission.RecoveryLease{Until: until})
 }
 
-// updateIdle leaves recovery to other limiters while no requests come in here: recovery attempts are
+// updateIdle leaves recovery attempts to other limiters while this one receives no requests: recovery attempts are
 // made with requests, so an idle lease holder would make none.
 func (m *Machine) updateIdle() {
 	if !slices.Contains(m.config.Leases.Tasks, TaskRecovery) {
 		return
 	}
-	idle := m.now-m.leases.lastRequestAt > idleLeases*m.config.Leases.Duration
+	idle := m.now-m.leases.lastRequestAt > idleLeaseDurations*m.config.Leases.Duration
 	if idle == m.leases.idle {
 		return
 	}
 	m.leases.idle = idle
 	if idle {
 		m.leases.recoveryUntil = 0
-		m.decide(admission.RecoveryLease{})
+		m.stepController(admission.RecoveryLease{})
 	}
 	m.setLeaseWanted(TaskRecovery, !idle)
 }
 
-// recordTraffic records that a request came in, and competes for the recovery lease again after an idle
-// time.
+// recordTraffic records that a request arrived. A limiter that was idle competes for the recovery lease again.
 func (m *Machine) recordTraffic() {
 	if m.leases.agent == nil {
 		return
@@ -179,8 +178,8 @@
 	}
 }
 
-// recoveryLease returns the token of a recovery attempt and the clock time before which it must begin.
-// It fails if the lease has ended meanwhile.
+// recoveryLease returns the token for a recovery attempt and the clock time before which it must begin. ok is false
+// if the lease has ended meanwhile.
 func (m *Machine) recoveryLease() (token uint64, until time.Duration, ok bool) {
 	if m.leases.agent == nil {
 		return 0, 0, false
@@ -192,7 +191,7 @@
 	return token, until, ok
 }
 
-// recordLateAction counts an action under the lease of a task that was not begun, as the lease had ended.
+// recordLateAction counts an action under a task's lease that was not begun because the lease had ended.
 func (m *Machine) recordLateAction(task string) {
 	if m.leases.agent != nil {
 		m.leases.agent.RecordLateAction(task)
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -6,61 +6,61 @@
 	"lemongate/internal/admission"
 )
 
-// This file is the life cycle of the process: its phases, and the effects at the beginning of each.
+// This file implements the life cycle of the process: its phases, and the effects with which each begins.
 
-// Phase is a stage of the life of the process. The order of the values counts: conditions compare phases
-// by < and >=. Package hotrestart ends the phases of a hot restart, within hotrestart.Limits. A request to
-// shut down ends any of the others before Draining.
+// Phase is a stage in the life of the process. The order of the values matters: conditions compare phases
+// by < and >=. Package hotrestart ends the phases of a hot restart, within the times of hotrestart.Limits. A shutdown
+// request ends any of the phases before Draining.
 type Phase uint8
 
 const (
-	// Starting waits for the first endpoint list, for discoveryTimeout or cachedListTimeout at most.
+	// Starting waits for the first endpoint list, at most for discoveryTimeout or cachedListTimeout.
 	Starting Phase = iota
-	// AwaitingPredecessor connects to a process to take over from, and takes over from it. It ends with
-	// Starting if there is none, else with Serving. hotrestart: HelloTimeout until a predecessor has
-	// replied, then its PrepareTimeout and TransferTimeout, and CommitTimeout with its state.
+	// AwaitingPredecessor connects to a running process and takes over from it. Starting follows if there is none,
+	// Serving otherwise. Limits: HelloTimeout until a predecessor has
+	// replied, then its PrepareTimeout and TransferTimeout, and CommitTimeout once its state has arrived.
 	AwaitingPredecessor
 	// Serving accepts clients and admits their requests, until a hot restart or a shutdown.
 	Serving
-	// TransferringState sends the state to a successor; no process admits meanwhile. It ends with
-	// HandedOver, or with Serving if the successor fails. hotrestart: TransferTimeout.
+	// TransferringState sends the state to a successor; no process admits requests meanwhile. HandedOver follows, or
+	// Serving if the successor fails. Limit: TransferTimeout.
 	TransferringState
-	// HandedOver forwards requests to the successor, which admits. Attempts that are in flight here go on.
-	// It ends with Closing, or with Serving if the successor fails. hotrestart: ProbationDuration, or
+	// HandedOver forwards requests to the successor, which admits them. Attempts in flight here continue. Closing
+	// follows, or Serving if the successor fails. Limits: ProbationDuration, or
 	// HeartbeatTimeout without a heartbeat.
 	HandedOver
-	// Draining begins the shutdown: it still accepts, and closes client connections between requests, for
-	// acceptGrace.
+	// Draining begins the shutdown: for acceptGrace the process still accepts connections, and closes client
+	// connections between requests.
 	Draining
-	// Closing accepts nothing more and answers the requests that it has received. The server ends it by
+	// Closing accepts no more connections and answers the requests received. It ends with the server's
 	// ServerClosed, within CloseServer.Within.
 	Closing
 	// Stopped is the end of the process.
 	Stopped
 )
 
-// String returns the name that the log, the counters and the operators' calls use. They keep the names of
+// String returns the name that the log, the counters and the operators' tools use. The names are those of
 // 0.8.0: awaiting is AwaitingPredecessor, handing is TransferringState, handed is HandedOver.
 func (p Phase) String() string {
 	return [...]string{"starting", "awaiting", "serving", "handing", "handed", "draining", "closing", "stopped"}[p]
 }
 
-// Bounds of the life cycle. They are the platform's, not an operator's.
+// Time limits of the life cycle. The platform determines them; operators cannot set them.
 const (
-	// discoveryTimeout is the time after which a limiter without an endpoint list is ready even if
-	// discovery has not replied, and cachedListTimeout that with a known list, which may still name
+	// discoveryTimeout is the time after which a limiter without an endpoint list becomes ready even if
+	// discovery has not replied, and cachedListTimeout the time for one with a known list, which may still have
 	// backends that drain.
 	discoveryTimeout  = 2 * time.Second
 	cachedListTimeout = time.Second
-	// acceptGrace is how long new connections are accepted after SIGTERM: clients go on opening them
+	// acceptGrace is how long new connections are accepted after SIGTERM: clients continue to open connections
 	// for 0.4 s.
 	acceptGrace = 500 * time.Millisecond
-	// SIGKILL follows SIGTERM after the longest deadline of a class, at least minLongestDeadline, and
-	// killAfter; killMargin is how long before SIGKILL the process ends.
+	// The platform sends SIGKILL the longest deadline of a class, at least minLongestDeadline, and killAfter after
+	// SIGTERM; killMargin is how long before SIGKILL the process ends.
 	killAfter          = 700 * time.Millisecond
 	minLongestDeadline = 3 * time.Second
 	killMargin         = 200 * time.Millisecond
-	// exitMargin is how long before its end the process has answered all requests, for the responses to
+	// exitMargin is how long before its end the process has answered all requests, so that the responses can
 	// leave the sockets.
 	exitMargin = 50 * time.Millisecond
 )
@@ -68,7 +68,7 @@
 // Phase returns the phase of the process.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// startFresh starts with nothing from a predecessor. With wait, a process that ends may still hold the
+// startFresh starts without a predecessor. With wait, a process that is ending may still hold the
 // addresses.
 func (m *Machine) startFresh(wait bool) {
 	m.emit(OpenListeners{Wait: wait})
@@ -84,8 +84,8 @@
 	m.startLeases()
 }
 
-// onShutdownRequested starts the shutdown, once. While a hot restart is under way the two processes
-// settle first which of them ends.
+// onShutdownRequested starts the shutdown, once. During a hot restart the protocol first decides which of the two
+// processes ends.
 func (m *Machine) onShutdownRequested() {
 	if m.phase >= Draining || m.hotRestart.shutdownRequested {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// enterPhase changes the phase and emits what the new one begins with.
+// enterPhase changes the phase and emits the effects with which the new one begins.
 func (m *Machine) enterPhase(p Phase) {
 	m.phase = p
 	m.logf("phase %v", p)
@@ -120,20 +120,20 @@
 	}
 }
 
-// startClosing gives up what other limiters may use, and closes the server.
+// startClosing releases what other limiters may use, such as leases, and closes the server.
 func (m *Machine) startClosing() {
 	m.releaseLeases()
-	if m.hotRestart.forwarding { // the limiter goes on in the successor
+	if m.hotRestart.forwarding { // the successor continues this limiter, which does not shut down
 		m.emit(MoveClientConns{})
 	} else {
-		m.decide(admission.ShutdownStarted{})
+		m.stepController(admission.ShutdownStarted{})
 	}
 	within := m.longestDeadline() + killAfter - acceptGrace - killMargin
 	m.exitBy = m.now + within
 	m.emit(CloseServer{Within: within})
 }
 
-// longestDeadline is the longest time for which a client may wait.
+// longestDeadline is the longest time for which any client may wait.
 func (m *Machine) longestDeadline() time.Duration {
 	longest := minLongestDeadline
 	for _, class := range m.config.Settings.Classes {
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -7,36 +7,36 @@
 	"lemongate/internal/admission"
 )
 
-// Phases follow one another, each with the effects it begins with.
+// The phases follow one another, each with its initial effects.
 func TestPhases(t *testing.T) {
 	m := newTestMachine(t)
 	ready := effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout-1, TimerFired{}))
 	if len(ready) != 0 || m.Phase() != Starting {
-		t.Errorf("ready before discovery brought a list: %v", ready)
+		t.Errorf("ready before discovery sent a list: %v", ready)
 	}
 	ready = effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout, TimerFired{}))
 	if len(ready) != 1 || !ready[0].Ready || m.Phase() != Serving {
-		t.Errorf("not ready though discovery brings no list: %v", ready)
+		t.Errorf("not ready after discoveryTimeout without a list: %v", ready)
 	}
 	at := time.Hour + 10*time.Second
 	got := m.Step(at, ShutdownRequested{})
 	ready = effectsOf[SetReady](got)
 	if len(ready) != 1 || ready[0].Ready || len(effectsOf[DrainClientConns](got)) != 1 || m.Phase() != Draining {
-		t.Errorf("the shutdown brought %+v", got)
+		t.Errorf("the shutdown request caused %+v, want SetReady false, DrainClientConns and phase draining", got)
 	}
 	if got := m.Step(at+acceptGrace-1, ShutdownRequested{}); len(effectsOf[CloseServer](got)) != 0 {
-		t.Errorf("closed while clients may still connect: %+v", got)
+		t.Errorf("server closed while clients may still connect: %+v", got)
 	}
 	closing := effectsOf[CloseServer](m.Step(at+acceptGrace, TimerFired{}))
 	if want := 5*time.Second + killAfter - acceptGrace - killMargin; len(closing) != 1 || closing[0].Within != want {
-		t.Errorf("%+v, want it closed within %v", closing, want)
+		t.Errorf("%+v, want one CloseServer within %v", closing, want)
 	}
 	if got := m.Step(at+time.Second, ServerClosed{}); len(effectsOf[Exit](got)) != 1 || m.Phase() != Stopped {
-		t.Errorf("the closed server brought %+v", got)
+		t.Errorf("ServerClosed caused %+v, want Exit and phase stopped", got)
 	}
 }
 
-// A limiter that knows endpoints from before is ready soon, whatever discovery does: after a release
+// A limiter with known endpoints becomes ready soon, without waiting for discovery: after a release
 // discovery replies late, and clients wait for the limiter.
 func TestReadySoonWithKnownEndpoints(t *testing.T) {
 	for _, c := range []struct {
@@ -45,71 +45,71 @@
 	}{{[]Endpoint{newEndpoint("b1", "h:1", admission.Live, 0)}, cachedListTimeout}, {nil, discoveryTimeout}} {
 		m := newTestMachine(t, c.known...)
 		if m.Step(time.Hour+c.timeout-time.Millisecond, TimerFired{}); m.Phase() != Starting {
-			t.Errorf("%d known: %v before %v", len(c.known), m.Phase(), c.timeout)
+			t.Errorf("%d known endpoints: phase %v before %v, want starting", len(c.known), m.Phase(), c.timeout)
 		}
 		if m.Step(time.Hour+c.timeout, TimerFired{}); m.Phase() != Serving {
-			t.Errorf("%d known: %v after %v", len(c.known), m.Phase(), c.timeout)
+			t.Errorf("%d known endpoints: phase %v after %v, want serving", len(c.known), m.Phase(), c.timeout)
 		}
 	}
 }
 
-// A limiter that shuts down before it is ready never becomes ready, and answers what comes all the same.
-// A repeated request to shut down changes nothing.
+// A limiter that shuts down before it is ready never becomes ready, but answers the requests it receives.
+// A repeated shutdown request changes nothing.
 func TestRepeatedShutdownRequest(t *testing.T) {
 	endpoint := newEndpoint("b1", "h:1", admission.Live, 0)
 	m := newTestMachine(t, endpoint)
 	m.Step(time.Hour, ShutdownRequested{})
 	list := &EndpointsUpdated{Kind: admission.ListComplete, Endpoints: []Endpoint{endpoint}}
 	if got := m.Step(time.Hour+time.Millisecond, list); len(effectsOf[SetReady](got)) > 0 || m.Phase() != Draining {
-		t.Errorf("%v in phase %v", got, m.Phase())
+		t.Errorf("the first list caused %v in phase %v, want no SetReady in phase draining", got, m.Phase())
 	}
 	receivedAt := time.Hour + 2*time.Millisecond
-	started := effectsOf[StartAttempt](m.Step(receivedAt, readRequest(1, receivedAt, time.Second)))
+	started := effectsOf[StartAttempt](m.Step(receivedAt, newReadRequest(1, receivedAt, time.Second)))
 	if len(started) != 1 {
-		t.Fatalf("%v", started)
+		t.Fatalf("started %v, want one attempt", started)
 	}
 	for _, at := range []time.Duration{time.Hour + 3*time.Millisecond, time.Hour + acceptGrace - time.Millisecond} {
 		got := m.Step(at, ShutdownRequested{})
 		if len(effectsOf[DrainClientConns](got))+len(effectsOf[CloseServer](got)) > 0 || m.Phase() != Draining {
-			t.Errorf("repeated: %v in phase %v", got, m.Phase())
+			t.Errorf("repeated shutdown request caused %v in phase %v, want phase draining", got, m.Phase())
 		}
 	}
 	m.Step(time.Hour+acceptGrace, TimerFired{})
 	got := m.Step(time.Hour+acceptGrace+time.Millisecond, ShutdownRequested{})
 	if len(effectsOf[CloseServer](got)) > 0 || m.Phase() != Closing {
-		t.Errorf("repeated: %v in phase %v", got, m.Phase())
+		t.Errorf("repeated shutdown request caused %v in phase %v, want phase closing", got, m.Phase())
 	}
 	finished := &AttemptFinished{Attempt: started[0].Attempt, Result: admission.Succeeded}
 	responses := effectsOf[Respond](m.Step(time.Hour+acceptGrace+2*time.Millisecond, finished))
 	if len(responses) != 1 || responses[0].Kind != Served {
-		t.Errorf("answered %v", responses)
+		t.Errorf("answered %v, want one response of a backend", responses)
 	}
 }
 
-// A request that comes on an idle connection while the process ends is answered before that, whatever
-// its client's budget: nobody is there to answer it later.
+// A request that arrives on an idle connection while the process ends is answered before the exit, even if
+// its client's budget is longer: after the exit no process would answer it.
 func TestLateRequestIsAnsweredBeforeExit(t *testing.T) {
 	endpoints := []Endpoint{newEndpoint("b1", "h:1", admission.Live, 0)}
 	m, _ := New(time.Hour, Config{Settings: settingsWithFreePlan(), Seed: 1, KnownEndpoints: endpoints})
 	m.Step(time.Hour, ShutdownRequested{})
 	closing := effectsOf[CloseServer](m.Step(time.Hour+acceptGrace, TimerFired{}))
 	if len(closing) != 1 || m.Phase() != Closing {
-		t.Fatalf("%v in phase %v", closing, m.Phase())
+		t.Fatalf("%v in phase %v, want one CloseServer in phase closing", closing, m.Phase())
 	}
 	exitBy := time.Hour + acceptGrace + closing[0].Within
 	for i, at := range []time.Duration{exitBy - 400*time.Millisecond, exitBy - time.Millisecond} {
-		ev := readRequest(RequestID(i+1), at, time.Second)
-		ev.Plan = "free" // requests of which are forwarded during the shutdown too
+		ev := newReadRequest(RequestID(i+1), at, time.Second)
+		ev.Plan = "free" // requests of this plan are forwarded during the shutdown too
 		effects := m.Step(at, ev)
 		for len(effectsOf[Respond](effects)) == 0 {
 			timer := effectsOf[SetTimer](effects)
 			if len(timer) == 0 || timer[0].At > exitBy-exitMargin {
-				t.Fatalf("request %d, %v before the exit: %v", i, exitBy-at, effects)
+				t.Fatalf("request %d, received %v before the exit, is not answered in time: %v", i, exitBy-at, effects)
 			}
 			effects = m.Step(timer[0].At, TimerFired{})
 		}
 	}
 	if c := m.Counters(); c.OpenRequests != 0 || c.Rejected+c.Failed != 2 {
-		t.Errorf("counters %+v", c)
+		t.Errorf("counters %+v, want two local replies and no open request", c)
 	}
 }
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -1,18 +1,18 @@
-// Package core is the one pure state machine of lemongate: the complete state of the running program, and
-// every change of that state.
+// Package core is the pure state machine of lemongate: it holds the complete state of the running program and makes
+// every change to that state.
 //
-// A caller creates one Machine, hands every event to Step in the order of its clock, and carries out
-// the effects that come back. A Machine starts no goroutine, does no I/O and reads no clock: the same
-// configuration and events give the same effects. A Machine knows nothing of HTTP or sockets; what is on the
-// wire is read and written by those who raise the events and carry out the effects. Clock times are durations
+// A caller creates one Machine, passes every event to Step in the order of its clock, and carries out
+// the effects that Step returns. A Machine starts no goroutine, does no I/O and reads no clock: the same
+// configuration and events give the same effects. A Machine does not deal with HTTP or sockets; the callers that raise
+// the events and carry out the effects encode and decode what is on the wire. Clock times are durations
 // since an origin of the caller's choice.
 //
-// Each concern has a file of its own, with its state: the life cycle of the process (lifecycle.go),
+// Each concern has its own file, with its state: the life cycle of the process (lifecycle.go),
 // requests (requests.go), attempts (attempts.go), the endpoint list (endpoints.go), the reload of the
 // configuration (reload.go), timers (timers.go), messages of other limiters (peers.go), the admission
 // controller, which makes the decisions (controller.go), leases (leases.go) and the tasks done under
 // them (usage.go, collection.go, restartslots.go), hot restart (hotrestart.go, handover.go,
-// forwarding.go), and what is counted and published (counters.go, metrics.go). Events are in
+// forwarding.go), and counters and metrics (counters.go, metrics.go). Events are in
 // events.go, effects in effects.go.
 package core
 
@@ -25,38 +25,38 @@
 	"lemongate/internal/lease"
 )
 
-// Config is what a Machine is started with.
+// Config is the configuration of a Machine.
 type Config struct {
 	Settings       admission.Settings
-	Seed           uint64     // fixes all random choices
-	KnownEndpoints []Endpoint // the backends as last known, which may be old
+	Seed           uint64     // of the pseudo-random generators: it fixes all random choices
+	KnownEndpoints []Endpoint // the last known backends, which may be out of date
 
 	Discovery        string // address at which the endpoint list is watched
-	PublishesMetrics bool   // PublishMetrics effects are wanted
+	PublishesMetrics bool   // whether to emit PublishMetrics
 
 	KnownGeneration int64              // of KnownEndpoints
-	HotRestart      *hotrestart.Limits // of taking over from a predecessor and handing over to a successor; nil for neither
-	// Epoch is of this start of the limiter, for leases, usage and restart slots. It starts equal to
-	// Settings.Epoch, that of the admission controller's messages. It changes with each LinkClosed, the
-	// controller's only with renewEpoch, and a successor's controller keeps that of its predecessor.
+	HotRestart      *hotrestart.Limits // time limits of hot restarts; nil for no hot restart
+	// Epoch is the epoch of this start of the limiter, for leases, usage and restart slots. It starts equal to
+	// Settings.Epoch, the epoch of the admission controller's messages. It changes with each LinkClosed, the
+	// controller's epoch only with renewEpoch, and a successor's controller keeps that of its predecessor.
 	Epoch  uint32
-	Leases *lease.Settings // of tasks that one limiter does at a time; nil for none
+	Leases *lease.Settings // for tasks that one limiter does at a time; nil for none
 
-	UsagePeriod  time.Duration       // that one usage report covers, where TaskUsage is among the tasks
-	RestartSlots RestartSlotSettings // of the rolling restart, where TaskRestarts is among the tasks
+	UsagePeriod  time.Duration       // length of the period that one usage report covers, if TaskUsage is among the tasks
+	RestartSlots RestartSlotSettings // of the rolling restart, if TaskRestarts is among the tasks
 }
 
 // Machine is the state of the program. It is not safe for concurrent use.
 type Machine struct {
 	config   Config
-	now      time.Duration // clock time of the event in hand
-	effects  []Effect      // of the event in hand
+	now      time.Duration // clock time of the event that is being handled
+	effects  []Effect      // of that event
 	counters Counters
 
 	phase     Phase
-	exitBy    time.Duration // clock time by which the process ends, whatever is open then; 0 before Closing
+	exitBy    time.Duration // clock time by which the process ends, even with open requests; 0 before Closing
 	timers    timerQueue
-	admission controllerBridge
+	admission admissionState
 	requests  requestSet
 	attempts  map[AttemptID]*attempt // in flight
 	endpoints endpointList
@@ -70,13 +70,13 @@
 }
 
 // New returns a Machine and its first effects. It begins in phase Starting, or in AwaitingPredecessor
-// where hot restart is configured.
+// if hot restart is configured.
 func New(now time.Duration, config Config) (*Machine, []Effect) {
 	m := &Machine{
 		config:       config,
 		now:          now,
 		timers:       newTimerQueue(),
-		admission:    controllerBridge{controller: admission.New(config.Settings, config.Seed)},
+		admission:    admissionState{controller: admission.New(config.Settings, config.Seed)},
 		requests:     newRequestSet(),
 		attempts:     map[AttemptID]*attempt{},
 		endpoints:    newEndpointList(config.Discovery),
@@ -96,8 +96,8 @@
 	return m, m.finishStep()
 }
 
-// Step takes one event at a clock time and returns what is to be done, in order. A clock time before
-// the last one counts as that one. The effects are valid until the next Step.
+// Step handles one event at a clock time and returns the effects to carry out, in order. A clock time before
+// the last one counts as the last one. The effects are valid until the next Step.
 func (m *Machine) Step(now time.Duration, ev Event) []Effect {
 	m.now = max(m.now, now)
 	m.effects = m.effects[:0]
@@ -108,7 +108,7 @@
 	return m.finishStep()
 }
 
-// handle hands an event to the concern that it belongs to.
+// handle passes an event to the concern that handles it.
 func (m *Machine) handle(ev Event) {
 	switch ev := ev.(type) {
 	case *RequestReceived:
@@ -148,7 +148,7 @@
 	}
 }
 
-// finishStep sets a timer if the earliest one changed, and returns the effects of the step.
+// finishStep sets a timer if the earliest one has changed, and returns the effects of the step.
 func (m *Machine) finishStep() []Effect {
 	m.armTimer()
 	return m.effects
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -8,13 +8,13 @@
 	"lemongate/internal/lease"
 )
 
-// This file counts by request class and publishes metrics.
+// This file counts responses by request class and publishes metrics.
 
-// metricsInterval is how old published metrics may be while anything happens. Readers allow half a
-// second, and to publish at each event would cost a pass over the backends.
+// metricsInterval is how old published metrics may be while events occur. Readers allow half a
+// second, and publishing at each event would cost a pass over the backends.
 const metricsInterval = 100 * time.Millisecond
 
-// ClassCounts counts how the requests of one class ended, from the start of the process.
+// ClassCounts counts how the requests of one class have ended since the start of the process.
 type ClassCounts struct {
 	Class     string
 	Completed uint64 // with a backend's response
@@ -22,21 +22,21 @@
 	Failed    uint64 // with a local reply: they may have run
 }
 
-// Metrics are what operators see. Counts are from the start of the process.
+// Metrics are the figures shown to operators. Counts start at the start of the process.
 type Metrics struct {
 	Classes        []ClassCounts   // in the order of the settings
 	Pending        int             // requests without a response
-	ListedBackends int             // backends in the list, draining ones included
-	Unavailable    int             // those of Members that drain or that the admission controller avoids
+	ListedBackends int             // backends in the list, including draining ones
+	Unavailable    int             // those of ListedBackends that drain or that the admission controller avoids
 	Leases         []lease.View    // by task
 	RestartSlots   RestartSlotView // of the rolling restart
 }
 
-// metricsState is the counts of metrics, and the time at which they were published.
+// metricsState is the counts by class, and the time at which metrics were last published.
 type metricsState struct {
 	classes      []ClassCounts // in the order of the settings
 	publishedAt  time.Duration
-	timerPending bool // a timer is set to publish what changed since
+	timerPending bool // a timer is set to publish the changes since
 }
 
 func newMetricsState(classes []admission.Class, now time.Duration) metricsState {
@@ -47,9 +47,9 @@
 	return s
 }
 
-// countResponse counts how a request of a class, or of noClass, ended.
+// countResponse counts how a request of a class, or one without a class (noClass), ended.
 func (m *Machine) countResponse(classIndex int, kind ResponseKind) {
-	class := &ClassCounts{} // dropped where there is no class
+	class := &ClassCounts{} // discarded for noClass
 	if classIndex != noClass {
 		class = &m.metrics.classes[classIndex]
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// publishMetrics publishes where metrics are wanted and the last ones are old enough, and otherwise
-// makes sure that the last change is published too. An idle program publishes nothing.
+// publishMetrics publishes metrics if they are wanted and the last ones are at least metricsInterval old. Otherwise it
+// sets a timer, so that the last change is published too. An idle program publishes nothing.
 func (m *Machine) publishMetrics() {
 	if !m.config.PublishesMetrics {
 		return
--- a/internal/core/metrics_test.go
+++ b/internal/core/metrics_test.go
@@ -7,8 +7,8 @@
 	"lemongate/internal/admission"
 )
 
-// Metrics count each end of a request under its class, include the last change though nothing comes
-// after it, and cost an idle program no wake-up.
+// Metrics count how each request ended under its class, include the last change even if no event follows,
+// and do not wake an idle program.
 func TestMetrics(t *testing.T) {
 	m, first := New(time.Hour, Config{
 		Settings: testSettings, Seed: 1, PublishesMetrics: true,
@@ -23,13 +23,13 @@
 	}
 	got := last(m.Step(now, &EndpointsUpdated{Kind: admission.ListDelta}))
 	if got == nil || got.ListedBackends != 2 || got.Unavailable != 1 {
-		t.Errorf("at first: %+v, %v", got, first)
+		t.Errorf("first metrics %+v, want 2 backends, 1 of them unavailable; first effects %v", got, first)
 	}
-	started := effectsOf[StartAttempt](m.Step(now, readRequest(1, now, time.Second)))
+	started := effectsOf[StartAttempt](m.Step(now, newReadRequest(1, now, time.Second)))
 	if len(started) != 1 {
-		t.Fatal("not forwarded")
+		t.Fatal("the request was not forwarded")
 	}
-	m.Step(now, readRequest(2, now, time.Second))
+	m.Step(now, newReadRequest(2, now, time.Second))
 	m.Step(now+time.Millisecond, &AttemptFinished{Attempt: started[0].Attempt, Result: admission.Succeeded, Response: "x"})
 	var published *Metrics
 	for at := now; at <= now+metricsInterval; at += time.Millisecond {
@@ -38,11 +38,11 @@
 		}
 	}
 	if published == nil || published.Pending != 1 || published.Classes[0] != (ClassCounts{Class: "read", Completed: 1}) {
-		t.Errorf("a little later: %+v", published)
+		t.Errorf("after the response: %+v, want 1 request pending and 1 of class read completed", published)
 	}
-	m.Step(now+2*time.Second, TimerFired{}) // the other one is overdue
+	m.Step(now+2*time.Second, TimerFired{}) // past the deadline of the other request
 	m.Step(now+4*time.Second, TimerFired{})
 	if got := m.currentMetrics(); got.Pending != 0 || got.Classes[0].Completed+got.Classes[0].Rejected != 2 {
-		t.Errorf("at the end: %+v", got)
+		t.Errorf("at the end: %+v, want no request pending and 2 of class read ended", got)
 	}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -10,7 +10,7 @@
 	"lemongate/internal/admission"
 )
 
-// model is what an observer knows of clients and attempts.
+// model is the state of clients and attempts as the test observes it.
 type model struct {
 	t             *rapid.T
 	machine       *Machine
@@ -18,21 +18,21 @@
 	timerAt       time.Duration
 	open          map[RequestID]time.Duration // deadlines of the requests without a response
 	inFlight      []AttemptID
-	started       map[RequestID]int // attempts
-	live          map[string]bool   // backends
+	started       map[RequestID]int // number of attempts started
+	live          map[string]bool   // backends that are live
 	callIDs       map[RequestID]string
 	nonIdempotent map[RequestID]bool
 	mayHaveRun    map[RequestID]bool
 	lastRequest   RequestID
 	exited        bool
 
-	// Of the step in hand; 0 for none.
-	disconnected RequestID // its client disconnected
-	succeeded    RequestID // its attempt succeeded
-	duplicate    RequestID // it came with the call ID of an open request
+	// Of the current step; 0 for none.
+	disconnected RequestID // the request whose client disconnected
+	succeeded    RequestID // the open request whose attempt succeeded
+	duplicate    RequestID // the request that arrived with the call ID of an open one
 }
 
-// step hands an event to the machine and checks the effects.
+// step sends an event to the machine and checks the effects.
 func (m *model) step(ev Event) { m.checkEffects(m.machine.Step(m.now, ev)) }
 
 func (m *model) checkEffects(effects []Effect) {
@@ -47,7 +47,7 @@
 			m.mayHaveRun[e.Attempt.Request] = true
 		case WithdrawAttempt:
 			if !slices.Contains(m.inFlight, e.Attempt) || e.Attempt.Request != m.disconnected {
-				m.t.Fatalf("withdrawn %+v, the client of %d disconnected", e, m.disconnected)
+				m.t.Fatalf("withdrawn %+v, want only attempts in flight of request %d, whose client disconnected", e, m.disconnected)
 			}
 		case SetTimer:
 			m.timerAt = e.At
@@ -56,19 +56,19 @@
 		}
 	}
 	if _, open := m.open[m.disconnected]; open {
-		m.t.Fatalf("the client of %d disconnected, and it is not over", m.disconnected)
+		m.t.Fatalf("the client of request %d disconnected, but the request is still open", m.disconnected)
 	}
 	m.succeeded, m.duplicate, m.disconnected = 0, 0, 0
 }
 
 func (m *model) checkResponse(e Respond) {
-	duplicate := e.Kind == DuplicateID // for a request that came with the call ID of an open one, and only then
+	duplicate := e.Kind == DuplicateID // sent if and only if the request has the call ID of an open one
 	_, open := m.open[e.Request]
 	if !open || (e.Kind == Served) != (e.Request == m.succeeded) || duplicate != (e.Request == m.duplicate) {
-		m.t.Fatalf("response %+v: open %v, succeeded %v", e, open, m.succeeded)
+		m.t.Fatalf("response %+v: request open: %v; request that succeeded: %v", e, open, m.succeeded)
 	}
 	if e.Kind == Rejected && m.mustNotRunAgain(e.Request) {
-		m.t.Fatalf("response %+v: it may run", e)
+		m.t.Fatalf("response %+v to a non-idempotent request that may run or have run", e)
 	}
 	delete(m.open, e.Request)
 }
@@ -78,16 +78,16 @@
 	deadline, open := m.open[id]
 	numbered := e.Attempt.Number == m.started[id] && e.Attempt.Number < testSettings.MaxAttempts
 	if !open || !numbered || !m.live[e.Backend] || e.Timeout <= 0 || m.now+e.Timeout >= deadline {
-		m.t.Fatalf("attempt %+v: open %v, %d started", e, open, m.started[id])
+		m.t.Fatalf("attempt %+v: request open: %v; attempts started before: %d", e, open, m.started[id])
 	}
 	if m.mustNotRunAgain(id) {
-		m.t.Fatalf("attempt %+v: it may have run, or may run", e)
+		m.t.Fatalf("attempt %+v of a non-idempotent request that may run or have run", e)
 	}
 	m.started[id]++
 	m.inFlight = append(m.inFlight, e.Attempt)
 }
 
-// mustNotRunAgain reports whether a request is non-idempotent and may have run, or may run.
+// mustNotRunAgain reports whether a request is non-idempotent and may run or have run.
 func (m *model) mustNotRunAgain(id RequestID) bool {
 	return m.nonIdempotent[id] && (m.mayHaveRun[id] || m.hasAttempt(id))
 }
@@ -97,8 +97,8 @@
 	return slices.ContainsFunc(m.inFlight, func(attempt AttemptID) bool { return attempt.Request == id })
 }
 
-// taken reports whether a request that is open or has an attempt in flight has a call ID.
-func (m *model) taken(callID string) bool {
+// callIDInUse reports whether a request that is open or has an attempt in flight has a call ID.
+func (m *model) callIDInUse(callID string) bool {
 	for id := range m.open {
 		if m.callIDs[id] == callID {
 			return true
@@ -116,13 +116,13 @@
 func (m *model) finish(id AttemptID) {
 	i := slices.Index(m.inFlight, id)
 	if i < 0 {
-		m.t.Fatalf("attempt %+v canceled, but not in flight", id)
+		m.t.Fatalf("attempt %+v ended, but is not in flight", id)
 	}
 	m.inFlight = slices.Delete(m.inFlight, i, i+1)
 }
 
-// pass lets time pass, from timer to timer.
-func (m *model) pass(by time.Duration) {
+// advance advances the clock and fires each timer at its time.
+func (m *model) advance(by time.Duration) {
 	for end := m.now + by; ; {
 		if m.timerAt > end {
 			m.now = end
@@ -142,13 +142,13 @@
 	}
 }
 
-// receiveRequest sends a request of any class, budget and call ID.
+// receiveRequest has the machine receive a request of any class, budget and call ID.
 func (m *model) receiveRequest(t *rapid.T) {
 	m.lastRequest++
 	class := rapid.SampledFrom(testSettings.Classes).Draw(t, "class")
 	budget := time.Duration(rapid.IntRange(1, 3000).Draw(t, "budget")) * time.Millisecond
 	callID := rapid.SampledFrom([]string{"", "i", "j", "k"}).Draw(t, "call ID")
-	if callID != "" && m.taken(callID) {
+	if callID != "" && m.callIDInUse(callID) {
 		m.duplicate = m.lastRequest
 	} else if callID != "" {
 		m.callIDs[m.lastRequest] = callID
@@ -164,7 +164,7 @@
 // finishAttempt ends an attempt in flight with any result.
 func (m *model) finishAttempt(t *rapid.T) {
 	if len(m.inFlight) == 0 {
-		t.Skip("none in flight")
+		t.Skip("no attempt in flight")
 	}
 	id := rapid.SampledFrom(m.inFlight).Draw(t, "attempt")
 	result := admission.Result(rapid.IntRange(0, int(admission.ConnectionLost)).Draw(t, "result"))
@@ -178,7 +178,7 @@
 	})
 }
 
-// updateEndpoint lists a backend in any state.
+// updateEndpoint sends an update of the endpoint list with a backend in any state.
 func (m *model) updateEndpoint(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"b1", "b2", "b3"}).Draw(t, "backend")
 	state := admission.BackendState(rapid.IntRange(0, 2).Draw(t, "state"))
@@ -187,8 +187,8 @@
 	m.step(&EndpointsUpdated{Kind: admission.ListDelta, Endpoints: []Endpoint{newEndpoint(id, "h:9", state, startedAt)}})
 }
 
-// Whatever comes, every request gets one response before its deadline, and attempts are made only while
-// it has none, at live backends, as often as allowed.
+// Whatever events arrive, every request gets exactly one response before its deadline. Attempts are made only while
+// it has none, at live backends, and no more than allowed.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
@@ -201,14 +201,14 @@
 		var first []Effect
 		m.machine, first = New(m.now, Config{Settings: settings, Seed: 1, KnownEndpoints: known})
 		m.checkEffects(first)
-		t.Repeat(map[string]func(*rapid.T){ // drawn by the order of their names: renamed ones keep their place
+		t.Repeat(map[string]func(*rapid.T){ // rapid draws actions by the order of their keys, which renaming must not change
 			"":       m.checkDeadlines,
 			"arrive": m.receiveRequest,
 			"end":    m.finishAttempt,
 			"gossip": func(t *rapid.T) {
 				m.step(&PeerMessageReceived{rapid.IntRange(-1, 2).Draw(t, "from"), rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "data")})
 			},
-			"late end": func(*rapid.T) { // of an attempt that was never made or has ended
+			"late end": func(*rapid.T) { // the end of an attempt that was never made or has ended
 				m.step(&AttemptFinished{Attempt: AttemptID{m.lastRequest + 1, 0}, Result: admission.Succeeded})
 			},
 			"leave": func(t *rapid.T) {
@@ -216,13 +216,13 @@
 				m.step(&ClientDisconnected{Request: m.disconnected})
 			},
 			"list": m.updateEndpoint,
-			"malformed": func(t *rapid.T) { // what is no request costs a count and no more
+			"malformed": func(t *rapid.T) { // an invalid request only changes a counter
 				m.step(RequestMalformed{Cause: MalformedCause(rapid.IntRange(0, int(numCauses)-1).Draw(t, "cause"))})
 			},
 			"pass": func(t *rapid.T) {
-				m.pass(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
+				m.advance(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			},
-			"reload": func(t *rapid.T) { // changes the address that is watched at most: no attempt, no response, no backend
+			"reload": func(t *rapid.T) { // changes at most the discovery address: no attempt, no response, no backend
 				if rapid.Bool().Draw(t, "requested") {
 					m.step(ReloadRequested{})
 					return
@@ -231,11 +231,11 @@
 			},
 		})
 		m.step(ShutdownRequested{})
-		m.pass(6 * time.Second)
+		m.advance(6 * time.Second)
 		m.checkDeadlines(t)
 		m.step(ServerClosed{})
 		if len(m.open) > 0 || len(m.machine.requests.byID) > len(m.inFlight) || m.machine.Phase() != Stopped || !m.exited {
-			t.Fatalf("left at the end: %d requests without a response, %d kept, phase %v",
+			t.Fatalf("at the end: %d requests without a response, %d requests kept, phase %v",
 				len(m.open), len(m.machine.requests.byID), m.machine.Phase())
 		}
 	})
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -8,20 +8,20 @@
 	"lemongate/internal/usage"
 )
 
-// This file sends datagrams to other limiters, and hands those received to the concern of their message.
+// This file sends datagrams to other limiters, and passes received ones to the concern of their message.
 
-// isLimiter reports whether a number is that of a limiter of the tier.
+// isLimiter reports whether a number is the number of a limiter of the tier.
 func (m *Machine) isLimiter(number int) bool {
 	return number >= 0 && number < m.config.Settings.Limiters
 }
 
-// isPeer reports whether a number is that of another limiter of the tier.
+// isPeer reports whether a number is the number of another limiter of the tier.
 func (m *Machine) isPeer(number int) bool {
 	return m.isLimiter(number) && number != m.config.Settings.Self
 }
 
-// onPeerMessage hands a datagram to the concern of its message. It may hold anything: invalid ones are
-// counted and dropped.
+// onPeerMessage passes a datagram to the concern of its message. The data is not validated before: the concerns count
+// and drop what is invalid.
 func (m *Machine) onPeerMessage(ev *PeerMessageReceived) {
 	switch {
 	case lease.IsMessage(ev.Data):
@@ -35,7 +35,7 @@
 	}
 }
 
-// onGossip hands a message about quotas and backends to the admission controller.
+// onGossip passes a message about quotas and backends to the admission controller.
 func (m *Machine) onGossip(ev *PeerMessageReceived) {
 	_, ok := gossip.Parse(ev.Data)
 	if !ok || !m.isLimiter(ev.From) {
@@ -43,10 +43,10 @@
 		return
 	}
 	m.counters.PeerMessagesReceived++
-	m.decide(&admission.PeerMessage{From: ev.From, Data: ev.Data})
+	m.stepController(&admission.PeerMessage{From: ev.From, Data: ev.Data})
 }
 
-// sendGossip sends a message of the admission controller, unless the successor sends those of this limiter.
+// sendGossip sends a message of the admission controller, unless the successor sends the messages of this limiter.
 func (m *Machine) sendGossip(action admission.SendToPeer) {
 	if !m.hotRestart.stateSent {
 		m.sendToPeer(action.Peer, action.Data)
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/gossip"
 )
 
-// A datagram may hold anything and come from anyone.
+// Datagrams with malformed data or from an unknown sender are counted and dropped.
 func TestMalformedDatagrams(t *testing.T) {
 	m := newTestMachine(t)
 	message := gossip.Message{Epoch: 1, Seq: 1}.Append(nil)
@@ -16,6 +16,6 @@
 	}
 	m.Step(time.Hour, &PeerMessageReceived{1, message})
 	if c := m.Counters(); c.PeerMessagesInvalid != 5 || c.PeerMessagesReceived != 1 {
-		t.Errorf("%d bad, %d good; want 5 and 1", c.PeerMessagesInvalid, c.PeerMessagesReceived)
+		t.Errorf("%d invalid, %d valid messages; want 5 and 1", c.PeerMessagesInvalid, c.PeerMessagesReceived)
 	}
 }
--- a/internal/core/reload.go
+++ b/internal/core/reload.go
@@ -1,15 +1,15 @@
 package core
 
-// This file reloads the configuration on request. Only the address of discovery may change while the
+// This file reloads the configuration on request. Only the discovery address may change while the
 // program runs.
 
-// reloadState is the reload that is under way.
+// reloadState is the state of the reload in progress, if there is one.
 type reloadState struct {
 	running bool
-	again   bool // requested once more: the file may have changed since it was read
+	again   bool // requested again meanwhile: the file may have changed since it was read
 }
 
-// reloadConfig has the configuration read again, by one reader at a time. It may be requested in any
+// reloadConfig requests that the configuration is reread; one read is in progress at a time. It may be called in any
 // phase but the last: a process that shuts down still needs the endpoint list.
 func (m *Machine) reloadConfig() {
 	m.reload.again = m.reload.running
@@ -20,8 +20,8 @@
 	m.emit(ReloadConfig{})
 }
 
-// onConfigReloaded watches the endpoint list where the configuration says now. The list stays as it is
-// until the new address brings one. A configuration that could not be read changes nothing.
+// onConfigReloaded watches the endpoint list at the address of the new configuration. The list does not change
+// until the new address has sent one. A configuration that could not be read changes nothing.
 func (m *Machine) onConfigReloaded(ev *ConfigReloaded) {
 	m.reload.running = false
 	switch {
@@ -32,10 +32,10 @@
 		m.counters.Reloads++
 		m.endpoints.discovery = ev.Discovery
 		m.emit(WatchEndpoints{Addr: ev.Discovery})
-		m.logf("configuration reloaded, endpoints watched at %s", ev.Discovery)
+		m.logf("configuration reloaded, endpoint list is now watched at %s", ev.Discovery)
 	default:
 		m.counters.Reloads++
-		m.logf("configuration reloaded, address of discovery unchanged")
+		m.logf("configuration reloaded, discovery address unchanged")
 	}
 	if m.reload.again {
 		m.reloadConfig()
--- a/internal/core/reload_test.go
+++ b/internal/core/reload_test.go
@@ -8,16 +8,16 @@
 	"lemongate/internal/admission"
 )
 
-// A new configuration changes where the endpoint list is watched and nothing else. It is read by one
-// reader at a time, once more if that was requested meanwhile, and in any phase; one that cannot be read
-// changes nothing and leaves one log message.
+// A new configuration changes the address at which the endpoint list is watched, and nothing else. One read is in
+// progress at a time, with one more read if a reload was requested meanwhile, and a reload is possible in any phase but
+// the last. A configuration that cannot be read changes nothing and causes one log message.
 func TestReload(t *testing.T) {
 	m, _ := New(time.Hour, Config{
 		Settings: testSettings, Seed: 1, Discovery: "old:1", KnownEndpoints: []Endpoint{newEndpoint("b1", "h:1", admission.Live, 0)},
 	})
 	reads := func(ev Event) int { return len(effectsOf[ReloadConfig](m.Step(time.Hour, ev))) }
 	if a, b, c := reads(ReloadRequested{}), reads(ReloadRequested{}), reads(ReloadRequested{}); a != 1 || b+c != 0 {
-		t.Errorf("requested three times: read %d, %d, %d times", a, b, c)
+		t.Errorf("requested three times: read %d, %d, %d times, want one read at first", a, b, c)
 	}
 	got := m.Step(time.Hour, &ConfigReloaded{Discovery: "new:1"})
 	watched := effectsOf[WatchEndpoints](got)
@@ -27,20 +27,20 @@
 	m.Step(time.Hour, ShutdownRequested{})
 	got = m.Step(time.Hour, &ConfigReloaded{Err: errors.New("bad JSON")})
 	if len(effectsOf[WatchEndpoints](got))+len(effectsOf[ReloadConfig](got)) != 0 || len(effectsOf[Log](got)) != 1 {
-		t.Errorf("a bad file brought %+v", got)
+		t.Errorf("an unreadable configuration caused %+v, want one log message", got)
 	}
 	if reads(ReloadRequested{}) != 1 {
-		t.Error("not read while draining")
+		t.Error("configuration not read while draining")
 	}
 	got = m.Step(time.Hour, &ConfigReloaded{Discovery: "new:1"})
 	if len(effectsOf[WatchEndpoints](got)) != 0 {
-		t.Errorf("the same address brought %+v", got)
+		t.Errorf("an unchanged address caused %+v", got)
 	}
 	if c := m.Counters(); c.Reloads != 2 || c.ReloadsFailed != 1 || c.LiveBackends != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v, want 2 reloads, 1 failed reload and 1 live backend", c)
 	}
 	m.Step(time.Hour, ServerClosed{})
 	if reads(ReloadRequested{}) != 0 {
-		t.Error("read after the end")
+		t.Error("configuration read after the process stopped")
 	}
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -8,13 +8,13 @@
 	"lemongate/internal/admission"
 )
 
-// This file gives each request exactly one response, by its deadline at the latest.
+// This file sends exactly one response to each request, by its deadline at the latest.
 
-// responseMargin is how long before the end of a request's budget it is answered at the latest, so that
-// the response is with the client in time. With D the end of the budget:
+// responseMargin is how long before the end of its budget a request is answered at the latest, so that
+// the response reaches the client in time. With D the end of the budget:
 //
 //	D - responseMargin - forwardMargin  the successor has answered a forwarded request
-//	D - responseMargin                  the process that has the client has answered it
+//	D - responseMargin                  the process with the client connection has answered it
 //	D                                   the client gives up
 const responseMargin = 10 * time.Millisecond
 
@@ -27,28 +27,28 @@
 	classIndex      int // in the settings, or noClass
 	idempotency     admission.Idempotency
 	deadline        time.Duration // clock time by which it is answered
-	attempts        int           // started so far
-	openAttempts    int           // of these, in flight
+	attempts        int           // number of attempts so far
+	openAttempts    int           // those of them in flight
 	mayHaveRun      bool          // at a backend
-	succeeded       bool          // an attempt had a response
-	answered        bool          // a response was given, or the client has disconnected
+	succeeded       bool          // an attempt got a response
+	answered        bool          // a response was sent, or the client has disconnected
 	fromPredecessor bool          // the predecessor received it, and answers its client
-	forwarded       bool          // the successor decides it
+	forwarded       bool          // it was forwarded to the successor, which decides it
 }
 
-// requestSet is all requests without a response or with an attempt in flight.
+// requestSet is the set of requests without a response or with an attempt in flight.
 type requestSet struct {
 	byID     map[RequestID]*request
-	byCallID map[string]RequestID // also of attempts adopted from a predecessor
-	pending  int                  // requests of this process's clients that have no response
-	lastID   RequestID            // the greatest that the server gave
+	byCallID map[string]RequestID // includes attempts adopted from a predecessor
+	pending  int                  // number of requests of this process's clients without a response
+	lastID   RequestID            // greatest ID that the server assigned
 }
 
 func newRequestSet() requestSet {
 	return requestSet{byID: map[RequestID]*request{}, byCallID: map[string]RequestID{}}
 }
 
-// inOrder returns the requests in the order in which they came.
+// inOrder returns the requests in the order of their IDs, which is the order in which they arrived.
 func (s *requestSet) inOrder() []*request {
 	var list []*request
 	for _, id := range slices.Sorted(maps.Keys(s.byID)) {
@@ -57,12 +57,12 @@
 	return list
 }
 
-// remainingBudget is how long the client still waits, or for a forwarded request the predecessor.
+// remainingBudget is how long the client, or for a forwarded request the predecessor, still waits.
 func (r *request) remainingBudget(now time.Duration) time.Duration {
 	return r.deadline + responseMargin - now
 }
 
-// mayBeRepeated reports whether the client does no harm if it sends the request again.
+// mayBeRepeated reports whether the client can safely send the request again.
 func (r *request) mayBeRepeated() bool {
 	ran := r.openAttempts > 0 || r.mayHaveRun
 	return !ran || r.idempotency == admission.Idempotent
@@ -81,8 +81,8 @@
 	m.acceptRequest(ev, false)
 }
 
-// acceptRequest records a request, arms its deadline and has it decided. One with the call ID of an
-// open request is rejected: backends and clients would take the response of one for the other's.
+// acceptRequest records a request, sets a timer for its deadline and has it decided. A request with the call ID of an
+// open one is rejected: backends and clients would confuse the responses of the two.
 func (m *Machine) acceptRequest(ev *RequestReceived, fromPredecessor bool) {
 	if !m.claimCallID(ev) {
 		m.counters.Malformed[DuplicateCallID]++
@@ -106,7 +106,7 @@
 	}
 }
 
-// claimCallID reserves the call ID of a request, if it has one; it fails if an open request has it.
+// claimCallID reserves the call ID of a request, if it has one. It returns false if an open request has the same ID.
 func (m *Machine) claimCallID(ev *RequestReceived) bool {
 	if ev.CallID == "" {
 		return true
@@ -125,7 +125,7 @@
 		deadline:        min(ev.ReceivedAt, m.now) + ev.Budget - responseMargin,
 		fromPredecessor: fromPredecessor,
 	}
-	if m.phase >= Closing { // on a connection that was accepted before: the process ends by exitBy
+	if m.phase >= Closing { // on a connection accepted earlier; the process ends by exitBy
 		r.deadline = min(r.deadline, m.exitBy-exitMargin)
 	}
 	if fromPredecessor {
@@ -140,19 +140,19 @@
 	return r
 }
 
-// submit has the admission controller decide a request. The budget is that of the client, by which it
-// may recognize retries.
+// submit passes a request to the admission controller for a decision. It passes the client's budget, without
+// forwardMargin: the controller may recognize retries by it.
 func (m *Machine) submit(r *request) {
 	submitted := r.Request
 	submitted.Budget = r.remainingBudget(m.now)
 	if r.fromPredecessor {
 		submitted.Budget += forwardMargin
 	}
-	m.decide(&submitted)
+	m.stepController(&submitted)
 }
 
 // onClientDisconnected ends a request whose client has disconnected: nothing more is forwarded for it.
-// It is answered all the same, as a client that closed only its sending side looks the same.
+// The request still gets a response, as a client that only closed its sending side looks the same.
 func (m *Machine) onClientDisconnected(id RequestID) {
 	r := m.requests.byID[id]
 	if r == nil || r.answered {
@@ -167,7 +167,7 @@
 		m.requests.pending--
 		m.emit(m.localReply(r))
 	}
-	m.decide(&admission.RequestEnded{Request: id})
+	m.stepController(&admission.RequestEnded{Request: id})
 	m.withdrawAttempts(r)
 	m.removeIfFinished(r)
 }
@@ -182,13 +182,13 @@
 	m.endUnserved(r)
 }
 
-// endUnserved ends a request that has no response with a local reply.
+// endUnserved ends a request without a response of a backend by a local reply.
 func (m *Machine) endUnserved(r *request) {
 	if r.forwarded {
 		m.emit(CancelForwardedRequest{Request: r.ID})
 	}
 	m.respond(r, m.localReply(r))
-	m.decide(&admission.RequestEnded{Request: r.ID})
+	m.stepController(&admission.RequestEnded{Request: r.ID})
 	m.removeIfFinished(r)
 }
 
@@ -202,7 +202,7 @@
 	m.removeIfFinished(r)
 }
 
-// localReply is the response to a request that ends without a backend's.
+// localReply returns the response to a request that ends without a response of a backend.
 func (m *Machine) localReply(r *request) Respond {
 	if r.mayBeRepeated() {
 		return m.rejection(r.ID)
@@ -210,12 +210,12 @@
 	return Respond{Request: r.ID, Kind: Failed}
 }
 
-// rejection is the response to a request that may be sent again.
+// rejection returns the response to a request that may be sent again.
 func (m *Machine) rejection(id RequestID) Respond {
 	return Respond{Request: id, Kind: Rejected, RetryAfter: m.config.Settings.MaxRetryAfter}
 }
 
-// respond gives a request its response, unless it has had it. The caller removes it if it is finished.
+// respond sends the response to a request, unless it has been answered. The caller removes the request if it is finished.
 func (m *Machine) respond(r *request, response Respond) {
 	if r.answered {
 		return
@@ -224,13 +224,13 @@
 	response.Request = r.ID
 	m.sendResponse(r.fromPredecessor, response)
 	if r.fromPredecessor {
-		return // which counts it
+		return // the predecessor counts the response
 	}
 	m.requests.pending--
 	m.countResponse(r.classIndex, response.Kind)
 }
 
-// sendResponse sends a response to the process that has the client's connection.
+// sendResponse sends a response to the process that has the client connection.
 func (m *Machine) sendResponse(toPredecessor bool, response Respond) {
 	if toPredecessor {
 		m.emit(SendForwardedResponse{response})
@@ -239,7 +239,7 @@
 	m.emit(response)
 }
 
-// removeIfFinished forgets a request that is answered and has no attempt in flight.
+// removeIfFinished deletes a request that is answered and has no attempt in flight.
 func (m *Machine) removeIfFinished(r *request) {
 	if !r.answered || r.openAttempts > 0 {
 		return
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -8,108 +8,108 @@
 	"lemongate/internal/admission"
 )
 
-// A deadline counts from the request's last byte, not from when it is handled.
+// A deadline counts from the arrival of the request's last byte, not from when the event is handled.
 func TestDeadlineCountsFromLastByte(t *testing.T) {
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
-	got := effectsOf[StartAttempt](m.Step(time.Hour, readRequest(1, time.Hour-30*time.Millisecond, time.Second)))
+	got := effectsOf[StartAttempt](m.Step(time.Hour, newReadRequest(1, time.Hour-30*time.Millisecond, time.Second)))
 	if want := 970*time.Millisecond - responseMargin; len(got) != 1 || got[0].Timeout != want {
 		t.Errorf("%+v, want one attempt with a timeout of %v", got, want)
 	}
 }
 
-// A request that has waited for longer than its client does is rejected, not forwarded.
+// A request that arrives after the end of its client's budget is rejected, not forwarded.
 func TestRequestPastItsBudgetIsRejected(t *testing.T) {
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
-	got := effectsOf[Respond](m.Step(time.Hour, readRequest(1, time.Hour-time.Second, 900*time.Millisecond)))
+	got := effectsOf[Respond](m.Step(time.Hour, newReadRequest(1, time.Hour-time.Second, 900*time.Millisecond)))
 	if c := m.Counters(); len(got) != 1 || got[0].Kind != Rejected || c.NotSent+c.Overdue != 0 {
-		t.Errorf("%+v, counters %+v", got, c)
+		t.Errorf("%+v, counters %+v; want one rejection, and no attempt or deadline counted", got, c)
 	}
 }
 
-// Every request is answered at its deadline, even one that the admission controller never ends.
+// Every request is answered at its deadline, even one for which the admission controller never decides.
 func TestUndecidedRequestIsAnsweredAtItsDeadline(t *testing.T) {
 	for class, c := range map[string]struct {
 		mayHaveRun bool
 		want       ResponseKind
 	}{"read": {true, Rejected}, "once": {false, Rejected}, "post": {true, Failed}} {
 		m := newTestMachine(t)
-		ev := readRequest(7, time.Hour, time.Second)
+		ev := newReadRequest(7, time.Hour, time.Second)
 		ev.Class = class
 		m.Step(time.Hour, ev)
-		m.admission.controller = admission.New(testSettings, 2) // one that knows nothing of it
+		m.admission.controller = admission.New(testSettings, 2) // a new controller does not know the request
 		m.requests.byID[7].mayHaveRun = c.mayHaveRun
 		at := time.Hour + time.Second - responseMargin
 		if got := effectsOf[Respond](m.Step(at-1, TimerFired{})); len(got) != 0 {
-			t.Errorf("%s: %+v before the deadline", class, got)
+			t.Errorf("%s: response %+v before the deadline", class, got)
 		}
 		got := effectsOf[Respond](m.Step(at, TimerFired{}))
 		if len(got) != 1 || got[0].Kind != c.want || m.Counters().Overdue != 1 || len(m.requests.byID) != 0 {
-			t.Errorf("%s: %+v, want kind %d", class, got, c.want)
+			t.Errorf("%s: responses %+v, want one of kind %d, and the request removed", class, got, c.want)
 		}
 	}
 }
 
-// No two open requests share a call ID: the second is rejected at once and does not affect the first,
-// whose ID is free again once it has no attempt in flight.
+// No two open requests share a call ID: the second is rejected at once and does not affect the first. The
+// ID can be used again once the first has no attempt in flight.
 func TestDuplicateCallIDIsRejected(t *testing.T) {
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
 	send := func(id RequestID) []Effect {
-		ev := readRequest(id, time.Hour, time.Second)
+		ev := newReadRequest(id, time.Hour, time.Second)
 		ev.CallID, ev.Customer = "x", fmt.Sprint(id)
 		return m.Step(time.Hour, ev)
 	}
 	send(1)
 	second := send(2)
 	if len(second) != 1 || second[0] != (Respond{Request: 2, Kind: DuplicateID}) || len(m.requests.byID) != 1 {
-		t.Errorf("the second brought %+v", second)
+		t.Errorf("the second request caused %+v, want DuplicateID", second)
 	}
 	finished := &AttemptFinished{Attempt: AttemptID{1, 0}, Result: admission.Succeeded}
 	first := effectsOf[Respond](m.Step(time.Hour, finished))
 	if len(first) != 1 || first[0].Kind != Served {
-		t.Errorf("the first ended with %+v", first)
+		t.Errorf("the first request ended with %+v, want one response of a backend", first)
 	}
 	third := effectsOf[StartAttempt](send(3))
 	if len(third) != 1 || m.Counters().Malformed[DuplicateCallID] != 1 || len(m.requests.byCallID) != 1 {
-		t.Errorf("the third brought %+v", third)
+		t.Errorf("the third request started %+v, want one attempt", third)
 	}
 }
 
-// The client of a request disconnects: nothing more is forwarded for it, also where attempts may not be
-// canceled and one is about to begin; and it is answered, as it may only have closed its sending side.
+// After the client of a request has disconnected, nothing more is forwarded for it, even if attempts may not be canceled
+// and one is about to begin. The request still gets a response, as the client may only have closed its sending side.
 func TestClientDisconnects(t *testing.T) {
 	settings := testSettings
 	settings.MayCancel = false
 	m, _ := New(time.Hour, Config{Settings: settings, Seed: 1, KnownEndpoints: []Endpoint{newEndpoint("b1", "h:1", admission.Live, 0)}})
-	started := effectsOf[StartAttempt](m.Step(time.Hour, readRequest(1, time.Hour, time.Second)))
+	started := effectsOf[StartAttempt](m.Step(time.Hour, newReadRequest(1, time.Hour, time.Second)))
 	if len(started) != 1 {
-		t.Fatalf("%v", started)
+		t.Fatalf("started %v, want one attempt", started)
 	}
 	effects := m.Step(time.Hour, &ClientDisconnected{Request: 1})
 	if got := effectsOf[WithdrawAttempt](effects); len(got) != 1 || got[0].Attempt != started[0].Attempt {
 		t.Errorf("withdrawn %v, want %v", got, started[0].Attempt)
 	}
 	if got := effectsOf[Respond](effects); len(got) != 1 || got[0].Request != 1 || got[0].Kind != Rejected {
-		t.Errorf("answered %v", got)
+		t.Errorf("answered %v, want one rejection", got)
 	}
 	effects = m.Step(time.Hour, &AttemptFinished{Attempt: started[0].Attempt, Result: admission.NotSent})
 	if len(effectsOf[StartAttempt](effects))+len(effectsOf[Respond](effects)) > 0 || len(m.requests.byID) > 0 {
-		t.Errorf("%v, %d requests kept", effects, len(m.requests.byID))
+		t.Errorf("the withdrawn attempt caused %v, %d requests kept; want no attempt, no response, none kept", effects, len(m.requests.byID))
 	}
 	if c := m.Counters(); c.ClientsDisconnected != 1 || c.Rejected != 0 || c.OpenRequests != 0 {
-		t.Errorf("counters %+v", c)
+		t.Errorf("counters %+v, want one disconnected client, none rejected, none open", c)
 	}
 }
 
-// A request whose client disconnected before it was read is answered, and nothing else is done for it.
+// A request whose client disconnected before it was read gets a response, and nothing is forwarded for it.
 func TestClientDisconnectedBeforeItsRequestWasRead(t *testing.T) {
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
-	ev := readRequest(1, time.Hour, time.Second)
+	ev := newReadRequest(1, time.Hour, time.Second)
 	ev.Disconnected = true
 	effects := m.Step(time.Hour, ev)
 	if got := effectsOf[Respond](effects); len(got) != 1 || got[0].Kind != Rejected || len(effectsOf[StartAttempt](effects)) > 0 {
-		t.Errorf("%v", effects)
+		t.Errorf("effects %v, want one rejection and no attempt", effects)
 	}
 	if c := m.Counters(); c.Received != 1 || c.ClientsDisconnected != 1 || c.OpenRequests != 0 || len(m.requests.byID) > 0 {
-		t.Errorf("counters %+v", c)
+		t.Errorf("counters %+v, want one received, one disconnected client, none open", c)
 	}
 }
--- a/internal/core/restartslots.go
+++ b/internal/core/restartslots.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/rollingrestart"
 )
 
-// This file does the rolling restart: a limiter restarts only with a restart slot, which the lease
+// This file implements the rolling restart: a limiter restarts only with a restart slot, which the lease
 // holder of TaskRestarts grants. See docs/design/leases.md.
 
 // TaskRestarts is the task of granting restart slots.
@@ -16,26 +16,26 @@
 
 // RestartSlotSettings are the operators' settings of the rolling restart.
 type RestartSlotSettings struct {
-	MaxConcurrent int           // limiters that restart at once
-	Duration      time.Duration // within which a restart has to begin once its slot is granted
+	MaxConcurrent int           // how many limiters may restart at the same time
+	Duration      time.Duration // within which a restart has to begin after its slot is granted
 }
 
-// RestartSlotView is the state of the rolling restart as seen here.
+// RestartSlotView is the state of the rolling restart as this limiter knows it.
 type RestartSlotView struct {
 	Enabled     bool          `json:"on"`
 	Wanted      bool          `json:"wants"`         // an operator requested a slot for this limiter
 	Granted     bool          `json:"has"`           // the restart may begin, within ValidFor
-	ValidFor    time.Duration `json:"for"`           // nanoseconds
-	Reason      string        `json:"why,omitempty"` // why a slot that was granted is not used
-	Restarting  []int         `json:"out"`           // limiters that restart, as far as known here
-	Coordinator int           `json:"holder"`        // the lease holder, as far as known here; -1 for none
+	ValidFor    time.Duration `json:"for"`           // remaining validity of the grant, in nanoseconds
+	Reason      string        `json:"why,omitempty"` // why a granted slot is not used
+	Restarting  []int         `json:"out"`           // limiters that restart, as far as this limiter knows
+	Coordinator int           `json:"holder"`        // the lease holder, as far as this limiter knows; -1 for none
 }
 
-// restartSlotState is this limiter as a requester of slots, and as the coordinator where it is.
+// restartSlotState is the state of this limiter as a requester of slots, and as the coordinator if it is that.
 type restartSlotState struct {
 	enabled     bool
 	requester   rollingrestart.Requester
-	coordinator *rollingrestart.Coordinator // nil where this limiter does not hold the lease
+	coordinator *rollingrestart.Coordinator // nil if this limiter does not hold the lease
 	token       uint64                      // of the lease of TaskRestarts; 0 for none
 }
 
@@ -65,7 +65,7 @@
 	return view
 }
 
-// numbers converts limiters to the numbers that events and settings have.
+// numbers converts limiters to the numbers that events and settings use.
 func numbers(limiters []rollingrestart.Limiter) []int {
 	var list []int
 	for _, limiter := range limiters {
@@ -74,7 +74,7 @@
 	return list
 }
 
-// onRestartSlotRequested takes in that an operator wants a slot, or no longer.
+// onRestartSlotRequested handles that an operator wants a slot, or no longer wants one.
 func (m *Machine) onRestartSlotRequested(ev RestartSlotRequested) {
 	if !m.restartSlots.enabled {
 		return
@@ -86,7 +86,7 @@
 	m.runLeases()
 }
 
-// onRestartSlotReleased has the coordinator free the slot of a limiter that will not come back.
+// onRestartSlotReleased asks the coordinator to free the slot of a limiter that will not return.
 func (m *Machine) onRestartSlotReleased(ev RestartSlotReleased) {
 	if !m.restartSlots.enabled || m.leases.agent == nil {
 		return
@@ -110,7 +110,7 @@
 	m.sendToPeer(int(to), message.Append(nil))
 }
 
-// onSlotMessage takes in a datagram about restart slots.
+// onSlotMessage handles a datagram about restart slots.
 func (m *Machine) onSlotMessage(ev *PeerMessageReceived) {
 	message, ok := rollingrestart.Parse(ev.Data)
 	if !ok || !m.isPeer(ev.From) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// handleSlotMessage takes in a message as the requester or the coordinator.
+// handleSlotMessage handles a message as the requester or the coordinator.
 func (m *Machine) handleSlotMessage(from lease.Limiter, message rollingrestart.Message) {
 	switch message.Kind {
 	case rollingrestart.SlotGrant:
@@ -151,13 +151,13 @@
 	}
 }
 
-// isLastHolder reports whether this limiter is the last one that holds the quota of some customer, while
-// others restart: the last of owner and backup owners, or of a small set.
+// isLastHolder reports whether this limiter is the last one that holds the quota of some customer while
+// others restart: the last one of owner and backup owners, or of a small set.
 func (m *Machine) isLastHolder(restarting []rollingrestart.Limiter) bool {
 	return m.admission.controller.IsLastHolder(numbers(restarting))
 }
 
-// runRestartSlots does what is due, and returns the clock time at which it is to run again, 0 for never.
+// runRestartSlots does what is due, and returns the clock time at which it must run again, 0 for never.
 func (m *Machine) runRestartSlots() (due time.Duration) {
 	if !m.restartSlots.enabled {
 		return 0
@@ -168,7 +168,7 @@
 }
 
 // updateCoordinator makes this limiter the coordinator while it holds the lease. Each lease begins with
-// a new coordinator, from the payload that the acceptors keep.
+// a new coordinator, created from the payload that the acceptors store.
 func (m *Machine) updateCoordinator() {
 	s := &m.restartSlots
 	token, _, holds := m.leases.agent.Holds(m.now, TaskRestarts)
@@ -186,7 +186,7 @@
 	s.token = token
 }
 
-// runRequester requests a slot of the coordinator, if one is wanted.
+// runRequester sends the coordinator a request for a slot, if one is wanted and the request is due.
 func (m *Machine) runRequester() (due time.Duration) {
 	message, send, due := m.restartSlots.requester.Tick(m.now)
 	coordinator, known := m.leases.agent.Holder(TaskRestarts)
@@ -196,8 +196,8 @@
 	return due
 }
 
-// runCoordinator grants slots once the acceptors keep which limiters restart. It runs once more if those
-// change, as the acceptors may keep the change at once.
+// runCoordinator grants slots once the acceptors have stored which limiters restart. It runs a second time if these
+// change, as the acceptors may store the change at once.
 func (m *Machine) runCoordinator() (due time.Duration) {
 	coordinator := m.restartSlots.coordinator
 	if coordinator == nil {
@@ -205,8 +205,8 @@
 	}
 	for range 2 {
 		payload := coordinator.Payload()
-		kept := payload == 0 || m.leases.agent.SetPayload(m.now, TaskRestarts, payload)
-		out, tickDue := coordinator.Tick(m.now, kept)
+		stored := payload == 0 || m.leases.agent.SetPayload(m.now, TaskRestarts, payload)
+		out, tickDue := coordinator.Tick(m.now, stored)
 		for _, envelope := range out {
 			m.sendSlotMessage(envelope.To, envelope.Message)
 		}
--- a/internal/core/slots_cases_test.go
+++ b/internal/core/slots_cases_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/admission"
 )
 
-// newSlotMachine returns a machine with a plan of two attempts in flight.
+// newSlotMachine returns a machine with a plan that allows two attempts in flight.
 func newSlotMachine() *Machine {
 	settings := testSettings
 	settings.Limiters, settings.GossipEnabled = 1, false
@@ -19,17 +19,17 @@
 	return m
 }
 
-// Guards against a retry of a predecessor that has no slot: it reports the end of the first attempt before the start of
-// the second, and the successor starts an attempt of its own between them.
+// Guards against a retry of the predecessor without a slot: the predecessor reports the end of the first attempt before
+// the start of the second, and between the two reports the successor starts an attempt of its own.
 func TestRetryOfPredecessorIsWithinTheSlots(t *testing.T) {
 	predecessor, successor := newSlotMachine(), newSlotMachine()
-	first := effectsOf[StartAttempt](predecessor.Step(time.Hour, readRequest(1, time.Hour, time.Second)))[0]
-	for _, open := range predecessor.packState().OpenAttempts {
+	first := effectsOf[StartAttempt](predecessor.Step(time.Hour, newReadRequest(1, time.Hour, time.Second)))[0]
+	for _, open := range predecessor.buildHandoverState().OpenAttempts {
 		successor.Step(time.Hour, &PredecessorAttemptStarted{open})
 	}
 	inFlight := 1
 	start := func(id RequestID) {
-		inFlight += len(effectsOf[StartAttempt](successor.Step(time.Hour, readRequest(id, time.Hour, time.Second))))
+		inFlight += len(effectsOf[StartAttempt](successor.Step(time.Hour, newReadRequest(id, time.Hour, time.Second))))
 	}
 	start(1000)
 	ended := &AttemptFinished{Attempt: first.Attempt, Result: admission.Unreachable}
@@ -49,16 +49,16 @@
 	}
 }
 
-// Guards against the slots of a predecessor that died: backends may still be at work for it, as for any limiter that
-// restarted.
+// Guards against freeing the slots of a predecessor that died: backends may still work on its attempts, as for any
+// limiter that restarted.
 func TestAttemptsOfPredecessorThatDiedKeepTheirSlots(t *testing.T) {
 	successor := newSlotMachine()
 	for id := range RequestID(2) {
-		request := readRequest(id+1, time.Hour, time.Second)
+		request := newReadRequest(id+1, time.Hour, time.Second)
 		successor.Step(time.Hour, &PredecessorAttemptStarted{OpenAttempt{Request: request.Request, Backend: "a"}})
 	}
 	successor.Step(time.Hour, LinkClosed{})
-	if started := effectsOf[StartAttempt](successor.Step(time.Hour, readRequest(1000, time.Hour, time.Second))); len(started) > 0 {
-		t.Error("an attempt started at once, while backends may be at work for two of the predecessor, with two slots")
+	if started := effectsOf[StartAttempt](successor.Step(time.Hour, newReadRequest(1000, time.Hour, time.Second))); len(started) > 0 {
+		t.Error("an attempt started although backends may work on two attempts of the predecessor, want none with two slots")
 	}
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// This file holds the timers of all concerns. One SetTimer is in force: that of the earliest.
+// This file holds the timers of all concerns. Only one SetTimer is in force: that for the earliest timer.
 
-// noTimer is the armedAt of a timerQueue without a timer. Where a concern keeps the clock time of its own
-// timer, none is 0.
+// noTimer is the armedAt of a timerQueue for which no timer is set. Where a concern stores the clock time of its own
+// timer, 0 means none.
 const noTimer time.Duration = math.MaxInt64
 
-// timer is something that is due at a clock time.
+// timer is an action that is due at a clock time.
 type timer struct {
 	at   time.Duration
 	kind timerKind
@@ -23,16 +23,16 @@
 
 const (
 	controllerTimer timerKind = iota // the admission controller has something due
-	deadlineTimer                    // a request must have its response
-	attemptTimer                     // an attempt times out
-	discoveryTimer                   // ready, even if discovery brought no list
-	graceTimer                       // after SIGTERM: accept no more connections
+	deadlineTimer                    // the deadline of a request
+	attemptTimer                     // the time limit of an attempt
+	discoveryTimer                   // the process becomes ready even if discovery has sent no list
+	graceTimer                       // after SIGTERM: no more connections are accepted
 	leaseTimer                       // a lease or a task under one has something due
-	hotRestartTimer                  // the hot restart has something due
+	hotRestartTimer                  // the hot restart protocol has something due
 	metricsTimer                     // metrics changed since they were last published
 )
 
-// timerQueue is all timers, those that are no longer valid included.
+// timerQueue is the queue of all timers, including those that are no longer valid.
 type timerQueue struct {
 	heap    timerHeap
 	armedAt time.Duration // clock time of the SetTimer in force; noTimer for none
@@ -44,8 +44,8 @@
 
 func (q *timerQueue) removeEarliest() { heap.Pop(&q.heap) }
 
-// nextTimer returns the earliest valid timer, and drops those before it. Most timers become invalid before
-// their time, as requests are answered and attempts end long before; to be woken for them would be half of
+// nextTimer returns the earliest valid timer, and removes the invalid ones before it. Most timers become invalid before
+// they are due, because requests are answered and attempts end long before; firing them would make up half of
 // all wake-ups.
 func (m *Machine) nextTimer() (t timer, ok bool) {
 	for len(m.timers.heap) > 0 {
@@ -58,7 +58,7 @@
 	return timer{}, false
 }
 
-// timerValid reports whether a timer's cause still holds.
+// timerValid reports whether the reason for a timer still exists.
 func (m *Machine) timerValid(t timer) bool {
 	switch t.kind {
 	case controllerTimer:
@@ -78,7 +78,7 @@
 	return true
 }
 
-// runTimers does all that is due.
+// runTimers handles all timers that are due.
 func (m *Machine) runTimers() {
 	for {
 		t, ok := m.nextTimer()
@@ -107,12 +107,12 @@
 		m.runLeases()
 	case hotRestartTimer:
 		m.onHotRestartTimer()
-	case metricsTimer: // publishMetrics runs after all that is due
+	case metricsTimer: // publishMetrics runs in this step, after all timers
 		m.metrics.timerPending = false
 	}
 }
 
-// armTimer sets a timer if the earliest one is not the one in force.
+// armTimer requests a timer if the earliest one is not the one in force.
 func (m *Machine) armTimer() {
 	t, ok := m.nextTimer()
 	if !ok || t.at == m.timers.armedAt {
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -7,21 +7,21 @@
 	"lemongate/internal/admission"
 )
 
-// No timer is set without a cause: for a request that is answered, an attempt that ended, a timer of the
+// No timer is set without a reason: not for a request that is answered, an attempt that ended, or a timer of the
 // admission controller that a later one replaced.
 func TestStaleTimersAreDropped(t *testing.T) {
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
 	m.Step(time.Hour, &EndpointsUpdated{Kind: admission.ListDelta})
-	m.Step(time.Hour, readRequest(1, time.Hour, time.Second))
+	m.Step(time.Hour, newReadRequest(1, time.Hour, time.Second))
 	m.Step(time.Hour+time.Millisecond, &AttemptFinished{Attempt: AttemptID{1, 0}, Result: admission.Succeeded})
 	m.applyAction(admission.SetTimer{At: time.Hour + 40*time.Minute})
 	m.applyAction(admission.SetTimer{At: time.Hour + 30*time.Minute})
 	got := m.finishStep()
 	if set := got[len(got)-1]; set != (SetTimer{time.Hour + 30*time.Minute}) {
-		t.Errorf("%+v", set)
+		t.Errorf("last effect %+v, want the timer at 1 h 30 min", set)
 	}
 	m.admission.timerAt = 0
 	if _, ok := m.nextTimer(); ok {
-		t.Errorf("timers left: %+v", m.timers)
+		t.Errorf("valid timers left: %+v", m.timers)
 	}
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -9,8 +9,8 @@
 // document is the part of the platform's settings that a limiter uses. The tags are the platform's
 // names; a name that ends in _s is a time in seconds.
 type document struct {
-	Self            int             `json:"me"`       // from 0
-	Limiters        int             `json:"siblings"` // in the tier
+	Self            int             `json:"me"`       // number of this limiter, from 0
+	Limiters        int             `json:"siblings"` // number of limiters in the tier
 	Zone            string          `json:"zone"`
 	ClockResolution float64         `json:"granularity_s"`
 	Membership      string          `json:"membership_mode"`
@@ -25,7 +25,7 @@
 	} `json:"clients"`
 	Service struct {
 		PeerMessagesPerSecond float64 `json:"peer_in_per_s"`
-		MostUnits             float64 `json:"most_units"` // of one request
+		MaxUnits              float64 `json:"most_units"` // of one request
 	} `json:"family_info"`
 	Allowed allowedDocument `json:"allowed"`
 	Rules   rulesDocument   `json:"rules"`
@@ -43,7 +43,7 @@
 	IdleClose      float64 `json:"idle_close_s"`
 }
 
-// rulesDocument has the figures of the rules on draining and on backends that warm up.
+// rulesDocument has the parameters of the rules on draining, slow start and overload.
 type rulesDocument struct {
 	DrainGrace        float64 `json:"drain_grace_s"`
 	SlowStartFraction float64 `json:"cold_from"` // of the capacity
@@ -76,7 +76,7 @@
 	OverQuotaCost  float64 `json:"over_cost"`    // fraction of the weight
 }
 
-// membershipPoll is the membership mode in which changes of the endpoint list come only when polled for.
+// membershipPoll is the membership mode in which changes to the endpoint list are only delivered when polled for.
 const membershipPoll = "ask"
 
 // The capacity sources that give each backend a capacity which does not change with its load.
@@ -85,14 +85,14 @@
 	capacityRough   = "rough"
 )
 
-// idempotencies are the values of a class's effect.
+// idempotencies maps the values of a class's effect.
 var idempotencies = map[string]admission.Idempotency{
 	"idempotent":   admission.Idempotent,
 	"deduplicated": admission.IdempotentByKey,
 	"at_most_once": admission.NonIdempotent,
 }
 
-// idempotencyScopes are the values of a class's group. A missing one means the narrowest scope.
+// idempotencyScopes maps the values of a class's group. A missing group means the narrowest scope.
 var idempotencyScopes = map[string]admission.IdempotencyScope{
 	"all":  admission.ScopeAll,
 	"zone": admission.ScopeZone,
@@ -100,7 +100,7 @@
 	"":     admission.ScopeCell,
 }
 
-// admissionSettings maps all but the classes and the plans.
+// admissionSettings maps all settings but the classes and the plans.
 func (doc *document) admissionSettings() admission.Settings {
 	mapped := admission.Settings{
 		Self:                  doc.Self,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings decodes the settings that the platform gives a limiter: the classes and plans of
 // the service, the size of the tier, and what the site allows. The simulator sends them at the start
-// of a limiter; a limiter on sockets has them in its configuration file. This is the one place where
-// the platform's names are mapped to the terms of package admission.
+// of a limiter; a limiter on sockets reads them from its configuration file. Only this package
+// maps the platform's names to the terms of package admission.
 package settings
 
 import (
@@ -16,17 +16,18 @@
 	"lemongate/internal/admission"
 )
 
-// Settings configure a limiter: its admission controller, and what only a limiter on sockets needs.
+// Settings are the settings of a limiter: those of its admission controller, and those that only a limiter on sockets
+// needs.
 type Settings struct {
 	admission.Settings
 	ConnectTimeout time.Duration // of a connection to a backend; 0 if not known
-	IdleClose      time.Duration // after which at the latest a backend closes an idle connection; 0 if not known
-	MaxUnits       float64       // that one request takes from a quota; 0 if not known
+	IdleClose      time.Duration // idle time after which a backend closes a connection at the latest; 0 if not known
+	MaxUnits       float64       // units that one request takes from a quota at most; 0 if not known
 }
 
-// Decode reads the settings, a JSON object. Keys that it does not know are skipped, and keys that are
-// missing leave a zero. It fails if the JSON is malformed, if there is no class, and if a class has an
-// effect or a group that is not known; the error is one plain line.
+// Decode decodes the settings from a JSON object. It skips unknown keys, and missing keys leave a field at
+// zero. It fails if the JSON is malformed, if there is no class, or if a class has an
+// unknown effect or group; the error is a single line.
 //
 // The Epoch is not in the settings: the caller sets it.
 func Decode(text []byte) (Settings, error) {
@@ -45,7 +46,7 @@
 		Settings:       doc.admissionSettings(),
 		ConnectTimeout: Duration(doc.Allowed.ConnectTimeout),
 		IdleClose:      Duration(doc.Allowed.IdleClose),
-		MaxUnits:       doc.Service.MostUnits,
+		MaxUnits:       doc.Service.MaxUnits,
 	}
 	decoded.Classes = classes
 	decoded.Plans = doc.plans()
@@ -58,10 +59,10 @@
 	return time.Duration(math.Round(seconds * float64(time.Second)))
 }
 
-// maxExcerpt is how many bytes of a text from outside an error quotes.
+// maxExcerpt is how many bytes of an external text an error quotes.
 const maxExcerpt = 40
 
-// Excerpt shortens a text from outside to what an error may quote.
+// Excerpt shortens an external text to the length that an error may quote.
 func Excerpt(text string) string {
 	if len(text) <= maxExcerpt {
 		return text
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// everyField sets every field that is mapped, as far as it can to a value of its own.
+// everyField sets every field that is mapped, to a distinct value where possible.
 const everyField = `{
 	"me": 3,
 	"siblings": 11,
@@ -42,7 +42,7 @@
 	"rules": {"drain_grace_s": 0.26, "cold_from": 0.17, "warm_within_s": 17.3, "fall_multiple": 4.4, "fall_s": 1.58}
 }`
 
-// everyFieldDecoded is what release 0.8.0 makes of everyField.
+// everyFieldDecoded is the result of release 0.8.0 for everyField.
 var everyFieldDecoded = Settings{
 	Settings: admission.Settings{
 		Self:            3,
@@ -90,7 +90,7 @@
 	MaxUnits:       6.5,
 }
 
-// Every name of the platform is mapped to the field that release 0.8.0 maps it to.
+// Every name of the platform is mapped to the same field as in release 0.8.0.
 func TestDecodeEveryField(t *testing.T) {
 	got, err := Decode([]byte(everyField))
 	if err != nil {
@@ -101,37 +101,37 @@
 	}
 }
 
-// No field was forgotten in everyField: all but the epoch, which is not in the settings, differ from zero,
-// and in the lists at least one entry has each.
+// everyField leaves out no field: all but the epoch, which is not in the settings, are not zero,
+// and each field of list entries is set in at least one entry.
 func TestEveryFieldIsSet(t *testing.T) {
 	zero := map[string]bool{}
-	noteZeroFields(zero, "", reflect.ValueOf(everyFieldDecoded))
+	recordZeroFields(zero, "", reflect.ValueOf(everyFieldDecoded))
 	for name, isZero := range zero {
 		if isZero != (name == ".Settings.Epoch") {
-			t.Errorf("%s: is zero: %v", name, isZero)
+			t.Errorf("%s: is zero: %v, want only the epoch to be zero", name, isZero)
 		}
 	}
 }
 
-// noteZeroFields notes which fields of a value are zero; a field of the entries of a list is if it is zero
-// in all of them.
-func noteZeroFields(zero map[string]bool, name string, value reflect.Value) {
+// recordZeroFields records which fields of a value are zero. A field of list entries counts as zero if it is zero
+// in all entries.
+func recordZeroFields(zero map[string]bool, name string, value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
 		for i := range value.NumField() {
-			noteZeroFields(zero, name+"."+value.Type().Field(i).Name, value.Field(i))
+			recordZeroFields(zero, name+"."+value.Type().Field(i).Name, value.Field(i))
 		}
 	case reflect.Slice:
 		for i := range value.Len() {
-			noteZeroFields(zero, name+"[]", value.Index(i))
+			recordZeroFields(zero, name+"[]", value.Index(i))
 		}
 	default:
-		before, noted := zero[name]
-		zero[name] = value.IsZero() && (before || !noted)
+		before, seen := zero[name]
+		zero[name] = value.IsZero() && (before || !seen)
 	}
 }
 
-// Each setting that is on or off, set alone, switches exactly its field; what is missing is zero.
+// Each boolean setting, set alone, changes exactly its own field; missing settings leave zero values.
 func TestDecodeSwitches(t *testing.T) {
 	for _, test := range []struct {
 		text string
@@ -161,7 +161,7 @@
 	}
 }
 
-// Settings that cannot be used are refused with an error of one line that names what is wrong.
+// Invalid settings are rejected with a one-line error that names the problem.
 func TestDecodeErrors(t *testing.T) {
 	const longName = "0123456789012345678901234567890123456789"
 	for text, want := range map[string]string{
@@ -182,12 +182,12 @@
 			t.Errorf("%q: got %v, want %s", text, err, want)
 		}
 		if !reflect.DeepEqual(got, Settings{}) {
-			t.Errorf("%q: got settings beside an error: %+v", text, got)
+			t.Errorf("%q: want zero settings with an error, got %+v", text, got)
 		}
 	}
 }
 
-// Times are rounded to the nearest nanosecond: many decimal fractions are a little less as a float.
+// Seconds are rounded to the nearest nanosecond: many decimal fractions are slightly less as a float64.
 func TestDuration(t *testing.T) {
 	for seconds, want := range map[float64]time.Duration{0: 0, 0.29: 290 * ms, 1.13: 1130 * ms, -0.57: -570 * ms, 2.5e-9: 3} {
 		if got := Duration(seconds); got != want {
