--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -1,10 +1,10 @@
-// Package gossip is the messages that limiters send each other: transfer requests and grants of customers'
-// quotas, and observations of backends. A message fits into one datagram.
+// Package gossip defines the messages that limiters send each other: transfer requests and grants of
+// customers' quotas, and observations of backends. A message fits into one datagram.
 //
 // A message that is lost, repeated or reordered does no harm: a grant names the request that it replies to
-// and counts once, and a receiver drops messages that come behind a later one by Seq.
+// and counts once, and a receiver drops a message that arrives after one with a later Seq.
 //
-// Limiters with different versions of the format do not understand each other. Each then has the even
+// Limiters with different versions of the format reject each other's messages. Each then has the even
 // allocation of every quota that it would have in this version too, and no part of it is moved.
 package gossip
 
@@ -16,15 +16,15 @@
 // ServingAgeStep is the unit of ServingAge.
 const ServingAgeStep = 250 * time.Millisecond
 
-// Maximum numbers of entries in a message, with which it fits into 256 bytes. Whoever builds a Message keeps
-// to them: Append does not check, and Parse rejects a message that is larger.
+// Maximum numbers of entries in a message, with which it fits into 256 bytes. The code that builds a Message
+// has to keep to them: Append does not check, and Parse rejects a message that is larger.
 const (
 	MaxRequests     = 5
 	MaxGrants       = 5
 	MaxObservations = 6
 )
 
-// MaxSlots is the most slots that a message can name.
+// MaxSlots is the maximum number of slots that a field of a message can carry.
 const MaxSlots = 255
 
 // UnitParts is the number of parts in a unit. Messages carry integer numbers of parts.
@@ -75,12 +75,12 @@
 // sender.
 type Grant struct {
 	Customer     uint32 // hash of the customer's name
-	Nonce        uint16 // of the request; 0 for a mere report that was not requested
+	Nonce        uint16 // of the request; 0 for a grant that was not requested and only reports
 	QuotaUnits   uint16 // of the quota, in parts of a unit
 	CeilingUnits uint16 // of the ceiling, in parts of a unit
 	Consumed     uint16 // by the sender in this epoch, in parts of a unit modulo 2^16
 	Share        uint8  // of the rate and burst of both buckets, lent, in ShareSteps
-	Level        int8   // left at the sender, in LevelSteps of the burst
+	Level        int8   // remaining at the sender, in LevelSteps of the burst
 	Demand       uint8  // at the sender, in DemandSteps of the rate; of an owner, that of all limiters
 	Slots        uint8  // lent in total, those of earlier grants included
 	TotalLevel   uint8  // as in a TransferRequest; of an owner, its level
@@ -106,7 +106,7 @@
 	ReceiverEpoch uint32 // of the receiver as far as the sender knows, else 0
 	Seq           uint32 // grows by one with each message to this receiver, modulo 2^32
 	Pressure      uint8  // upstream pressure at the sender, in 64ths
-	ServingAge    uint8  // for how long requests have been coming, in quarters of a second, or LeavingAge
+	ServingAge    uint8  // for how long client requests have been arriving, in quarters of a second, or LeavingAge
 	Requests      []TransferRequest
 	Grants        []Grant
 	Observations  []Observation
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -19,23 +19,23 @@
 	}
 }
 
-// A message with the most entries fits into a datagram. One that is cut off, of another version, or with
-// too many entries is rejected.
+// A message with the maximum number of entries fits into a datagram. One that is cut off, of another version,
+// or with too many entries is rejected.
 func TestFullMessageFits(t *testing.T) {
 	m := Message{Requests: make([]TransferRequest, MaxRequests), Grants: make([]Grant, MaxGrants), Observations: make([]Observation, MaxObservations)}
 	data := m.Append(nil)
 	if _, ok := Parse(data); !ok || len(data) > 256 {
-		t.Errorf("a full message of %d bytes was rejected", len(data))
+		t.Errorf("a message with the maximum number of entries was rejected or exceeds 256 bytes: it has %d bytes", len(data))
 	}
 	for n := range data {
 		if _, ok := Parse(data[:n]); ok {
 			t.Errorf("the first %d of %d bytes were accepted", n, len(data))
 		}
 	}
-	for v := range uint8(10) { // another version gives the same bytes another meaning
+	for v := range uint8(10) { // in another version the same bytes have another meaning
 		data[0] = v
 		if _, ok := Parse(data); ok != (v == version) {
-			t.Errorf("version %d accepted: %v", v, ok)
+			t.Errorf("version %d accepted: %v, want only the current version accepted", v, ok)
 		}
 	}
 	m.Requests = make([]TransferRequest, 3*MaxRequests)
@@ -44,14 +44,14 @@
 	}
 }
 
-// Whatever is accepted is encoded to the same bytes again.
+// Data that Parse accepts is encoded to the same bytes again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{version, 17: 0})
 	f.Add(Message{Epoch: 7, Requests: []TransferRequest{{Customer: 2, Plan: 3, Nonce: 4, QuotaWanted: 5, Level: -6}}, Observations: []Observation{{1, 2, 3, 4}}}.Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if m, ok := Parse(data); ok && string(m.Append(nil)) != string(data) {
-			t.Errorf("%x was encoded again as %x", data, m.Append(nil))
+			t.Errorf("%x was decoded and encoded as %x, want the same bytes", data, m.Append(nil))
 		}
 	})
 }
--- a/internal/queueing/queueing_test.go
+++ b/internal/queueing/queueing_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/queueing"
 )
 
-// assertNear checks that a value is within a thousandth of what is wanted.
+// assertNear checks that got is within 0.001 of want, or within a thousandth of want if that is larger.
 func assertNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-3*math.Max(1, math.Abs(want)) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Slope is the derivative of the latency by the share, and bounded where the share has nothing to spare.
+// Slope is the derivative of the latency by the share, and stays finite where the share is too small for the load.
 func TestSlope(t *testing.T) {
 	const arrivalRate, share, step = 50.0, 0.3, 1e-6
 	service := queueing.ServiceTime{Mean: 0.005, Square: 0.00005}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,29 +6,29 @@
 	"lemongate/internal/rate"
 )
 
-// demandMemory is the time over which demand is averaged.
+// demandMemory is the time constant with which the measured demand decays.
 const demandMemory = 2 * time.Second
 
 const demandMemorySeconds = float64(demandMemory) / float64(time.Second)
 
-// largestRequestDecay is the divisor of the step by which largestRequest falls with each smaller request.
+// largestRequestDecay divides the difference by which a smaller request lowers largestRequest.
 const largestRequestDecay = 16
 
-// Account is this limiter's part of one customer's buckets, and what it knows of the rest. Levels are as of
-// the last call with a clock time.
+// Account is this limiter's part of one customer's buckets, and what it knows of the other parts. Levels are as
+// of the last call with a clock time.
 type Account struct {
 	CustomerHash uint32 // hash of the customer's name
 	PlanIndex    int    // in Config.Plans
 	SlotsInUse   int    // attempts in flight and requests queued for one; set by the caller, see Reserve
-	Forgotten    bool   // by Sweep: the caller has to get a new one from Ledger.Account
+	Forgotten    bool   // set by Sweep: the caller has to get a new account from Ledger.Account
 
 	ledger       *Ledger
-	firstLimiter int // the customer's set: setSize limiters in a row from this one
+	firstLimiter int // the customer's set: setSize consecutive limiters from this one
 	setSize      int
 	advancedTo   time.Duration // clock time of the levels
 	lastSeen     time.Duration // clock time of the last request
 
-	// The buckets here, in units. A quota's level is below zero while there is debt.
+	// Levels here, in units. The quota's level is below zero while there is debt.
 	quotaLevel    float64
 	ceilingLevel  float64
 	reservedUnits float64 // reserved and not sent yet: they count against the ceiling's capacity
@@ -46,47 +46,47 @@
 	ceilingFraction float64 // of the ceiling
 	baseSlots       int
 
-	demand         rate.Decaying // units per second, granted or not
+	demand         rate.Decaying // units per second, of granted and rejected requests
 	largestRequest float64       // decaying maximum of the units of one request
 
 	// The exchange with other limiters.
 	lenders []int   // all other limiters of a small set, each of which may lend; none without gossip
-	links   []*link // one for each peer, in the order met
+	links   []*link // one for each peer, in the order of first contact
 
 	borrowsSlots bool // is in Ledger.slotBorrowers
 
-	// What the start left open, see StartState.
-	unresolvedUnits         float64 // that the quota has here if the tier is new
-	admittedWhileUnresolved bool    // one request was
+	// State that depends on the start state, see StartState.
+	unresolvedUnits         float64 // added to quotaLevel if the tier turns out to be new
+	admittedWhileUnresolved bool    // a request was admitted without a grant; counts while the start state is unknown
 	startedFull             bool    // the bucket was full when the tier started: peers' counts start at 0
 
 	// The customer's complete quota as far as known here, see reconcile.go.
 	consumed           uint16  // units consumed here in this epoch, in gossip.UnitParts, modulo 2^16
 	totalLevel         float64 // units; below 0 while there is debt
 	totalKnown         bool
-	unallocatedUnits   float64 // least units since unallocatedSince that are in the bucket and in no allocation
+	unallocatedUnits   float64 // minimum since unallocatedSince of the units in the bucket and in no allocation
 	unallocatedReports int     // peers' reports since unallocatedSince
 	unallocatedSince   time.Duration
 
 	// Only in a set with an owner, see owner.go.
 	owners                []int          // the owner and its backups, in their order
-	ownerRank             int            // of this limiter: 0 the owner, above it a backup owner, or notOwner
+	ownerRank             int            // of this limiter: 0 for the owner, above 0 for a backup owner, else notOwner
 	ownerView             ownerView      // as the owner reported last
 	credit                rate.Allowance // units that may be consumed here without a decision
-	unreportedUnits       float64        // units consumed that way and not reported to the owner, less those not used
+	unreportedUnits       float64        // units consumed from credit and not reported to the owner, less those not used
 	unreportedDemand      float64        // units of requests here, not reported to the owner
 	transferAllowance     float64        // transfer requests to the owner of a hot customer that may be sent
-	transferOutstanding   bool           // a request waits for the owner's decision
-	ownerDecision         ownerDecision  // the owner's last reply that Reserve did not use yet
-	levelHintReceived     bool           // a requester reported the quota's level
+	transferOutstanding   bool           // a client request waits for the owner's decision
+	ownerDecision         ownerDecision  // the owner's last reply, until Reserve uses it
+	levelHintReceived     bool           // a requester has reported the quota's level
 	lastGrantAt           time.Duration
 	ceilingInTransit      []inTransit // grants of the ceiling that may not have arrived yet
 	ceilingUnitsInTransit float64     // sum of ceilingInTransit
 }
 
-// isAllocated reports whether every limiter of the set has an allocation of both buckets. In a larger
-// set the owner has them.
-func (a *Account) isAllocated() bool { return a.setSize <= SmallSetSize }
+// inSmallSet reports whether the customer's set is small: every limiter of the set has an allocation of both
+// buckets. In a large set the owner and its backup owners have them.
+func (a *Account) inSmallSet() bool { return a.setSize <= SmallSetSize }
 
 func (a *Account) plan() *Plan { return &a.ledger.Plans[a.PlanIndex] }
 
@@ -95,21 +95,22 @@
 	return a.demand.Value(now, demandMemorySeconds)
 }
 
-// RecordDemand reports that a request for units came in here, whether it is granted or not.
+// RecordDemand records a client request for units at this limiter, whether it is granted or not.
 func (l *Ledger) RecordDemand(a *Account, units float64, now time.Duration) {
 	a.demand.Add(now, units, demandMemorySeconds)
 	l.totalDemand.Add(now, units, demandMemorySeconds)
 	a.largestRequest = max(units, a.largestRequest+(units-a.largestRequest)/largestRequestDecay)
 	a.lastSeen = now
-	if !a.isAllocated() && a.ownerRank != 0 {
+	if !a.inSmallSet() && a.ownerRank != 0 {
 		a.unreportedDemand += units
 	}
 }
 
-// initAllocated gives an account of a small set its allocations, none outside of the set.
-func (a *Account) initAllocated() {
+// initSmallSet sets the allocations and lenders of an account of a small set. A limiter outside of the set gets
+// no allocations.
+func (a *Account) initSmallSet() {
 	l := a.ledger
-	limiters := a.allocatedLimiters()
+	limiters := a.smallSetLimiters()
 	for i, limiter := range limiters {
 		switch {
 		case limiter == l.Self:
@@ -122,7 +123,8 @@
 	}
 }
 
-// evenSlots is how many of some slots the limiter at an index of a list gets.
+// evenSlots is the number of slots of the limiter at an index if slots are divided evenly among the limiters;
+// the first limiters get one more each of those that are left over.
 func evenSlots(slots, limiters, index int) int {
 	n := slots / limiters
 	if index < slots%limiters {
@@ -131,9 +133,9 @@
 	return n
 }
 
-// allocatedLimiters are the limiters of a small set. The order differs between customers, so that the
-// slots that do not divide evenly are spread over the set.
-func (a *Account) allocatedLimiters() []int {
+// smallSetLimiters returns the limiters of a small set. The order differs between customers, so that the slots
+// that do not divide evenly are spread over the set.
+func (a *Account) smallSetLimiters() []int {
 	list := make([]int, a.setSize)
 	offset := int(a.CustomerHash) % a.setSize
 	for i := range list {
@@ -142,9 +144,9 @@
 	return list
 }
 
-// isAsNew reports whether nothing would be lost by forgetting an account: its buckets are full and
-// nothing is lent, borrowed, reserved or requested.
-func (a *Account) isAsNew(now time.Duration) bool {
+// isEvictable reports whether nothing would be lost by evicting an account: its buckets are full and nothing is
+// lent, borrowed, reserved or requested.
+func (a *Account) isEvictable(now time.Duration) bool {
 	a.advance(now)
 	for _, lk := range a.links {
 		if lk.inUse(now) {
@@ -156,7 +158,7 @@
 		isFull(a.quotaLevel, a.baseFraction, plan.Quota) && isFull(a.ceilingLevel, a.ceilingFraction, plan.Ceiling)
 }
 
-// isFull reports whether an allocation is full but for rounding.
+// isFull reports whether an allocation is full, within rounding.
 func isFull(level, fraction float64, bucket Bucket) bool {
 	const almostFull = 0.999
 	return bucket.Rate <= 0 || level >= fraction*bucket.Burst*almostFull
--- a/internal/quota/debt.go
+++ b/internal/quota/debt.go
@@ -13,26 +13,26 @@
 	maxDebtFraction = 1.0
 	// debtRepaymentTime is the time in which grants and refills are expected to repay a debt.
 	debtRepaymentTime = 500 * time.Millisecond
-	// immediateProbability is the probability from which on a request is admitted at once, without
+	// immediateProbability is the minimum probability at which a request is admitted at once, without
 	// waiting for a grant.
 	immediateProbability = 0.9
-	// A request for which no grant can come is admitted from the probability finalProbability +
-	// finalProbabilityFactor * Plan.LeastProbability on.
+	// A request that can get no grant is admitted if the probability is at least finalProbability +
+	// finalProbabilityFactor * Plan.LeastProbability.
 	finalProbability       = 0.5
 	finalProbabilityFactor = 0.6
-	// unknownLevelFraction is what a peer that reported nothing is assumed to have, as a fraction of its
-	// allocation; unknownDemandFraction bounds its demand, as a fraction of its part of the rate.
+	// unknownLevelFraction is the assumed level of a peer that has reported nothing, as a fraction of its
+	// allocation; unknownDemandFraction bounds its assumed demand, as a fraction of its part of the rate.
 	unknownLevelFraction  = 0.8
 	unknownDemandFraction = 0.5
-	// reportDelay is how old a report is assumed to be when it comes.
+	// reportDelay is the assumed age of a report when it arrives.
 	reportDelay = 100 * time.Millisecond
-	// unseenMaxAge bounds the age of a report in admissionProbability: by then buckets are full again. What
-	// a lost peer consumed is assumed for a shorter time, see maxUnreportedSeconds.
+	// unseenMaxAge bounds the age of a report in admissionProbability: by then buckets are full again. The
+	// consumption of a lost peer is assumed for a shorter time, see maxUnreportedSeconds.
 	unseenMaxAge = 5 * time.Second
-	// unseenMinFraction is the least rate at which a peer is assumed to consume without a report, as a
+	// unseenMinFraction is the minimum rate at which a peer is assumed to consume without a report, as a
 	// fraction of its part of the rate.
 	unseenMinFraction = 0.05
-	// minUnseenUnits keeps the expected unseen consumption from being zero.
+	// minUnseenUnits keeps the expected unseen consumption, a divisor, above zero.
 	minUnseenUnits = 1e-6
 )
 
@@ -41,11 +41,11 @@
 	return max(maxDebtFraction*a.plan().Quota.Burst*a.evenFraction, a.largestRequest)
 }
 
-// admissionProbability is the probability that the customer's bucket has a request's units, of which
-// some are lacking here. Reports of all peers give what the bucket had and how fast the peers consume;
-// what they consumed since is taken as exponentially distributed. Where a report is missing, the peers'
-// estimated levels stand for the bucket.
-func (a *Account) admissionProbability(units, lacking float64, now time.Duration) float64 {
+// admissionProbability is the probability that the customer's bucket has a request's units, of which shortfall
+// are missing in the allocation here. If all peers have reported, the bucket's level is the total level known
+// here; otherwise it is estimated from the peers' expected levels. The peers' consumption since their reports
+// is assumed to be exponentially distributed.
+func (a *Account) admissionProbability(units, shortfall float64, now time.Duration) float64 {
 	spare, unseen, allReported := 0.0, 0.0, a.totalKnown
 	for _, peerID := range a.lenders {
 		lk := a.link(peerID)
@@ -55,16 +55,16 @@
 		allReported = allReported && lk.known
 	}
 	if allReported {
-		spare, lacking = a.totalLevel, units
+		spare, shortfall = a.totalLevel, units
 	}
-	if spare < lacking {
+	if spare < shortfall {
 		return 0
 	}
-	return 1 - math.Exp(-(spare-lacking)/max(unseen, minUnseenUnits))
+	return 1 - math.Exp(-(spare-shortfall)/max(unseen, minUnseenUnits))
 }
 
-// peerDemand is the demand at a peer in units per second: as it reported, else as estimated. A report
-// counts here also while the peer is silent.
+// peerDemand is the demand at a peer in units per second: the reported one if there is a report, else the
+// estimated one. Unlike in estimatePeer, the report of a silent peer counts as well.
 func peerDemand(lk *link, estimated float64) float64 {
 	if lk.known {
 		return lk.demand
@@ -82,15 +82,15 @@
 	}
 	units := max(demand, unseenMinFraction*plan.Quota.Rate*a.evenFraction) * age.Seconds()
 	if lk.known && now-lk.reportedAt < peerSilenceTimeout {
-		// It receives reports too, and grants beyond its allocation only on these.
+		// The peer receives reports too, and exceeds its allocation only as far as these allow.
 		units = min(units, max(lk.level, 0)+a.evenFraction*plan.Quota.Rate*age.Seconds())
 	}
 	return units
 }
 
-// estimatePeer returns what a peer is expected to have, in units, and its demand in units per second: by
-// its last report and what it has gained and consumed since. Of a peer that reported nothing it assumes
-// that it is like this one, and of a silent one that it has nothing.
+// estimatePeer returns the expected level of a peer in units, and its demand in units per second: from its
+// last report and its refill and demand since. It assumes that a peer that reported nothing is like this
+// limiter, and that a silent peer has nothing.
 func (a *Account) estimatePeer(lk *link, now time.Duration) (level, demand float64) {
 	plan := a.plan()
 	fraction := max(a.evenFraction-lk.borrowed.share, 0)
@@ -105,7 +105,7 @@
 	}
 	demand = min(a.demandRate(now)/2, unknownDemandFraction*fraction*plan.Quota.Rate)
 	level = full * unknownLevelFraction
-	if s := a.ledger.startState; s == StartUnknown || s == TierRestarted { // it started with nothing as well
+	if s := a.ledger.startState; s == StartUnknown || s == TierRestarted { // the peer is assumed to have started empty as well
 		level = min(level, fraction*plan.Quota.Rate*(now-a.ledger.startedAt).Seconds())
 	}
 	return level, demand
--- a/internal/quota/encoding.go
+++ b/internal/quota/encoding.go
@@ -17,7 +17,7 @@
 
 func decodeUnits(parts uint16) float64 { return float64(parts) / gossip.UnitParts }
 
-// roundToParts is the amount that a message with these units carries.
+// roundToParts returns the amount that a message carries for these units.
 func roundToParts(units float64) float64 { return decodeUnits(encodeUnits(units)) }
 
 // encodeSigned encodes units that may be below 0, as an int16 in gossip.UnitParts.
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -9,28 +9,28 @@
 	"lemongate/internal/rate"
 )
 
-// accountsPerSweep bounds how many accounts one call of Sweep looks at.
+// accountsPerSweep bounds the number of accounts that one call of Sweep examines.
 const accountsPerSweep = 64
 
-// Counters count what became of units and requests since the start of the ledger. The field tags are
+// Counters count units and requests since the start of the ledger, by what happened to them. The field tags are
 // the names that scripts read.
 type Counters struct {
 	RequestsSent         uint64  `json:"asks"`      // transfer requests, retransmissions included
 	GrantsSent           uint64  `json:"answers"`   // grants, retransmissions included
-	UnitsReceived        float64 `json:"got"`       // units of quotas that grants brought
-	UnitsSent            float64 `json:"moved"`     // units of quotas that grants took away
-	UnitsUnacknowledged  float64 `json:"unheard"`   // of UnitsSent, units that arrived or were lost: no message said which
+	UnitsReceived        float64 `json:"got"`       // units of quotas received in grants
+	UnitsSent            float64 `json:"moved"`     // units of quotas sent in grants
+	UnitsUnacknowledged  float64 `json:"unheard"`   // of UnitsSent, units that were not acknowledged: received or lost
 	RateReclaimed        float64 `json:"reclaimed"` // units per second of shares taken back from earlier epochs of peers
-	UnitsRecovered       float64 `json:"strayed"`   // units taken up that were unallocated or at a lost peer
+	UnitsRecovered       float64 `json:"strayed"`   // units recovered that were unallocated or at a lost peer
 	AdmittedWithoutGrant uint64  `json:"on_chance"` // requests
 	Waited               uint64  `json:"waited"`    // requests that waited for a grant
 	Accounts             int     `json:"accounts"`  // accounts in memory now
-	StartState           string  `json:"standing"`  // what the start was taken for
-	SilentPeers          int     `json:"silent"`    // peers from which nothing comes now
+	StartState           string  `json:"standing"`  // name of the start state
+	SilentPeers          int     `json:"silent"`    // peers that send no messages now
 	PeersDeclaredDead    uint64  `json:"dead"`      // times that a silent peer was declared dead
 }
 
-// Ledger is one limiter's part of all customers' quotas and ceilings, and what it knows of the rest.
+// Ledger is one limiter's part of all customers' quotas and ceilings, and what it knows of the other parts.
 type Ledger struct {
 	Config
 	Counts Counters
@@ -40,26 +40,26 @@
 
 	restartedInService bool // a peer had requests before this limiter started
 
-	lastMessageAt time.Duration // when the last message of any peer came
+	lastMessageAt time.Duration // when the last message of any peer arrived
 
 	totalDemand    rate.Decaying // units per second, of all customers here
 	meanDemand     float64       // of totalDemand, while no peer is silent
 	demandVariance float64       // of totalDemand around its mean
-	ticks          int           // in meanDemand and demandVariance
+	ticks          int           // number of ticks in meanDemand and demandVariance
 
-	accounts      map[uint32][]*Account // by the hash of the customer's name, which several may share
-	accountOrder  []*Account            // in the order first met, but for what Sweep moved
-	sweepIndex    int                   // in accountOrder: where Sweep goes on
+	accounts      map[uint32][]*Account // by the hash of the customer's name, which several customers may share
+	accountOrder  []*Account            // in the order of creation, except for those that Sweep moved
+	sweepIndex    int                   // in accountOrder: where Sweep continues
 	ownedAccounts []*Account            // those that this limiter is the owner of
-	hotCursor     int                   // in ownedAccounts: where the search for hot customers goes on
-	slotBorrowers []*Account            // with borrowed slots, or messages to send that give them back
+	hotCursor     int                   // in ownedAccounts: where the search for hot customers continues
+	slotBorrowers []*Account            // with borrowed slots, or with messages to send that return slots
 
 	peers      map[int]*peer // by number of the limiter
-	readyPeers []int         // peers to send something to, in the order found
+	readyPeers []int         // peers with queued messages, in the order of queueing
 	lastNonce  uint16        // of the transfer requests of this limiter
 }
 
-// New starts a Ledger at a clock time.
+// New returns a Ledger that starts at a clock time.
 func New(c Config, now time.Duration) *Ledger {
 	c.Limiters = max(c.Limiters, 1)
 	l := &Ledger{Config: c, startedAt: now, accounts: map[uint32][]*Account{}, peers: map[int]*peer{}}
@@ -70,8 +70,8 @@
 }
 
 // Account returns the account of a customer, a new one if there is none. The customer's set is size
-// limiters in a row from the limiter with number first. Customers whose names share a hash share an
-// account only where they have the same plan and set.
+// consecutive limiters from the limiter with number first. Customers whose names share a hash share an
+// account only if they have the same plan and set.
 func (l *Ledger) Account(hash uint32, plan, first, size int, now time.Duration) *Account {
 	a := l.Find(hash, plan, first, size)
 	if a == nil {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// newAccount adds an account as if the customer had been met at the start: most customers come only
-// once, and what they gained since is theirs.
+// newAccount adds an account that has refilled since the start of the ledger, as if it had existed from then on:
+// most customers send requests only once, and are entitled to the refill since.
 func (l *Ledger) newAccount(hash uint32, plan, first, size int, now time.Duration) *Account {
 	a := &Account{
 		CustomerHash: hash,
@@ -107,12 +107,12 @@
 	l.accounts[hash] = append(l.accounts[hash], a)
 	l.accountOrder = append(l.accountOrder, a)
 	a.evenFraction = 1 / float64(a.setSize)
-	if !a.isAllocated() {
-		a.initOwned()
+	if !a.inSmallSet() {
+		a.initLargeSet()
 		a.advance(now)
 		return a
 	}
-	a.initAllocated()
+	a.initSmallSet()
 	a.advance(now)
 	a.initialLevel(now)
 	return a
@@ -142,10 +142,9 @@
 	return c
 }
 
-// IsLastHolder reports whether, with some other limiters out of service, this one is the last that holds
-// any of some customer's buckets: of a large set the last of owner and backup owners, else the last of the
-// set.
-// A customer of this limiter alone does not count, as no other could ever have its buckets.
+// IsLastHolder reports whether, if the limiters in out are out of service, this limiter is the last that
+// holds any of some customer's buckets: in a large set the last of owner and backup owners, else the last of
+// the set. A customer of this limiter alone does not count, as no other limiter could ever have its buckets.
 func (l *Ledger) IsLastHolder(out []int) bool {
 	isIn := func(limiter int) bool { return !slices.Contains(out, limiter) }
 	for _, a := range l.accountOrder {
@@ -157,9 +156,10 @@
 	return false
 }
 
-// otherHolders are the other limiters that hold any of the account's buckets, none if this one does not.
+// otherHolders returns the other limiters that hold any of the account's buckets, none in a large set if this
+// limiter holds none.
 func (a *Account) otherHolders() []int {
-	if a.isAllocated() {
+	if a.inSmallSet() {
 		return a.lenders
 	}
 	if a.ownerRank == notOwner {
@@ -168,19 +168,19 @@
 	return slices.DeleteFunc(slices.Clone(a.owners), func(limiter int) bool { return limiter == a.ledger.Self })
 }
 
-// Sweep forgets some of the accounts that were not used for the idle time, if nothing is lost by that. A
-// customer that is met again gets a new account.
+// Sweep evicts accounts that were not used for the idle time, if no state is lost by that. A customer that
+// sends a request again gets a new account. One call examines up to accountsPerSweep accounts.
 func (l *Ledger) Sweep(idle, now time.Duration) {
 	for range min(accountsPerSweep, len(l.accountOrder)) {
 		if l.sweepIndex >= len(l.accountOrder) {
 			l.sweepIndex = 0
 		}
 		a := l.accountOrder[l.sweepIndex]
-		if now-a.lastSeen <= idle || !a.isAsNew(now) {
+		if now-a.lastSeen <= idle || !a.isEvictable(now) {
 			l.sweepIndex++
 			continue
 		}
-		l.forget(a)
+		l.evict(a)
 		last := len(l.accountOrder) - 1
 		l.accountOrder[l.sweepIndex] = l.accountOrder[last]
 		l.accountOrder[last] = nil
@@ -188,43 +188,43 @@
 	}
 }
 
-// forget takes an account out of all lists but accountOrder.
-func (l *Ledger) forget(a *Account) {
-	isForgotten := func(other *Account) bool { return other == a }
-	remaining := slices.DeleteFunc(l.accounts[a.CustomerHash], isForgotten)
+// evict removes an account from all lists but accountOrder.
+func (l *Ledger) evict(a *Account) {
+	isEvicted := func(other *Account) bool { return other == a }
+	remaining := slices.DeleteFunc(l.accounts[a.CustomerHash], isEvicted)
 	l.accounts[a.CustomerHash] = remaining
 	if len(remaining) == 0 {
 		delete(l.accounts, a.CustomerHash)
 	}
 	a.Forgotten = true
-	l.slotBorrowers = slices.DeleteFunc(l.slotBorrowers, isForgotten)
+	l.slotBorrowers = slices.DeleteFunc(l.slotBorrowers, isEvicted)
 	if a.ownerRank == 0 {
-		l.ownedAccounts = slices.DeleteFunc(l.ownedAccounts, isForgotten)
+		l.ownedAccounts = slices.DeleteFunc(l.ownedAccounts, isEvicted)
 	}
 }
 
-// rebuildDerived builds what follows from the stored fields in a Ledger that was restored. The
+// rebuildDerived rebuilds what is derived from the stored fields, in a Ledger that was restored. The
 // configuration has to be that of the process that stored it.
 func (l *Ledger) rebuildDerived(c Config) {
 	c.Limiters = max(c.Limiters, 1)
 	l.Config = c
 	for _, hash := range slices.Sorted(maps.Keys(l.accounts)) {
 		for _, a := range l.accounts[hash] {
-			l.adopt(a)
+			l.addRestored(a)
 		}
 	}
 }
 
-// adopt adds a restored account to the lists that are not stored.
-func (l *Ledger) adopt(a *Account) {
+// addRestored adds a restored account to the lists that are not stored.
+func (l *Ledger) addRestored(a *Account) {
 	a.ledger, a.transferOutstanding, a.ownerDecision = l, false, ownerUndecided
 	l.accountOrder = append(l.accountOrder, a)
-	if a.ownerRank == 0 && !a.isAllocated() {
+	if a.ownerRank == 0 && !a.inSmallSet() {
 		l.ownedAccounts = append(l.ownedAccounts, a)
 	}
 	for _, lk := range a.links {
 		if lk.borrowed.slots > 0 {
-			l.watchBorrowedSlots(a)
+			l.trackBorrowedSlots(a)
 		}
 		if lk.queued {
 			peer := l.peer(lk.peerID)
@@ -235,7 +235,7 @@
 }
 
 // accountOfGrant returns the account that a grant is about: the one whose transfer request it replies to, or,
-// of a grant that nobody requested, the only one with that hash. It returns nil if there is none.
+// if there is none, the only account with that hash. It returns nil if there is neither.
 func (l *Ledger) accountOfGrant(peerID int, grant gossip.Grant) *Account {
 	list := l.accounts[grant.Customer]
 	for _, a := range list {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -14,8 +14,8 @@
 	return l
 }
 
-// granted returns how many of n requests for one unit are granted at once, with no wait for a grant.
-func granted(l *Ledger, a *Account, n int, now time.Duration) (sum int) {
+// countGranted returns how many of n requests for one unit are granted at once, without waiting for a grant.
+func countGranted(l *Ledger, a *Account, n int, now time.Duration) (sum int) {
 	for range n {
 		l.RecordDemand(a, 1, now)
 		if decision, _ := l.Reserve(a, 1, true, now); decision == Granted {
@@ -25,19 +25,19 @@
 	return sum
 }
 
-// A limiter that receives nothing from the others grants its allocation, and a debt of at most as much.
+// A limiter that receives nothing from the others grants its allocation, and a debt of at most the same size.
 func TestIsolatedLimiterStopsAtItsDebt(t *testing.T) {
 	l := newLedger(TierStarted)
 	a := l.Account(1, 0, 0, 3, time.Hour)
-	if n := granted(l, a, 100, time.Hour); n < 8 || n > 16 {
-		t.Errorf("%d of 100 at once, want its 8 and a debt of 8 at most", n)
+	if n := countGranted(l, a, 100, time.Hour); n < 8 || n > 16 {
+		t.Errorf("%d of 100 requests granted at once, want the 8 of the allocation and a debt of at most 8", n)
 	}
-	if n := granted(l, a, 1000, time.Hour+60*time.Second); n > 16 {
-		t.Errorf("%d after a minute, want no more than its allocation and a debt", n)
+	if n := countGranted(l, a, 1000, time.Hour+60*time.Second); n > 16 {
+		t.Errorf("%d requests granted after a minute, want at most 16, for the allocation and a debt", n)
 	}
 }
 
-// A limiter that restarted has no new burst.
+// A limiter that restarted does not get a new burst.
 func TestRestartedLimiterStartsEmpty(t *testing.T) {
 	l := newLedger(LimiterRestarted)
 	for peerID := 1; peerID < 3; peerID++ {
@@ -45,14 +45,14 @@
 	}
 	a := l.Account(1, 0, 0, 3, time.Hour)
 	if level := l.QuotaLevel(a, time.Hour); level != 0 {
-		t.Errorf("%.1f units at the start, want none", level)
+		t.Errorf("%.1f units at the start, want 0", level)
 	}
 	if level := l.QuotaLevel(a, time.Hour+3*time.Second); level != 5 {
-		t.Errorf("%.1f units after 3 s, want a third of what the quota gained", level)
+		t.Errorf("%.1f units after 3 s, want 5, a third of the refill of the quota", level)
 	}
 }
 
-// The allocation of a limiter that left is divided up until it is back.
+// The allocation of a limiter that shuts down is divided among the others until it is back.
 func TestAllocationOfDeadPeerIsShared(t *testing.T) {
 	l := newLedger(TierStarted)
 	now := time.Hour
@@ -62,11 +62,11 @@
 	a := l.Account(1, 0, 0, 3, now)
 	share := func() float64 { return a.fractions(true).quota }
 	if got := share(); got != 1.0/3 {
-		t.Fatalf("share %.2f with all limiters there", got)
+		t.Fatalf("share %.2f with all limiters in service, want a third", got)
 	}
 	l.ObservePeer(2, 5, true, 255, 9, now)
 	if got := share(); got != 0.5 {
-		t.Errorf("share %.2f with one of three limiters gone, want half", got)
+		t.Errorf("share %.2f with one of three limiters shut down, want half", got)
 	}
 	l.ObservePeer(2, 6, true, 0, 9, now)
 	if got := share(); got != 1.0/3 {
@@ -82,24 +82,24 @@
 	}
 }
 
-// Idle accounts are forgotten once nothing is lost by that.
+// Idle accounts are evicted once nothing is lost by that.
 func TestSweepForgetsIdleAccounts(t *testing.T) {
 	l := newLedger(TierStarted)
 	for i := range uint32(500) {
 		a := l.Account(i, 0, 0, 3, time.Hour)
-		granted(l, a, 2, time.Hour)
+		countGranted(l, a, 2, time.Hour)
 		a.MarkSent(2)
 	}
 	for i := range 100 {
 		l.Sweep(10*time.Second, time.Hour+time.Duration(i)*time.Second)
 	}
 	if n := l.Counters(time.Hour).Accounts; n != 0 {
-		t.Errorf("%d accounts left", n)
+		t.Errorf("%d accounts left, want 0", n)
 	}
 }
 
-// A ceiling is never exceeded where requests come to a limiter outside of their customer's small set: it had
-// an allocation of the ceiling beside those of the set.
+// Guards against a ceiling that is exceeded because requests arrive at a limiter outside of their customer's small
+// set: that limiter had an allocation of the ceiling in addition to those of the set.
 func TestLimiterOutsideSmallSetHasNoCeiling(t *testing.T) {
 	plan := Plan{Ceiling: Bucket{Rate: 10, Burst: 40}}
 	now, sum := time.Hour, 0.0
@@ -114,11 +114,11 @@
 		a := l.Account(1, 0, 0, 3, now) // the set is limiters 0 to 2
 		level := l.CeilingLevel(a, now+10*time.Second)
 		if self > 2 && level > 0 {
-			t.Errorf("limiter %d outside of the set has %.1f of %.0f units", self, level, plan.Ceiling.Burst)
+			t.Errorf("limiter %d outside of the set has %.1f of %.0f units, want 0", self, level, plan.Ceiling.Burst)
 		}
 		sum += level
 	}
 	if sum > plan.Ceiling.Burst {
-		t.Errorf("%.1f units at all limiters, of %.0f", sum, plan.Ceiling.Burst)
+		t.Errorf("%.1f units at all limiters, want at most %.0f", sum, plan.Ceiling.Burst)
 	}
 }
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -8,59 +8,60 @@
 	"lemongate/internal/gossip"
 )
 
-// This file decides what a limiter grants to a peer out of its allocation: units for good, and a share
-// and slots on loan.
+// This file decides what a limiter grants to a peer out of its allocation: units permanently, and a share
+// and slots as a loan.
 
 const (
-	// LoanDuration is how long a share is lent, from the transfer request on.
+	// LoanDuration is the duration of a loan of a share, from the transfer request on.
 	LoanDuration = 2 * time.Second
-	// MaxLentFraction bounds what a limiter lends of its allocation. What is left can be used at once
-	// after a restart, when it is not known what was lent before.
+	// MaxLentFraction bounds what a limiter lends of its allocation. The rest can be used at once after a
+	// restart, when the limiter does not know what it lent before.
 	MaxLentFraction = 0.75
 
-	// lenderLoanDuration is how long a loan lasts at the lender: longer than at the borrower by what two
-	// clocks may differ, so that no share is used on both sides. Short by 0.4 ms with both clocks at their bounds.
+	// lenderLoanDuration is the duration of a loan at the lender: longer than at the borrower by the most that
+	// two clocks may differ, so that no share is used on both sides. With both clocks at their bounds it is
+	// too short by 0.4 ms.
 	lenderLoanDuration = LoanDuration + time.Duration(float64(LoanDuration)*2*ClockDrift)
 	// grantDeliveryTimeout is the time after which the units of a grant have arrived or never will, by
 	// the lender's clock.
 	grantDeliveryTimeout = transferTimeout + time.Duration(float64(transferTimeout)*2*ClockDrift)
-	// loanRenewalMargin is how long before its end the renewal of a loan is requested, if still needed.
+	// loanRenewalMargin is the time before the end of a loan from which on its renewal is requested, if needed.
 	loanRenewalMargin = 800 * time.Millisecond
 	// lenderDemandFactor times its demand is the rate that a lender keeps.
 	lenderDemandFactor = 1.2
-	// minLoanShare is the least share that is lent.
+	// minLoanShare is the smallest share that is lent.
 	minLoanShare = 0.03
-	// minDemandSum in units per second keeps a sum that is divided by from being zero.
+	// minDemandSum, in units per second, keeps a divisor from being zero.
 	minDemandSum = 1e-6
 )
 
-// A loan is a share of the rate and burst of both buckets, and slots. The share is used here until the loan
-// expires. A slot is kept beyond that while its attempt is in flight, see slots.go.
+// A loan is a share of the rate and burst of both buckets, and slots. The borrower uses the share until the loan
+// expires. It keeps a slot beyond that while the slot's attempt is in flight, see slots.go.
 type loan struct {
 	share     float64
 	slots     int
 	expiresAt time.Duration
 }
 
-// expiresWithin reports whether the loan has a share and less than some time left.
+// expiresWithin reports whether the loan has a share and expires within the margin.
 func (ln loan) expiresWithin(margin, now time.Duration) bool {
 	return ln.share > 0 && ln.expiresAt-now < margin
 }
 
-// A grantRecord is what a lender keeps of a grant. Its loan ends later than the borrower's by what two
+// A grantRecord is a lender's record of a grant. Its loan ends later than the borrower's by the most that two
 // clocks may differ.
 type grantRecord struct {
 	loan
 	nonce                    uint16
 	quotaUnits, ceilingUnits float64       // in transit
-	deliveredBy              time.Duration // the units have arrived by then, or never will
-	message                  gossip.Grant  // to be sent again when the request is repeated
+	deliveredBy              time.Duration // the units arrive by then or never
+	message                  gossip.Grant  // sent again when the transfer request is repeated
 }
 
-// isEmpty reports whether a grant lent nothing, or nothing that is still out.
+// isEmpty reports whether a grant lent neither a share nor slots, or all of it has been returned.
 func (lent grantRecord) isEmpty() bool { return lent.share == 0 && lent.slots == 0 }
 
-// loanEnded reports whether nothing of a loan to a peer is still out.
+// loanEnded reports whether a peer can no longer use any part of a loan.
 func (a *Account) loanEnded(lent loan) bool {
 	if lent.expiresAt > a.advancedTo {
 		return false
@@ -68,7 +69,7 @@
 	return lent.slots == 0 || a.ledger.slotsReturnedBy(lent.expiresAt) <= a.advancedTo
 }
 
-// loanExpiring reports whether a borrowed share is about to end.
+// loanExpiring reports whether a borrowed share expires within loanRenewalMargin.
 func (a *Account) loanExpiring(now time.Duration) bool {
 	return slices.ContainsFunc(a.links, func(lk *link) bool { return lk.borrowed.expiresWithin(loanRenewalMargin, now) })
 }
@@ -83,7 +84,7 @@
 }
 
 // acknowledgeGrants records that a peer sent a new transfer request: the units of earlier grants have arrived
-// by now or never will, and of the slots lent to it the peer still has slotsHeld.
+// by now or never will, and the peer still uses slotsHeld of the slots lent to it.
 func (lk *link) acknowledgeGrants(slotsHeld int) {
 	for i := range lk.lent {
 		lk.lent[i].quotaUnits, lk.lent[i].ceilingUnits = 0, 0
@@ -92,11 +93,11 @@
 	lk.lent = slices.DeleteFunc(lk.lent, grantRecord.isEmpty)
 }
 
-// expireLoans ends shares that have expired, and drops loans of which nothing is left.
+// expireLoans ends shares that have expired, and removes loans of which nothing is left.
 func (a *Account) expireLoans() {
 	for _, lk := range a.links {
 		if lk.borrowed.expiresAt <= a.advancedTo {
-			lk.borrowed = loan{slots: lk.borrowed.slots} // which stay borrowed until they are returned
+			lk.borrowed = loan{slots: lk.borrowed.slots} // the slots stay borrowed until they are returned
 		}
 		a.endLoanTransits(lk)
 		for i := range lk.lent {
@@ -105,7 +106,7 @@
 			}
 		}
 		lk.lent = slices.DeleteFunc(lk.lent, func(lent grantRecord) bool { return a.loanEnded(lent.loan) })
-		lk.lentBefore = slices.DeleteFunc(lk.lentBefore, a.loanEnded)
+		lk.lentToEarlierEpochs = slices.DeleteFunc(lk.lentToEarlierEpochs, a.loanEnded)
 	}
 }
 
@@ -124,7 +125,7 @@
 func (a *Account) earlierLoansEndedAt() time.Duration {
 	l := a.ledger
 	latest := l.startedAt + lenderLoanDuration
-	if a.advancedTo >= latest || !a.isAllocated() {
+	if a.advancedTo >= latest || !a.inSmallSet() {
 		return l.startedAt
 	}
 	endedAt := l.startedAt
@@ -142,7 +143,7 @@
 	return endedAt
 }
 
-// lending is what a decision about a transfer request depends on.
+// lending holds the inputs of a decision about a transfer request.
 type lending struct {
 	account           *Account
 	link              *link
@@ -150,7 +151,7 @@
 	earlierLoansEnded bool // no peer can still use a loan of an earlier epoch
 	ownDemand         float64
 	peerDemand        float64
-	demandWeight      float64 // the peer's part of both demands
+	demandWeight      float64 // the peer's fraction of the sum of both demands
 	fractions         fractions
 	lentToOthers      float64 // shares
 	lentToPeer        float64
@@ -203,7 +204,8 @@
 	return record.message
 }
 
-// share is the share to lend: as much as the peer lacks of its demand and this limiter can spare.
+// share returns the share to lend: what the peer needs beyond its own share for its demand, up to what this
+// limiter can spare, and 0 if that is less than minLoanShare.
 func (g *lending) share() float64 {
 	rate := g.account.plan().Quota.Rate
 	spare := 0.0
@@ -211,15 +213,15 @@
 		notNeeded := g.fractions.quota + g.lentToPeer - g.ownDemand*lenderDemandFactor/rate
 		spare = min(notNeeded, MaxLentFraction*g.account.baseFraction-g.lentToOthers)
 	}
-	lack := min(g.peerDemand*borrowerDemandFactor/rate, 1) - decodeShare(g.request.Share)
-	share := math.Floor(min(spare, lack)*gossip.ShareSteps) / gossip.ShareSteps
+	shortfall := min(g.peerDemand*borrowerDemandFactor/rate, 1) - decodeShare(g.request.Share)
+	share := math.Floor(min(spare, shortfall)*gossip.ShareSteps) / gossip.ShareSteps
 	if share < minLoanShare {
 		return 0
 	}
 	return share
 }
 
-// quotaUnits is the units of the quota to move: as many as bring the levels of both limiters to the
+// quotaUnits returns the units of the quota to move: as many as bring the levels of both limiters to the
 // proportion of their demands, or, if a share is lent, at least those beyond what the smaller allocation
 // can hold.
 func (g *lending) quotaUnits(share float64) float64 {
@@ -233,8 +235,8 @@
 	return roundToParts(min(units, a.quotaLevel))
 }
 
-// ceilingUnits is the units of the ceiling to move: those not needed here, up to the headroom. What is lent
-// and in transit together stays within MaxLentFraction, which is left unused after a restart.
+// ceilingUnits returns the units of the ceiling to move: those not needed here, up to the headroom. The units
+// lent and in transit together stay within MaxLentFraction, the fraction that is left unused after a restart.
 func (g *lending) ceilingUnits(share float64) float64 {
 	a, ceiling := g.account, g.account.plan().Ceiling
 	lent := (g.lentToOthers + max(share, g.lentToPeer)) * ceiling.Burst
--- a/internal/quota/lending_model_test.go
+++ b/internal/quota/lending_model_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// exchangeRound has each limiter send every other one a message, which arrives at once unless it is lost.
+// exchangeRound has each limiter send every other one a message, which arrives at once unless it is lost: one in
+// lossIn, or none if that is 0.
 func (w *tier) exchangeRound(lossIn int) {
 	for i := range w.limiters {
 		for j := range w.limiters {
@@ -37,17 +38,17 @@
 	return count
 }
 
-// crowd requests far more units at a limiter than the ceiling has, so that it borrows.
-func (w *tier) crowd(n *limiter) {
+// overload requests far more units at a limiter than the ceiling has, so that the limiter borrows.
+func (w *tier) overload(n *limiter) {
 	const requests = 100
 	for range requests {
 		w.request(n, 1, true)
 	}
 }
 
-// A ceiling is never exceeded while shares of it are lent, used on both sides and returned, with whole rounds of
-// messages between, of which some are lost, and with limiters that restart. TestCeilingModel seldom gets as
-// far as a lent share, and passed while the first loan of each account was not recorded.
+// A ceiling is never exceeded while shares of it are lent, used on both sides and returned, with complete rounds of
+// messages in between, some of which are lost, and with limiters that restart. TestCeilingModel seldom reaches a
+// lent share, and passed while the first loan of each account was not recorded.
 func TestLentCeilingModel(t *testing.T) {
 	lent := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -62,15 +63,15 @@
 		lossIn := rapid.SampledFrom([]int{0, 4, 10}).Draw(t, "loss of one in")
 		at := rapid.IntRange(0, len(w.limiters)-1)
 		w.exchangeRound(0)
-		w.pass(5 * time.Second)
+		w.advanceTime(5 * time.Second)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2:
-				w.crowd(w.limiters[at.Draw(t, "at")])
+				w.overload(w.limiters[at.Draw(t, "at")])
 			case 3, 4, 5, 6:
 				w.exchangeRound(lossIn)
 			case 7, 8:
-				w.pass(time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond)
+				w.advanceTime(time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond)
 			case 9:
 				if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
 					w.start(at.Draw(t, "restarted"))
@@ -84,8 +85,8 @@
 	}
 }
 
-// A ceiling is not exceeded where a limiter restarts that had used a borrowed share: the lender refilled the
-// time before the restart as if it had had the share itself.
+// Guards against a ceiling that is exceeded when a limiter restarts that had used a borrowed share: the lender
+// refilled for the time before the restart as if it had had the share itself.
 func TestReclaimedShareCountsFromRestart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &tier{t: t, plan: Plan{Quota: Bucket{Rate: 50, Burst: 200}, Ceiling: Bucket{Rate: 10, Burst: 24}}}
@@ -95,18 +96,18 @@
 		}
 		lender, borrower := w.limiters[0], w.limiters[1]
 		w.exchangeRound(0)
-		w.pass(5 * time.Second)
-		w.crowd(borrower)
+		w.advanceTime(5 * time.Second)
+		w.overload(borrower)
 		w.exchangeRound(0)
-		w.crowd(lender)
-		w.exchangeRound(0) // brings the loan
+		w.overload(lender)
+		w.exchangeRound(0) // delivers the loan
 		if w.sharesLent() == 0 {
 			t.Fatal("no share was lent")
 		}
-		w.pass(time.Duration(rapid.IntRange(1, 1800).Draw(t, "ms")) * time.Millisecond)
-		w.crowd(borrower)
+		w.advanceTime(time.Duration(rapid.IntRange(1, 1800).Draw(t, "ms")) * time.Millisecond)
+		w.overload(borrower)
 		w.start(1)
 		w.exchangeRound(0)
-		w.crowd(lender)
+		w.overload(lender)
 	})
 }
--- a/internal/quota/link.go
+++ b/internal/quota/link.go
@@ -6,7 +6,7 @@
 	"lemongate/internal/gossip"
 )
 
-// This file is the state of the exchange between two limiters about one account.
+// This file holds the state of the exchange between two limiters about one account.
 
 // A link is the exchange between this limiter and one peer about an account.
 type link struct {
@@ -22,16 +22,16 @@
 	quotaWanted           float64
 	ceilingWanted         float64
 	slotsWanted           int
-	returnDue             bool          // slots or units are to be given back, by a message that requests nothing
-	slotReturns           int           // messages that give back slots still to be sent
-	nextTransferRequestAt time.Duration // no new request before
+	returnDue             bool          // slots or units are to be returned, by a message that requests nothing
+	slotReturns           int           // messages that return slots still to be sent
+	nextTransferRequestAt time.Duration // no new transfer request before
 	borrowed              loan          // what the last grant lent
 
-	// The grants to the peer. It uses one of them; a lost message leaves open which one.
+	// The grants to the peer. The peer uses one of them; if a message is lost, this limiter does not know which.
 	lent      []grantRecord
-	lastGrant gossip.Grant // of an owner: the last one
+	lastGrant gossip.Grant // in a set with an owner: the last grant to the peer
 
-	lentBefore []loan // slots lent to earlier epochs of the peer
+	lentToEarlierEpochs []loan // slots lent to earlier epochs of the peer
 
 	// What the peer reported.
 	//
@@ -46,25 +46,25 @@
 	level      float64 // units
 	consumed   uint16
 	demand     float64 // units per second
-	recovered  bool    // this limiter took up its part of the units there, see recoverUnits
-	restarted  bool    // it was known in an earlier epoch: what it reports next was consumed since
+	recovered  bool    // this limiter has recovered its part of the peer's units, see recoverUnits
+	restarted  bool    // it was known in an earlier epoch: what it reports next was consumed in this one
 
 	// Only in a set with an owner.
-	ceilingBorrowedUntil time.Duration // what a backup owner gained of the ceiling until then was requested
+	ceilingBorrowedUntil time.Duration // the backup owner's refill of the ceiling up to this time was requested
 	demandToReport       uint8         // units of client requests here that the owner does not know of
 }
 
 // inUse reports whether anything is lent, borrowed or requested by a link.
 func (lk *link) inUse(now time.Duration) bool {
-	return lk.borrowed.expiresAt > now || lk.borrowed.slots > 0 || len(lk.lent)+len(lk.lentBefore) > 0 || lk.queued || lk.isPending(now)
+	return lk.borrowed.expiresAt > now || lk.borrowed.slots > 0 || len(lk.lent)+len(lk.lentToEarlierEpochs) > 0 || lk.queued || lk.isPending(now)
 }
 
-// isPending reports whether a grant for the last transfer request may still come.
+// isPending reports whether a grant for the last transfer request may still be accepted.
 func (lk *link) isPending(now time.Duration) bool {
 	return lk.pending && now-lk.requestedAt < transferTimeout
 }
 
-// accepts reports whether a grant replies to the last transfer request, and in time.
+// accepts reports whether a grant replies to the last transfer request and arrived in time.
 func (lk *link) accepts(grant gossip.Grant, now time.Duration) bool {
 	return lk.isPending(now) && lk.nonce == grant.Nonce
 }
@@ -74,7 +74,7 @@
 func (a *Account) link(peerID int) *link {
 	for _, lk := range a.links {
 		if lk.peerID == peerID {
-			a.renewOwnerLink(lk)
+			a.resetStaleOwnerLink(lk)
 			return lk
 		}
 	}
@@ -86,17 +86,16 @@
 	return lk
 }
 
-// renewOwnerLink drops transfer requests, grants and loans of an earlier epoch of a peer, in a set with an
-// owner. Links of
-// allocated accounts are renewed by dropStaleLinks.
-func (a *Account) renewOwnerLink(lk *link) {
+// resetStaleOwnerLink drops transfer requests, grants and loans of an earlier epoch of a peer, in a set with an
+// owner. In a small set resetStaleLinks does that.
+func (a *Account) resetStaleOwnerLink(lk *link) {
 	peer := a.ledger.peers[lk.peerID]
-	if a.isAllocated() || peer == nil || peer.epoch == lk.epoch {
+	if a.inSmallSet() || peer == nil || peer.epoch == lk.epoch {
 		return
 	}
-	if lk.epoch == 0 { // no message had come before: the last transfer request stays valid
+	if lk.epoch == 0 { // no message was received before: the last transfer request stays valid
 		lk.epoch = peer.epoch
 		return
 	}
-	*lk = link{peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, lentBefore: lk.slotsLentBefore(a.ledger)}
+	*lk = link{peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, lentToEarlierEpochs: lk.slotLoansToEarlierEpochs(a.ledger)}
 }
--- a/internal/quota/lostpeers.go
+++ b/internal/quota/lostpeers.go
@@ -1,42 +1,42 @@
 package quota
 
-// This file recovers units and ends loans after a peer restarted, left or died.
+// This file recovers units and ends loans after a peer restarted, shut down or died.
 
 // maxUnreportedSeconds bounds the time in seconds that a lost peer is assumed to have served after its last
 // report. Reports of peers that are not lost count for longer, see unseenMaxAge.
 const maxUnreportedSeconds = 1.0
 
-// dropStaleLinks ends the loans, grants and transfer requests of earlier epochs of peers. Shares that were
-// lent to them are available here again from the first message of the new epoch on, not before: until then the
-// earlier one may have used them. Those borrowed of them belong to their new epochs.
-func (a *Account) dropStaleLinks() {
+// resetStaleLinks ends the loans, grants and transfer requests of earlier epochs of peers. Shares that were
+// lent to an earlier epoch are available here again from the first message of the new epoch on, not before: until
+// then the earlier epoch may have used them. Shares borrowed from it belong to the peer's new epoch.
+func (a *Account) resetStaleLinks() {
 	for _, lk := range a.links {
 		peer := a.ledger.peers[lk.peerID]
 		if peer == nil {
 			continue
 		}
-		if lk.epoch == 0 { // no message had come before: nothing was agreed
+		if lk.epoch == 0 { // no message was received before: nothing was lent or granted
 			lk.epoch = peer.epoch
 		}
 		if peer.dead {
 			a.recoverUnits(lk)
 		}
 		if peer.epoch != lk.epoch && peer.epochSince <= a.advancedTo {
-			a.dropEpoch(lk, peer)
+			a.resetLink(lk, peer)
 		}
 	}
 }
 
-// dropEpoch starts a link anew with a peer that restarted.
-func (a *Account) dropEpoch(lk *link, peer *peer) {
+// resetLink resets the link to a peer that restarted.
+func (a *Account) resetLink(lk *link, peer *peer) {
 	rate := a.plan().Quota.Rate
 	a.ledger.Counts.RateReclaimed += lk.lentShare() * rate
-	if lk.known { // what the earlier epoch consumed after its last report nobody will ever report
+	if lk.known { // what the earlier epoch consumed after its last report is never reported
 		a.totalLevel -= min(lk.demand, a.evenFraction*rate) * a.unreportedSeconds(lk)
 	}
 	a.recoverUnits(lk)
 	*lk = link{
-		peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, restarted: lk.known, lentBefore: lk.slotsLentBefore(a.ledger),
+		peerID: lk.peerID, epoch: peer.epoch, queued: lk.queued, restarted: lk.known, lentToEarlierEpochs: lk.slotLoansToEarlierEpochs(a.ledger),
 	}
 }
 
@@ -45,8 +45,9 @@
 	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnreportedSeconds)
 }
 
-// recoverUnits takes up this limiter's part of the units that a peer had when it left, died or restarted. The customer's
-// bucket still has them, and the peer's next epoch starts without them. Debt is taken over likewise.
+// recoverUnits adds to the quota here this limiter's part of the units that a peer had when it shut down, died
+// or restarted. The customer's bucket still has them, and the peer's next epoch starts without them. Debt is taken
+// over likewise.
 func (a *Account) recoverUnits(lk *link) {
 	plan := a.plan()
 	if !lk.known || lk.recovered || a.baseFraction <= 0 || plan.Quota.Rate <= 0 {
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -11,7 +11,7 @@
 	"lemongate/internal/rapidtest"
 )
 
-// TestMain fixes the seed, so that the result is always the same.
+// TestMain fixes the seed, so that every run gives the same result.
 func TestMain(m *testing.M) { os.Exit(rapidtest.Main(m, "20261201", nil)) }
 
 // message is a message in transit, or one that was delivered and may be delivered again.
@@ -24,16 +24,16 @@
 	grants               []gossip.Grant
 }
 
-// limiter is a limiter of the model: a ledger, its clock, and what its transport knows of the order of
+// limiter is a limiter of the model: a ledger, its clock, and the sequence numbers by which its transport orders
 // messages.
 type limiter struct {
 	ledger      *Ledger
 	epoch       uint32
-	clockRate   float64 // over that of true time
+	clockRate   float64 // relative to true time
 	clockOffset time.Duration
 	sent        map[int]uint32    // sequence number of the last message to each
 	received    map[int][2]uint32 // epoch and sequence number of the last message of each
-	servesFrom  time.Duration     // true time of the start, if the tier has serving ages
+	servesFrom  time.Duration     // true time of the start; used if the tier has serving ages
 }
 
 // tier is the model: limiters, messages, and the true level of the customer's ceiling.
@@ -46,7 +46,7 @@
 	ceiling  float64
 
 	longestAttempt time.Duration
-	servingAges    bool // limiters report that they have served since their start
+	servingAges    bool // limiters report that they have been serving since their start
 }
 
 func (w *tier) clock(n *limiter) time.Duration {
@@ -63,7 +63,7 @@
 	}, w.clock(n))
 }
 
-// servingAge is how long a limiter reports that it has been serving.
+// servingAge is the time for which a limiter reports that it has been serving.
 func (w *tier) servingAge(n *limiter) uint8 {
 	if !w.servingAges {
 		return 0
@@ -75,22 +75,22 @@
 	return n.ledger.Account(7, 0, 0, len(w.limiters), w.clock(n))
 }
 
-// pass lets true time pass.
-func (w *tier) pass(d time.Duration) {
+// advanceTime advances true time, and refills the true ceiling.
+func (w *tier) advanceTime(d time.Duration) {
 	w.now += d
 	w.ceiling = min(w.ceiling+d.Seconds()*w.plan.Ceiling.Rate, w.plan.Ceiling.Burst)
 }
 
-// request requests units at a limiter; what it grants is taken out of the true ceiling.
-func (w *tier) request(n *limiter, units float64, last bool) {
+// request requests units at a limiter; what the limiter grants is taken out of the true ceiling.
+func (w *tier) request(n *limiter, units float64, final bool) {
 	a := w.account(n)
 	n.ledger.RecordDemand(a, units, w.clock(n))
-	if decision, _ := n.ledger.Reserve(a, units, last, w.clock(n)); decision == Granted {
+	if decision, _ := n.ledger.Reserve(a, units, final, w.clock(n)); decision == Granted {
 		a.MarkSent(units)
 		w.ceiling -= units
 	}
 	if w.ceiling < -1e-6 {
-		w.t.Fatalf("the ceiling's level is %.3f", w.ceiling)
+		w.t.Fatalf("the ceiling's level is %.3f, want at least 0", w.ceiling)
 	}
 }
 
@@ -109,7 +109,7 @@
 	})
 }
 
-// deliver hands over a message, as an admission controller does.
+// deliver passes a message to its receiver's ledger, as an admission controller does.
 func (w *tier) deliver(m message) {
 	n := w.limiters[m.to]
 	now := w.clock(n)
@@ -130,8 +130,8 @@
 	}
 }
 
-// Whatever messages are lost, repeated or reordered, whatever limiters restart, and however far clocks
-// are off, all limiters together never exceed the ceiling.
+// All limiters together never exceed the ceiling, whichever messages are lost, repeated or reordered, whichever
+// limiters restart, and however far clocks within ClockDrift differ.
 func TestCeilingModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &tier{t: t, plan: Plan{
@@ -141,7 +141,7 @@
 			rate := rapid.SampledFrom([]float64{1, 1 + ClockDrift, 1 - ClockDrift}).Draw(t, "clock")
 			w.limiters = append(w.limiters, &limiter{clockRate: rate, clockOffset: time.Hour + time.Duration(i)*time.Minute})
 		}
-		for i := range w.limiters { // the true ceiling is empty, as far as any limiter knows
+		for i := range w.limiters { // the true ceiling starts empty, as any limiter assumes
 			w.start(i)
 		}
 		at := rapid.IntRange(0, len(w.limiters)-1)
@@ -151,13 +151,13 @@
 				n := w.limiters[at.Draw(t, "at")]
 				w.request(n, float64(rapid.IntRange(1, 4).Draw(t, "units")), rapid.Bool().Draw(t, "last"))
 			case 4, 5:
-				w.pass(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
+				w.advanceTime(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 			case 6, 7, 8:
 				if i, j := at.Draw(t, "from"), at.Draw(t, "to"); i != j {
 					w.send(i, j)
 				}
 			case 9, 10:
-				if len(w.inFlight) > 0 { // any, and some of them stay to be delivered again
+				if len(w.inFlight) > 0 { // any message; some stay, to be delivered again
 					k := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message")
 					m := w.inFlight[k]
 					if rapid.IntRange(0, 3).Draw(t, "again") > 0 {
@@ -170,7 +170,7 @@
 				case 0:
 					w.start(at.Draw(t, "restarted"))
 				case 1:
-					w.pass(time.Duration(rapid.IntRange(1, 8).Draw(t, "s")) * time.Second)
+					w.advanceTime(time.Duration(rapid.IntRange(1, 8).Draw(t, "s")) * time.Second)
 				case 2:
 					w.inFlight = nil // all messages in transit are lost
 				}
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -8,13 +8,13 @@
 	"lemongate/internal/rate"
 )
 
-// This file is the accounts of large sets: their owner and backup owners, what these have, and what the
-// others know of it. owner_reserve.go decides on requests, owner_transfer.go is the exchange with the owner,
+// This file handles accounts of large sets: their owner and backup owners, what these have, and what the other
+// limiters know of it. owner_reserve.go decides on requests, owner_transfer.go is the exchange with the owner,
 // and owner_ceiling.go what an owner borrows of a ceiling. Account.owners and "owners" in names are the owner
 // and its backup owners together; HoldersOf also covers small sets, in which all limiters are holders.
 //
 // The owner has the customer's complete quota, and two backup owners decide, in their order, while those
-// before them are silent: a limiter sends its transfer request to the first that is not.
+// before them are silent: a limiter sends its transfer request to the first owner that is not silent.
 //
 // A quota may be exceeded by what a backup owner grants while the owner grants too, at most its level; by
 // restartLevelFraction of the burst at each start of an owner; and by credit: a limiter that gets no
@@ -26,9 +26,9 @@
 	ownerCount = 3
 	// notOwner is the rank of a limiter that is neither the owner nor a backup owner.
 	notOwner = -1
-	// restartLevelFraction of the burst is what an owner that lost its state assumes the quota to hold.
+	// restartLevelFraction of the burst is the assumed level of the quota at an owner that lost its state.
 	restartLevelFraction = 0.5
-	// ownerViewDuration is how long an owner's report of its level is used.
+	// ownerViewDuration is the time for which an owner's report of its level is used.
 	ownerViewDuration = 5 * time.Second
 	// A hot customer is one whose demand is more than hotDemandFactor times its rate while its level is
 	// below hotLevelFraction of the burst. Its owner reports it, in messages with fewer than
@@ -39,15 +39,15 @@
 	hotCustomerDuration  = 2 * time.Second
 )
 
-// ceilingFractions are the parts of a ceiling that the owners have, by rank. As a ceiling is well above
-// the quota, the owner's part is the quota's rate and more.
+// ceilingFractions are the owners' parts of a ceiling, by rank. As a ceiling is well above the quota, the
+// owner's part is the quota's rate and more.
 var ceilingFractions = [ownerCount]float64{0.6, 0.3, 0.1}
 
 // An ownerDecision is the owner's reply to a transfer request.
 type ownerDecision int
 
 const (
-	ownerUndecided ownerDecision = iota // nothing yet
+	ownerUndecided ownerDecision = iota // no reply yet
 	ownerGranted
 	ownerRejected
 )
@@ -60,16 +60,16 @@
 	receivedAt time.Duration
 }
 
-// inTransit is units that an owner or a backup owner granted of a ceiling, until they have arrived or never
-// will. They count against its capacity: else its part would fill again meanwhile, and all parts together
-// could hold more than the ceiling.
+// inTransit is units of a ceiling that an owner or a backup owner granted, until they have arrived or never
+// will. They count against the capacity of its part: else the part would refill meanwhile, and all parts
+// together could hold more than the ceiling.
 type inTransit struct {
 	units     float64
 	arrivesBy time.Duration
 }
 
-// initOwned gives an account of a large set what this limiter's rank among its owners brings.
-func (a *Account) initOwned() {
+// initLargeSet sets the owners of an account of a large set, and what this limiter has by its rank among them.
+func (a *Account) initLargeSet() {
 	l := a.ledger
 	plan := a.plan()
 	a.owners = rank(a.CustomerHash, a.firstLimiter, a.setSize, l.Limiters, ownerCount)
@@ -93,9 +93,9 @@
 	}
 }
 
-// advanceOwned refills the parts of an owner or a backup owner, from one end of a transit to the next. Only
-// slots are lent.
-func (a *Account) advanceOwned(now time.Duration) {
+// advanceLargeSet refills the parts of an owner or a backup owner, step by step, from the end of one transit to
+// the next. Only slots are lent.
+func (a *Account) advanceLargeSet(now time.Duration) {
 	for a.advancedTo < now {
 		next := now
 		if len(a.ceilingInTransit) > 0 {
@@ -103,13 +103,13 @@
 		}
 		a.refill((next - a.advancedTo).Seconds(), true)
 		a.advancedTo = next
-		a.endTransits()
+		a.endCeilingTransits()
 	}
 	a.expireLoans()
 }
 
-// endTransits forgets the units whose transit has ended.
-func (a *Account) endTransits() {
+// endCeilingTransits removes the units of the ceiling whose transit has ended.
+func (a *Account) endCeilingTransits() {
 	ended := 0
 	for ended < len(a.ceilingInTransit) && a.ceilingInTransit[ended].arrivesBy <= a.advancedTo {
 		a.ceilingUnitsInTransit -= a.ceilingInTransit[ended].units
@@ -142,8 +142,8 @@
 	return notOwner
 }
 
-// predictOwnerView is the level at the owner expected now from its last report. It is not known if there
-// was none within ownerViewDuration.
+// predictOwnerView returns the owner's level expected now from its last report. It is unknown if there was no
+// report within ownerViewDuration.
 func (a *Account) predictOwnerView(now time.Duration) ownerView {
 	view := a.ownerView
 	age := now - view.receivedAt
@@ -174,7 +174,7 @@
 	}
 }
 
-// hotCustomerUpdates returns grants that nobody requested and that move nothing: they report hot
+// hotCustomerUpdates returns grants that were not requested and that carry no units: they report hot
 // customers of this owner. Limiters that receive them need not send a transfer request for each
 // client request.
 func (l *Ledger) hotCustomerUpdates(most int, now time.Duration) (list []gossip.Grant) {
@@ -193,7 +193,7 @@
 	return list
 }
 
-// isHot reports whether other limiters should know of the demand for an account of this owner.
+// isHot reports whether the owner reports its level and demand for an account to other limiters.
 func (a *Account) isHot(now time.Duration) bool {
 	quota := a.plan().Quota
 	return now-a.lastSeen <= hotCustomerDuration && quota.Rate > 0 && a.quotaLevel < quota.Burst*hotLevelFraction &&
--- a/internal/quota/owner_ceiling.go
+++ b/internal/quota/owner_ceiling.go
@@ -3,14 +3,15 @@
 import "time"
 
 // This file lets an owner use the complete ceiling of a customer. The owner and its backup owners have fixed
-// parts of the ceiling, whoever is silent. An owner whose part runs short borrows from its backup owners.
+// parts of the ceiling, whichever of them are silent. An owner whose part runs short borrows from its backup
+// owners.
 
-// minBorrowedCeiling is the least that an owner requests of a backup owner, in units.
+// minBorrowedCeiling is the minimum that an owner requests of a backup owner, in units.
 const minBorrowedCeiling = 1.0
 
-// borrowCeiling requests of the backup owners what they gained of the ceiling since the last request:
-// while the owner lives they have no use for it. No unit is made by that: it leaves one part before it joins
-// the other, and the owner requests no more than its own part can hold.
+// borrowCeiling requests of the backup owners their refill of the ceiling since the last request: while the
+// owner is alive they have no use for it. This creates no units: a unit leaves one part before it is added to
+// another, and the owner requests no more than its own part can hold.
 func (l *Ledger) borrowCeiling(a *Account, now time.Duration) {
 	if a.ownerRank != 0 || a.plan().Ceiling.Rate <= 0 {
 		return
@@ -29,7 +30,7 @@
 }
 
 // ceilingNeed is the units of the ceiling that an owner can use beyond its level: what its demand takes, as
-// far as its part can hold it and the quota does not bind first.
+// far as its part can hold it and the quota does not limit it first.
 func (a *Account) ceilingNeed(now time.Duration) float64 {
 	plan := a.plan()
 	target := a.demandRate(now)*prefetchDuration.Seconds() + a.largestRequest
@@ -41,8 +42,8 @@
 	return need
 }
 
-// borrowCeilingFrom requests of a backup owner with a fraction of the ceiling what it gained, up to what
-// is needed, and returns the units requested.
+// borrowCeilingFrom requests of a backup owner with a fraction of the ceiling its refill, up to what is
+// needed, and returns the units requested.
 func (l *Ledger) borrowCeilingFrom(a *Account, lk *link, fraction, need float64, now time.Duration) float64 {
 	ceiling := a.plan().Ceiling
 	gainRate := fraction * ceiling.Rate * (1 - ClockDrift)
--- a/internal/quota/owner_reserve.go
+++ b/internal/quota/owner_reserve.go
@@ -8,26 +8,26 @@
 const (
 	// creditRateFactor times its even part of the rate is what a limiter may consume without a decision.
 	creditRateFactor = 2.0
-	// hotTransferFactor times the rate is what the limiters of a hot customer request together: a little
+	// hotTransferFactor times the rate is what all limiters together request for a hot customer: a little
 	// more than its owner may grant.
 	hotTransferFactor = 1.3
 )
 
-// reserveOwned is Reserve for a customer with an owner. Its decisions in their order:
+// reserveWithOwner is Reserve for a customer with an owner. Its decisions in their order:
 //
 //  1. Nothing is lacking here, and this limiter decides, has only units that were granted to it, or just
-//     got the owner's grant: granted.
+//     received the owner's grant: granted.
 //  2. This limiter decides, or the owner has replied: rejected.
 //  3. The customer is hot by the owner's last report: mostly rejected without a transfer request.
-//  4. Not last, and one of the owners is available: it is sent a transfer request, and the request waits.
-//  5. Nobody can decide: granted within the credit, else rejected.
-func (l *Ledger) reserveOwned(a *Account, units float64, last bool, now time.Duration) (Decision, time.Duration) {
-	lacking := a.lack(units) != amounts{}
+//  4. Not final, and one of the owners is available: it is sent a transfer request, and the client request waits.
+//  5. No limiter can decide: granted within the credit, else rejected.
+func (l *Ledger) reserveWithOwner(a *Account, units float64, final bool, now time.Duration) (Decision, time.Duration) {
+	hasShortfall := a.shortfall(units) != amounts{}
 	decides := l.decides(a, now)
 	decision := a.ownerDecision
 	a.ownerDecision = ownerUndecided
-	if !lacking && (decides || a.ownerRank == notOwner || decision == ownerGranted) {
-		l.consumeOwned(a, units, now)
+	if !hasShortfall && (decides || a.ownerRank == notOwner || decision == ownerGranted) {
+		l.consumeGranted(a, units, now)
 		l.borrowCeiling(a, now)
 		return Granted, 0
 	}
@@ -41,26 +41,26 @@
 	if a.skipsTransferRequest(view, units, now) {
 		return Rejected, retryAfter
 	}
-	if !last && l.requestFromOwner(a, units, now) {
+	if !final && l.requestFromOwner(a, units, now) {
 		a.transferOutstanding = true
 		return Pending, 0
 	}
-	if l.decides(a, now) { // the request found all owners before this one silent
-		return l.reserveOwned(a, units, last, now)
+	if l.decides(a, now) { // requestFromOwner found all owners before this one silent
+		return l.reserveWithOwner(a, units, final, now)
 	}
 	a.transferOutstanding = false
 	if !a.takeCredit(view, units, now) {
 		return Rejected, retryAfter
 	}
 	l.Counts.AdmittedWithoutGrant++
-	l.consumeOwned(a, units, now)
+	l.consumeGranted(a, units, now)
 	return Granted, 0
 }
 
 // skipsTransferRequest reports whether a client request of a hot customer is rejected without a transfer
-// request, which its owner would reject too. Of the others all limiters together send as many as the owner
-// can grant, and more as its last report grows older, as the demand may have gone: one for each client
-// request where the report is ownerViewDuration old.
+// request, which its owner would reject too. For the rest all limiters together send as many transfer requests
+// as the owner can grant, and more as its last report grows older, as the demand may have ended: one for each
+// client request when the report is ownerViewDuration old.
 func (a *Account) skipsTransferRequest(view ownerView, units float64, now time.Duration) bool {
 	target := hotTransferFactor * a.plan().Quota.Rate
 	if !view.known || a.transferOutstanding || view.level >= units || view.demand <= target {
@@ -75,8 +75,9 @@
 	return false
 }
 
-// takeCredit admits a client request without a decision, as none came or there is no owner to make one. The
-// units are reported to the owner as debt. There is no credit for a ceiling and for slots.
+// takeCredit takes the units of a client request without a decision from the credit, and reports whether the
+// request is admitted. Either no decision arrived or there is no owner to make one. The units are reported to
+// the owner as debt. There is no credit for a ceiling and for slots.
 func (a *Account) takeCredit(view ownerView, units float64, now time.Duration) bool {
 	plan := a.plan()
 	if plan.Ceiling.Rate > 0 || plan.Slots > 0 {
@@ -92,12 +93,12 @@
 	}
 	a.credit.Amount -= units
 	a.unreportedUnits += units
-	a.quotaLevel += units // consumeOwned takes them again: they count at the owner, as debt
+	a.quotaLevel += units // consumeGranted takes them again: they count at the owner, as debt
 	return true
 }
 
-// consumeOwned takes units that are granted.
-func (l *Ledger) consumeOwned(a *Account, units float64, now time.Duration) {
+// consumeGranted takes units that are granted.
+func (l *Ledger) consumeGranted(a *Account, units float64, now time.Duration) {
 	plan := a.plan()
 	a.transferOutstanding = false
 	if plan.Quota.Rate > 0 {
@@ -110,10 +111,10 @@
 	a.lastGrantAt = now
 }
 
-// refundOwned returns units of a quota whose client request was not forwarded: to the owner, by a message
-// soon, as no other limiter could use them, or to this limiter's own level where it decides itself. If the
+// refundToOwner returns units of a quota whose client request was not forwarded: to the owner, by a message
+// soon, as no other limiter could use them, or to this limiter's own level if it decides itself. If the
 // message is lost, so are the units.
-func (l *Ledger) refundOwned(a *Account, units float64, now time.Duration) {
+func (l *Ledger) refundToOwner(a *Account, units float64, now time.Duration) {
 	decider := notOwner
 	if a.ownerRank != 0 {
 		decider = l.firstLiveOwner(a, now)
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -8,20 +8,20 @@
 	"lemongate/internal/gossip"
 )
 
-// ownedTier is a large set of ledgers with an account of one customer at each, and no network: messages
-// come at once, unless a limiter is cut off.
-type ownedTier struct {
+// ledgerTier is a set of ledgers with an account of one customer at each, and no network: messages arrive at
+// once, unless they are lost or a limiter is cut off.
+type ledgerTier struct {
 	ledgers  []*Ledger
 	now      time.Duration
 	cut      map[int]bool // limiters that are cut off
-	loss     float64      // part of all messages
+	loss     float64      // fraction of all messages
 	rng      *rand.Rand
-	requests int // sent by all
+	requests int // transfer requests sent by all limiters
 }
 
-// newOwnedTier starts a tier with full buckets.
-func newOwnedTier(n int, plan Plan) *ownedTier {
-	t := &ownedTier{now: time.Hour, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(5, 6))}
+// newLedgerTier starts a tier with full buckets.
+func newLedgerTier(n int, plan Plan) *ledgerTier {
+	t := &ledgerTier{now: time.Hour, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(5, 6))}
 	for i := range n {
 		l := New(Config{Self: i, Limiters: n, Gossips: true, Plans: []Plan{plan}, Epoch: uint32(i + 1)}, t.now)
 		l.Resolve(TierStarted, t.now)
@@ -30,15 +30,15 @@
 	return t
 }
 
-func (t *ownedTier) account(i int) *Account {
+func (t *ledgerTier) account(i int) *Account {
 	return t.ledgers[i].Account(7, 0, 0, len(t.ledgers), t.now)
 }
 
-// owner is the owner with a rank.
-func (t *ownedTier) owner(rank int) int { return t.account(0).owners[rank] }
+// owner is the number of the owner with a rank.
+func (t *ledgerTier) owner(rank int) int { return t.account(0).owners[rank] }
 
 // exchange delivers messages until none is left.
-func (t *ownedTier) exchange() {
+func (t *ledgerTier) exchange() {
 	for again := true; again; {
 		again = false
 		for i, l := range t.ledgers {
@@ -62,9 +62,9 @@
 	}
 }
 
-// request reports whether a limiter grants a request for one unit, waiting for a decision as long as it
+// request reports whether a limiter grants a request for one unit, after waiting for a decision as long as it
 // may.
-func (t *ownedTier) request(i int) bool {
+func (t *ledgerTier) request(i int) bool {
 	l, a := t.ledgers[i], t.account(i)
 	l.RecordDemand(a, 1, t.now)
 	decision, _ := l.Reserve(a, 1, false, t.now)
@@ -87,12 +87,11 @@
 	return decision == Granted
 }
 
-// A customer that every limiter meets once gets what its quota holds, wherever its requests come in, and
-// no more: also by the first request to an owner of which no message came yet, and in sets of more
-// limiters than a byte counts.
+// A customer whose requests arrive at every limiter once gets what its quota holds, and no more. That includes the
+// first request to an owner that has sent no message yet, and sets of more limiters than a byte can count.
 func TestOwnerGrantsItsBucket(t *testing.T) {
 	for _, n := range []int{9, 20, 80, 256, 257, 300} {
-		tr := newOwnedTier(n, quotaPlan)
+		tr := newLedgerTier(n, quotaPlan)
 		sum := 0
 		for i := range 60 {
 			if tr.request(i % n) {
@@ -101,15 +100,15 @@
 		}
 		due := 24 + 5*(tr.now-time.Hour).Seconds()
 		if got := float64(sum); got < min(due, 60)-2 || got > due {
-			t.Errorf("%d limiters: %d of 60 granted, where %.1f are due", n, sum, due)
+			t.Errorf("%d limiters: %d of 60 requests granted, want no more than %.1f and at most 2 fewer", n, sum, due)
 		}
 	}
 }
 
-// While the owner is silent the first backup owner decides, after one request of each limiter without a
-// reply; and it goes by what the owner reported to these last.
+// While the owner is silent the first backup owner decides, after one request of each limiter got no reply. It
+// uses the level that the owner last reported to these limiters.
 func TestBackupOwnerDecides(t *testing.T) {
-	tr := newOwnedTier(80, quotaPlan)
+	tr := newLedgerTier(80, quotaPlan)
 	owner := tr.owner(0)
 	for i := range 8 { // 16 units are left
 		if i != owner {
@@ -132,7 +131,7 @@
 		}
 	}
 	if most := 24 + 5*(tr.now-time.Hour).Seconds() + 8; sum < 16 || float64(sum) > most {
-		t.Errorf("%d of 79 granted while the owner was silent, want the 16 left and at most %.0f", sum, most)
+		t.Errorf("%d of 79 requests granted while the owner was silent, want at least the 16 units left and at most %.0f", sum, most)
 	}
 	for i, l := range tr.ledgers {
 		if l.Counts.AdmittedWithoutGrant > 0 {
@@ -141,17 +140,17 @@
 	}
 }
 
-// The owners' parts of a ceiling never add up to more than the ceiling, whoever is silent.
+// The owners' parts of a ceiling never add up to more than the ceiling, whichever owners are silent.
 func TestCeilingFractionsNeverExceedCeiling(t *testing.T) {
 	plan := quotaPlan
 	plan.Ceiling = Bucket{Rate: 10, Burst: 48}
-	tr := newOwnedTier(80, plan)
+	tr := newLedgerTier(80, plan)
 	sum := 0.0
 	for i := range 80 {
 		sum += tr.account(i).ceilingFraction
 	}
 	if sum > 1.0001 {
-		t.Errorf("fractions add up to %.2f", sum)
+		t.Errorf("fractions add up to %.2f, want at most 1", sum)
 	}
 	from := tr.now
 	tr.now += 3 * time.Second
@@ -167,23 +166,23 @@
 		}
 	}
 	if most := plan.Ceiling.Burst + plan.Ceiling.Rate*(tr.now-from).Seconds(); float64(units) > most {
-		t.Errorf("%d units granted, the ceiling allows %.0f", units, most)
+		t.Errorf("%d units granted, want at most the %.0f that the ceiling allows", units, most)
 	}
 }
 
-// After a start, with empty ceilings, an owner has what its backups gain of the ceiling beside its own
-// fraction. Lost messages, an owner that is cut off, and one that restarts never bring more than the
+// After a start with empty ceilings, an owner can use the refill of its backup owners' parts of the ceiling in
+// addition to its own. Lost messages, an owner that is cut off, and one that restarts never lead to more than the
 // ceiling allows.
 func TestOwnerBorrowsCeiling(t *testing.T) {
 	plan := quotaPlan
-	plan.Quota, plan.Ceiling = Bucket{Rate: 50, Burst: 200}, Bucket{Rate: 10, Burst: 48} // the ceiling binds
+	plan.Quota, plan.Ceiling = Bucket{Rate: 50, Burst: 200}, Bucket{Rate: 10, Burst: 48} // the ceiling is exhausted first
 	for seed := range uint64(20) {
 		const n = 20
-		tr := newOwnedTier(n, plan)
+		tr := newLedgerTier(n, plan)
 		rng := rand.New(rand.NewPCG(seed, 3))
 		from, units := tr.now, 0
 		for tr.now < from+30*time.Second {
-			if seed > 0 { // the first has no failures
+			if seed > 0 { // the first seed has no failures
 				tr.loss = rng.Float64() / 2
 				switch k := tr.owner(rng.IntN(ownerCount)); rng.IntN(500) {
 				case 0:
@@ -204,20 +203,20 @@
 			for i := range n {
 				held += tr.ledgers[i].CeilingLevel(tr.account(i), tr.now)
 			}
-			if most := plan.Ceiling.Rate * past; float64(units)+held > most+1e-6 || held > plan.Ceiling.Burst { // all were empty at the start
-				t.Fatalf("seed %d: %d units granted and %.1f at hand after %.1f s, no more than %.1f were gained", seed, units, held, past, most)
+			if most := plan.Ceiling.Rate * past; float64(units)+held > most+1e-6 || held > plan.Ceiling.Burst { // all levels were 0 at the start
+				t.Fatalf("seed %d: %d units granted and %.1f left after %.1f s, want together at most the refill of %.1f, and no more left than the burst", seed, units, held, past, most)
 			}
 			if seed == 0 && past > 3 && float64(units) < 0.8*plan.Ceiling.Rate*past {
-				t.Fatalf("%d units granted in %.1f s, want 0.8 of the ceiling's rate at least", units, past)
+				t.Fatalf("%d units granted in %.1f s, want at least 0.8 of the ceiling's rate", units, past)
 			}
 		}
 	}
 }
 
-// A limiter that gets no decision consumes a credit that is small for the complete set, and reports it to
-// the owner when that replies again.
+// A limiter that gets no decision consumes from a credit that is small for the complete set, and reports the debt to
+// the owner when the owner replies again.
 func TestCreditIsBounded(t *testing.T) {
-	tr := newOwnedTier(80, quotaPlan)
+	tr := newLedgerTier(80, quotaPlan)
 	for _, k := range []int{0, 1, 2} {
 		tr.cut[tr.owner(k)] = true
 	}
@@ -229,7 +228,7 @@
 	}
 	most := creditRateFactor*quotaPlan.Quota.Rate*(tr.now-from).Seconds() + 80
 	if got := float64(sum); got > most || got < 70 {
-		t.Errorf("%d granted without a decision, want at most %.0f and one of most limiters", sum, most)
+		t.Errorf("%d requests granted without a decision, want at most %.0f and at least 70, one at most limiters", sum, most)
 	}
 	owner := tr.owner(0)
 	before := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now)
@@ -240,13 +239,14 @@
 	tr.ledgers[requester].ObservePeer(owner, tr.ledgers[owner].Epoch, true, 9, 9, tr.now)
 	tr.request(requester)
 	if after := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now); debt > 0 && after > before-debt+1 {
-		t.Errorf("level %.1f before, %.1f after a debt of %.1f was reported", before, after, debt)
+		t.Errorf("owner's level %.1f before and %.1f after a debt of %.1f was reported, want it lower by the debt", before, after, debt)
 	}
 }
 
-// A hot customer's limiters do not request the units of each request once its owner reported it.
+// The limiters of a hot customer do not send a transfer request for each client request once its owner has
+// reported the customer.
 func TestHotCustomerRequestsAreThinned(t *testing.T) {
-	tr := newOwnedTier(80, quotaPlan)
+	tr := newLedgerTier(80, quotaPlan)
 	for i := range 300 {
 		tr.request(i % 80)
 	}
@@ -255,13 +255,13 @@
 		tr.request(i % 80)
 	}
 	if n := tr.requests - before; n > 200 {
-		t.Errorf("%d transfer requests for 300 requests of a customer far beyond its quota", n)
+		t.Errorf("%d transfer requests for 300 requests of a customer far beyond its quota, want at most 200", n)
 	}
 }
 
-// A request that comes several times moves its units once.
+// A transfer request that arrives several times moves its units once.
 func TestRepeatedRequestMovesUnitsOnce(t *testing.T) {
-	tr := newOwnedTier(80, quotaPlan)
+	tr := newLedgerTier(80, quotaPlan)
 	owner := tr.owner(0)
 	l, a := tr.ledgers[owner], tr.account(owner)
 	peerID := (owner + 1) % 80
@@ -271,35 +271,35 @@
 		l.HandleRequest(peerID, m, tr.now)
 	}
 	if level := l.QuotaLevel(a, tr.now); level != 24-3 {
-		t.Errorf("level %.1f after one request for 2 units with a debt of 1 that came three times", level)
+		t.Errorf("level %.1f after one request for 2 units with a debt of 1 that arrived three times, want 21", level)
 	}
 }
 
-// Units that were granted and not used after all are the owner's again, once.
+// Units that were granted and not used are returned to the owner, once.
 func TestRefundReachesOwner(t *testing.T) {
-	tr := newOwnedTier(80, quotaPlan)
+	tr := newLedgerTier(80, quotaPlan)
 	owner := tr.owner(0)
 	peerID := (owner + 7) % 80
 	before := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now)
 	for range 4 {
 		if !tr.request(peerID) {
-			t.Fatal("rejected with a full quota")
+			t.Fatal("request rejected with a full quota")
 		}
 		tr.ledgers[peerID].Refund(tr.account(peerID), 1, tr.now)
 		tr.exchange()
 		tr.exchange()
 	}
 	if after := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now); after < before-0.1 || after > 24 {
-		t.Errorf("level %.1f before and %.1f after four requests that were not forwarded", before, after)
+		t.Errorf("owner's level %.1f before and %.1f after four requests that were not forwarded, want the same", before, after)
 	}
 }
 
-// Units in transit to a limiter count against the owner's capacity: else its part would fill again
-// meanwhile, and all parts together would hold more than the ceiling.
+// Units in transit to a limiter count against the owner's capacity: else its part would refill meanwhile, and all
+// parts together would hold more than the ceiling.
 func TestUnitsInTransitCountAgainstCapacity(t *testing.T) {
 	plan := quotaPlan
 	plan.Ceiling = Bucket{Rate: 10, Burst: 48}
-	tr := newOwnedTier(80, plan)
+	tr := newLedgerTier(80, plan)
 	owner := tr.owner(0)
 	l, a := tr.ledgers[owner], tr.account(owner)
 	tr.now += 20 * time.Second // its fraction is full
@@ -308,17 +308,17 @@
 	l.ObservePeer(peerID, 5, true, 9, 9, tr.now)
 	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: 4 * gossip.UnitParts, CeilingWanted: 4 * gossip.UnitParts, TotalLevel: gossip.UnknownTotal}, tr.now)
 	if level := l.CeilingLevel(a, tr.now+transferTimeout); level > full-4+1e-9 {
-		t.Errorf("level %.1f while 4 units of %.1f are in transit", level, full)
+		t.Errorf("level %.1f while 4 units of %.1f are in transit, want at most the difference", level, full)
 	}
 	if level := l.CeilingLevel(a, tr.now+2*time.Second); level < full-1e-9 || a.ceilingUnitsInTransit != 0 || len(a.ceilingInTransit) != 0 {
-		t.Errorf("level %.1f and %.1f in transit long after, want %.1f", level, a.ceilingUnitsInTransit, full)
+		t.Errorf("level %.1f and %.1f in transit after the end of the transit, want %.1f and 0", level, a.ceilingUnitsInTransit, full)
 	}
 }
 
 // A limiter that is neither owner nor backup owner has nothing to grant, and takes no units that a transfer
-// request gives back.
+// request returns.
 func TestRequestToNonOwnerGetsNothing(t *testing.T) {
-	tr := newOwnedTier(80, quotaPlan)
+	tr := newLedgerTier(80, quotaPlan)
 	other := 0
 	for tr.account(other).ownerRank >= 0 {
 		other++
@@ -330,30 +330,30 @@
 	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: gossip.UnitParts, Consumed: uint16(back), TotalLevel: gossip.UnknownTotal}, tr.now)
 	_, grants, _ := l.Compose(peerID, tr.now)
 	if level := l.QuotaLevel(a, tr.now); level != 0 || len(grants) != 1 || grants[0].QuotaUnits != 0 {
-		t.Errorf("level %.1f, grants %+v", level, grants)
+		t.Errorf("level %.1f and grants %+v, want level 0 and one grant of no units", level, grants)
 	}
 }
 
-// What a backup owner granted itself and did not use is its own again.
+// A refund of units that a backup owner granted itself returns to its own level.
 func TestBackupOwnerKeepsItsRefund(t *testing.T) {
-	tr := newOwnedTier(80, quotaPlan)
+	tr := newLedgerTier(80, quotaPlan)
 	peerID := tr.owner(1)
 	l, a := tr.ledgers[peerID], tr.account(peerID)
 	l.peer(tr.owner(0)).unresponsive = true
 	before := l.QuotaLevel(a, tr.now)
 	if !tr.request(peerID) {
-		t.Fatal("rejected with a full quota and a silent owner")
+		t.Fatal("request rejected with a full quota and a silent owner")
 	}
 	l.Refund(a, 1, tr.now)
 	if level := l.QuotaLevel(a, tr.now); level != before || a.unreportedUnits != 0 {
-		t.Errorf("level %.1f, it was %.1f; debt %.1f", level, before, a.unreportedUnits)
+		t.Errorf("level %.1f after the refund, want %.1f as before; debt %.1f, want 0", level, before, a.unreportedUnits)
 	}
 }
 
-// An owner that restarts with nothing in memory grants no new burst, however often it does.
+// An owner that restarts with nothing in memory grants no new burst, however often it restarts.
 func TestRestartedOwnerGrantsNoNewBurst(t *testing.T) {
 	for _, n := range []int{9, 20, 80} {
-		tr := newOwnedTier(n, quotaPlan)
+		tr := newLedgerTier(n, quotaPlan)
 		for i := range 3 * n {
 			tr.request(i % n)
 		}
@@ -372,12 +372,12 @@
 		}
 		due := 5*(tr.now-from).Seconds() + starts*24/2       // half a burst each
 		if most := due + float64(n)/4; float64(sum) > most { // credit of those whose request crossed a start
-			t.Errorf("%d limiters: %d granted over %d starts, want %.0f at most", n, sum, starts, most)
+			t.Errorf("%d limiters: %d requests granted over %d starts, want at most %.0f", n, sum, starts, most)
 		}
 	}
 }
 
-// In a large tier most pairs exchange nothing for seconds: that alone makes no peer dead, also when the
+// In a large tier most pairs exchange nothing for seconds: that alone does not declare a peer dead, even if the
 // demand here rises.
 func TestQuietPeersAreNotDeclaredDead(t *testing.T) {
 	for _, c := range []struct {
@@ -388,7 +388,7 @@
 		l := New(Config{Limiters: c.limiters, Gossips: true, Plans: []Plan{quotaPlan}, Epoch: 1}, time.Hour)
 		now := time.Hour
 		peers := c.limiters * 3 / 8
-		each := func(rounds, units int, receive bool) {
+		runRounds := func(rounds, units int, receive bool) {
 			for range rounds {
 				now += 100 * time.Millisecond
 				for peerID := 1; receive && peerID <= peers; peerID++ {
@@ -400,22 +400,22 @@
 				l.Tick(now)
 			}
 		}
-		each(60, 1, true)
+		runRounds(60, 1, true)
 		for peerID := 1; peerID <= peers; peerID++ {
 			l.peer(peerID).unresponsive = c.unresponsive
 		}
-		each(30, 2, false)
+		runRounds(30, 2, false)
 		if dead := l.Counts.PeersDeclaredDead > 0; dead != c.dead {
-			t.Errorf("%d limiters, requests without a reply %v: %d declared dead", c.limiters, c.unresponsive, l.Counts.PeersDeclaredDead)
+			t.Errorf("%d limiters, unresponsive peers %v: %d peers declared dead", c.limiters, c.unresponsive, l.Counts.PeersDeclaredDead)
 		}
 	}
 }
 
-// A request that is repeated, as its grant was lost, is answered by the grant that it got at first, also
-// where it was the first that the owner ever took in.
+// The reply to a transfer request that is repeated, as its grant was lost, is the grant of the first time, even if
+// that was the first request that the owner ever received.
 func TestOwnerRepeatsItsFirstGrant(t *testing.T) {
 	const units = 34
-	tr := newOwnedTier(80, Plan{Quota: Bucket{Rate: 50, Burst: 60}, Ceiling: Bucket{Rate: 60, Burst: 100}})
+	tr := newLedgerTier(80, Plan{Quota: Bucket{Rate: 50, Burst: 60}, Ceiling: Bucket{Rate: 60, Burst: 100}})
 	tr.now += time.Second // the ceiling is short, so that the owner borrows
 	owner := tr.owner(0)
 	l, peerID := tr.ledgers[owner], (owner+1)%80
@@ -439,11 +439,11 @@
 	}
 }
 
-// A lender records its first loan out of an account that a peer's request created, and does not use the
-// share that it lent: a ceiling is never exceeded, here with no message lost.
+// Guards against a lender that uses the share that it lent, because it does not record its first loan out of an
+// account that a peer's request created: then a ceiling is exceeded even if no message is lost.
 func TestFirstLoanCountsAtLender(t *testing.T) {
 	plan := Plan{Quota: Bucket{Rate: 50, Burst: 200}, Ceiling: Bucket{Rate: 10, Burst: 24}}
-	tr := newOwnedTier(3, plan)
+	tr := newLedgerTier(3, plan)
 	for i, l := range tr.ledgers {
 		for k := range 3 {
 			if k != i {
@@ -473,6 +473,6 @@
 		drain(i)
 	}
 	if level -= float64(consumed); level < 0 {
-		t.Errorf("the ceiling's level is %.1f", level)
+		t.Errorf("the ceiling's level is %.1f, want at least 0", level)
 	}
 }
--- a/internal/quota/owner_transfer.go
+++ b/internal/quota/owner_transfer.go
@@ -14,14 +14,14 @@
 	// ownerRetransmitAfter is the time without a grant after which a transfer request to an owner is sent
 	// again.
 	ownerRetransmitAfter = 50 * time.Millisecond
-	// backupLevelDuration is how long after its last grant a backup owner takes no level hint: until then
+	// backupLevelDuration is the time after its last grant during which a backup owner ignores level hints:
 	// its own level is the newer one.
 	backupLevelDuration = 2 * time.Second
 )
 
 // requestFromOwner sends a transfer request for a client request's units to the first of the owners that
-// is available, and reports whether its grant is worth waiting for. An unresponsive one gets a transfer
-// request as well, as it may be back, but nothing waits for its grant.
+// is available, and reports whether the client request is to wait for its grant. An unresponsive owner is sent a
+// transfer request as well, as it may be back, but nothing waits for its grant.
 func (l *Ledger) requestFromOwner(a *Account, units float64, now time.Duration) bool {
 	for _, owner := range a.owners {
 		if owner == l.Self {
@@ -36,7 +36,7 @@
 		case transferTimedOut:
 			continue
 		case noTransferRequest:
-			l.startOwnedTransferRequest(a, lk, units, now)
+			l.startOwnerTransferRequest(a, lk, units, now)
 		}
 		if !peer.unresponsive {
 			return true
@@ -45,18 +45,18 @@
 	return false
 }
 
-// startOwnedTransferRequest requests what a client request for units needs, and reports the demand and
+// startOwnerTransferRequest requests what a client request for units needs, and reports the demand and
 // the debt that the owner does not know of.
-func (l *Ledger) startOwnedTransferRequest(a *Account, lk *link, units float64, now time.Duration) {
-	l.startTransferRequest(lk, a.ownedNeed(units), now)
+func (l *Ledger) startOwnerTransferRequest(a *Account, lk *link, units float64, now time.Duration) {
+	l.startTransferRequest(lk, a.neededFromOwner(units), now)
 	lk.demandToReport = uint8(min(max(a.unreportedDemand-units, 0), math.MaxUint8))
 	a.unreportedDemand = 0
 	a.attachDebt(lk)
 	l.queueTransferRequest(a, lk)
 }
 
-// ownedNeed is what a client request for units needs beyond what was granted before and not used.
-func (a *Account) ownedNeed(units float64) amounts {
+// neededFromOwner is what a client request for units needs beyond what was granted before and not used.
+func (a *Account) neededFromOwner(units float64) amounts {
 	plan := a.plan()
 	var need amounts
 	if plan.Quota.Rate > 0 {
@@ -78,8 +78,8 @@
 	a.unreportedUnits = 0
 }
 
-// addOwnedReport adds to a transfer request to an owner what the owner does not know.
-func (a *Account) addOwnedReport(request *gossip.TransferRequest, lk *link, now time.Duration) {
+// addOwnerReport adds to a transfer request to an owner what the owner does not know.
+func (a *Account) addOwnerReport(request *gossip.TransferRequest, lk *link, now time.Duration) {
 	request.Consumed, request.Share = lk.consumed, lk.demandToReport
 	request.TotalLevel = gossip.UnknownTotal
 	if view := a.predictOwnerView(now); view.known {
@@ -87,8 +87,8 @@
 	}
 }
 
-// handleOwnedRequest grants what a limiter requests of its owner, all of it or nothing.
-func (l *Ledger) handleOwnedRequest(peerID int, a *Account, request gossip.TransferRequest, now time.Duration) {
+// handleRequestAsOwner grants what a limiter requests of its owner, all of it or nothing.
+func (l *Ledger) handleRequestAsOwner(peerID int, a *Account, request gossip.TransferRequest, now time.Duration) {
 	lk := a.link(peerID)
 	if lk.known && lk.lastGrant.Nonce == request.Nonce { // a repeated request: the grant was lost
 		l.queueGrant(peerID, lk.lastGrant)
@@ -100,28 +100,28 @@
 		l.queueGrant(peerID, lk.lastGrant)
 		return
 	}
-	a.adoptLevelHint(request, now)
-	fromOwner := a.ownerRank > 0 && peerID == a.owners[0] // it borrows, see borrowCeiling
+	a.applyLevelHint(request, now)
+	fromOwner := a.ownerRank > 0 && peerID == a.owners[0] // the owner borrows, see borrowCeiling
 	if !fromOwner {
 		a.recordRequestedDemand(request, now)
 	}
 	a.applyDebt(request)
 	grant := lk.lastGrant
-	if l.grantOwned(a, lk, request, &grant, now) && !fromOwner {
+	if l.grantAsOwner(a, lk, request, &grant, now) && !fromOwner {
 		a.lastGrantAt = now
 	}
 	l.borrowCeiling(a, now)
 	a.addOwnerView(&grant, now)
 	lk.lastGrant = grant
 	wanted := request.QuotaWanted+request.CeilingWanted > 0 || request.SlotsWanted > 0
-	if wanted || a.plan().Slots > 0 { // nothing waits for a mere return, but that of a slot is repeated
+	if wanted || a.plan().Slots > 0 { // a return needs no reply, but that of a slot is repeated until one arrives
 		l.queueGrant(peerID, grant)
 	}
 }
 
-// adoptLevelHint takes over what a requester knows of the quota's level, where this limiter knows less: a
-// backup owner without a grant for backupLevelDuration, and an owner that restarted.
-func (a *Account) adoptLevelHint(request gossip.TransferRequest, now time.Duration) {
+// applyLevelHint adopts the quota's level as the requester knows it, if this limiter knows less: as a backup
+// owner without a grant for backupLevelDuration, or as an owner that restarted.
+func (a *Account) applyLevelHint(request gossip.TransferRequest, now time.Duration) {
 	if request.TotalLevel == gossip.UnknownTotal || a.plan().Quota.Rate <= 0 {
 		return
 	}
@@ -135,8 +135,8 @@
 	a.levelHintReceived = true
 }
 
-// recordRequestedDemand counts as demand the units requested, and those of client requests that the
-// requester sent no transfer request for.
+// recordRequestedDemand adds to the demand the units requested, and those of client requests for which the
+// requester sent no transfer request.
 func (a *Account) recordRequestedDemand(request gossip.TransferRequest, now time.Duration) {
 	units := max(decodeUnits(request.QuotaWanted), decodeUnits(request.CeilingWanted))
 	a.demand.Add(now, units+float64(request.Share), demandMemorySeconds)
@@ -150,9 +150,9 @@
 	a.quotaLevel = min(max(level, -burst), max(burst, a.quotaLevel))
 }
 
-// grantOwned decides on a transfer request, moves what it grants into the grant, and reports whether it
+// grantAsOwner decides on a transfer request, adds what it grants to the grant, and reports whether it
 // granted it.
-func (l *Ledger) grantOwned(a *Account, lk *link, request gossip.TransferRequest, grant *gossip.Grant, now time.Duration) bool {
+func (l *Ledger) grantAsOwner(a *Account, lk *link, request gossip.TransferRequest, grant *gossip.Grant, now time.Duration) bool {
 	quota, ceiling := decodeUnits(request.QuotaWanted), decodeUnits(request.CeilingWanted)
 	slotsWanted := int(request.SlotsWanted)
 	lk.acknowledgeGrants(int(request.SlotsHeld))
@@ -179,15 +179,15 @@
 	return true
 }
 
-// handleOwnedGrant takes in what an owner granted and reported.
-func (l *Ledger) handleOwnedGrant(peerID int, a *Account, grant gossip.Grant, now time.Duration) {
+// handleOwnerGrant applies what an owner granted and reported.
+func (l *Ledger) handleOwnerGrant(peerID int, a *Account, grant gossip.Grant, now time.Duration) {
 	a.recordOwnerView(grant, now)
 	lk := a.link(peerID)
 	if !lk.accepts(grant, now) {
 		lk.acknowledgeReturn(grant)
 		return
 	}
-	l.takeGrant(a, lk, grant)
+	l.applyGrant(a, lk, grant)
 	if grant.CeilingUnits == 0 && lk.ceilingWanted > 0 { // the backup owner has less than was expected
 		lk.ceilingBorrowedUntil = now
 	}
--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -6,18 +6,18 @@
 	"lemongate/internal/gossip"
 )
 
-// This file takes in what peers report of an account, and recovers unallocated units: those that are in
+// This file processes what peers report of an account, and recovers unallocated units: those that are in
 // the customer's bucket and in no allocation, because an allocation was full while the bucket was not, a
-// message with units was lost, or a limiter died with units at hand.
+// message with units was lost, or a limiter died that had units.
 
 const (
 	// busyReportMaxAge is the age up to which a report counts in the sum of all allocations;
-	// idleReportMaxAge is that of a peer that is expected to have consumed at most idleReportUnits since.
+	// idleReportMaxAge is that age for a peer that is expected to have consumed at most idleReportUnits since.
 	busyReportMaxAge = 400 * time.Millisecond
 	idleReportMaxAge = 3 * time.Second
-	// idleReportUnits is in units.
+	// idleReportUnits, in units, see idleReportMaxAge.
 	idleReportUnits = 1.0
-	// Units are recovered once they were unallocated at unallocatedMinReports reports over
+	// Units are recovered after they were unallocated at unallocatedMinReports reports over
 	// unallocatedMinDuration: units in transit between two peers look unallocated for a while.
 	unallocatedMinReports  = 3
 	unallocatedMinDuration = 500 * time.Millisecond
@@ -31,8 +31,8 @@
 	totalLevel uint8
 }
 
-// reconcile takes in a peer's report. Where the reports of all peers are recent, it compares the
-// customer's bucket with the sum of all allocations.
+// reconcile processes a peer's report. If the reports of all peers are recent, it compares the customer's
+// bucket with the sum of all allocations.
 func (a *Account) reconcile(lk *link, report peerReport, now time.Duration) {
 	a.recordReport(lk, report, now)
 	if a.plan().Quota.Rate <= 0 || a.baseFraction <= 0 {
@@ -42,17 +42,17 @@
 	if !known {
 		return
 	}
-	if !a.totalKnown || a.totalLevel < allocated { // the allocations never hold more than there is
+	if !a.totalKnown || a.totalLevel < allocated { // the allocations never hold more than the bucket
 		a.totalLevel, a.totalKnown, a.unallocatedReports = allocated, true, 0
 		return
 	}
 	a.recoverUnallocated(allocated, now)
 }
 
-// recordReport records what a peer reported of its allocation, and takes what it consumed since its last
-// report out of the customer's complete quota.
+// recordReport records what a peer reported of its allocation, and subtracts what it consumed since its last
+// report from the customer's complete quota.
 func (a *Account) recordReport(lk *link, report peerReport, now time.Duration) {
-	if report.totalLevel != gossip.UnknownTotal && !a.totalKnown { // the peer knows more than this epoch
+	if report.totalLevel != gossip.UnknownTotal && !a.totalKnown { // the peer knows the level, this epoch does not
 		a.totalLevel, a.totalKnown = a.decodeTotal(report.totalLevel), true
 		lk.known, lk.consumed = true, report.consumed
 	}
@@ -64,8 +64,8 @@
 	lk.demand = a.decodeDemand(report.demand)
 }
 
-// allocatedUnits is the sum of the levels of all allocations and of the units in transit from here, as
-// far as the reports of the peers are recent enough to tell. What a dead peer had is unallocated.
+// allocatedUnits is the sum of the levels of all allocations and of the units in transit from here. It is
+// unknown if the reports of the peers are not recent enough. What a dead peer had is unallocated.
 func (a *Account) allocatedUnits(now time.Duration) (units float64, known bool) {
 	units = a.quotaLevel
 	for _, peerID := range a.lenders {
@@ -86,7 +86,7 @@
 	return units, true
 }
 
-// hasRecentReport reports whether a peer's last report still shows its level.
+// hasRecentReport reports whether a peer's last report is recent enough to show its level.
 func (lk *link) hasRecentReport(now time.Duration) bool {
 	age := now - lk.reportedAt
 	switch {
@@ -98,8 +98,8 @@
 	return lk.demand*age.Seconds() <= idleReportUnits
 }
 
-// recoverUnallocated adds this limiter's part of the unallocated units to its allocation, once they were
-// there for a while.
+// recoverUnallocated adds this limiter's part of the unallocated units to its allocation, once they have been
+// unallocated for unallocatedMinDuration and unallocatedMinReports.
 func (a *Account) recoverUnallocated(allocated float64, now time.Duration) {
 	burst := a.plan().Quota.Burst
 	rounding := burst / gossip.LevelSteps * float64(a.setSize) // of the levels in reports
--- a/internal/quota/refill.go
+++ b/internal/quota/refill.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// This file is the arithmetic of allocations: which fraction of each bucket is this limiter's, and how
-// levels change with time.
+// This file computes allocations: which fraction of each bucket is this limiter's, and how levels change with
+// time.
 
 // ClockDrift is the most that a clock may run fast or slow, as a fraction.
 const ClockDrift = 0.01
 
-// clockRatio is the most that one limiter's clock shows while another's shows one.
+// clockRatio is the most that one limiter's clock advances while another's advances by one.
 const clockRatio = (1 + ClockDrift) / (1 - ClockDrift)
 
-// allowForDrift is the longest that this limiter's clock shows while another's shows a duration.
+// allowForDrift is the most that this limiter's clock advances while another's advances by a duration.
 func allowForDrift(duration time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(duration) * clockRatio))
 }
 
-// advance brings an account up to a clock time.
+// advance updates an account to a clock time.
 func (a *Account) advance(now time.Duration) {
-	if a.isAllocated() {
-		a.advanceAllocated(now)
+	if a.inSmallSet() {
+		a.advanceSmallSet(now)
 	} else {
-		a.advanceOwned(now)
+		a.advanceLargeSet(now)
 	}
 }
 
-// advanceAllocated refills an allocation step by step, from one change of its fractions to the next.
-func (a *Account) advanceAllocated(now time.Duration) {
-	a.dropStaleLinks()
+// advanceSmallSet refills an allocation step by step, from one change of its fractions to the next.
+func (a *Account) advanceSmallSet(now time.Duration) {
+	a.resetStaleLinks()
 	for a.advancedTo < now {
 		earlierLoansEndedAt := a.earlierLoansEndedAt()
 		next := a.nextChange(earlierLoansEndedAt, now)
 		a.refill((next - a.advancedTo).Seconds(), a.advancedTo >= earlierLoansEndedAt)
 		a.advancedTo = next
 		a.expireLoans()
-		a.dropStaleLinks()
+		a.resetStaleLinks()
 	}
 }
 
@@ -64,9 +64,9 @@
 	return next
 }
 
-// refill adds what some seconds bring. An allocation that holds more than its capacity, as after lending a
-// share or at the end of a loan, drains as fast as the others may fill: so all allocations together never
-// gain while they hold as much as the bucket can.
+// refill adds the refill of some seconds. An allocation that holds more than its capacity, as after lending a
+// share or at the end of a loan, drains as fast as the others may refill: so the sum of all allocations does
+// not grow while it is at the capacity of the bucket.
 func (a *Account) refill(seconds float64, earlierLoansEnded bool) {
 	plan := a.plan()
 	f := a.fractions(earlierLoansEnded)
@@ -83,8 +83,8 @@
 	}
 }
 
-// refilled returns the level of an allocation after the complete bucket gained some units. Fraction is the
-// allocation's part of the rate, and slowdown a factor on it.
+// refilled returns the level of an allocation after the complete bucket gained some units. fraction is the
+// allocation's part of the rate, and slowdown a factor on its refill.
 func refilled(level, capacity, gain, fraction, slowdown float64) float64 {
 	capacity = max(capacity, 0)
 	if level > capacity {
@@ -93,8 +93,8 @@
 	return min(level+gain*fraction*slowdown, capacity)
 }
 
-// fractions are the parts of the two buckets that are this limiter's to fill, and the units of its
-// grants that are in transit and count against its capacity.
+// fractions are the parts of the two buckets that refill at this limiter, and the units of its grants that are
+// in transit and count against its capacity.
 type fractions struct {
 	quota, ceiling                   float64
 	quotaInTransit, ceilingInTransit float64 // units
@@ -107,11 +107,11 @@
 	if !earlierLoansEnded {
 		f.ceiling *= 1 - MaxLentFraction
 	}
-	if !a.isAllocated() {
+	if !a.inSmallSet() {
 		f.ceilingInTransit = a.ceilingUnitsInTransit
 		return f
 	}
-	borrowed := 0.0 // less what is lent
+	borrowed := 0.0 // shares borrowed less shares lent
 	for _, lk := range a.links {
 		borrowed += lk.borrowed.share - lk.lentShare()
 		for _, lent := range lk.lent {
@@ -127,7 +127,7 @@
 }
 
 // fractionOfDead is this limiter's part of the quota allocations of dead peers. Ceilings are not
-// divided up: a peer that counts as dead may live.
+// divided: a peer that counts as dead may be alive.
 func (a *Account) fractionOfDead() float64 {
 	dead := 0
 	for _, peerID := range a.lenders {
--- a/internal/quota/rendezvous.go
+++ b/internal/quota/rendezvous.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// This file chooses the owners of a customer among the limiters of its set, by rendezvous hashing: the
-// same at every limiter, without a message.
+// This file chooses the owners of a customer among the limiters of its set, by rendezvous hashing: every
+// limiter gets the same result without a message.
 
 // HoldersOf returns the limiters that have a customer's buckets: of a large set the owner and its backups
 // in their order, of a small set all limiters. Its parameters are those of Ledger.Account, and the number
@@ -38,7 +38,7 @@
 	return list
 }
 
-// Mix64 spreads the bits of a number evenly (the finalizer of SplitMix64).
+// Mix64 mixes the bits of a number (the finalizer of SplitMix64).
 func Mix64(v uint64) uint64 {
 	v ^= v >> 30
 	v *= 0xbf58476d1ce4e5b9
--- a/internal/quota/sendqueue.go
+++ b/internal/quota/sendqueue.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/gossip"
 )
 
-// This file queues transfer requests and grants for each peer, and composes messages of them.
+// This file queues transfer requests and grants for each peer, and composes messages from them.
 
 // queueTransferRequest queues a message to a peer about an account.
 func (l *Ledger) queueTransferRequest(a *Account, lk *link) {
@@ -21,7 +21,7 @@
 	l.markReady(lk.peerID, peer)
 }
 
-// queueGrant queues a grant to a peer, in place of an earlier one to the same customer.
+// queueGrant queues a grant to a peer, replacing an earlier one for the same customer.
 func (l *Ledger) queueGrant(peerID int, grant gossip.Grant) {
 	peer := l.peer(peerID)
 	sameCustomer := func(other gossip.Grant) bool { return other.Customer == grant.Customer }
@@ -47,7 +47,7 @@
 }
 
 // HasGrantsFor reports whether a grant to a peer is queued. There are no more grants than transfer requests
-// that came in.
+// received.
 func (l *Ledger) HasGrantsFor(peerID int) bool {
 	peer := l.peers[peerID]
 	return peer != nil && len(peer.queuedGrants) > 0
@@ -59,8 +59,8 @@
 	return peer != nil && len(peer.queuedTransferRequests) > 0
 }
 
-// Compose takes the queued transfer requests and grants for a peer that fit into one message, and reports
-// whether more are queued.
+// Compose removes from the queues for a peer the transfer requests and grants that fit into one message,
+// returns them, and reports whether more are queued.
 func (l *Ledger) Compose(peerID int, now time.Duration) (requests []gossip.TransferRequest, grants []gossip.Grant, more bool) {
 	peer := l.peer(peerID)
 	requests = l.takeTransferRequests(peerID, peer, now)
@@ -73,8 +73,8 @@
 	return requests, grants, len(peer.queuedTransferRequests)+len(peer.queuedGrants) > 0
 }
 
-// takeTransferRequests takes the transfer requests of a message out of a peer's queue. They are built only
-// now, from the amounts recorded in the link and the state of the account as it is sent.
+// takeTransferRequests removes the transfer requests of one message from a peer's queue. They are built only
+// now, from the amounts recorded in the link and the state of the account at the time of sending.
 func (l *Ledger) takeTransferRequests(peerID int, peer *peer, now time.Duration) (requests []gossip.TransferRequest) {
 	for len(peer.queuedTransferRequests) > 0 && len(requests) < gossip.MaxRequests {
 		a := peer.queuedTransferRequests[0]
@@ -84,7 +84,7 @@
 		if !lk.pending && !lk.returnDue {
 			continue
 		}
-		if !lk.pending || lk.slotReturns > 0 && !lk.isPending(now) { // a repeated request would give back nothing
+		if !lk.pending || lk.slotReturns > 0 && !lk.isPending(now) { // the last request, if repeated, would return nothing
 			l.startReturn(a, lk)
 			lk.slotReturns = max(lk.slotReturns-1, 0)
 		}
@@ -99,10 +99,10 @@
 	return requests
 }
 
-// startReturn makes a link's transfer request one that only gives back slots or units. No grant is expected.
+// startReturn replaces a link's transfer request by one that only returns slots or units. No grant is expected.
 func (l *Ledger) startReturn(a *Account, lk *link) {
 	lk.nonce, lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = l.nextNonce(), 0, 0, 0
-	if !a.isAllocated() {
+	if !a.inSmallSet() {
 		a.attachDebt(lk)
 	}
 }
@@ -121,14 +121,14 @@
 		SlotsHeld:     uint8(min(lk.borrowed.slots, math.MaxUint8)),
 		SlotsWanted:   uint8(lk.slotsWanted),
 	}
-	if a.isAllocated() {
+	if a.inSmallSet() {
 		request.Consumed = a.consumed
 		request.Demand = a.encodeDemand(now)
 		request.Level = a.encodeLevel()
 		request.Share = uint8(min(max(a.fractions(true).quota-lk.borrowed.share, 0), 1) * gossip.ShareSteps)
 		request.TotalLevel = a.encodeTotal()
 	} else {
-		a.addOwnedReport(&request, lk, now)
+		a.addOwnerReport(&request, lk, now)
 	}
 	return request
 }
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/gossip"
 )
 
-// This file is the slots of a plan: attempts in flight at once, over all limiters. A limiter has its own slots
+// This file handles the slots of a plan: attempts in flight at once, over all limiters. A limiter has its own slots
 // and those that it has borrowed, and lends some of its own. At any time, for each limiter,
 //
 //	SlotsInUse <= own slots - slots lent + slots borrowed
@@ -16,24 +16,24 @@
 // and a limiter counts a slot as borrowed only while its lender counts it as lent. So the attempts of all
 // limiters together never take more than the plan's slots.
 //
-// An attempt cannot be ended when a loan does. The borrower starts attempts on a borrowed slot until the loan
-// expires, and keeps the slot for as long as its attempt takes. The lender has the slot back once the borrower
-// has reported that it returned it, or when every attempt that began before the loan expired has ended. What a
-// limiter used in an earlier epoch counts until then as well: backends may still be at work for a process that
-// died, and one that resumes after a failed hot restart has attempts in flight.
+// An attempt cannot be ended when a loan ends. The borrower starts attempts on a borrowed slot until the loan
+// expires, and keeps the slot until its attempt ends. The lender has the slot back once the borrower has reported
+// that it returned it, or when every attempt that began before the loan expired has ended. The slots that a
+// limiter used in an earlier epoch count until then as well: backends may still be working for a process that
+// died, and a process that resumes after a failed hot restart has attempts in flight.
 
 const (
-	// slotReturnInterval is the time without a grant after which a message that gives back slots is repeated, and
-	// slotReturnMessages how many are sent at most.
+	// slotReturnInterval is the time without a grant after which a message that returns slots is repeated, and
+	// slotReturnMessages is the maximum number of such messages.
 	slotReturnInterval = 300 * time.Millisecond
 	slotReturnMessages = 3
-	// slotEvidencePeers is how many peers of a large set have to show that none of them served before this
-	// limiter started, see earlierSlotLoansEnded.
-	slotEvidencePeers = 3
+	// newTierMinPeers is the number of peers of a large set whose messages have to show that they did not serve
+	// before this limiter started, see earlierSlotLoansEnded.
+	newTierMinPeers = 3
 )
 
 // slotsReturnedBy is the clock time, at a lender, by which no attempt is in flight on a slot of a loan that expires
-// here at a clock time, whatever was heard of the borrower.
+// here at a clock time, whatever the borrower reported.
 func (l *Ledger) slotsReturnedBy(expiresAt time.Duration) time.Duration {
 	if l.LongestAttempt <= 0 {
 		return math.MaxInt64
@@ -41,21 +41,21 @@
 	return expiresAt + allowForDrift(l.LongestAttempt)
 }
 
-// lentSlots is how many slots of this limiter the peer may be using.
+// lentSlots is the number of slots of this limiter that the peer may be using.
 func (lk *link) lentSlots() int {
 	slots := 0
 	for i := range lk.lent {
 		slots = max(slots, lk.lent[i].slots)
 	}
-	for i := range lk.lentBefore {
-		slots += lk.lentBefore[i].slots
+	for i := range lk.lentToEarlierEpochs {
+		slots += lk.lentToEarlierEpochs[i].slots
 	}
 	return slots
 }
 
-// slotsLentBefore is the loans of slots to earlier epochs of a peer, once its epoch at hand is over as well. Where
-// it is not known for how long an attempt takes, none is assumed to outlive its epoch.
-func (lk *link) slotsLentBefore(l *Ledger) []loan {
+// slotLoansToEarlierEpochs returns the loans of slots to earlier epochs of a peer, once its present epoch has ended
+// as well. If the longest attempt is not known, no attempt is assumed to outlive its epoch.
+func (lk *link) slotLoansToEarlierEpochs(l *Ledger) []loan {
 	if l.LongestAttempt <= 0 {
 		return nil
 	}
@@ -65,12 +65,12 @@
 		latest.expiresAt = max(latest.expiresAt, lent.expiresAt)
 	}
 	if latest.slots == 0 {
-		return lk.lentBefore
+		return lk.lentToEarlierEpochs
 	}
-	return append(lk.lentBefore, latest)
+	return append(lk.lentToEarlierEpochs, latest)
 }
 
-// ownSlots is how many slots this limiter has without those that it has borrowed.
+// ownSlots is the number of slots that this limiter has without those that it has borrowed.
 func (a *Account) ownSlots() int {
 	if a.baseSlots == 0 || !a.earlierSlotLoansEnded() {
 		return 0
@@ -82,7 +82,7 @@
 	return n
 }
 
-// borrowedSlots is how many slots this limiter has borrowed and not returned.
+// borrowedSlots is the number of slots that this limiter has borrowed and not returned.
 func (a *Account) borrowedSlots() int {
 	n := 0
 	for _, lk := range a.links {
@@ -91,7 +91,7 @@
 	return n
 }
 
-// slotLimit is how many slots have to be in use here for no further attempt to start.
+// slotLimit is the number of slots in use here from which on no further attempt starts.
 func (a *Account) slotLimit() int {
 	n := a.ownSlots()
 	for _, lk := range a.links {
@@ -102,14 +102,14 @@
 	return n
 }
 
-// spareSlots is how many slots can be lent: not in use, and not borrowed, as the lender of a borrowed one would
-// not know for how long it is out.
+// spareSlots is the number of slots that can be lent: not in use, and not borrowed, as the lender of a borrowed slot
+// would not know for how long it is lent on.
 func (a *Account) spareSlots() int {
 	return max(min(a.slotLimit()-a.SlotsInUse, a.ownSlots()), 0)
 }
 
-// lendSlots returns how many slots of this limiter a peer has with a new grant: those that it has already, and as
-// many of those that it wants as are spare. The new grant takes the place of the earlier ones.
+// lendSlots returns the number of slots of this limiter that a peer has with a new grant: those that it has already,
+// and as many of those that it wants as are spare. The new grant replaces the earlier ones.
 func (a *Account) lendSlots(lk *link, wanted int) int {
 	if a.plan().Slots <= 0 {
 		return 0
@@ -124,8 +124,8 @@
 	return slots + min(wanted, spare, max(gossip.MaxSlots-slots, 0))
 }
 
-// ReleaseSlot reports that an attempt ended and its slot is free: borrowed slots that are not in use go back at
-// once. The caller sets Account.SlotsInUse first, without the slot.
+// ReleaseSlot reports that an attempt ended and its slot is free: borrowed slots that are not in use are returned at
+// once. The caller first sets Account.SlotsInUse, without the slot.
 func (l *Ledger) ReleaseSlot(a *Account, now time.Duration) {
 	if a.plan().Slots <= 0 {
 		return
@@ -134,7 +134,7 @@
 	l.returnUnusedSlots(a)
 }
 
-// returnUnusedSlots gives back the borrowed slots that the attempts here do not take.
+// returnUnusedSlots returns the borrowed slots that the attempts here do not take.
 func (l *Ledger) returnUnusedSlots(a *Account) {
 	unused := a.borrowedSlots() - max(a.SlotsInUse-a.ownSlots(), 0)
 	for _, lk := range a.links {
@@ -150,7 +150,7 @@
 	}
 }
 
-// ReturnUnusedSlots gives back borrowed slots that no request took, and repeats messages that give back slots.
+// ReturnUnusedSlots returns borrowed slots that no request uses, and repeats messages that return slots.
 func (l *Ledger) ReturnUnusedSlots(now time.Duration) {
 	l.slotBorrowers = slices.DeleteFunc(l.slotBorrowers, func(a *Account) bool {
 		a.advance(now)
@@ -161,7 +161,7 @@
 	})
 }
 
-// repeatSlotReturns queues the messages that give back slots again, as far as they are due, and reports whether
+// repeatSlotReturns queues again the messages that return slots, as far as they are due, and reports whether
 // any are still to be sent.
 func (l *Ledger) repeatSlotReturns(a *Account, now time.Duration) (unfinished bool) {
 	for _, lk := range a.links {
@@ -177,16 +177,16 @@
 	return unfinished
 }
 
-// acknowledgeReturn records a grant that nothing waits for: it shows that the lender has the slots that a message
-// gave back.
+// acknowledgeReturn records a grant that no request waits for: it shows that the lender has the slots that a message
+// returned.
 func (lk *link) acknowledgeReturn(grant gossip.Grant) {
 	if lk.nonce == grant.Nonce {
 		lk.slotReturns = 0
 	}
 }
 
-// watchBorrowedSlots has ReturnUnusedSlots look at an account.
-func (l *Ledger) watchBorrowedSlots(a *Account) {
+// trackBorrowedSlots adds an account to those that ReturnUnusedSlots checks.
+func (l *Ledger) trackBorrowedSlots(a *Account) {
 	if !a.borrowsSlots {
 		a.borrowsSlots = true
 		l.slotBorrowers = append(l.slotBorrowers, a)
@@ -194,9 +194,9 @@
 }
 
 // earlierSlotLoansEnded reports whether no attempt can still be in flight on a slot of an earlier epoch of this
-// limiter. Until then it has no slots of its own. That is so after the time that a loan and an attempt may take;
-// and earlier if neither a peer's messages nor busy backends show that limiters served before this one started,
-// and enough peers were heard: in a small set all, in a large set slotEvidencePeers.
+// limiter. Until then it has no slots of its own. That is so after the longest time that a loan and an attempt may
+// take; and earlier if neither a peer's messages nor busy backends show that limiters served before this one
+// started, and messages of enough peers arrived: in a small set of all, in a large set of newTierMinPeers.
 func (a *Account) earlierSlotLoansEnded() bool {
 	l := a.ledger
 	if a.advancedTo >= l.earlierSlotLoansEndAt() || !l.Gossips {
@@ -212,10 +212,10 @@
 		}
 	}
 	others := a.setSize - 1
-	if a.isAllocated() {
+	if a.inSmallSet() {
 		return heard == others
 	}
-	return heard >= min(others, slotEvidencePeers)
+	return heard >= min(others, newTierMinPeers)
 }
 
 // earlierSlotLoansEndAt is the clock time from which on no attempt is in flight on a slot of an earlier epoch of
--- a/internal/quota/slots_cases_test.go
+++ b/internal/quota/slots_cases_test.go
@@ -7,25 +7,25 @@
 	"lemongate/internal/gossip"
 )
 
-// Guards against a limiter that takes itself for new because the peers that showed it a tier in service have
-// restarted since: its attempts before, and theirs, go on at the backends.
+// Guards against a limiter that takes the tier for new because the peers that had shown a tier in service have
+// restarted since: its earlier attempts, and theirs, continue at the backends.
 func TestPeerRestartsAfterLimiterRestarted(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) { s.restartOneThenOthers(time.Second) })
+	forEachSetKind(t, func(s *slotTier) { s.restartOneThenOthers(time.Second) })
 }
 
-// Guards against limiters that take themselves for new where all of a tier restart at one moment, and the backends
-// are still at work for the processes before.
+// Guards against limiters that take the tier for new when all of them restart at once, while the backends are
+// still working for the earlier processes.
 func TestAllLimitersRestartAtOnce(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) { s.restartOneThenOthers(0) })
+	forEachSetKind(t, func(s *slotTier) { s.restartOneThenOthers(0) })
 }
 
-// restartOneThenOthers restarts the lender, and after some time all others, while all slots are in use.
+// restartOneThenOthers restarts the lender, and some time later all others, while all slots are in use.
 func (s *slotTier) restartOneThenOthers(between time.Duration) {
 	s.borrow()
 	s.fill(s.lender)
 	s.restart(s.lender, true)
 	s.exchangeRound(0)
-	s.pass(between)
+	s.advanceTime(between)
 	s.fill(s.lender)
 	for i := range s.limiters {
 		if i != s.lender {
@@ -37,8 +37,8 @@
 	s.fill(s.borrower)
 }
 
-// Guards against a limiter that takes itself for new because its peers have had no request of a client: all of
-// the traffic came to it alone, and its attempts go on at the backends.
+// Guards against a limiter that takes the tier for new because its peers have received no client request: all
+// traffic came to this limiter alone, and its attempts continue at the backends.
 func TestLimiterRestartsBesideIdlePeers(t *testing.T) {
 	s := newSlotTier(t, 2, Plan{Slots: 6})
 	s.servingAges = false // no limiter but this one was sent a request
@@ -46,11 +46,11 @@
 	s.restart(s.borrower, true)
 	s.exchangeRound(0)
 	s.fill(s.borrower)
-	s.report()
+	s.checkSlotLimit()
 }
 
-// Guards against slots used twice for a customer that one limiter serves, whose set has no peer to tell a restart:
-// the messages of the rest of the tier do.
+// Guards against slots used twice for a customer whose set is one limiter, when that restarts: no peer of the set
+// can show that it served before, but the messages of the rest of the tier do.
 func TestLimiterOfSetOfOneRestarts(t *testing.T) {
 	const now = time.Hour
 	l := New(Config{
@@ -64,106 +64,108 @@
 	}
 }
 
-// Guards against the message that gives a slot back not being repeated while another slot stays borrowed.
+// Guards against a message that returns a slot and is not repeated while another slot stays borrowed.
 func TestSlotReturnRepeatedBesideBorrowedSlot(t *testing.T) {
 	s := newSlotTier(t, 3, Plan{Slots: 6})
 	borrower, first, second := 0, 1, 2
 	s.fill(borrower)
 	s.borrowTo(borrower, first)
-	s.pass(200 * time.Millisecond)
+	s.advanceTime(200 * time.Millisecond)
 	if s.tryAttempt(borrower) {
-		t.Fatal("no loan was needed")
+		t.Fatal("the borrower started an attempt without a loan, want it to need one")
 	}
-	s.pair(borrower, second)
+	s.requestAndGrant(borrower, second)
 	if !s.tryAttempt(borrower) {
-		t.Fatal("no slot was lent")
+		t.Fatal("the second lender lent no slot")
 	}
-	s.note("a slot of each peer is in use")
-	s.finish(borrower)
+	s.traceState("a slot of each peer is in use")
+	s.endAttempt(borrower)
 	returned := first
 	if s.current(borrower).link(second).borrowed.slots == 0 {
 		returned = second
 	}
-	s.post(borrower, returned) // lost
-	s.note("the return is lost")
+	s.compose(borrower, returned) // lost
+	s.traceState("the return is lost")
 	for range 10 {
-		s.pass(slotReturnInterval)
+		s.advanceTime(slotReturnInterval)
 		n := s.limiters[borrower]
 		s.current(borrower)
 		n.ledger.Tick(s.clock(n))
-		s.deliver(s.post(borrower, returned))
+		s.deliver(s.compose(borrower, returned))
 	}
-	s.note("after ten intervals")
+	s.traceState("after ten intervals")
 	if lent := s.current(returned).link(borrower).lentSlots(); lent > 0 {
-		t.Errorf("%d slots still lent to a limiter that returned them a second ago\n%s", lent, s.trace.String())
+		t.Errorf("%d slots still lent to a limiter that returned them, want 0\n%s", lent, s.trace.String())
 	}
 }
 
-// A borrower's later start is known by its epoch alone, so what two earlier epochs borrowed stays out until its time.
+// Guards against slots of two earlier epochs of a borrower that the lender takes back too early: the lender learns of
+// each restart only by the new epoch, so the slots stay lent until no attempt can use them any more.
 func TestBorrowerRestartsTwice(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		for range 2 {
 			s.tryAttempt(s.borrower)
 			s.fill(s.borrower)
 			if !s.tryAttempt(s.borrower) {
-				s.pair(s.borrower, s.lender)
+				s.requestAndGrant(s.borrower, s.lender)
 				s.tryAttempt(s.borrower)
 			}
 			s.restart(s.borrower, true)
 			s.exchangeRound(0)
-			s.pass(200 * time.Millisecond)
+			s.advanceTime(200 * time.Millisecond)
 		}
 		s.fill(s.lender)
 		s.fill(s.borrower)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a return that is sent under the nonce of a request which the lender granted and whose time is over:
-// the lender would take it for that request again, and keep the slots out.
+// Guards against a return that is sent with the nonce of a transfer request that the lender granted and that has
+// timed out: the lender would treat it as a repetition of that request, and keep the slots lent.
 func TestReturnAfterRequestTimedOut(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.pass(200 * time.Millisecond)
+		s.advanceTime(200 * time.Millisecond)
 		s.tryAttempt(s.borrower)
-		s.deliver(s.post(s.borrower, s.lender))
-		s.post(s.lender, s.borrower) // the grant is lost
-		s.pass(transferTimeout)
-		s.finish(s.borrower)
-		s.deliver(s.post(s.borrower, s.lender))
-		s.note("the return comes")
+		s.deliver(s.compose(s.borrower, s.lender))
+		s.compose(s.lender, s.borrower) // the grant is lost
+		s.advanceTime(transferTimeout)
+		s.endAttempt(s.borrower)
+		s.deliver(s.compose(s.borrower, s.lender))
+		s.traceState("the return arrives")
 		if lent := s.current(s.lender).link(s.borrower).lentSlots(); lent > 0 {
-			s.tb.Errorf("%d slots still lent after they were returned\n%s", lent, s.trace.String())
+			s.tb.Errorf("%d slots still lent after they were returned, want 0\n%s", lent, s.trace.String())
 		}
 	})
 }
 
-// A successor repeats the messages that give back slots, and keeps what earlier epochs of a borrower have.
+// A successor keeps what earlier epochs of a borrower have borrowed.
 func TestSuccessorKeepsWhatEarlierEpochsBorrowed(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
 		s.restart(s.borrower, true)
 		s.exchangeRound(0)
-		s.note("the lender knows the new epoch")
-		s.takeOver(s.lender)
+		s.traceState("the lender knows the new epoch")
+		s.hotRestart(s.lender)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// A limiter that knows that it restarted in service still knows after a hot restart, before any further message.
+// A limiter that has found out that it restarted in service still knows so after a hot restart, before any further
+// message.
 func TestSuccessorKnowsThatPeersServedBefore(t *testing.T) {
 	s := newSlotTier(t, 2, Plan{Slots: 6})
 	s.fill(0)
 	s.fill(1)
 	s.restart(0, true)
 	s.exchangeRound(0)
-	s.takeOver(0)
+	s.hotRestart(0)
 	s.fill(0)
-	s.report()
+	s.checkSlotLimit()
 }
 
-// A serving age that a message cannot tell in full shows a peer that served before.
+// The longest serving age that a message can carry shows a peer that served before this limiter started.
 func TestLongestServingAgeShowsServiceBefore(t *testing.T) {
 	l := New(Config{Self: 0, Limiters: 2, Gossips: true, Plans: []Plan{{Slots: 6}}, Epoch: 1, LongestAttempt: time.Hour}, 0)
 	now := 2 * time.Duration(gossip.LeavingAge) * gossip.ServingAgeStep
@@ -174,64 +176,64 @@
 	}
 }
 
-// Guards against a limiter that lends more slots than it has of its own, out of one that it has borrowed and that no
-// attempt takes any more: its lender has the slot back before the last attempt on it can have ended.
+// Guards against a limiter that lends more slots than it has of its own, by lending a borrowed slot that no attempt
+// uses any more: the slot's lender has it back before the last attempt on it can have ended.
 func TestUnusedBorrowedSlotIsNotLentOn(t *testing.T) {
 	s := newSlotTier(t, 3, Plan{Slots: 6})
 	first, middle, last := 0, 1, 2
 	s.fill(middle)
 	s.tryAttempt(middle)
-	s.pair(middle, first)
+	s.requestAndGrant(middle, first)
 	s.inUse[middle] = 0
-	s.note("all attempts of %d have ended, which it was not told yet", middle)
+	s.traceState("all attempts of limiter %d have ended, which its ledger does not know yet", middle)
 	s.fill(last)
-	s.pass(time.Second)
+	s.advanceTime(time.Second)
 	for range 3 {
-		s.pass(200 * time.Millisecond)
+		s.advanceTime(200 * time.Millisecond)
 		s.tryAttempt(last)
-		s.pair(last, middle)
+		s.requestAndGrant(last, middle)
 		s.fill(last)
 	}
-	s.pass(1900 * time.Millisecond)
-	s.note("the attempts of %d have ended, and requests that waited took their slots", last)
-	s.pass(2700 * time.Millisecond)
+	s.advanceTime(1900 * time.Millisecond)
+	s.traceState("the attempts of limiter %d have ended, and requests that waited took their slots", last)
+	s.advanceTime(2700 * time.Millisecond)
 	s.fill(first)
-	s.report()
+	s.checkSlotLimit()
 }
 
-// Guards against a return that is sent once only: nothing acknowledges it.
+// Guards against a return of slots that is sent only once: it can be lost.
 func TestLostSlotReturnIsRepeated(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.finish(s.borrower)
-		s.post(s.borrower, s.lender) // lost
+		s.endAttempt(s.borrower)
+		s.compose(s.borrower, s.lender) // lost
 		n := s.limiters[s.borrower]
 		for range 3 {
-			s.pass(slotReturnInterval)
+			s.advanceTime(slotReturnInterval)
 			s.current(s.borrower)
 			n.ledger.Tick(s.clock(n))
-			s.deliver(s.post(s.borrower, s.lender))
+			s.deliver(s.compose(s.borrower, s.lender))
 		}
 		if lent := s.current(s.lender).link(s.borrower).lentSlots(); lent > 0 {
-			s.tb.Errorf("%d slots still lent after the return was due again\n%s", lent, s.trace.String())
+			s.tb.Errorf("%d slots still lent after the return was due again, want 0\n%s", lent, s.trace.String())
 		}
 	})
 }
 
-// Guards against a lender whose clock is fast and takes a slot back while the attempt of a borrower whose clock is slow
+// Guards against a lender with a fast clock that takes a slot back while the attempt of a borrower with a slow clock
 // is in flight.
 func TestLongestAttemptWithClocksAtBounds(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		fast, slow := s.limiters[s.lender], s.limiters[s.borrower]
 		fast.clockOffset -= time.Duration(float64(s.now) * ClockDrift)
 		fast.clockRate = 1 + ClockDrift
 		slow.clockOffset += time.Duration(float64(s.now) * ClockDrift)
 		slow.clockRate = 1 - ClockDrift
 		s.borrow()
-		s.pass(time.Duration(float64(LoanDuration)/slow.clockRate) - time.Millisecond)
-		s.note("a request that waited takes the slot")
-		s.pass(time.Duration(float64(longestSlotAttempt)/slow.clockRate) - time.Millisecond)
+		s.advanceTime(time.Duration(float64(LoanDuration)/slow.clockRate) - time.Millisecond)
+		s.traceState("a request that waited takes the slot")
+		s.advanceTime(time.Duration(float64(longestSlotAttempt)/slow.clockRate) - time.Millisecond)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
--- a/internal/quota/slots_order_test.go
+++ b/internal/quota/slots_order_test.go
@@ -8,38 +8,38 @@
 )
 
 // slotTier is a tier with the attempts of a customer that has slots: those that a limiter counts, and those of
-// limiters that ended while a backend still worked on them.
+// limiters that ended while a backend was still working on the attempts.
 type slotTier struct {
 	*tier
 
-	tb       *testing.T
-	units    float64 // of a request
-	inUse    []int   // by limiter
-	orphans  int     // attempts of ended limiters
-	lender   int
-	borrower int
-	most     int // attempts in flight over all limiters, the most at any moment
-	trace    strings.Builder
+	tb          *testing.T
+	units       float64 // of each request
+	inUse       []int   // attempts that each limiter counts
+	orphans     int     // attempts of ended limiters
+	lender      int
+	borrower    int
+	maxInFlight int // the largest number of attempts in flight over all limiters at any moment
+	trace       strings.Builder
 }
 
-// longestSlotAttempt is the longest attempt of these tests.
+// longestSlotAttempt is the longest attempt in these tests.
 const longestSlotAttempt = 4 * time.Second
 
-// slotForm is one of the two ways in which a set holds slots.
-type slotForm struct {
+// setKind is one of the two kinds of set, which keep slots in different ways.
+type setKind struct {
 	name     string
 	limiters int
 }
 
-var slotForms = []slotForm{{"small set", 2}, {"set with an owner", SmallSetSize + 1}}
+var setKinds = []setKind{{"small set", 2}, {"set with an owner", SmallSetSize + 1}}
 
-// eachSlotForm runs an order of events in both forms of a set, with six slots.
-func eachSlotForm(t *testing.T, order func(s *slotTier)) {
-	for _, form := range slotForms {
-		t.Run(form.name, func(t *testing.T) {
-			s := newSlotTier(t, form.limiters, Plan{Slots: 6})
-			order(s)
-			s.report()
+// forEachSetKind runs a sequence of events in both kinds of set, with six slots, and checks the slot limit.
+func forEachSetKind(t *testing.T, run func(s *slotTier)) {
+	for _, kind := range setKinds {
+		t.Run(kind.name, func(t *testing.T) {
+			s := newSlotTier(t, kind.limiters, Plan{Slots: 6})
+			run(s)
+			s.checkSlotLimit()
 		})
 	}
 }
@@ -56,21 +56,21 @@
 		s.start(i)
 	}
 	s.exchangeRound(0)
-	s.pass(5 * time.Second)
+	s.advanceTime(5 * time.Second)
 	s.exchangeRound(0)
 	s.borrower, s.lender = 0, 1
-	if a := s.current(0); !a.isAllocated() {
+	if a := s.current(0); !a.inSmallSet() {
 		s.lender = a.owners[0]
 		s.borrower = (s.lender + 1) % limiters
-		for a.isHolder(s.borrower) {
+		for a.isOwner(s.borrower) {
 			s.borrower = (s.borrower + 1) % limiters
 		}
 	}
 	return s
 }
 
-// isHolder reports whether a limiter is the owner or a backup owner.
-func (a *Account) isHolder(limiter int) bool {
+// isOwner reports whether a limiter is the owner or a backup owner.
+func (a *Account) isOwner(limiter int) bool {
 	for _, owner := range a.owners {
 		if owner == limiter {
 			return true
@@ -79,7 +79,7 @@
 	return false
 }
 
-// current is a limiter's account, brought up to its clock, with its attempts.
+// current returns a limiter's account, advanced to its clock, with the number of its attempts.
 func (s *slotTier) current(i int) *Account {
 	a := s.account(s.limiters[i])
 	a.advance(s.clock(s.limiters[i]))
@@ -87,8 +87,8 @@
 	return a
 }
 
-// inFlightOverAll is the attempts in flight over all limiters.
-func (s *slotTier) inFlightOverAll() int {
+// totalInFlight is the number of attempts in flight over all limiters.
+func (s *slotTier) totalInFlight() int {
 	sum := s.orphans
 	for _, n := range s.inUse {
 		sum += n
@@ -96,10 +96,11 @@
 	return sum
 }
 
-// note adds a line to the trace, with the slots of each limiter that has something to show.
-func (s *slotTier) note(format string, args ...any) {
-	s.most = max(s.most, s.inFlightOverAll())
-	fmt.Fprintf(&s.trace, "%8.4f s  %-52s in flight %d:", s.now.Seconds(), fmt.Sprintf(format, args...), s.inFlightOverAll())
+// traceState adds a line to the trace, with the slots of each limiter that has any or uses any, and updates
+// maxInFlight.
+func (s *slotTier) traceState(format string, args ...any) {
+	s.maxInFlight = max(s.maxInFlight, s.totalInFlight())
+	fmt.Fprintf(&s.trace, "%8.4f s  %-52s in flight %d:", s.now.Seconds(), fmt.Sprintf(format, args...), s.totalInFlight())
 	for i := range s.limiters {
 		a := s.current(i)
 		borrowed, lent := "", ""
@@ -124,16 +125,16 @@
 	return float64(at-n.clockOffset) / n.clockRate / float64(time.Second)
 }
 
-// report fails where more attempts were in flight at a moment than there are slots.
-func (s *slotTier) report() {
-	if s.most > s.plan.Slots {
-		s.tb.Errorf("%d attempts in flight, %d slots\n%s", s.most, s.plan.Slots, s.trace.String())
+// checkSlotLimit fails the test if more attempts were in flight at any moment than there are slots.
+func (s *slotTier) checkSlotLimit() {
+	if s.maxInFlight > s.plan.Slots {
+		s.tb.Errorf("%d attempts in flight, want at most the %d slots\n%s", s.maxInFlight, s.plan.Slots, s.trace.String())
 		return
 	}
-	s.tb.Logf("at most %d attempts in flight, %d slots\n%s", s.most, s.plan.Slots, s.trace.String())
+	s.tb.Logf("at most %d attempts in flight, %d slots\n%s", s.maxInFlight, s.plan.Slots, s.trace.String())
 }
 
-// tryAttempt starts an attempt at a limiter if it grants one without a message.
+// tryAttempt starts an attempt at a limiter if the limiter grants it without exchanging messages.
 func (s *slotTier) tryAttempt(i int) bool {
 	a := s.current(i)
 	n := s.limiters[i]
@@ -148,23 +149,23 @@
 	return true
 }
 
-// fill starts attempts at a limiter until it grants no more without a message.
+// fill starts attempts at a limiter until the limiter grants no more without exchanging messages.
 func (s *slotTier) fill(i int) {
 	for s.tryAttempt(i) {
 	}
-	s.note("limiter %d starts all that it grants", i)
+	s.traceState("limiter %d starts all attempts that it grants", i)
 }
 
-// finish ends an attempt.
-func (s *slotTier) finish(i int) {
+// endAttempt ends an attempt at a limiter.
+func (s *slotTier) endAttempt(i int) {
 	s.inUse[i]--
 	a := s.current(i)
 	s.limiters[i].ledger.ReleaseSlot(a, s.clock(s.limiters[i]))
-	s.note("an attempt of %d ends", i)
+	s.traceState("an attempt of limiter %d ends", i)
 }
 
-// post composes a message, which is in transit until it is delivered.
-func (s *slotTier) post(from, to int) message {
+// compose returns a message from a limiter to another, which the caller delivers or drops.
+func (s *slotTier) compose(from, to int) message {
 	s.send(from, to)
 	last := len(s.inFlight) - 1
 	m := s.inFlight[last]
@@ -172,61 +173,61 @@
 	return m
 }
 
-// pair exchanges a request and its grant.
-func (s *slotTier) pair(i, j int) {
-	s.deliver(s.post(i, j))
-	s.deliver(s.post(j, i))
+// requestAndGrant delivers a message of limiter i to limiter j and one back, as a transfer request and its grant.
+func (s *slotTier) requestAndGrant(i, j int) {
+	s.deliver(s.compose(i, j))
+	s.deliver(s.compose(j, i))
 }
 
-// borrowTo starts an attempt at a limiter on a slot that another lends.
+// borrowTo starts an attempt at a limiter on a slot that another limiter lends.
 func (s *slotTier) borrowTo(i, from int) {
 	s.tb.Helper()
 	if s.tryAttempt(i) {
-		s.tb.Fatalf("limiter %d needed no loan\n%s", i, s.trace.String())
+		s.tb.Fatalf("limiter %d started an attempt without a loan, want it to need one\n%s", i, s.trace.String())
 	}
-	s.pair(i, from)
+	s.requestAndGrant(i, from)
 	if !s.tryAttempt(i) {
-		s.tb.Fatalf("limiter %d got no slot\n%s", i, s.trace.String())
+		s.tb.Fatalf("limiter %d was lent no slot\n%s", i, s.trace.String())
 	}
-	s.note("limiter %d starts one on a slot of %d", i, from)
+	s.traceState("limiter %d starts an attempt on a slot of limiter %d", i, from)
 }
 
-// borrow has the borrower use its own slots, and one of the lender.
+// borrow has the borrower use its own slots and one of the lender's.
 func (s *slotTier) borrow() {
 	s.tb.Helper()
 	s.fill(s.borrower)
 	s.borrowTo(s.borrower, s.lender)
 }
 
-// restart starts a limiter anew. Its attempts end, or go on at the backends.
-func (s *slotTier) restart(i int, goOn bool) {
-	if goOn {
+// restart restarts a limiter. Its attempts end, or continue at the backends.
+func (s *slotTier) restart(i int, attemptsContinue bool) {
+	if attemptsContinue {
 		s.orphans += s.inUse[i]
 	}
 	s.inUse[i] = 0
 	s.start(i)
-	s.note("limiter %d restarts", i)
+	s.traceState("limiter %d restarts", i)
 }
 
-// takeOver has a second process go on with a limiter's ledger.
-func (s *slotTier) takeOver(i int) {
+// hotRestart has a successor process continue with a limiter's ledger.
+func (s *slotTier) hotRestart(i int) {
 	n := s.limiters[i]
 	n.ledger = Restore(n.ledger.State(), n.ledger.Config)
-	s.note("a successor of %d takes over", i)
+	s.traceState("a successor of limiter %d takes over", i)
 }
 
-// noSlotLost ends all attempts and checks that all slots can be used again.
-func (s *slotTier) noSlotLost() {
+// checkAllSlotsRestored ends all attempts and checks that all slots can be used again.
+func (s *slotTier) checkAllSlotsRestored() {
 	s.tb.Helper()
 	s.orphans = 0
 	for i := range s.inUse {
 		for s.inUse[i] > 0 {
-			s.finish(i)
+			s.endAttempt(i)
 		}
 	}
 	const steps = 100
 	for range steps {
-		s.pass((2*LoanDuration + longestSlotAttempt) / steps)
+		s.advanceTime((2*LoanDuration + longestSlotAttempt) / steps)
 		for i, n := range s.limiters {
 			s.current(i)
 			n.ledger.Tick(s.clock(n))
@@ -238,32 +239,32 @@
 		sum += s.current(i).slotLimit()
 	}
 	if sum != s.plan.Slots {
-		s.note("after all has ended")
-		s.tb.Errorf("%d slots are left of %d\n%s", sum, s.plan.Slots, s.trace.String())
+		s.traceState("after all attempts and loans have ended")
+		s.tb.Errorf("%d slots can be used, want %d\n%s", sum, s.plan.Slots, s.trace.String())
 	}
 }
 
-// Guards against a lender that uses a slot again while the borrower's attempt goes on past the loan.
+// Guards against a lender that uses a slot again while the borrower's attempt continues past the loan.
 func TestSlotInUsePastLoan(t *testing.T) {
-	for _, links := range []struct {
-		name             string
-		toLender, toBack bool
+	for _, delivery := range []struct {
+		name                 string
+		toLender, toBorrower bool
 	}{{"messages in time", true, true}, {"all lost", false, false}, {"to the lender only", true, false}, {"to the borrower only", false, true}} {
-		t.Run(links.name, func(t *testing.T) {
-			eachSlotForm(t, func(s *slotTier) {
+		t.Run(delivery.name, func(t *testing.T) {
+			forEachSetKind(t, func(s *slotTier) {
 				s.borrow()
 				for range 10 {
-					s.pass(300 * time.Millisecond)
-					if m := s.post(s.borrower, s.lender); links.toLender {
+					s.advanceTime(300 * time.Millisecond)
+					if m := s.compose(s.borrower, s.lender); delivery.toLender {
 						s.deliver(m)
 					}
-					if m := s.post(s.lender, s.borrower); links.toBack {
+					if m := s.compose(s.lender, s.borrower); delivery.toBorrower {
 						s.deliver(m)
 					}
 				}
-				s.note("after the loan")
+				s.traceState("after the loan")
 				s.fill(s.lender)
-				s.noSlotLost()
+				s.checkAllSlotsRestored()
 			})
 		})
 	}
@@ -271,294 +272,297 @@
 
 // Guards against a lender that uses a slot again before the loan ends, with no message lost.
 func TestSlotInUseWithinLoan(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.pass(1900 * time.Millisecond)
-		s.pair(s.borrower, s.lender)
+		s.advanceTime(1900 * time.Millisecond)
+		s.requestAndGrant(s.borrower, s.lender)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against loans that end early because a later request of the borrower, for units alone, is granted with no
-// slots.
+// Guards against loans that end early because a later transfer request of the borrower, for units alone, is granted
+// without slots.
 func TestUnitsGrantKeepsBorrowedSlots(t *testing.T) {
-	for _, form := range slotForms {
-		t.Run(form.name, func(t *testing.T) {
-			s := newSlotTier(t, form.limiters, Plan{Quota: Bucket{Rate: 50, Burst: 200}, Slots: 6})
+	for _, kind := range setKinds {
+		t.Run(kind.name, func(t *testing.T) {
+			s := newSlotTier(t, kind.limiters, Plan{Quota: Bucket{Rate: 50, Burst: 200}, Slots: 6})
 			s.borrow()
-			s.pass(200 * time.Millisecond)
+			s.advanceTime(200 * time.Millisecond)
 			s.tryAttempt(s.borrower)
-			request := s.post(s.borrower, s.lender)
-			s.pass(200 * time.Millisecond) // the request is slow, but in time
+			request := s.compose(s.borrower, s.lender)
+			s.advanceTime(200 * time.Millisecond) // the request is slow, but arrives in time
 			s.deliver(request)
-			s.deliver(s.post(s.lender, s.borrower))
-			s.recordRejected(s.borrower, 1200)
+			s.deliver(s.compose(s.lender, s.borrower))
+			s.recordDemand(s.borrower, 1200)
 			s.tryAttempt(s.borrower)
-			s.note("limiter %d starts one on a slot of %d", s.borrower, s.lender)
-			s.pair(s.borrower, s.lender)
-			s.note("units were requested and granted")
-			s.pass(200 * time.Millisecond)
+			s.traceState("limiter %d starts an attempt on a slot of limiter %d", s.borrower, s.lender)
+			s.requestAndGrant(s.borrower, s.lender)
+			s.traceState("units were requested and granted")
+			s.advanceTime(200 * time.Millisecond)
 			s.tryAttempt(s.borrower)
-			s.pair(s.borrower, s.lender)
-			s.note("a further slot was requested")
+			s.requestAndGrant(s.borrower, s.lender)
+			s.traceState("a further slot was requested")
 			s.fill(s.lender)
-			s.report()
-			s.noSlotLost()
+			s.checkSlotLimit()
+			s.checkAllSlotsRestored()
 		})
 	}
 }
 
-// recordRejected has requests of one unit come that are rejected.
-func (s *slotTier) recordRejected(i, requests int) {
+// recordDemand records requests of one unit that are rejected.
+func (s *slotTier) recordDemand(i, requests int) {
 	n := s.limiters[i]
 	for range requests {
 		n.ledger.RecordDemand(s.current(i), 1, s.clock(n))
 	}
 }
 
-// Guards against loans that end early because the lender has no further slot to lend when the borrower asks.
+// Guards against loans that end early because the lender has no further slot to lend when the borrower requests one.
 func TestRefusedSlotKeepsBorrowedSlots(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
 		for range 2 {
-			s.pass(200 * time.Millisecond)
+			s.advanceTime(200 * time.Millisecond)
 			s.borrowTo(s.borrower, s.lender)
 		}
 		s.fill(s.lender)
-		for range 2 { // wants one more, which the lender does not have
-			s.pass(200 * time.Millisecond)
+		for range 2 { // the borrower wants one more, which the lender does not have
+			s.advanceTime(200 * time.Millisecond)
 			s.tryAttempt(s.borrower)
-			s.pair(s.borrower, s.lender)
-			s.note("a further slot was requested")
+			s.requestAndGrant(s.borrower, s.lender)
+			s.traceState("a further slot was requested")
 		}
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a slot that is lost for good, or used twice, where its grant is lost.
+// Guards against a slot that is lost permanently, or used twice, when its grant is lost.
 func TestSlotGrantLost(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.fill(s.borrower)
 		s.tryAttempt(s.borrower)
-		s.deliver(s.post(s.borrower, s.lender))
-		s.post(s.lender, s.borrower)
-		s.note("the grant is lost")
+		s.deliver(s.compose(s.borrower, s.lender))
+		s.compose(s.lender, s.borrower)
+		s.traceState("the grant is lost")
 		s.fill(s.lender)
-		s.pass(600 * time.Millisecond)
+		s.advanceTime(600 * time.Millisecond)
 		s.tryAttempt(s.borrower)
-		s.pair(s.borrower, s.lender)
+		s.requestAndGrant(s.borrower, s.lender)
 		s.fill(s.borrower)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a slot used on both sides where its grant comes after the borrower gave the request up.
+// Guards against a slot used on both sides when its grant arrives after the borrower gave the request up.
 func TestSlotGrantLate(t *testing.T) {
 	for _, late := range []time.Duration{transferTimeout - time.Millisecond, transferTimeout, LoanDuration + time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
-			eachSlotForm(t, func(s *slotTier) {
+			forEachSetKind(t, func(s *slotTier) {
 				s.fill(s.borrower)
 				s.tryAttempt(s.borrower)
-				s.deliver(s.post(s.borrower, s.lender))
-				grant := s.post(s.lender, s.borrower)
-				s.pass(late)
+				s.deliver(s.compose(s.borrower, s.lender))
+				grant := s.compose(s.lender, s.borrower)
+				s.advanceTime(late)
 				s.fill(s.lender)
 				s.deliver(grant)
-				s.note("the grant comes late")
+				s.traceState("the grant arrives late")
 				s.fill(s.borrower)
 				s.fill(s.lender)
-				s.noSlotLost()
+				s.checkAllSlotsRestored()
 			})
 		})
 	}
 }
 
-// Guards against a slot counted twice where the grant, or the request after it was granted and accepted, is
-// repeated.
+// Guards against a slot counted twice when the grant is repeated, or the transfer request after it was granted and
+// the grant accepted.
 func TestSlotMessagesRepeated(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.fill(s.borrower)
 		s.tryAttempt(s.borrower)
-		first := s.post(s.borrower, s.lender)
+		first := s.compose(s.borrower, s.lender)
 		s.deliver(first)
-		s.pass(80 * time.Millisecond)
+		s.advanceTime(80 * time.Millisecond)
 		s.tryAttempt(s.borrower)
-		again := s.post(s.borrower, s.lender)
-		grant := s.post(s.lender, s.borrower)
+		again := s.compose(s.borrower, s.lender)
+		grant := s.compose(s.lender, s.borrower)
 		s.deliver(grant)
 		s.deliver(grant)
 		s.fill(s.borrower)
 		s.deliver(again)
-		s.deliver(s.post(s.lender, s.borrower))
+		s.deliver(s.compose(s.lender, s.borrower))
 		s.deliver(grant)
 		s.deliver(first)
-		s.note("all came again")
+		s.traceState("all messages were repeated")
 		s.fill(s.borrower)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against an older message, with fewer slots held, that frees a slot borrowed since.
+// Guards against an older message, with fewer slots held, that frees a slot borrowed since it was sent.
 func TestOlderReturnAfterNewerBorrow(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.finish(s.borrower)
-		older := s.post(s.borrower, s.lender) // holds none
-		s.pass(200 * time.Millisecond)
+		s.endAttempt(s.borrower)
+		older := s.compose(s.borrower, s.lender) // holds none
+		s.advanceTime(200 * time.Millisecond)
 		s.fill(s.borrower)
 		s.borrowTo(s.borrower, s.lender)
 		s.deliver(older)
-		s.note("the older return comes")
+		s.traceState("the older return arrives")
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a slot given back while a grant of a further one is in transit that counts it still.
+// Guards against a slot used on both sides when it is returned while a grant of a further slot, which still counts
+// it, is in transit.
 func TestReleaseWhileGrantInTransit(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.pass(200 * time.Millisecond)
+		s.advanceTime(200 * time.Millisecond)
 		s.tryAttempt(s.borrower)
-		s.deliver(s.post(s.borrower, s.lender))
-		grant := s.post(s.lender, s.borrower)
-		s.finish(s.borrower)
-		s.deliver(s.post(s.borrower, s.lender))
-		s.note("the return comes")
+		s.deliver(s.compose(s.borrower, s.lender))
+		grant := s.compose(s.lender, s.borrower)
+		s.endAttempt(s.borrower)
+		s.deliver(s.compose(s.borrower, s.lender))
+		s.traceState("the return arrives")
 		s.fill(s.lender)
 		s.deliver(grant)
-		s.deliver(s.post(s.lender, s.borrower))
-		s.note("the grant comes")
+		s.deliver(s.compose(s.lender, s.borrower))
+		s.traceState("the grant arrives")
 		s.fill(s.borrower)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a slot that is lost for good where its return is lost.
+// Guards against a slot that is lost permanently when the message that returns it is lost.
 func TestSlotReturnLost(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.finish(s.borrower)
-		s.post(s.borrower, s.lender)
+		s.endAttempt(s.borrower)
+		s.compose(s.borrower, s.lender)
 		s.fill(s.lender)
-		s.pass(lenderLoanDuration)
+		s.advanceTime(lenderLoanDuration)
 		s.fill(s.lender)
 		s.fill(s.borrower)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a lender or owner that forgets at a restart what it lent, while its own attempts have ended.
+// Guards against a lender or owner that, after a restart, no longer knows what it lent, while its own attempts have
+// ended.
 func TestLenderRestartsWithSlotLent(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.pass(100 * time.Millisecond)
+		s.advanceTime(100 * time.Millisecond)
 		s.restart(s.lender, false)
 		s.fill(s.lender)
 		s.exchangeRound(0)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a limiter that, when it restarts, uses slots that its attempts before still use at the backends.
+// Guards against a limiter that, after a restart, uses slots that its earlier attempts still use at the backends.
 func TestLimiterRestartsWhileItsAttemptsGoOn(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.fill(s.borrower)
 		s.fill(s.lender)
 		s.restart(s.lender, true)
 		s.fill(s.lender)
 		s.exchangeRound(0)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against the slot of a borrower that restarted: its attempts go on at the backends, and the lender takes
-// the slot back at the first message of the new epoch.
+// Guards against a lender that takes a slot back at the first message of a borrower's new epoch, while the
+// borrower's earlier attempts continue at the backends.
 func TestBorrowerRestartsWhileItsAttemptsGoOn(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
 		s.restart(s.borrower, true)
 		s.exchangeRound(0)
-		s.note("the lender knows the new epoch")
+		s.traceState("the lender knows the new epoch")
 		s.fill(s.lender)
 		s.fill(s.borrower)
 		s.tryAttempt(s.borrower)
-		s.pair(s.borrower, s.lender)
+		s.requestAndGrant(s.borrower, s.lender)
 		s.fill(s.borrower)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a slot that stays lost where a borrower restarts and its attempts have ended.
+// Guards against a slot that stays lost after a borrower restarted and its attempts ended.
 func TestBorrowerRestartsAndItsAttemptsEnd(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
 		s.restart(s.borrower, false)
 		s.exchangeRound(0)
 		s.fill(s.borrower)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against the slot of a borrower that died and never comes back: the lender uses it after the loan.
+// Guards against a lender that, as soon as the loan ends, uses the slot of a borrower that died and does not come
+// back, while its attempts continue.
 func TestBorrowerDiesWhileItsAttemptsGoOn(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
 		s.orphans, s.inUse[s.borrower] = s.inUse[s.borrower], 0
-		s.note("limiter %d dies", s.borrower)
-		s.pass(lenderLoanDuration)
+		s.traceState("limiter %d dies", s.borrower)
+		s.advanceTime(lenderLoanDuration)
 		s.fill(s.lender)
 	})
 }
 
-// Guards against an owner and a backup owner that both give slots out while they are cut apart.
+// Guards against an owner and a backup owner that both grant slots while no message passes between them.
 func TestOwnerAndBackupOwnerCutApart(t *testing.T) {
 	s := newSlotTier(t, SmallSetSize+1, Plan{Slots: 6})
 	backup := s.current(s.lender).owners[1]
 	s.fill(backup)
 	s.tryAttempt(backup) // a request without a reply, so that the owner counts as silent
-	s.post(backup, s.lender)
-	s.pass(600 * time.Millisecond)
+	s.compose(backup, s.lender)
+	s.advanceTime(600 * time.Millisecond)
 	s.fill(s.lender)
 	s.fill(backup)
 	s.tryAttempt(s.borrower)
-	s.post(s.borrower, s.lender)
-	s.pass(600 * time.Millisecond)
+	s.compose(s.borrower, s.lender)
+	s.advanceTime(600 * time.Millisecond)
 	s.tryAttempt(s.borrower)
-	s.pair(s.borrower, backup)
+	s.requestAndGrant(s.borrower, backup)
 	s.fill(s.borrower)
-	s.note("the backup owner was asked")
-	s.report()
-	s.noSlotLost()
+	s.traceState("the backup owner was sent a request")
+	s.checkSlotLimit()
+	s.checkAllSlotsRestored()
 }
 
-// Guards against a backup owner that lends on what its owner lent it for longer than its own loan.
+// Guards against a backup owner that lends a slot borrowed from its owner for longer than its own loan.
 func TestBackupOwnerLendsBorrowedSlotOn(t *testing.T) {
 	s := newSlotTier(t, SmallSetSize+1, Plan{Slots: 6})
 	backup := s.current(s.lender).owners[1]
 	s.tryAttempt(backup)
-	s.pair(backup, s.lender) // its client has left meanwhile
-	s.note("limiter %d has a slot of %d that it does not use", backup, s.lender)
-	s.pass(600 * time.Millisecond)
+	s.requestAndGrant(backup, s.lender) // the client has left meanwhile
+	s.traceState("limiter %d has a slot of limiter %d that it does not use", backup, s.lender)
+	s.advanceTime(600 * time.Millisecond)
 	s.tryAttempt(s.borrower)
-	s.post(s.borrower, s.lender)
-	s.pass(600 * time.Millisecond)
+	s.compose(s.borrower, s.lender)
+	s.advanceTime(600 * time.Millisecond)
 	s.tryAttempt(s.borrower)
-	s.pair(s.borrower, backup)
+	s.requestAndGrant(s.borrower, backup)
 	s.fill(s.borrower)
-	s.pass(lenderLoanDuration - 1200*time.Millisecond)
-	s.note("the first loan has ended")
+	s.advanceTime(lenderLoanDuration - 1200*time.Millisecond)
+	s.traceState("the first loan has ended")
 	s.fill(s.lender)
-	s.report()
-	s.noSlotLost()
+	s.checkSlotLimit()
+	s.checkAllSlotsRestored()
 }
 
 // Guards against one slot lent to two borrowers.
@@ -567,7 +571,7 @@
 		t.Run(fmt.Sprint(limiters), func(t *testing.T) {
 			s := newSlotTier(t, limiters, Plan{Slots: 6})
 			second := (s.borrower + 1) % limiters
-			for second == s.lender || s.current(s.lender).isHolder(second) {
+			for second == s.lender || s.current(s.lender).isOwner(second) {
 				second = (second + 1) % limiters
 			}
 			s.fill(s.borrower)
@@ -575,17 +579,17 @@
 			for range 4 {
 				s.tryAttempt(s.borrower)
 				s.tryAttempt(second)
-				s.deliver(s.post(s.borrower, s.lender))
-				s.deliver(s.post(second, s.lender))
+				s.deliver(s.compose(s.borrower, s.lender))
+				s.deliver(s.compose(second, s.lender))
 				s.fill(s.lender)
-				s.deliver(s.post(s.lender, s.borrower))
-				s.deliver(s.post(s.lender, second))
+				s.deliver(s.compose(s.lender, s.borrower))
+				s.deliver(s.compose(s.lender, second))
 				s.fill(s.borrower)
 				s.fill(second)
-				s.pass(200 * time.Millisecond)
+				s.advanceTime(200 * time.Millisecond)
 			}
-			s.report()
-			s.noSlotLost()
+			s.checkSlotLimit()
+			s.checkAllSlotsRestored()
 		})
 	}
 }
@@ -596,110 +600,110 @@
 	first, middle, last := 0, 1, 2
 	s.fill(middle)
 	s.tryAttempt(middle)
-	s.pair(middle, first) // its client has left meanwhile
-	s.note("limiter %d has a slot of %d that it does not use", middle, first)
+	s.requestAndGrant(middle, first) // the client has left meanwhile
+	s.traceState("limiter %d has a slot of limiter %d that it does not use", middle, first)
 	s.fill(last)
-	s.pass(1200 * time.Millisecond)
+	s.advanceTime(1200 * time.Millisecond)
 	s.borrowTo(last, middle)
-	s.pass(lenderLoanDuration - 1200*time.Millisecond)
-	s.note("the first loan has ended")
+	s.advanceTime(lenderLoanDuration - 1200*time.Millisecond)
+	s.traceState("the first loan has ended")
 	s.fill(first)
 	s.fill(middle)
-	s.report()
-	s.noSlotLost()
+	s.checkSlotLimit()
+	s.checkAllSlotsRestored()
 }
 
 // Guards against a loan that lasts longer at the borrower than at the lender, with clocks at their bounds.
 func TestSlotLoanWithClocksAtBounds(t *testing.T) {
 	for _, transit := range []time.Duration{0, time.Millisecond} {
 		t.Run(transit.String(), func(t *testing.T) {
-			eachSlotForm(t, func(s *slotTier) {
+			forEachSetKind(t, func(s *slotTier) {
 				s.limiters[s.lender].clockOffset -= time.Duration(float64(s.now) * ClockDrift)
 				s.limiters[s.lender].clockRate = 1 + ClockDrift
 				s.limiters[s.borrower].clockOffset += time.Duration(float64(s.now) * ClockDrift)
 				s.limiters[s.borrower].clockRate = 1 - ClockDrift
 				s.fill(s.borrower)
 				s.tryAttempt(s.borrower)
-				m := s.post(s.borrower, s.lender)
+				m := s.compose(s.borrower, s.lender)
 				lentAt := s.now
-				s.pass(transit)
+				s.advanceTime(transit)
 				s.deliver(m)
-				s.deliver(s.post(s.lender, s.borrower))
-				s.note("lent")
-				s.pass(lentAt + 2020*time.Millisecond - s.now) // of true time
+				s.deliver(s.compose(s.lender, s.borrower))
+				s.traceState("lent")
+				s.advanceTime(lentAt + 2020*time.Millisecond - s.now) // of true time
 				s.fill(s.borrower)
 				s.fill(s.lender)
-				s.noSlotLost()
+				s.checkAllSlotsRestored()
 			})
 		})
 	}
 }
 
-// Guards against loans and attempts that a successor does not know of.
+// Guards against a successor that does not know of loans and attempts.
 func TestSuccessorKeepsLoans(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
-		s.takeOver(s.lender)
+		s.hotRestart(s.lender)
 		s.fill(s.lender)
-		s.takeOver(s.borrower)
+		s.hotRestart(s.borrower)
 		s.fill(s.borrower)
-		s.pass(500 * time.Millisecond)
-		s.pair(s.borrower, s.lender)
+		s.advanceTime(500 * time.Millisecond)
+		s.requestAndGrant(s.borrower, s.lender)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a grant in transit over a take-over of the borrower, which is then accepted by both processes
-// or by none.
+// Guards against a grant in transit during a hot restart of the borrower that is accepted by both processes or by
+// none.
 func TestSuccessorTakesGrantInTransit(t *testing.T) {
-	eachSlotForm(t, func(s *slotTier) {
+	forEachSetKind(t, func(s *slotTier) {
 		s.fill(s.borrower)
 		s.tryAttempt(s.borrower)
-		s.deliver(s.post(s.borrower, s.lender))
-		grant := s.post(s.lender, s.borrower)
-		s.takeOver(s.borrower)
+		s.deliver(s.compose(s.borrower, s.lender))
+		grant := s.compose(s.lender, s.borrower)
+		s.hotRestart(s.borrower)
 		s.deliver(grant)
 		s.fill(s.borrower)
 		s.fill(s.lender)
-		s.noSlotLost()
+		s.checkAllSlotsRestored()
 	})
 }
 
-// Guards against a predecessor that goes on in a new epoch, after its successor died, and forgets what it lent
-// or borrowed while its attempts go on.
+// Guards against a predecessor that continues in a new epoch, after its successor died, and no longer knows what it
+// lent or borrowed while its attempts continue.
 func TestPredecessorGoesOnInNewEpoch(t *testing.T) {
 	for _, at := range []string{"lender", "borrower"} {
 		t.Run(at, func(t *testing.T) {
-			eachSlotForm(t, func(s *slotTier) {
+			forEachSetKind(t, func(s *slotTier) {
 				s.borrow()
 				renewed := s.lender
 				if at == "borrower" {
 					renewed = s.borrower
 				}
-				s.start(renewed) // its attempts still count, as admission's renewEpoch has it
+				s.start(renewed) // its attempts still count, as with admission's renewEpoch
 				s.exchangeRound(0)
-				s.note("limiter %d goes on in a new epoch", renewed)
+				s.traceState("limiter %d continues in a new epoch", renewed)
 				s.fill(s.lender)
-				s.noSlotLost()
+				s.checkAllSlotsRestored()
 			})
 		})
 	}
 }
 
-// Guards against a number of lent slots that does not fit its byte in a grant.
+// Guards against a number of lent slots that does not fit into its byte in a grant.
 func TestManySlotsLent(t *testing.T) {
 	s := newSlotTier(t, SmallSetSize+1, Plan{Slots: 300})
 	for range 256 {
 		if !s.tryAttempt(s.borrower) {
-			s.pair(s.borrower, s.lender)
+			s.requestAndGrant(s.borrower, s.lender)
 			s.tryAttempt(s.borrower)
 		}
 	}
-	s.note("borrowed one at a time")
+	s.traceState("borrowed one at a time")
 	s.tryAttempt(s.borrower)
-	s.pair(s.borrower, s.lender)
+	s.requestAndGrant(s.borrower, s.lender)
 	s.fill(s.lender)
-	s.report()
-	s.noSlotLost()
+	s.checkSlotLimit()
+	s.checkAllSlotsRestored()
 }
--- a/internal/quota/slots_random_test.go
+++ b/internal/quota/slots_random_test.go
@@ -14,41 +14,41 @@
 var (
 	slotRuns  = flag.Int("slots.runs", 2, "seeds of each case of TestSlotsUnderRandomLoad")
 	slotSeed  = flag.Uint64("slots.seed", 0, "the only seed to run, with a trace")
-	slotLoad  = flag.Float64("slots.load", 2, "requested attempts in flight, over the plan's slots")
+	slotLoad  = flag.Float64("slots.load", 2, "requested attempts in flight, relative to the plan's slots")
 	slotFirst = flag.Uint64("slots.first", 1, "the first seed")
 )
 
 const (
-	slotStep      = 10 * time.Millisecond
-	slotBusy      = 40 * time.Second
-	slotDown      = time.Second // the longest that a limiter is down
-	slotWait      = 200 * time.Millisecond
-	slotQueue     = 300 * time.Millisecond // the longest that a request is queued
-	slotTick      = 100 * time.Millisecond
-	slotPace      = 100 * time.Millisecond
-	slotHeartbeat = time.Second // between messages without content in a large tier
+	slotStep              = 10 * time.Millisecond
+	slotLoadDuration      = 40 * time.Second
+	slotMaxDowntime       = time.Second // the longest time for which a limiter is down
+	slotMaxWait           = 200 * time.Millisecond
+	slotMaxQueueTime      = 300 * time.Millisecond // the longest time for which a request is queued
+	slotTickInterval      = 100 * time.Millisecond
+	slotMessageInterval   = 100 * time.Millisecond
+	slotHeartbeatInterval = time.Second // between messages without content in a large tier
 )
 
-// slotCase is a kind of load and of failures.
+// slotCase is a combination of load and failures.
 type slotCase struct {
 	name     string
 	limiters int
 	plan     Plan
-	longest  time.Duration // of an attempt
-	lossIn   int           // one of so many messages is lost
-	disorder bool          // messages are late, and come twice
-	cut      string        // "", "both", "in" or "out": what does not come through
-	restarts string        // "", "any", "owner" or "others"
-	drift    bool
-	retries  bool // some attempts are repeated without a decision
-	queued   bool // some requests are queued first, and of these some refunded
+	longest  time.Duration // the longest attempt
+	lossIn   int           // one in so many messages is lost; 0 for none
+	disorder bool          // messages are delayed and repeated
+	cut      string        // which messages of a limiter that is cut off are lost: "" (none), "both", "in" or "out"
+	restarts string        // which limiters restart: "" (none), "any", "owner" or "others"
+	drift    bool          // clocks run at their bounds
+	retries  bool          // some attempts are repeated without a decision
+	queued   bool          // some requests are queued first, and some of these refunded
 }
 
 type slotAttempt struct {
 	limiter int
 	epoch   uint32
 	endAt   time.Duration
-	endBy   time.Duration // the deadline of its request, retries included
+	endBy   time.Duration // the deadline of its client request, retries included
 }
 
 type slotMessage struct {
@@ -56,8 +56,8 @@
 	at time.Duration
 }
 
-// heldLoan is what a limiter borrowed of one epoch of a lender.
-type heldLoan struct {
+// borrowedLoan is what a limiter borrowed from one epoch of a lender.
+type borrowedLoan struct {
 	loan
 	epoch uint32
 }
@@ -68,33 +68,33 @@
 type slotRun struct {
 	slotCase
 	*tier
-	random    *rand.Rand
-	trace     bool
-	attempts  []slotAttempt
-	transit   []slotMessage
-	waiting   [][]slotRequest
-	queue     []slotAttempt // requests that are queued; endAt is when they leave the queue
-	sentAt    map[[2]int]time.Duration
-	downUntil []time.Duration
-	cutUntil  []time.Duration
-	hot       int
-	hotUntil  time.Duration
-	held      []map[int]heldLoan // what each limiter borrowed, by lender, as last seen
-	unbacked  []map[string]bool  // why a limiter uses more than its limit
-
-	tries, rejected, rejectedWithRoom int
-	worst, worstKnown                 int // beyond the plan's slots: all attempts, and those limiters know of
-	beyondTime                        time.Duration
-	reasons                           map[string]int
-	first                             string
-	finalSlots, usable                int
+	random           *rand.Rand
+	trace            bool
+	attempts         []slotAttempt
+	transit          []slotMessage
+	waiting          [][]slotRequest
+	queue            []slotAttempt // queued requests; endAt is when they leave the queue
+	sentAt           map[[2]int]time.Duration
+	downUntil        []time.Duration
+	cutUntil         []time.Duration
+	hot              int
+	hotUntil         time.Duration
+	borrowed         []map[int]borrowedLoan // what each limiter borrowed, by lender, at the last call of recordChanges
+	overLimitReasons []map[string]bool      // why a limiter uses more slots than its limit
+
+	requestCount, rejected, rejectedWithFreeSlot int
+	maxExcess, maxKnownExcess                    int // beyond the plan's slots: all, and known to limiters
+	excessTime                                   time.Duration
+	excessReasons                                map[string]int
+	firstExcess                                  string
+	finalSlots, usable                           int
 }
 
 func newSlotRun(c slotCase, seed uint64) *slotRun {
 	r := &slotRun{
 		slotCase: c, random: rand.New(rand.NewPCG(seed, uint64(c.limiters))),
-		tier:   &tier{plan: c.plan, longestAttempt: c.longest + slotQueue, servingAges: true},
-		sentAt: map[[2]int]time.Duration{}, reasons: map[string]int{},
+		tier:   &tier{plan: c.plan, longestAttempt: c.longest + slotMaxQueueTime, servingAges: true},
+		sentAt: map[[2]int]time.Duration{}, excessReasons: map[string]int{},
 	}
 	for i := range c.limiters {
 		n := &limiter{clockRate: 1, clockOffset: time.Hour + time.Duration(i)*time.Minute}
@@ -102,8 +102,8 @@
 			n.clockRate = []float64{1 + ClockDrift, 1 - ClockDrift}[r.random.IntN(2)]
 		}
 		r.tier.limiters = append(r.tier.limiters, n)
-		r.held = append(r.held, map[int]heldLoan{})
-		r.unbacked = append(r.unbacked, map[string]bool{})
+		r.borrowed = append(r.borrowed, map[int]borrowedLoan{})
+		r.overLimitReasons = append(r.overLimitReasons, map[string]bool{})
 	}
 	r.waiting = make([][]slotRequest, c.limiters)
 	r.downUntil = make([]time.Duration, c.limiters)
@@ -119,7 +119,7 @@
 	n := r.tier.limiters[i]
 	n.ledger.Resolve(state, r.clock(n))
 	r.account(n)
-	r.held[i], r.unbacked[i] = map[int]heldLoan{}, map[string]bool{}
+	r.borrowed[i], r.overLimitReasons[i] = map[int]borrowedLoan{}, map[string]bool{}
 }
 
 func (r *slotRun) logf(format string, args ...any) {
@@ -138,7 +138,7 @@
 	return least + time.Duration(r.random.Int64N(int64(most-least)))
 }
 
-// countAttempts counts attempts, and of these those that their limiters know of.
+// countAttempts counts all attempts, and those known to their limiters.
 func (r *slotRun) countAttempts() (all, known int) {
 	for _, x := range r.attempts {
 		if x.epoch == r.tier.limiters[x.limiter].epoch && r.isUp(x.limiter) {
@@ -148,14 +148,14 @@
 	return len(r.attempts), known
 }
 
-// observe records what changed at a limiter by an operation, and why its limit fell below what it uses.
-func (r *slotRun) observe(i int, operation string) {
+// recordChanges records how an operation changed what a limiter borrows, and why its limit fell below the slots in use.
+func (r *slotRun) recordChanges(i int, operation string) {
 	n := r.tier.limiters[i]
 	a := r.account(n)
 	now := r.clock(n)
 	for _, lk := range a.links {
-		before, after := r.held[i][lk.peerID], heldLoan{lk.borrowed, lk.epoch}
-		r.held[i][lk.peerID] = after
+		before, after := r.borrowed[i][lk.peerID], borrowedLoan{lk.borrowed, lk.epoch}
+		r.borrowed[i][lk.peerID] = after
 		if before.slots == after.slots {
 			continue
 		}
@@ -170,22 +170,22 @@
 		case operation == "deliver":
 			reason = "grant of fewer"
 		}
-		r.logf("limiter %d borrows %d not %d of %d (%s): %d in use, limit %d", i, after.slots, before.slots, lk.peerID, reason,
+		r.logf("limiter %d borrows %d slots instead of %d of limiter %d (%s): %d in use, limit %d", i, after.slots, before.slots, lk.peerID, reason,
 			a.SlotsInUse, a.slotLimit())
 		if after.slots < before.slots && a.SlotsInUse > max(a.slotLimit(), 0) {
-			r.unbacked[i][reason] = true
+			r.overLimitReasons[i][reason] = true
 		}
 	}
 	switch {
 	case a.SlotsInUse <= max(a.slotLimit(), 0):
-		clear(r.unbacked[i])
+		clear(r.overLimitReasons[i])
 	case operation == "retry":
-		r.unbacked[i]["retry"] = true
+		r.overLimitReasons[i]["retry"] = true
 	}
 }
 
-// describe names what is wrong at a moment at which there are too many attempts.
-func (r *slotRun) describe() string {
+// describeExcess describes what is wrong at a moment with too many attempts.
+func (r *slotRun) describeExcess() string {
 	found := map[string]bool{}
 	all, known := r.countAttempts()
 	if all > known {
@@ -197,10 +197,10 @@
 		}
 		a := r.account(n)
 		if a.slotLimit() < 0 {
-			found["lent on what it had borrowed"] = true
+			found["lent slots that it had borrowed"] = true
 		}
 		if a.SlotsInUse > max(a.slotLimit(), 0) {
-			for reason := range r.unbacked[i] {
+			for reason := range r.overLimitReasons[i] {
 				found["in use after "+reason] = true
 			}
 		}
@@ -210,7 +210,7 @@
 				continue
 			}
 			if lk.borrowed.slots > r.account(lender).link(i).lentSlots() {
-				reason := "borrowed here and not lent there"
+				reason := "borrowed and not lent by the lender"
 				if lk.epoch != lender.epoch {
 					reason += ", lender restarted"
 				}
@@ -225,52 +225,52 @@
 func (r *slotRun) addAttempt(i int) {
 	endAt := r.now + r.between(min(50*time.Millisecond, r.longest/2), r.longest)
 	r.attempts = append(r.attempts, slotAttempt{limiter: i, epoch: r.tier.limiters[i].epoch, endAt: endAt, endBy: r.now + r.longest})
-	r.countBeyond(i)
+	r.countExcess(i)
 }
 
-// retry starts another attempt of the request whose attempt ended.
+// retry starts another attempt of the request whose attempt has ended.
 func (r *slotRun) retry(x slotAttempt) {
 	x.endAt = r.now + r.between(0, x.endBy-r.now)
 	r.attempts = append(r.attempts, x)
-	r.countBeyond(x.limiter)
+	r.countExcess(x.limiter)
 }
 
-// countBeyond counts the attempts beyond the plan's slots after one started at a limiter.
-func (r *slotRun) countBeyond(i int) {
+// countExcess records the number of attempts beyond the plan's slots after one started at a limiter.
+func (r *slotRun) countExcess(i int) {
 	all, known := r.countAttempts()
-	r.worst, r.worstKnown = max(r.worst, all-r.plan().Slots), max(r.worstKnown, known-r.plan().Slots)
+	r.maxExcess, r.maxKnownExcess = max(r.maxExcess, all-r.plan().Slots), max(r.maxKnownExcess, known-r.plan().Slots)
 	if all <= r.plan().Slots {
 		return
 	}
-	description := r.describe()
-	r.reasons[description]++
-	if r.first == "" {
-		r.first = fmt.Sprintf("%.2f s: %d in flight, %s", r.now.Seconds(), all, description)
+	description := r.describeExcess()
+	r.excessReasons[description]++
+	if r.firstExcess == "" {
+		r.firstExcess = fmt.Sprintf("%.2f s: %d in flight, %s", r.now.Seconds(), all, description)
 	}
-	r.logf("BEYOND: limiter %d starts, %d in flight, %d known: %s", i, all, known, description)
+	r.logf("too many attempts: limiter %d starts one, %d in flight, %d known to limiters: %s", i, all, known, description)
 }
 
 func (r *slotRun) plan() Plan { return r.slotCase.plan }
 
-// decide has a limiter decide on a request, and reports whether it did.
+// decide calls Reserve for a request at a limiter, and reports whether there is a decision other than Pending.
 func (r *slotRun) decide(i int, last bool) bool {
 	n := r.tier.limiters[i]
 	a := r.account(n)
 	decision, _ := n.ledger.Reserve(a, 1, last, r.clock(n))
-	r.observe(i, "reserve")
+	r.recordChanges(i, "reserve")
 	switch decision {
 	case Pending:
 		return false
 	case Rejected:
 		r.rejected++
 		if all, _ := r.countAttempts(); all+len(r.queue) < r.plan().Slots {
-			r.rejectedWithRoom++
+			r.rejectedWithFreeSlot++
 		}
 		return true
 	}
 	a.SlotsInUse++
 	if r.queued && r.random.IntN(4) == 0 {
-		r.queue = append(r.queue, slotAttempt{limiter: i, epoch: n.epoch, endAt: r.now + r.between(time.Millisecond, slotQueue)})
+		r.queue = append(r.queue, slotAttempt{limiter: i, epoch: n.epoch, endAt: r.now + r.between(time.Millisecond, slotMaxQueueTime)})
 		return true
 	}
 	a.MarkSent(1)
@@ -278,8 +278,8 @@
 	return true
 }
 
-// settle decides the waiting requests of a limiter in order, up to the first that still waits.
-func (r *slotRun) settle(i int) {
+// decideWaiting decides the waiting requests of a limiter in order, up to the first that has to keep waiting.
+func (r *slotRun) decideWaiting(i int) {
 	for len(r.waiting[i]) > 0 {
 		if !r.decide(i, r.now >= r.waiting[i][0].deadline) {
 			return
@@ -288,16 +288,16 @@
 	}
 }
 
-func (r *slotRun) arrive(i int) {
+func (r *slotRun) receiveRequest(i int) {
 	n := r.tier.limiters[i]
-	r.tries++
+	r.requestCount++
 	n.ledger.RecordDemand(r.account(n), 1, r.clock(n))
 	if len(r.waiting[i]) > 0 || !r.decide(i, false) {
-		r.waiting[i] = append(r.waiting[i], slotRequest{deadline: r.now + slotWait})
+		r.waiting[i] = append(r.waiting[i], slotRequest{deadline: r.now + slotMaxWait})
 	}
 }
 
-// endAttempts ends the attempts whose time has come.
+// endAttempts ends the attempts that are due to end, or retries their requests.
 func (r *slotRun) endAttempts() {
 	var left, ended []slotAttempt
 	for _, x := range r.attempts {
@@ -314,27 +314,28 @@
 			continue
 		}
 		if r.retries && r.random.IntN(8) == 0 && x.endBy > r.now {
-			r.retry(x) // which keeps the slot
+			r.retry(x) // the retry keeps the slot
 			continue
 		}
 		r.freeSlot(x.limiter)
 	}
 }
 
-// freeSlot frees a slot: as the controller does, for a request that waits at the limiter, else for its lender.
+// freeSlot frees a slot as the admission controller does: for a request that waits at the limiter, else for its
+// lender.
 func (r *slotRun) freeSlot(i int) {
 	n := r.tier.limiters[i]
 	a := r.account(n)
 	a.SlotsInUse--
-	r.settle(i)
+	r.decideWaiting(i)
 	n.ledger.ReleaseSlot(a, r.clock(n))
-	r.observe(i, "return")
+	r.recordChanges(i, "return")
 }
 
-// leaveQueue forwards or refunds the queued requests whose time has come, as the controller does.
-func (r *slotRun) leaveQueue() {
+// processQueue forwards or refunds the queued requests that are due, as the admission controller does.
+func (r *slotRun) processQueue() {
 	queue := r.queue
-	r.queue = nil // what is freed may be used by further requests, which are queued
+	r.queue = nil // freed slots may be used by further requests, which are queued
 	for _, x := range queue {
 		n := r.tier.limiters[x.limiter]
 		switch {
@@ -351,8 +352,8 @@
 	}
 }
 
-// exchange sends and delivers messages.
-func (r *slotRun) exchange(quiet bool) {
+// exchange sends the messages that are due, and delivers messages. If reliable is set, no message that it sends is lost.
+func (r *slotRun) exchange(reliable bool) {
 	for i, n := range r.tier.limiters {
 		for j := range r.tier.limiters {
 			if i == j || !r.isUp(i) {
@@ -360,7 +361,7 @@
 			}
 			since := r.now - r.sentAt[[2]int{i, j}]
 			has := n.ledger.HasGrantsFor(j) || n.ledger.HasRequestsFor(j)
-			due := since >= slotPace && (has || r.slotCase.limiters <= smallTierSize) || since >= slotHeartbeat
+			due := since >= slotMessageInterval && (has || r.slotCase.limiters <= smallTierSize) || since >= slotHeartbeatInterval
 			if n.ledger.HasGrantsFor(j) && r.slotCase.limiters > smallTierSize {
 				due = true
 			}
@@ -371,7 +372,7 @@
 			r.send(i, j)
 			m := r.inFlight[len(r.inFlight)-1]
 			r.inFlight = nil
-			r.post(m, quiet)
+			r.transmit(m, reliable)
 		}
 	}
 	r.deliverDue()
@@ -390,8 +391,8 @@
 	return false
 }
 
-func (r *slotRun) post(m message, quiet bool) {
-	if !quiet && (r.isCut(m) || r.lossIn > 0 && r.random.IntN(r.lossIn) == 0) {
+func (r *slotRun) transmit(m message, reliable bool) {
+	if !reliable && (r.isCut(m) || r.lossIn > 0 && r.random.IntN(r.lossIn) == 0) {
 		return
 	}
 	at := r.now + r.between(2*time.Millisecond, 16*time.Millisecond)
@@ -423,8 +424,8 @@
 		r.logMessage(m.message)
 		r.deliver(m.message)
 		if r.tier.limiters[m.to].received[m.from] != before {
-			r.observe(m.to, "deliver")
-			r.settle(m.to)
+			r.recordChanges(m.to, "deliver")
+			r.decideWaiting(m.to)
 			r.tier.limiters[m.to].ledger.ReturnUnusedSlots(r.clock(r.tier.limiters[m.to]))
 		}
 	}
@@ -442,8 +443,8 @@
 	}
 }
 
-// fail cuts off and restarts limiters now and then.
-func (r *slotRun) fail() {
+// injectFailures cuts off and restarts limiters at random.
+func (r *slotRun) injectFailures() {
 	if r.cut != "" && r.chance(0.15) {
 		i := r.random.IntN(r.slotCase.limiters)
 		r.cutUntil[i] = r.now + r.between(500*time.Millisecond, 6*time.Second)
@@ -459,14 +460,14 @@
 	} else if r.restarts == "others" && i == owner {
 		return
 	}
-	r.downUntil[i] = r.now + r.between(0, slotDown)
+	r.downUntil[i] = r.now + r.between(0, slotMaxDowntime)
 	r.waiting[i] = nil
 	r.startLimiter(i, LimiterRestarted)
 	r.logf("limiter %d restarts, back at %.3f", i, r.downUntil[i].Seconds())
 }
 
-// arrivals brings requests, most of them to one limiter that changes.
-func (r *slotRun) arrivals() {
+// generateRequests sends requests, most of them to one limiter, which changes from time to time.
+func (r *slotRun) generateRequests() {
 	if r.now >= r.hotUntil {
 		r.hot, r.hotUntil = r.random.IntN(r.slotCase.limiters), r.now+r.between(500*time.Millisecond, 4*time.Second)
 	}
@@ -477,32 +478,32 @@
 			rate += 0.6 * perSecond
 		}
 		if r.isUp(i) && r.chance(rate) {
-			r.arrive(i)
+			r.receiveRequest(i)
 		}
 	}
 }
 
-func (r *slotRun) step(quiet bool) {
+func (r *slotRun) step(reliable bool) {
 	r.now += slotStep
 	r.endAttempts()
-	r.leaveQueue()
+	r.processQueue()
 	for i, n := range r.tier.limiters {
 		if r.isUp(i) {
 			r.account(n).advance(r.clock(n))
-			if r.now%slotTick == 0 {
+			if r.now%slotTickInterval == 0 {
 				n.ledger.Tick(r.clock(n))
 			}
-			r.observe(i, "time")
+			r.recordChanges(i, "time")
 		}
 	}
-	r.exchange(quiet)
+	r.exchange(reliable)
 	for i := range r.tier.limiters {
 		if r.isUp(i) {
-			r.settle(i)
+			r.decideWaiting(i)
 		}
 	}
 	if len(r.attempts) > r.plan().Slots {
-		r.beyondTime += slotStep
+		r.excessTime += slotStep
 	}
 }
 
@@ -510,10 +511,10 @@
 	for range int(5 * time.Second / slotStep) {
 		r.step(true)
 	}
-	for range int(slotBusy / slotStep) {
-		r.fail()
+	for range int(slotLoadDuration / slotStep) {
+		r.injectFailures()
 		r.step(false)
-		r.arrivals()
+		r.generateRequests()
 	}
 	for range int((r.longest + 6*time.Second) / slotStep) {
 		r.step(true)
@@ -521,15 +522,15 @@
 	for _, n := range r.tier.limiters {
 		r.finalSlots += max(r.account(n).slotLimit(), 0)
 	}
-	r.useAll()
+	r.requestAllSlots()
 }
 
-// useAll has all slots requested at one limiter, with attempts that do not end.
-func (r *slotRun) useAll() {
+// requestAllSlots requests all slots at one limiter, with attempts that do not end, and counts those that start.
+func (r *slotRun) requestAllSlots() {
 	r.longest, r.retries, r.queued = time.Hour, false, false
-	before := r.worst
+	before := r.maxExcess
 	for range 3 * r.plan().Slots {
-		r.arrive(0)
+		r.receiveRequest(0)
 		for range int(250 * time.Millisecond / slotStep) {
 			r.step(true)
 			for k := range r.attempts {
@@ -537,13 +538,13 @@
 			}
 			if len(r.attempts) >= r.plan().Slots {
 				r.usable = r.plan().Slots
-				r.worst = before
+				r.maxExcess = before
 				return
 			}
 		}
 		r.usable = max(r.usable, len(r.attempts))
 	}
-	r.worst = before
+	r.maxExcess = before
 }
 
 func slotCases() []slotCase {
@@ -588,8 +589,8 @@
 	return cases
 }
 
-// No more attempts are in flight at once than a plan has slots, whatever becomes of messages and limiters, and
-// all slots can be used once it is quiet.
+// No more attempts are in flight at once than a plan has slots, whatever happens to messages and limiters, and
+// all slots can be used after the failures and the load have ended.
 func TestSlotsUnderRandomLoad(t *testing.T) {
 	for _, c := range slotCases() {
 		t.Run(c.name, func(t *testing.T) {
@@ -604,24 +605,24 @@
 }
 
 func checkSlotCase(t *testing.T, c slotCase, first uint64, runs int) {
-	var tries, rejected, withRoom, beyond, beyondKnown, worst, worstKnown, lost, unusable int
-	var beyondTime time.Duration
-	causes := map[string]int{}
+	var requests, rejected, withFreeSlot, excessSeeds, knownExcessSeeds, maxExcess, maxKnownExcess, lost, unusable int
+	var excessTime time.Duration
+	reasons := map[string]int{}
 	var example string
 	for k := range runs {
 		r := newSlotRun(c, first+uint64(k))
 		r.trace = *slotSeed > 0
 		r.run()
-		tries, rejected, withRoom = tries+r.tries, rejected+r.rejected, withRoom+r.rejectedWithRoom
-		worst, worstKnown, beyondTime = max(worst, r.worst), max(worstKnown, r.worstKnown), beyondTime+r.beyondTime
-		if r.worst > 0 {
-			beyond++
+		requests, rejected, withFreeSlot = requests+r.requestCount, rejected+r.rejected, withFreeSlot+r.rejectedWithFreeSlot
+		maxExcess, maxKnownExcess, excessTime = max(maxExcess, r.maxExcess), max(maxKnownExcess, r.maxKnownExcess), excessTime+r.excessTime
+		if r.maxExcess > 0 {
+			excessSeeds++
 			if example == "" {
-				example = fmt.Sprintf("seed %d, %s", first+uint64(k), r.first)
+				example = fmt.Sprintf("seed %d, %s", first+uint64(k), r.firstExcess)
 			}
 		}
-		if r.worstKnown > 0 {
-			beyondKnown++
+		if r.maxKnownExcess > 0 {
+			knownExcessSeeds++
 		}
 		if r.finalSlots != c.plan.Slots {
 			lost++
@@ -629,18 +630,18 @@
 		if r.usable < c.plan.Slots {
 			unusable++
 		}
-		for reason, count := range r.reasons {
-			causes[reason] += count
+		for reason, count := range r.excessReasons {
+			reasons[reason] += count
 		}
 	}
-	t.Logf("%-20s beyond %d of %d seeds, worst %d (known to limiters: %d seeds, worst %d), %.2f s beyond a run; "+
-		"tries %d rejected %.1f%% with a free slot %.1f%%; slots not restored %d, not usable %d; %s",
-		c.name, beyond, runs, worst, beyondKnown, worstKnown, beyondTime.Seconds()/float64(runs), tries,
-		100*float64(rejected)/float64(tries), 100*float64(withRoom)/float64(tries), lost, unusable, example)
-	for _, reason := range slices.SortedFunc(maps.Keys(causes), func(x, y string) int { return causes[y] - causes[x] })[:min(5, len(causes))] {
-		t.Logf("   %5d x %s", causes[reason], reason)
+	t.Logf("%-20s too many attempts in %d of %d seeds, by at most %d (known to limiters: in %d seeds, by at most %d), for %.2f s a run; "+
+		"requests %d rejected %.1f%% with a free slot %.1f%%; seeds with slots not restored %d, not usable %d; %s",
+		c.name, excessSeeds, runs, maxExcess, knownExcessSeeds, maxKnownExcess, excessTime.Seconds()/float64(runs), requests,
+		100*float64(rejected)/float64(requests), 100*float64(withFreeSlot)/float64(requests), lost, unusable, example)
+	for _, reason := range slices.SortedFunc(maps.Keys(reasons), func(x, y string) int { return reasons[y] - reasons[x] })[:min(5, len(reasons))] {
+		t.Logf("   %5d x %s", reasons[reason], reason)
 	}
-	if beyond > 0 || lost > 0 || unusable > 0 {
-		t.Errorf("%d of %d seeds have too many attempts in flight, %d lost slots, %d cannot use all", beyond, runs, lost, unusable)
+	if excessSeeds > 0 || lost > 0 || unusable > 0 {
+		t.Errorf("%d of %d seeds have too many attempts in flight, %d did not restore all slots, %d cannot use all slots", excessSeeds, runs, lost, unusable)
 	}
 }
--- a/internal/quota/slots_test.go
+++ b/internal/quota/slots_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// No more attempts are in flight at once than a plan has slots where an attempt on a borrowed slot takes longer
-// than the loan: the lender used the slot again.
+// Guards against more attempts in flight than a plan has slots, when an attempt on a borrowed slot takes longer than
+// the loan: the lender used the slot again.
 func TestBorrowedSlotInUseIsNotUsedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &tier{t: t, plan: Plan{Slots: 6}}
@@ -27,7 +27,7 @@
 		}
 		borrower, lender := w.limiters[0], w.limiters[1]
 		w.exchangeRound(0)
-		w.pass(5 * time.Second)
+		w.advanceTime(5 * time.Second)
 		for range 4 { // one more than the borrower's own slots, so that it requests one
 			start(borrower)
 		}
@@ -35,14 +35,14 @@
 		w.exchangeRound(0)
 		start(borrower) // on the borrowed slot
 		for range 10 {  // longer than a loan, with messages in time for a renewal
-			w.pass(300 * time.Millisecond)
+			w.advanceTime(300 * time.Millisecond)
 			w.exchangeRound(0)
 		}
 		for range 4 {
 			start(lender)
 		}
 		if inUse > w.plan.Slots {
-			t.Fatalf("%d attempts in flight, %d slots", inUse, w.plan.Slots)
+			t.Fatalf("%d attempts in flight, want at most the %d slots", inUse, w.plan.Slots)
 		}
 	})
 }
