--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -8,10 +8,10 @@
 	"lemongate/internal/rate"
 )
 
-// This file is the stored form of a Ledger, and the one place where it is mapped to the live types.
+// This file defines the stored form of a Ledger, and is the only place where it is mapped to the live types.
 
-// Restore returns the Ledger that a process of this limiter stored, with the configuration that it had
-// there.
+// Restore returns the Ledger that a process of this limiter stored. The configuration has to be the one that
+// the Ledger had there.
 func Restore(s LedgerState, c Config) *Ledger {
 	l := s.restore()
 	if l.accounts == nil {
@@ -85,8 +85,8 @@
 	Credit                  allowanceState `json:"credit"`
 	UnreportedUnits         float64        `json:"debt"`
 	UnreportedDemand        float64        `json:"unasked"`
-	RequestAllowance        float64        `json:"thin"`
-	RequestOutstanding      bool           `json:"asked"`
+	TransferAllowance       float64        `json:"thin"`
+	TransferOutstanding     bool           `json:"asked"`
 	OwnerDecision           int            `json:"word"`
 	LevelHintReceived       bool           `json:"hinted"`
 	LastGrantAt             time.Duration  `json:"granted"`
@@ -109,7 +109,7 @@
 	TotalKnown              bool           `json:"wholly"`
 	StartedFull             bool           `json:"fresh"`
 	UnallocatedUnits        float64        `json:"strays"`
-	UnallocatedTicks        int            `json:"views"`
+	UnallocatedReports      int            `json:"views"`
 	UnallocatedSince        time.Duration  `json:"since"`
 }
 
@@ -135,31 +135,31 @@
 
 // linkState is the stored form of a link.
 type linkState struct {
-	PeerID               int           `json:"peer"`
-	Epoch                uint32        `json:"epoch"`
-	Pending              bool          `json:"pending"`
-	Nonce                uint16        `json:"nonce"`
-	RequestedAt          time.Duration `json:"since"`
-	LastSentAt           time.Duration `json:"told"`
-	Queued               bool          `json:"queued"`
-	QuotaWanted          float64       `json:"want"`
-	CeilingWanted        float64       `json:"over"`
-	SlotsWanted          int           `json:"wantTo"`
-	NextRequestAt        time.Duration `json:"rest"`
-	Borrowed             loanState     `json:"got"`
-	Lent                 []lentState   `json:"out"`
-	LentBefore           []loanState   `json:"outBefore,omitempty"` // not in 0.9.1 and earlier
-	LastGrant            grantState    `json:"answer"`
-	CeilingBorrowedUntil time.Duration `json:"leant"`
-	DemandToReport       uint8         `json:"extra"`
-	Known                bool          `json:"known"`
-	Reclaimed            bool          `json:"heir"`
-	Restarted            bool          `json:"reborn"`
-	Level                float64       `json:"level"`
-	Consumed             uint16        `json:"drawn"`
-	Demand               float64       `json:"asks"`
-	ReportedAt           time.Duration `json:"heard"`
-	ReturnDue            bool          `json:"needed"`
+	PeerID                int                `json:"peer"`
+	Epoch                 uint32             `json:"epoch"`
+	Pending               bool               `json:"pending"`
+	Nonce                 uint16             `json:"nonce"`
+	RequestedAt           time.Duration      `json:"since"`
+	LastSentAt            time.Duration      `json:"told"`
+	Queued                bool               `json:"queued"`
+	QuotaWanted           float64            `json:"want"`
+	CeilingWanted         float64            `json:"over"`
+	SlotsWanted           int                `json:"wantTo"`
+	NextTransferRequestAt time.Duration      `json:"rest"`
+	Borrowed              loanState          `json:"got"`
+	Lent                  []grantRecordState `json:"out"`
+	LentToEarlierEpochs   []loanState        `json:"outBefore,omitempty"` // not in 0.9.1 and earlier
+	LastGrant             grantState         `json:"answer"`
+	CeilingBorrowedUntil  time.Duration      `json:"leant"`
+	DemandToReport        uint8              `json:"extra"`
+	Known                 bool               `json:"known"`
+	Recovered             bool               `json:"heir"`
+	Restarted             bool               `json:"reborn"`
+	Level                 float64            `json:"level"`
+	Consumed              uint16             `json:"drawn"`
+	Demand                float64            `json:"asks"`
+	ReportedAt            time.Duration      `json:"heard"`
+	ReturnDue             bool               `json:"needed"`
 }
 
 // loanState is the stored form of a loan.
@@ -169,8 +169,8 @@
 	ExpiresAt time.Duration `json:"until"`
 }
 
-// lentState is the stored form of a grantRecord.
-type lentState struct {
+// grantRecordState is the stored form of a grantRecord.
+type grantRecordState struct {
 	loanState
 	Nonce        uint16        `json:"nonce"`
 	QuotaUnits   float64       `json:"units"`
@@ -207,7 +207,7 @@
 	QueuedForSend  bool          `json:"waiting"`
 }
 
-// State returns what another process of this limiter needs to go on.
+// State returns the state that another process of this limiter needs to continue.
 func (l *Ledger) State() LedgerState {
 	return LedgerState{
 		Counters:           newCountersState(l.Counts),
@@ -316,8 +316,8 @@
 		Credit:                  newAllowanceState(x.credit),
 		UnreportedUnits:         x.unreportedUnits,
 		UnreportedDemand:        x.unreportedDemand,
-		RequestAllowance:        x.transferAllowance,
-		RequestOutstanding:      x.transferOutstanding,
+		TransferAllowance:       x.transferAllowance,
+		TransferOutstanding:     x.transferOutstanding,
 		OwnerDecision:           int(x.ownerDecision),
 		LevelHintReceived:       x.levelHintReceived,
 		LastGrantAt:             x.lastGrantAt,
@@ -340,7 +340,7 @@
 		TotalKnown:              x.totalKnown,
 		StartedFull:             x.startedFull,
 		UnallocatedUnits:        x.unallocatedUnits,
-		UnallocatedTicks:        x.unallocatedReports,
+		UnallocatedReports:      x.unallocatedReports,
 		UnallocatedSince:        x.unallocatedSince,
 	}
 }
@@ -362,8 +362,8 @@
 		credit:                  s.Credit.restore(),
 		unreportedUnits:         s.UnreportedUnits,
 		unreportedDemand:        s.UnreportedDemand,
-		transferAllowance:       s.RequestAllowance,
-		transferOutstanding:     s.RequestOutstanding,
+		transferAllowance:       s.TransferAllowance,
+		transferOutstanding:     s.TransferOutstanding,
 		ownerDecision:           ownerDecision(s.OwnerDecision),
 		levelHintReceived:       s.LevelHintReceived,
 		lastGrantAt:             s.LastGrantAt,
@@ -386,7 +386,7 @@
 		totalKnown:              s.TotalKnown,
 		startedFull:             s.StartedFull,
 		unallocatedUnits:        s.UnallocatedUnits,
-		unallocatedReports:      s.UnallocatedTicks,
+		unallocatedReports:      s.UnallocatedReports,
 		unallocatedSince:        s.UnallocatedSince,
 	}
 }
@@ -439,31 +439,31 @@
 
 func newLinkState(x *link) linkState {
 	return linkState{
-		PeerID:               x.peerID,
-		Epoch:                x.epoch,
-		Pending:              x.pending,
-		Nonce:                x.nonce,
-		RequestedAt:          x.requestedAt,
-		LastSentAt:           x.lastSentAt,
-		Queued:               x.queued,
-		QuotaWanted:          x.quotaWanted,
-		CeilingWanted:        x.ceilingWanted,
-		SlotsWanted:          x.slotsWanted,
-		NextRequestAt:        x.nextTransferRequestAt,
-		Borrowed:             newLoanState(x.borrowed),
-		Lent:                 memento.List(x.lent, newLentState),
-		LentBefore:           memento.List(x.lentBefore, newLoanState),
-		LastGrant:            newGrantState(x.lastGrant),
-		CeilingBorrowedUntil: x.ceilingBorrowedUntil,
-		DemandToReport:       x.demandToReport,
-		Known:                x.known,
-		Reclaimed:            x.recovered,
-		Restarted:            x.restarted,
-		Level:                x.level,
-		Consumed:             x.consumed,
-		Demand:               x.demand,
-		ReportedAt:           x.reportedAt,
-		ReturnDue:            x.returnDue,
+		PeerID:                x.peerID,
+		Epoch:                 x.epoch,
+		Pending:               x.pending,
+		Nonce:                 x.nonce,
+		RequestedAt:           x.requestedAt,
+		LastSentAt:            x.lastSentAt,
+		Queued:                x.queued,
+		QuotaWanted:           x.quotaWanted,
+		CeilingWanted:         x.ceilingWanted,
+		SlotsWanted:           x.slotsWanted,
+		NextTransferRequestAt: x.nextTransferRequestAt,
+		Borrowed:              newLoanState(x.borrowed),
+		Lent:                  memento.List(x.lent, newGrantRecordState),
+		LentToEarlierEpochs:   memento.List(x.lentToEarlierEpochs, newLoanState),
+		LastGrant:             newGrantState(x.lastGrant),
+		CeilingBorrowedUntil:  x.ceilingBorrowedUntil,
+		DemandToReport:        x.demandToReport,
+		Known:                 x.known,
+		Recovered:             x.recovered,
+		Restarted:             x.restarted,
+		Level:                 x.level,
+		Consumed:              x.consumed,
+		Demand:                x.demand,
+		ReportedAt:            x.reportedAt,
+		ReturnDue:             x.returnDue,
 	}
 }
 
@@ -479,15 +479,15 @@
 		quotaWanted:           s.QuotaWanted,
 		ceilingWanted:         s.CeilingWanted,
 		slotsWanted:           s.SlotsWanted,
-		nextTransferRequestAt: s.NextRequestAt,
+		nextTransferRequestAt: s.NextTransferRequestAt,
 		borrowed:              s.Borrowed.restore(),
-		lent:                  memento.List(s.Lent, lentState.restore),
-		lentBefore:            memento.List(s.LentBefore, loanState.restore),
+		lent:                  memento.List(s.Lent, grantRecordState.restore),
+		lentToEarlierEpochs:   memento.List(s.LentToEarlierEpochs, loanState.restore),
 		lastGrant:             s.LastGrant.restore(),
 		ceilingBorrowedUntil:  s.CeilingBorrowedUntil,
 		demandToReport:        s.DemandToReport,
 		known:                 s.Known,
-		recovered:             s.Reclaimed,
+		recovered:             s.Recovered,
 		restarted:             s.Restarted,
 		level:                 s.Level,
 		consumed:              s.Consumed,
@@ -513,8 +513,8 @@
 	}
 }
 
-func newLentState(x grantRecord) lentState {
-	return lentState{
+func newGrantRecordState(x grantRecord) grantRecordState {
+	return grantRecordState{
 		loanState:    newLoanState(x.loan),
 		Nonce:        x.nonce,
 		QuotaUnits:   x.quotaUnits,
@@ -524,7 +524,7 @@
 	}
 }
 
-func (s lentState) restore() grantRecord {
+func (s grantRecordState) restore() grantRecord {
 	return grantRecord{
 		loan:         s.loanState.restore(),
 		nonce:        s.Nonce,
--- a/internal/quota/snapshot_test.go
+++ b/internal/quota/snapshot_test.go
@@ -10,8 +10,8 @@
 	"lemongate/internal/golden"
 )
 
-// Each field of a ledger that release 0.8.0 stored is decoded into the live field that it was
-// written from, and encoded again to the same bytes.
+// Each field of a ledger that release 0.8.0 stored is decoded into the live field from which it was written,
+// and encoded again to the same bytes.
 func TestLedgerOfEarlierRelease(t *testing.T) {
 	codec := jsoniter.Config{SortMapKeys: true, CaseSensitive: true}.Froze()
 	for pattern := range golden.Patterns {
--- a/internal/quota/start.go
+++ b/internal/quota/start.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// This file decides what a limiter that starts with nothing in memory assumes of the customers' buckets.
+// This file decides what a limiter that starts with nothing in memory assumes about the customers' buckets.
 
 // tierStartDuration is how long after the start of a tier a new account counts as full: until then no
 // limiter can have consumed units that it did not report yet.
 const tierStartDuration = 3 * time.Second
 
-// StartState is what a limiter takes its own start for. With nothing in memory, the buckets may be full, if
-// the tier is new, or consumed, if the tier served before.
+// StartState is what a limiter has found out about its own start. With nothing in memory, the buckets may be
+// full, if the tier is new, or consumed, if the tier served before.
 type StartState uint8
 
 // Start states.
@@ -31,11 +31,10 @@
 // String returns the name that counters and scripts use.
 func (s StartState) String() string { return [...]string{"unsure", "fresh", "returned", "spent"}[s] }
 
-// StartState returns what the limiter takes its own start for.
+// StartState returns the start state of the limiter.
 func (l *Ledger) StartState() StartState { return l.startState }
 
-// Resolve sets what the limiter takes its own start for. Only the first state other than StartUnknown
-// counts.
+// Resolve sets the start state of the limiter. Only the first state other than StartUnknown counts.
 func (l *Ledger) Resolve(s StartState, now time.Duration) {
 	if l.startState != StartUnknown || s == StartUnknown {
 		return
@@ -51,7 +50,7 @@
 	}
 }
 
-// assumeFull assumes that the customer's quota was full at the start of the tier.
+// assumeFull sets the total level as if the customer's quota was full at the start of the tier.
 func (a *Account) assumeFull() {
 	a.totalLevel = a.plan().Quota.Burst - decodeUnits(a.consumed)
 	a.totalKnown, a.startedFull = true, true
@@ -62,8 +61,7 @@
 	}
 }
 
-// initialLevel gives a new allocation of a quota what the start state allows beyond what it gained since
-// the start.
+// initialLevel sets what a new allocation of a quota has by the start state, beyond the refill since the start.
 func (a *Account) initialLevel(now time.Duration) {
 	l := a.ledger
 	full := a.baseFraction * a.plan().Quota.Burst
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -6,8 +6,8 @@
 	"lemongate/internal/gossip"
 )
 
-// This file is the exchange of transfer requests and grants: when units are requested of which peer, and
-// how received messages are handled. sendqueue.go composes those that are sent.
+// This file is the exchange of transfer requests and grants: when units are requested from which peer, and
+// how received messages are handled. sendqueue.go composes the messages that are sent.
 
 const (
 	// prefetchDuration is how long the units that a busy limiter requests ahead of need last at its
@@ -15,18 +15,19 @@
 	prefetchDuration = 250 * time.Millisecond
 	// transferInterval is the least time between transfer requests to one peer about one customer.
 	transferInterval = 150 * time.Millisecond
-	// emptyGrantBackoff takes its place after a grant that brought next to nothing.
+	// emptyGrantBackoff replaces transferInterval after a grant of fewer units than were wanted and than the
+	// largest request takes.
 	emptyGrantBackoff = 500 * time.Millisecond
 	// transferRetransmitAfter is the time without a grant after which a transfer request is sent again.
 	transferRetransmitAfter = 70 * time.Millisecond
 	// transferTimeout is the time after which no grant is accepted any longer; a peer that sent nothing
 	// in this time is silent.
 	transferTimeout = 500 * time.Millisecond
-	// reportStaleAfter is the age of a report from which on a peer that had nothing is requested again.
+	// reportStaleAfter is the age of a report from which on a peer that had nothing is sent a request again.
 	reportStaleAfter = time.Second
 	// borrowerDemandFactor times its demand is the rate that a borrower wants.
 	borrowerDemandFactor = 1.15
-	// spareLevelFraction of largestRequest is the least level at which a peer may have units to spare.
+	// spareLevelFraction of largestRequest is the minimum level at which a peer may have units to spare.
 	spareLevelFraction = 3.0 / 4
 )
 
@@ -37,30 +38,30 @@
 	busy   bool // the demand is more than the allocation gains without loans
 }
 
-// newTransferNeed returns what an account lacks: for a client request that waits, and ahead of need for a
-// busy customer.
-func (a *Account) newTransferNeed(lack amounts, now time.Duration) transferNeed {
+// newTransferNeed returns what an account needs from its peers: the shortfall of a client request that waits, and
+// units ahead of need for a busy customer.
+func (a *Account) newTransferNeed(shortfall amounts, now time.Duration) transferNeed {
 	plan := a.plan()
 	demand := a.demandRate(now)
 	target := demand*prefetchDuration.Seconds() + a.largestRequest
-	need := transferNeed{amounts: lack}
+	need := transferNeed{amounts: shortfall}
 	if plan.Quota.Rate > 0 {
 		need.busy = demand*borrowerDemandFactor > a.baseFraction*plan.Quota.Rate
 		if a.quotaLevel < target && a.baseFraction > 0 {
-			need.quota = max(lack.quota, target-a.quotaLevel)
+			need.quota = max(shortfall.quota, target-a.quotaLevel)
 		}
 	}
 	if plan.Ceiling.Rate > 0 && a.ceilingLevel < target {
-		need.ceiling = max(lack.ceiling, target-a.ceilingLevel)
+		need.ceiling = max(shortfall.ceiling, target-a.ceilingLevel)
 	}
-	need.urgent = lack != amounts{}
+	need.urgent = shortfall != amounts{}
 	return need
 }
 
-// requestTransfers requests from the other limiters what an account needs. It reports whether a client
+// requestTransfers requests what an account needs from the other limiters. It reports whether a client
 // request may wait for a grant.
-func (l *Ledger) requestTransfers(a *Account, lack amounts, now time.Duration) (wait bool) {
-	need := a.newTransferNeed(lack, now)
+func (l *Ledger) requestTransfers(a *Account, shortfall amounts, now time.Duration) (wait bool) {
+	need := a.newTransferNeed(shortfall, now)
 	needsRenewal := need.busy && a.loanExpiring(now)
 	if need.amounts == (amounts{}) && !needsRenewal {
 		return false
@@ -87,8 +88,8 @@
 	return wait
 }
 
-// worthRequesting reports whether a peer may have something of what an account needs, or has to be
-// requested to learn whether it has.
+// worthRequesting reports whether a peer may have something that an account needs, or has to be sent a request to
+// learn whether it has.
 func (a *Account) worthRequesting(lk *link, need transferNeed, now time.Duration) bool {
 	if now < lk.nextTransferRequestAt {
 		return false
@@ -98,35 +99,35 @@
 	hasUnits := level > a.largestRequest*spareLevelFraction && (need.urgent || level > demand*prefetchDuration.Seconds())
 	renewal := need.busy && lk.borrowed.expiresWithin(loanRenewalMargin, now)
 	switch {
-	case !lk.known: // whether it has anything is not known
+	case !lk.known: // it is not known whether the peer has anything
 		return true
-	case hasUnits: // enough for most of a request, and if none waits here, beyond its own demand
+	case hasUnits: // enough for most of a request, and if no request waits here, more than its own demand takes
 		return true
-	case renewal: // it lent a share that is still needed and is about to end
+	case renewal: // the peer lent a share that is still needed and is about to expire
 		return true
 	case need.slots > 0: // reports do not show free slots
 		return true
-	case now-lk.reportedAt <= reportStaleAfter: // it had nothing a moment ago
+	case now-lk.reportedAt <= reportStaleAfter: // a recent report shows that it had nothing
 		return false
 	}
-	// Its report is old: it may have a share to lend, something of the ceiling, or for a request that
-	// waits anything at all.
+	// The peer's report is old: it may have a share to lend or units of the ceiling, or, for a client request
+	// that waits, anything at all.
 	spareRate := demand*lenderDemandFactor + minLoanShare*plan.Quota.Rate
 	hasRate := plan.Quota.Rate > 0 && a.evenFraction*plan.Quota.Rate > spareRate
 	needsCeiling := plan.Ceiling.Rate > 0 && need.ceiling > 0
 	return hasRate && need.busy || needsCeiling || need.urgent
 }
 
-// transferStatus is what became of the transfer request on a link.
+// transferStatus is the status of the transfer request on a link.
 type transferStatus uint8
 
 const (
-	noTransferRequest transferStatus = iota // none is out
-	transferPending                         // a grant may still come
-	transferTimedOut                        // nothing came of the peer: it is silent
+	noTransferRequest transferStatus = iota // no request is pending
+	transferPending                         // a grant may still arrive
+	transferTimedOut                        // the peer sent nothing: it is silent
 )
 
-// checkTransferRequest returns what became of the transfer request on a link. It sends it again if
+// checkTransferRequest returns the status of the transfer request on a link. It sends the request again if
 // retransmitAfter has passed since it was last sent, and gives it up after transferTimeout.
 func (l *Ledger) checkTransferRequest(a *Account, lk *link, retransmitAfter, now time.Duration) transferStatus {
 	if lk.isPending(now) {
@@ -153,7 +154,7 @@
 	lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = wanted.quota, wanted.ceiling, wanted.slots
 }
 
-// nextNonce returns a new nonce of a transfer request. None is 0, which marks a grant that nobody requested.
+// nextNonce returns a new nonce for a transfer request. It is never 0, which marks a grant that was not requested.
 func (l *Ledger) nextNonce() uint16 {
 	l.lastNonce++
 	if l.lastNonce == 0 {
@@ -162,16 +163,16 @@
 	return l.lastNonce
 }
 
-// HandleRequest takes in a peer's report of an account, and queues a grant of what this limiter can
-// give. A transfer request that does not fit the configuration is dropped.
+// HandleRequest records a peer's report of an account, and queues a grant of what this limiter can give.
+// A transfer request that does not fit the configuration is dropped.
 func (l *Ledger) HandleRequest(peerID int, request gossip.TransferRequest, now time.Duration) {
 	if !l.isValid(peerID, request) {
 		return
 	}
 	a := l.Account(request.Customer, int(request.Plan), int(request.FirstLimiter), int(request.SetSize), now)
 	a.advance(now)
-	if !a.isAllocated() {
-		l.handleOwnedRequest(peerID, a, request, now)
+	if !a.inSmallSet() {
+		l.handleRequestAsOwner(peerID, a, request, now)
 		return
 	}
 	lk := a.link(peerID)
@@ -197,16 +198,16 @@
 	return inSet(peerID) && inSet(l.Self)
 }
 
-// HandleGrant takes in what a peer granted and reported. It returns the account that the grant is
-// about; nil if there is none, or in a small set if no transfer request waits for the grant.
+// HandleGrant applies what a peer granted and reported. It returns the account that the grant is about; nil if
+// there is none, or in a small set if no transfer request waits for the grant.
 func (l *Ledger) HandleGrant(peerID int, grant gossip.Grant, now time.Duration) *Account {
 	a := l.accountOfGrant(peerID, grant)
 	if a == nil {
 		return nil
 	}
 	a.advance(now)
-	if !a.isAllocated() {
-		l.handleOwnedGrant(peerID, a, grant, now)
+	if !a.inSmallSet() {
+		l.handleOwnerGrant(peerID, a, grant, now)
 		return a
 	}
 	lk := a.link(peerID)
@@ -214,7 +215,7 @@
 		lk.acknowledgeReturn(grant)
 		return nil
 	}
-	l.takeGrant(a, lk, grant)
+	l.applyGrant(a, lk, grant)
 	a.reconcile(lk, peerReport{grant.Level, grant.Consumed, grant.Demand, grant.TotalLevel}, now)
 	if decodeUnits(grant.QuotaUnits) < min(lk.quotaWanted, a.largestRequest) {
 		lk.nextTransferRequestAt = now + emptyGrantBackoff
@@ -222,14 +223,14 @@
 	return a
 }
 
-// takeGrant adds what a grant brings to an account.
-func (l *Ledger) takeGrant(a *Account, lk *link, grant gossip.Grant) {
+// applyGrant applies the units, share and slots of a grant to an account.
+func (l *Ledger) applyGrant(a *Account, lk *link, grant gossip.Grant) {
 	lk.pending = false
 	lk.borrowed = loan{slots: int(grant.Slots), expiresAt: lk.requestedAt + LoanDuration}
 	if grant.Slots > 0 {
-		l.watchBorrowedSlots(a)
+		l.trackBorrowedSlots(a)
 	}
-	if a.isAllocated() {
+	if a.inSmallSet() {
 		lk.borrowed.share = decodeShare(grant.Share)
 	}
 	a.quotaLevel += decodeUnits(grant.QuotaUnits)
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -14,8 +14,8 @@
 	UpdatedAt time.Duration // clock time
 }
 
-// Add counts an amount at a clock time. Memory is the time in seconds after which an event counts 1/e
-// of what it did.
+// Add counts an amount at a clock time. memorySeconds is the time after which an event counts 1/e of what it
+// counted at first.
 func (d *Decaying) Add(now time.Duration, amount, memorySeconds float64) {
 	d.PerSecond = d.Value(now, memorySeconds) + amount/memorySeconds
 	d.UpdatedAt = now
