--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -74,8 +74,8 @@
 // ClientConnClosed reports a client connection that the server closed by itself because it was idle or because
 // there were too many.
 type ClientConnClosed struct {
-	Unread bool // no request had arrived on it, or part of one was unread
-	Full   bool // it was new and beyond the limit, and was answered with Retry-After
+	Unread    bool // no request had arrived on it, or part of one was unread
+	OverLimit bool // it was new and beyond the limit, and was answered with Retry-After
 }
 
 // ServerClosed reports that the server has closed, as CloseServer requested. The process stops.
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -252,7 +252,7 @@
 // onClientConnClosed counts a client connection that the server closed by itself.
 func (m *Machine) onClientConnClosed(ev *ClientConnClosed) {
 	switch {
-	case ev.Full:
+	case ev.OverLimit:
 		m.counters.ConnsRejected++
 	case ev.Unread:
 		m.counters.ClosedUnread++
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -34,7 +34,7 @@
 		if server.connSet().admit(accepted, stateNew) != nil {
 			t.Error("admitted beyond the bound")
 		}
-		if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Full: true}) {
+		if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{OverLimit: true}) {
 			t.Errorf("posted %+v", ev)
 		}
 		if resp, _ := late.response(); resp.StatusCode != 429 || !resp.Close {
--- a/internal/httpserver/evict_test.go
+++ b/internal/httpserver/evict_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("%+v", resp)
 	}
 	late.expectClose()
-	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Full: true}) {
+	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{OverLimit: true}) {
 		t.Errorf("posted %+v", ev)
 	}
 	var rejected []*testClient
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -144,7 +144,7 @@
 		s.options.Post(&core.ClientConnClosed{Unread: was == stateNew || was == stateReading})
 	}
 	conns.onRejected = func(notified bool) {
-		s.options.Post(&core.ClientConnClosed{Unread: !notified, Full: notified})
+		s.options.Post(&core.ClientConnClosed{Unread: !notified, OverLimit: notified})
 	}
 	conns.rejection = s.connRejection()
 	s.mu.Lock()
