--- a/internal/admission/actions.go
+++ b/internal/admission/actions.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Action is something for the caller to do, in the order returned: one of StartAttempt, Reject, Fail,
-// CancelAttempt, SetTimer, SendToPeer, ProbeBackend, PollEndpoints and Log.
+// Action is something for the caller to do. Actions must be performed in the order in which they are returned. The
+// types are StartAttempt, Reject, Fail, CancelAttempt, SetTimer, SendToPeer, ProbeBackend, PollEndpoints and Log.
 type Action interface{ action() }
 
-// StartAttempt forwards a request; its attempts are numbered from 0, in the order of their StartAttempt.
+// StartAttempt forwards a request. The attempts of a request are numbered from 0 in the order of their StartAttempt.
 type StartAttempt struct {
 	Request     RequestID
 	Backend     string
 	Deadline    time.Duration // clock time at which the attempt ends; 0 for the client's deadline
-	StartBefore time.Duration // clock time from which on it may no longer start; 0 for no bound
-	Recovery    bool          // a recovery attempt for all limiters, see RecoveryLease
+	StartBefore time.Duration // clock time from which the attempt may no longer start; 0 for no bound
+	Recovery    bool          // a recovery attempt on behalf of all limiters, see RecoveryLease
 }
 
-// Reject answers a request that was not served, and that the client may safely send again.
+// Reject answers a request that was not served and that the client may safely send again.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // how long the client is advised to wait before that; 0 for none
+	RetryAfter time.Duration // Retry-After, how long the client should wait before it retries; 0 for none
 }
 
-// Fail answers a request that was not served but may have run.
+// Fail answers a request that was not served but may have run on a backend.
 type Fail struct{ Request RequestID }
 
-// CancelAttempt cancels an attempt. Its AttemptFinished still comes.
+// CancelAttempt cancels an attempt. The caller still reports its AttemptFinished.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
 }
 
-// SetTimer sets the one timer: a TimerFired is due at a clock time, in place of one set before. If the earlier
-// one comes as well it does no harm.
+// SetTimer sets the only timer: a TimerFired is due at the clock time At, and replaces the one set before. A
+// TimerFired of the replaced timer that still arrives is harmless.
 type SetTimer struct{ At time.Duration }
 
 // SendToPeer sends a message of at most 256 bytes to another limiter.
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// This file decides, when a request arrives, whether an answer can still be of use, and queues the request in
-// its class once its quota is granted.
+// This file decides whether a request that arrives is admitted: whether a response can still be useful, and whether
+// the customer's quota covers the request. Admitted requests are queued in their class.
 
 const (
-	// usualBudgetFraction is the fraction of recent budgets that must be equal to count as the usual
-	// budget of a class.
+	// usualBudgetFraction is the fraction of a class's recent budgets that must be equal for that budget to be
+	// the usual one.
 	usualBudgetFraction = 0.25
-	// budgetTolerancesPerObjective: budgets count as equal if they differ by no more than the shortest
-	// objective over this. Budgets that were equal at the clients differ by the time on the network.
+	// budgetTolerancesPerObjective: budgets are considered equal if they differ by at most the shortest
+	// objective divided by this. Budgets that were equal at the clients differ by the network latency.
 	budgetTolerancesPerObjective = 50
 	// maxQueueFraction is the fraction of its budget for which a request may be queued at most. The network
 	// takes some of the client's time as well, and a later rejection costs the client more than the request is
 	// worth.
 	maxQueueFraction = 0.45
-	// latenciesToSpare is the time, in mean latencies, that must be left to a queued request when it is
-	// forwarded: most answers then come in time.
-	latenciesToSpare = 2.0
+	// minRemainingLatencies is the time, in mean latencies, that a queued request must have left when it is
+	// forwarded. With it, most responses arrive in time.
+	minRemainingLatencies = 2.0
 )
 
-// admit decides what becomes of a request that has arrived. It is rejected at once if an answer is of no
-// use any more, if its customer is over quota, or if the queue is too long; otherwise it is forwarded or
-// queued, or waits for a grant of other limiters.
+// admit handles a request that has arrived. It rejects the request at once if a response would be of no use any
+// more, if the customer is over quota, or if the queue is too long. Otherwise the request is forwarded or queued, or
+// waits for a grant of other limiters.
 func (ctl *Controller) admit(ev *Request) {
 	class := ctl.classes.byName[ev.Class]
 	if class == nil {
@@ -31,14 +31,14 @@
 		return
 	}
 	r := &request{
-		Request: ev, class: class, customer: ctl.touchCustomer(ev), receivedAt: ctl.now, deadline: ctl.now + ev.Budget,
+		Request: ev, class: class, customer: ctl.recordCustomerRequest(ev), receivedAt: ctl.now, deadline: ctl.now + ev.Budget,
 	}
 	r.usefulUntil = min(r.receivedAt+class.LatencyObjective, r.deadline) - ctl.recordClientBudget(class, ev)
 	if r.usefulUntil <= ctl.now {
 		ctl.emit(Reject{Request: ev.ID, RetryAfter: ctl.settings.MaxRetryAfter})
 		return
 	}
-	if ctl.customers.leaving && r.customer.plan.limitsRate() {
+	if ctl.customers.shuttingDown && r.customer.plan.limitsRate() {
 		ctl.emit(Reject{Request: ev.ID}) // its units may be in use at another limiter already
 		return
 	}
@@ -56,11 +56,11 @@
 	}
 }
 
-// limitsRate reports whether units of a plan are counted.
+// limitsRate reports whether a plan has a rate or a ceiling, so that units are counted.
 func (p *Plan) limitsRate() bool { return p.Rate+p.CeilingRate > 0 }
 
-// onQuotaDecision forwards, queues or rejects a request by the decision of the ledger. With a rejection the
-// client is advised to wait for a time.
+// onQuotaDecision forwards, queues or rejects a request according to the decision of the ledger. The Retry-After of
+// a rejection is wait, bounded by the settings.
 func (ctl *Controller) onQuotaDecision(r *request, granted bool, wait time.Duration) {
 	if !granted {
 		ctl.rejections.OverQuota++
@@ -75,12 +75,12 @@
 		return
 	}
 	r.class.queue = append(r.class.queue, r)
-	ctl.wakeBy(ctl.latestStart(r))
+	ctl.scheduleTick(ctl.latestStart(r))
 	ctl.dispatch()
 }
 
-// rejectIfQueueTooLong ends a request that would be queued beyond its latestStart, and reports whether it
-// did.
+// rejectIfQueueTooLong ends a request that would be queued beyond its latestStart. It reports whether it ended the
+// request.
 func (ctl *Controller) rejectIfQueueTooLong(r *request) bool {
 	if !ctl.windowFull() || ctl.queueDelay(r.class) <= (ctl.latestStart(r)-ctl.now).Seconds() {
 		return false
@@ -90,31 +90,31 @@
 	return true
 }
 
-// queueDelay estimates in seconds how long a request that joins the queue of a class waits: the
-// length of the queue over the rate of attempts of the class, which counts as one per second at least.
+// queueDelay estimates the queueing time, in seconds, of a request that joins the queue of a class: the length of the
+// queue divided by the attempt rate of the class, which is taken to be at least one per second.
 func (ctl *Controller) queueDelay(c *requestClass) float64 {
 	served := ctl.window.attemptRate.Value(ctl.now, ctl.control.memorySeconds) * c.share
 	return float64(len(c.queue)) / max(served, 1)
 }
 
-// requiredTime is the time in seconds that a queued request must have left to be worth an attempt.
-// The usual backend target bounds it: the latencies of an overload would otherwise have everything rejected
-// afterwards, and no better ones would ever be measured.
+// requiredTime returns the time in seconds that a queued request must have left to be worth an attempt.
+// It is bounded by the usual backend target. Otherwise the latencies measured in an overload would cause all later
+// requests to be rejected, and no lower latency would ever be measured.
 func (ctl *Controller) requiredTime(c *requestClass) float64 {
-	return latenciesToSpare * min(c.meanLatency, c.usualBackendTarget())
+	return minRemainingLatencies * min(c.meanLatency, c.usualBackendTarget())
 }
 
-// latestStart is the clock time by which a queued request must have been forwarded to be of use.
+// latestStart returns the clock time by which a queued request must be forwarded for its response to be useful.
 func (ctl *Controller) latestStart(r *request) time.Duration {
 	byLatency := r.usefulUntil - seconds(ctl.requiredTime(r.class))
 	byBudget := r.receivedAt + seconds(maxQueueFraction*r.Budget.Seconds())
 	return min(byLatency, byBudget)
 }
 
-// recordClientBudget records the budget of a client, and infers from it how long the client has been waiting
-// since its first try: a retry of the client after the objective earns nothing, yet takes units and a slot.
-// The budget of a first try is the usual one of its class; the budget of a retry is what is left before the
-// deadline. If the budgets of first tries differ, or clients mark their retries and this is none, it is 0.
+// recordClientBudget records the budget of a client and infers how long the client has waited since its first try. A
+// client retry after the latency objective earns nothing, yet consumes units and a slot.
+// A first try has the usual budget of its class; a retry has only the time left until the deadline. waited is 0 if
+// the budgets of first tries differ, or if clients mark their retries and this request is not marked.
 func (ctl *Controller) recordClientBudget(c *requestClass, ev *Request) (waited time.Duration) {
 	tolerance := ctl.classes.shortestObjective / budgetTolerancesPerObjective
 	c.recordBudget(ev.Budget, tolerance)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A client that retries after the latency objective has passed is rejected: its retry earns nothing, yet would take
-// units and a slot from first tries.
+// A client retry after the latency objective has passed is rejected: it earns nothing, yet would consume units and a
+// slot that first tries need.
 func TestClientRetryAfterObjectiveIsRejected(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	isForwarded := func(budget time.Duration) bool {
@@ -23,15 +23,15 @@
 		}
 	}
 	if isForwarded(1000 * ms) {
-		t.Error("a client's retry with 1 s left of 2 s and an objective of 500 ms was forwarded")
+		t.Error("a client retry with 1 s left of a 2 s deadline and an objective of 500 ms was forwarded, want a rejection")
 	}
 	if !isForwarded(1900 * ms) {
-		t.Error("a client's retry 100 ms after the first try was rejected")
+		t.Error("a client retry 100 ms after the first try was rejected, want it forwarded")
 	}
 }
 
-// Where the budgets of clients simply differ, a short one does not mark a client's retry, and nobody is rejected for
-// it.
+// If the budgets of clients differ anyway, a short budget does not indicate a client retry, and no request is rejected
+// because of it.
 func TestDifferingBudgetsImplyNoClientRetries(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	for i := range 200 {
@@ -45,21 +45,21 @@
 	}
 }
 
-// A request that cannot be forwarded is rejected before half of its client's budget is over: a later rejection costs
-// the client more than the request is worth. The latency objective alone would keep it queued for longer.
+// A request that cannot be forwarded is rejected before half of its budget is used up: a later rejection costs the
+// client more than the request is worth. The latency objective alone would keep it queued for longer.
 func TestQueuedForLessThanHalfOfTheBudget(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].LatencyObjective = 1900 * ms
-	f := newFixture(t, settings) // without a backend all are queued
+	f := newFixture(t, settings) // without a backend, all requests are queued
 	for _, plan := range []string{"free", "small"} {
 		f.requestWithBudget("read", plan, plan, time.Second)
 	}
 	f.advance(400 * ms)
 	if got := actionsOf[Reject](f.takeActions()); len(got) != 0 {
-		t.Errorf("%d rejected while there is time", len(got))
+		t.Errorf("%d requests rejected after 400 ms of a budget of 1 s, want 0", len(got))
 	}
 	f.advance(100 * ms)
 	if got := actionsOf[Reject](f.takeActions()); len(got) != 2 {
-		t.Errorf("%d of 2 rejected by half of their budgets", len(got))
+		t.Errorf("%d requests rejected after half of their budgets, want 2", len(got))
 	}
 }
--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// This file starts attempts, records their results, adopts the attempts of another process, and cancels
-// attempts that are stuck.
+// This file starts attempts, records their results, adopts the attempts of another process, and cancels stuck
+// attempts.
 
-// stuckLatencies is the time, in expected latencies, after which an attempt at a backend that responds to
-// nobody is stuck.
+// stuckLatencies is the age, in expected latencies, from which an attempt is stuck if its backend has not responded
+// to any request since.
 const stuckLatencies = 4.0
 
 // startAttempt forwards a request to a backend.
@@ -14,15 +14,15 @@
 	if r.queued {
 		r.queued = false
 		r.customer.account.MarkSent(r.Units)
-		ctl.retries.earn()
+		ctl.retries.deposit()
 	}
-	ctl.wakeBy(ctl.now + ctl.stuckAfter(r.class))
+	ctl.scheduleTick(ctl.now + ctl.stuckAfter(r.class))
 	ctl.window.attemptRate.Add(ctl.now, 1, ctl.control.memorySeconds)
 	r.startAt(b, ctl.now)
 	action := StartAttempt{
 		Request: r.ID, Backend: b.ID, Deadline: r.deadline, Recovery: ctl.recoveryLeased() && ctl.recoveryDue(b),
 	}
-	if r.mayHaveRunOn != nil && r.class.Idempotency == IdempotentByKey { // connecting may take long
+	if r.mayHaveRunOn != nil && r.class.Idempotency == IdempotentByKey { // connecting may take a long time
 		action.StartBefore = r.deduplicatedUntil()
 	}
 	ctl.emit(action)
@@ -38,7 +38,7 @@
 		return // not the attempt in flight
 	}
 	b := r.finishAttempt()
-	if r.retryPrepaid { // the retry, if any, is charged by itself
+	if r.retryPrepaid { // return the reserved tokens; a retry is charged separately
 		r.retryPrepaid = false
 		ctl.retries.tokens++
 	}
@@ -68,8 +68,8 @@
 	}
 }
 
-// adoptAttempt records an attempt of another process, in place of an earlier one of its request. One whose
-// class or backend is not known here counts at no backend, and has a slot all the same.
+// adoptAttempt records an attempt of another process; it replaces an earlier attempt of the same request. An attempt
+// whose class or backend is not known here is not counted at any backend, but its request keeps a slot.
 func (ctl *Controller) adoptAttempt(ev *AttemptAdopted) {
 	class, b := ctl.classes.byName[ev.Class], ctl.endpoints.byID[ev.Backend]
 	if class == nil || b == nil {
@@ -90,30 +90,30 @@
 	ctl.takeSlot(r)
 }
 
-// holdAdoptedSlot holds a slot for a request of another process, unless it has one.
+// holdAdoptedSlot holds a slot for a request of another process, unless the request already has one.
 func (ctl *Controller) holdAdoptedSlot(ev *AttemptAdopted) {
 	if ctl.requests[ev.ID] == nil && ctl.planHasSlots(ev.Plan) {
 		ctl.holdSlot(ctl.newAdoptedRequest(&ev.Request))
 	}
 }
 
-// stuckAfter is how long an attempt may be in flight before it may be stuck.
+// stuckAfter returns how long an attempt may be in flight before it can be considered stuck.
 func (ctl *Controller) stuckAfter(c *requestClass) time.Duration {
 	return seconds(stuckLatencies*c.expectedLatency()) + ctl.settings.ClockResolution
 }
 
-// cancelStuckAttempts cancels attempts at backends that have fallen silent, where the request can be
-// retried. It is retried when the result of the canceled attempt arrives.
+// cancelStuckAttempts cancels attempts at backends that have stopped responding if their requests can be retried.
+// A request is retried when the result of the canceled attempt arrives.
 func (ctl *Controller) cancelStuckAttempts() {
 	for _, b := range ctl.endpoints.listed {
 		for _, r := range b.inFlight {
 			stuckAt := r.sentAt + ctl.stuckAfter(r.class)
 			if ctl.now < stuckAt {
-				ctl.wakeBy(stuckAt)
-				break // the others were sent later
+				ctl.scheduleTick(stuckAt)
+				break // later entries were sent later
 			}
 			if ctl.cancelable(r) && b.silentSince(r) && ctl.shouldRetry(r, retryCost) {
-				// The token is reserved until the result: several canceled at once must not count on the same.
+				// Reserve the token until the result arrives, so that several cancellations do not rely on the same one.
 				r.retryPrepaid = true
 				ctl.retries.tokens -= retryCost
 				ctl.cancelAttempt(r)
@@ -122,9 +122,9 @@
 	}
 }
 
-// silentSince reports whether a backend has responded to nobody since a request was sent to it. This
-// limiter may have no other request there, so an observation of another limiter counts as well, unless
-// the failure rate is high.
+// silentSince reports whether a backend has not responded to anyone since a request was sent to it. This limiter may
+// have no other request there, so an observation of another limiter counts as a response too, unless the failure rate
+// is high.
 func (b *backend) silentSince(r *request) bool {
 	return b.lastResponseAt <= r.sentAt && (b.observedAt <= r.sentAt || b.failureRate >= recoveredFailureRate)
 }
--- a/internal/admission/attempts_test.go
+++ b/internal/admission/attempts_test.go
@@ -8,13 +8,14 @@
 	"lemongate/internal/gossip"
 )
 
-// Several stuck attempts that are canceled at once are all retried elsewhere, though a limiter of a large tier saves up
-// few retries: the budget is charged when an attempt is canceled, and not used up before its result arrives.
+// Several stuck attempts that are canceled at the same time are all retried elsewhere, although a limiter of a large
+// tier has few retry tokens: the budget is charged when an attempt is canceled, so that the tokens are not used for
+// other retries before the result arrives.
 func TestStuckAttemptsCanceledTogetherAreRetried(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters = 300
 	f := newFixture(t, settings, backendList("a", "b", "c", "d", "e", "f", "g", "h")...)
-	f.serveSequentially(40, 20*ms) // the retry budget is full, and latencies are known
+	f.serveSequentially(40, 20*ms) // fills the retry budget and measures latencies
 	for range 2 {
 		f.request("read", "free", "x")
 	}
@@ -29,12 +30,12 @@
 			stuck--
 		}
 	}
-	if stuck > 1 { // one may have to wait until a retry is saved up
-		t.Errorf("%d attempts neither answered nor canceled", stuck)
+	if stuck > 1 { // one may have to wait for another retry token
+		t.Errorf("%d stuck attempts were not canceled, want at most 1", stuck)
 	}
 }
 
-// One quick response does not get attempts of ordinary latency canceled.
+// A single fast response does not cause attempts of ordinary latency to be canceled.
 func TestFirstLatencyDoesNotCancelAttempts(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	attemptAfter := func(latency time.Duration) (canceled int) {
@@ -48,13 +49,13 @@
 	attemptAfter(8 * ms)
 	for range 5 {
 		if attemptAfter(100*ms) > 0 {
-			t.Error("canceled an attempt of 100 ms after one response in 8 ms")
+			t.Error("an attempt with a latency of 100 ms was canceled after one response in 8 ms")
 		}
 	}
 }
 
-// A backend that has responded to other limiters since is not silent, and a slow attempt there is not canceled, unless
-// their observation has it failing.
+// A backend that has responded to other limiters since an attempt was sent is not silent. A slow attempt there is not
+// canceled, unless the observation of the other limiters reports failures.
 func TestObservedBackendIsNotSilent(t *testing.T) {
 	for _, failureRate := range []uint8{0, 255} {
 		settings := testSettings()
@@ -69,13 +70,13 @@
 		f.advance(120 * ms)
 		canceled := len(actionsOf[CancelAttempt](f.takeActions()))
 		if (canceled > 0) != (failureRate > 0) {
-			t.Errorf("%d attempts canceled where others observe a failure rate of %d/255", canceled, failureRate)
+			t.Errorf("%d attempts canceled after another limiter observed a failure rate of %d/255", canceled, failureRate)
 		}
 	}
 }
 
-// A stuck attempt is canceled only while its request may be retried: not beyond the idempotency window of a keyed
-// request, and never if the request is non-idempotent.
+// A stuck attempt is canceled only if its request may be retried: not after the idempotency window of a request with an
+// idempotency key, and never for a non-idempotent request.
 func TestStuckAttemptIsCanceledOnlyIfItMayBeRetried(t *testing.T) {
 	for _, test := range []struct {
 		class             string
@@ -86,7 +87,7 @@
 		settings.Classes[1].IdempotencyWindow = test.idempotencyWindow
 		settings.Classes[1].IdempotencyScope = ScopeAll
 		f := newFixture(t, settings, backendList("a", "b", "c", "d")...)
-		for range 60 { // the usual latency becomes known
+		for range 60 { // measures the usual latency
 			id := f.request(test.class, "free", "x")
 			attempt := f.attemptOf(id)
 			f.takeActions()
@@ -102,7 +103,8 @@
 			return cancel.Request == id
 		})
 		if canceled != test.canceled {
-			t.Errorf("%s, idempotency window %v: canceled %v (%+v)", test.class, test.idempotencyWindow, canceled, attempt)
+			t.Errorf("class %s, idempotency window %v: canceled is %v for %+v",
+				test.class, test.idempotencyWindow, canceled, attempt)
 		}
 	}
 }
@@ -120,28 +122,28 @@
 	adopt(1000, 0, "b1")
 	adopt(1001, 0, "b1")
 	if len(b1.inFlight) != 2 {
-		t.Errorf("%d attempts out, want 2", len(b1.inFlight))
+		t.Errorf("%d attempts in flight, want 2", len(b1.inFlight))
 	}
 	f.takeActions()
 	f.request("read", "concurrent", "x")
 	if len(actionsOf[StartAttempt](f.actions)) > 0 {
-		t.Error("a third attempt was started with two slots")
+		t.Error("a third attempt was started on a plan with two slots")
 	}
 	f.takeActions()
-	adopt(1000, 1, "b2") // a retry takes the place of the first attempt
+	adopt(1000, 1, "b2") // a retry replaces the first attempt
 	f.handle(&AttemptFinished{Request: 1000, Attempt: 0, Backend: "b1", Result: Unreachable})
 	if len(b1.inFlight) != 1 || len(b2.inFlight) != 1 {
-		t.Error("a retry did not take the place of the first attempt")
+		t.Error("the retry did not replace the first attempt: want one attempt in flight at each backend")
 	}
 	f.handle(&AttemptFinished{Request: 1000, Attempt: 1, Backend: "b2", Result: Succeeded, Latency: ms})
 	f.handle(&AttemptFinished{Request: 1001, Attempt: 0, Backend: "b1", Result: Canceled, Final: true})
 	if f.ctl.requests[1000] != nil || f.ctl.requests[1001] != nil || b1.failureRate > 0 {
-		t.Error("adopted attempts are not over after their results")
+		t.Error("adopted attempts have not ended after their results, or counted as failures")
 	}
 	f.advance(500 * ms)
 	f.takeActions()
 	f.request("read", "concurrent", "x")
 	if len(actionsOf[StartAttempt](f.actions)) != 1 {
-		t.Error("a freed slot was not used again")
+		t.Error("no attempt was started on a freed slot")
 	}
 }
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// This file holds the state of request classes: settings, queue, share and measurements.
+// This file contains the state of request classes: settings, queue, share and measurements.
 
 const (
-	// backendTargetFraction is the fraction of a latency objective that is meant for the backend;
-	// the rest may be spent in the queue.
+	// backendTargetFraction is the fraction of a latency objective that an attempt at a backend may take; the
+	// rest may be spent in the queue.
 	backendTargetFraction = 0.33
-	// idleLatencyFactor: the backend target is at least this many idle latencies, but at most
-	// maxTargetFactor times the fraction of the objective.
+	// The backend target is at least idleLatencyFactor idle latencies, but at most maxTargetFactor times
+	// backendTargetFraction of the objective.
 	idleLatencyFactor = 2.0
 	maxTargetFactor   = 2
-	// spikeFactor bounds what one latency, or the arrivals of one period, count for: so many times the mean
-	// or the objective.
+	// spikeFactor limits the effect of a single latency, or of the arrivals of a single period, to this multiple
+	// of the mean or the objective.
 	spikeFactor = 3.0
-	// meanWeight is the weight of a new value in a running mean: about 20 values count.
+	// meanWeight is the weight of a new value in a running mean, which then covers about 20 values.
 	meanWeight = 0.05
-	// minRoomOfAttempt is the least ratio of backend target to latency that one attempt counts with: a few
-	// stuck ones would otherwise take the window to its least for all.
-	minRoomOfAttempt = 0.4
+	// minAttemptHeadroom is the lower bound of the ratio of backend target to latency that a single attempt
+	// contributes. Without it, a few stuck attempts would shrink the window to its minimum for all requests.
+	minAttemptHeadroom = 0.4
 	// targetWeight is the weight of the backend target in an expected latency, in measured latencies.
 	targetWeight = 3.0
-	// recentBudgetCount is how many budgets of clients are remembered per class.
+	// recentBudgetCount is the number of recent client budgets stored per class.
 	recentBudgetCount = 16
 )
 
-// classSet is all request classes, and the objectives that other times are multiples of.
+// classSet contains all request classes, and the objectives from which other times are derived.
 type classSet struct {
 	all      []*requestClass // in the order of the settings
 	byName   map[string]*requestClass
-	byWeight []*requestClass // the heaviest first
+	byWeight []*requestClass // in descending order of weight
 
 	shortestObjective time.Duration
 	longestObjective  time.Duration
@@ -46,15 +46,15 @@
 	Class
 	queue  []*request
 	share  float64 // of the window, 0 to 1
-	credit float64 // dispatches that are due to it, see chargeCredit; below zero if it had more than its share
+	credit float64 // dispatch credit, see chargeCredit; below zero if the class was dispatched more than its share
 
-	recentBudgets [recentBudgetCount]time.Duration // of clients, a ring
+	recentBudgets [recentBudgetCount]time.Duration // of clients, a ring buffer
 	budgetsSeen   int
-	usualBudget   time.Duration // the most common of them; 0 if they differ
+	usualBudget   time.Duration // the most common recent budget; 0 if budgets differ
 
 	// Measured in the current control period.
 	arrivals          int     // requests whose quota was granted
-	completed         int     // answered requests
+	completed         int     // requests that were answered
 	latencySum        float64 // of completed requests, time in the queue included
 	attemptsMeasured  int
 	attemptLatencySum float64 // of measured attempts
@@ -62,11 +62,11 @@
 	arrivalRate        float64 // per second
 	meanLatency        float64 // of attempts
 	meanSquaredLatency float64
-	latencySamples     int     // latencies that the means come from
-	idleLatency        float64 // recent minimum of meanLatency: what attempts take at idle backends
+	latencySamples     int     // number of latencies in the means
+	idleLatency        float64 // recent minimum of meanLatency: the latency of attempts at idle backends
 }
 
-// longestDeadline is the longest that a client of any class waits.
+// longestDeadline returns the longest deadline of all classes.
 func (s *classSet) longestDeadline() (longest time.Duration) {
 	for _, c := range s.all {
 		longest = max(longest, c.Deadline)
@@ -74,8 +74,8 @@
 	return longest
 }
 
-// newClassSet returns the classes of the settings, with equal shares. A class without a latency objective
-// has its deadline as the objective, or else one second.
+// newClassSet returns the classes of the settings, with equal shares. The objective of a class without one is its
+// deadline, or one second if it has no deadline either.
 func newClassSet(classes []Class) classSet {
 	s := classSet{byName: map[string]*requestClass{}}
 	for _, settings := range classes {
@@ -104,29 +104,30 @@
 	})
 }
 
-// pollInterval is the time after which requests that wait for a backend or a grant are looked at again.
+// pollInterval returns the interval after which requests that wait for a backend or a grant are checked again.
 func (s *classSet) pollInterval() time.Duration { return s.shortestObjective / pollsPerObjective }
 
-// pollsPerObjective is how many poll intervals there are in the shortest objective.
+// pollsPerObjective is the number of poll intervals in the shortest objective.
 const pollsPerObjective = 100
 
-// backendTarget is the latency in seconds that an attempt should take. No window brings latency below that of
-// idle backends, and one that tried would shrink to its least; so the target is a multiple of it at least.
+// backendTarget returns the latency in seconds that an attempt should take at most. No window can reduce latency below
+// that of idle backends, and a target below it would shrink the window to its minimum. So the target is at least a
+// multiple of the idle latency, within a bound.
 func (c *requestClass) backendTarget() float64 {
 	usual := c.usualBackendTarget()
 	return max(usual, min(idleLatencyFactor*c.idleLatency, maxTargetFactor*usual))
 }
 
-// usualBackendTarget is the backend target, in seconds, unless idle backends are slow.
+// usualBackendTarget returns the backend target, in seconds, for backends whose idle latency is low.
 func (c *requestClass) usualBackendTarget() float64 {
 	return backendTargetFraction * c.LatencyObjective.Seconds()
 }
 
-// exceedsTarget reports whether attempts take longer than they should.
+// exceedsTarget reports whether the mean latency of attempts exceeds the backend target.
 func (c *requestClass) exceedsTarget() bool { return c.meanLatency > c.backendTarget() }
 
-// expectedLatency is the latency expected of an attempt, in seconds: the mean, weighted with the backend
-// target while few latencies were measured, as one early response may come far sooner than most.
+// expectedLatency returns the latency expected of an attempt, in seconds: the mean latency, blended with the backend
+// target while few latencies have been measured, as one early response may be much faster than most.
 func (c *requestClass) expectedLatency() float64 {
 	samples := float64(c.latencySamples)
 	prior := max(c.backendTarget(), c.meanLatency)
@@ -144,21 +145,21 @@
 	c.meanSquaredLatency += meanWeight * (latency*latency - c.meanSquaredLatency)
 }
 
-// recordAttemptLatency measures the latency of an attempt, in seconds, for the window.
+// recordAttemptLatency adds the latency of an attempt, in seconds, to the measurements that scale the window.
 func (c *requestClass) recordAttemptLatency(latency float64) {
 	c.attemptsMeasured++
-	c.attemptLatencySum += min(latency, c.backendTarget()/minRoomOfAttempt)
+	c.attemptLatencySum += min(latency, c.backendTarget()/minAttemptHeadroom)
 }
 
-// recordCompletion measures the time from the arrival to the end of a request, for the control loop.
+// recordCompletion adds the time from the arrival to the end of a request to the measurements of the control loop.
 func (ctl *Controller) recordCompletion(r *request) {
 	r.class.completed++
 	bound := spikeFactor * r.class.LatencyObjective.Seconds()
 	r.class.latencySum += min((ctl.now - r.receivedAt).Seconds(), bound)
 }
 
-// recordBudget remembers the budget of a client and, each time the ring is full, which one is usual:
-// the most common one, if enough of them are equal within the tolerance.
+// recordBudget stores the budget of a client. Each time the ring buffer is full, it updates the usual budget: the most
+// common one, if enough budgets are equal within the tolerance.
 func (c *requestClass) recordBudget(budget, tolerance time.Duration) {
 	c.recentBudgets[c.budgetsSeen%recentBudgetCount] = budget
 	c.budgetsSeen++
@@ -172,8 +173,8 @@
 	c.usualBudget = usual
 }
 
-// mostCommon returns the least of the largest group of values that differ by no more than the tolerance, and
-// the size of the group.
+// mostCommon returns the lowest value of the largest group of values that differ by at most the tolerance, and the
+// size of the group.
 func mostCommon(values []time.Duration, tolerance time.Duration) (time.Duration, int) {
 	sorted := slices.Sorted(slices.Values(values))
 	var least time.Duration
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -9,36 +9,38 @@
 	"lemongate/internal/quota"
 )
 
-// This file decides the shares of the classes and the scale of the window once per control period:
-// shares by a queueing model, with an integral correction on the error of the latency objective.
+// This file sets the shares of the classes and the scale of the window once per control period. The shares follow from
+// a queueing model, with a feedback correction for the deviation of measured latency from the objective.
 
 const (
-	// controlPeriodObjectives is the control period in longest objectives: an overload shows within one.
+	// controlPeriodObjectives is the control period in longest objectives. An overload is detected within one
+	// period.
 	controlPeriodObjectives = 0.5
-	// controlGain is the fraction of the model's Newton step that is made in one period: small, to avoid
+	// controlGain is the fraction of the model's Newton step that is applied per period. It is small to avoid
 	// overshoot.
 	controlGain = 0.3
-	// maxShareStep bounds the change of a share by the error of one period, so that a short stall does
-	// not set it.
+	// maxShareStep bounds the correction of a share by the error of one period, so that a short stall does not
+	// determine the share.
 	maxShareStep = 0.15
-	// minShare keeps a class from being starved.
+	// minShare prevents starvation of a class.
 	minShare = 0.01
-	// minSpareShare is the least share that a class is taken to have beyond its load, see queueing.Slope.
+	// minSpareShare is the lower bound of the share that a class is assumed to have beyond its load, see
+	// queueing.Slope.
 	minSpareShare = 0.01
-	// minPressure keeps from dividing by a pressure near 0.
+	// minPressure prevents division by a pressure near 0.
 	minPressure = 0.01
-	// arrivalWeight is the weight of a new period in the arrival rate.
+	// arrivalWeight is the weight of the latest period in the arrival rate.
 	arrivalWeight = 0.5
 	// idleLatencyGrowth is the fraction by which the idle latency grows per period while the mean latency is
 	// above it, so that it follows a mean that stays higher.
 	idleLatencyGrowth = 0.01
 )
 
-// controlLoop is the timing of the control loop, and of decaying rates.
+// controlLoop contains the timing of the control loop, and the time constant of decaying rates.
 type controlLoop struct {
 	nextAt        time.Duration // clock time of its next run
 	periodSeconds float64
-	memorySeconds float64 // the longest objective: after it an event counts 1/e in a decaying rate
+	memorySeconds float64 // the longest objective: the time in which an event in a decaying rate decays to 1/e
 }
 
 func newControlLoop(longestObjective time.Duration) controlLoop {
@@ -48,10 +50,10 @@
 	}
 }
 
-// periodTotals adds up what was measured of all classes in a control period.
+// periodTotals are the totals, over all classes, of what was measured in a control period.
 type periodTotals struct {
 	shares     float64 // sum of the wanted shares
-	room       float64 // least ratio of backend target to latency of the classes that count, see addPeriod
+	headroom   float64 // lowest ratio of backend target to latency of the classes that count, see addPeriod
 	attempts   float64 // measured attempts
 	latencySum float64 // latencies of the measured attempts, seconds
 	targetSum  float64 // backend targets of the measured attempts, seconds
@@ -64,7 +66,7 @@
 	window := ctl.windowSize()
 	ctl.recordLateAttempts()
 
-	totals := periodTotals{room: math.Inf(1)}
+	totals := periodTotals{headroom: math.Inf(1)}
 	wanted, modelled := make([]float64, len(ctl.classes.byWeight)), make([]float64, len(ctl.classes.byWeight))
 	for i, c := range ctl.classes.byWeight {
 		c.updateArrivalRate(ctl.control.periodSeconds)
@@ -81,15 +83,15 @@
 	}
 
 	ctl.window.measurePressure(totals.attempts, totals.latencySum, totals.targetSum)
-	room := min(totals.room, 1/max(ctl.window.pressure, minPressure))
+	headroom := min(totals.headroom, 1/max(ctl.window.pressure, minPressure))
 	ctl.forgetIdleCustomers()
 	ctl.measureQuotaRate()
 	ctl.endpoints.medianLatencyPerAttempt = ctl.measureMedianLatency()
-	ctl.scaleWindow(room, totals.attempts > 0)
+	ctl.scaleWindow(headroom, totals.attempts > 0)
 }
 
-// inferStartStateByTime decides that the tier of limiters is new, so that customers have a full burst, if the
-// start state is still unknown one longest objective after the first request: the backends report too little.
+// inferStartStateByTime resolves the start state to a new tier, so that customers have a full burst, if the state is
+// still unknown one longest objective after the first request because the backends report too little.
 func (ctl *Controller) inferStartStateByTime() {
 	first := ctl.customers.firstRequestAt
 	if first > 0 && ctl.now-first > ctl.classes.longestObjective {
@@ -97,20 +99,21 @@
 	}
 }
 
-// addPeriod adds what was measured of a class. The latencies of the lightest classes do not shrink the window,
-// as these get what is left; those of the heaviest class do in any case, as all may weigh the same.
+// addPeriod adds the measurements of a class to the totals. The latencies of the classes with the least weight do not
+// shrink the window, as these classes get only what the others leave. Those of the class with the most weight always
+// count, as all classes may have the same weight.
 func (ctl *Controller) addPeriod(totals *periodTotals, c *requestClass, heaviest bool) {
 	lightest := ctl.classes.byWeight[len(ctl.classes.byWeight)-1].Weight
 	target := c.backendTarget()
 	if c.attemptsMeasured >= windowMinSamples && (c.Weight > lightest || heaviest) {
-		totals.room = min(totals.room, target*float64(c.attemptsMeasured)/c.attemptLatencySum)
+		totals.headroom = min(totals.headroom, target*float64(c.attemptsMeasured)/c.attemptLatencySum)
 	}
 	totals.targetSum += target * float64(c.attemptsMeasured)
 	totals.latencySum += c.attemptLatencySum
 	totals.attempts += float64(c.attemptsMeasured)
 }
 
-// updateArrivalRate updates the arrival rate by the arrivals of a control period.
+// updateArrivalRate updates the arrival rate with the arrivals of a control period.
 func (c *requestClass) updateArrivalRate(periodSeconds float64) {
 	perSecond := float64(c.arrivals) / periodSeconds
 	if c.arrivalRate > 0 {
@@ -119,9 +122,9 @@
 	c.arrivalRate += arrivalWeight * (perSecond - c.arrivalRate)
 }
 
-// wantedShare is the share of a window (in attempts) that meets the latency objective of a class: as the
-// queueing model gives it, and corrected by the error of the last period. The model takes the window for one
-// server, which a request occupies for its latency over the size of the window.
+// wantedShare returns the share of a window (in attempts) that meets the latency objective of a class: modelled is the
+// share by the queueing model, wanted adds the correction for the error of the last period. The model treats the window
+// as a single server with a service time of the attempt latency divided by the window size.
 func (c *requestClass) wantedShare(window float64) (wanted, modelled float64) {
 	service := queueing.ServiceTime{
 		Mean:   c.meanLatency / window,
@@ -135,16 +138,16 @@
 	return clampShare(modelled + shareCorrection(slack, c.arrivalRate, service, modelled)), modelled
 }
 
-// startPeriod updates the idle latency, and clears the measurements of the last control period.
+// startPeriod updates the idle latency and clears the measurements of the last control period.
 func (c *requestClass) startPeriod() {
 	c.idleLatency = min(c.meanLatency, cmp.Or(c.idleLatency, c.meanLatency)*(1+idleLatencyGrowth))
 	c.arrivals, c.completed, c.latencySum = 0, 0, 0
 	c.attemptsMeasured, c.attemptLatencySum = 0, 0
 }
 
-// shareCorrection is the change of a share by the slack of its class, which is its latency objective less
-// its latency, in seconds: a fraction of the Newton step, slack over the slope of latency by share. The
-// slope is below zero, so a class that is late, with a slack below zero, gains.
+// shareCorrection returns the change of a share for the slack of its class, in seconds: the latency objective minus the
+// measured latency. It is a fraction of the Newton step, slack divided by the slope of latency over share. The slope is
+// negative, so a class that misses its objective (negative slack) gains share.
 func shareCorrection(slack, arrivalRate float64, service queueing.ServiceTime, share float64) float64 {
 	if service.Mean <= 0 {
 		return 0
@@ -153,8 +156,8 @@
 	return min(max(step, -maxShareStep), maxShareStep)
 }
 
-// fitShares reduces shares, in the order of falling weight, that sum to more than one: a share that exceeds
-// what the heavier classes left loses its correction, and is cut to what they left.
+// fitShares reduces shares, given in descending order of weight, whose sum exceeds one. A share that exceeds what the
+// classes with more weight left loses its correction and is limited to what they left.
 func fitShares(wanted, modelled []float64) {
 	left := 1.0
 	for i := range wanted {
@@ -165,7 +168,7 @@
 	}
 }
 
-// clampShare keeps a share within its bounds.
+// clampShare limits a share to the range from minShare to 1.
 func clampShare(share float64) float64 { return min(max(share, minShare), 1) }
 
 // normalize scales shares to sum to one.
--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -6,8 +6,8 @@
 	"lemongate/internal/queueing"
 )
 
-// The share of a class is that of the queueing model, kept between minShare and the complete window. TestShare of
-// internal/queueing derives the values within these bounds.
+// The share of a class is that of the queueing model, limited to the range from minShare to the entire window. TestShare
+// of internal/queueing derives the values within these bounds.
 func TestShareIsClamped(t *testing.T) {
 	for _, test := range []struct {
 		name                                 string
@@ -27,21 +27,21 @@
 	}
 }
 
-// A class that is late gains share, one that is early gives some up, and no control period moves a share by more than
-// maxShareStep.
+// A class that misses its objective gains share, a class that is faster loses share, and no control period changes a
+// share by more than maxShareStep.
 func TestShareCorrectionFollowsLatencyError(t *testing.T) {
 	service := queueing.ServiceTime{Mean: 0.005, Square: 0.00005}
 	if got := shareCorrection(-0.1, 10, service, 0.1); got <= 0 || got > maxShareStep {
-		t.Errorf("late class: correction %v, want above 0", got)
+		t.Errorf("class above its objective: correction %v, want above 0 and at most maxShareStep", got)
 	}
 	if got := shareCorrection(0.1, 10, service, 0.1); got >= 0 || got < -maxShareStep {
-		t.Errorf("early class: correction %v, want below 0", got)
+		t.Errorf("class below its objective: correction %v, want below 0 and at least -maxShareStep", got)
 	}
 	assertNear(t, "a stall", shareCorrection(-1e6, 10, service, 0.1), maxShareStep)
 	assertNear(t, "no latency measured", shareCorrection(-1, 10, queueing.ServiceTime{}, 0.1), 0)
 }
 
-// Where the latency objectives cannot all be met, the class with the most weight gets the share that it needs.
+// If the latency objectives cannot all be met, the class with the most weight gets the share that it needs.
 func TestInfeasibleObjectivesFavorHeaviestClass(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	for _, class := range f.ctl.classes.all {
@@ -51,7 +51,8 @@
 	f.ctl.runControlLoop()
 	lightest, heaviest := f.ctl.classes.all[0], f.ctl.classes.all[2]
 	if heaviest.share < 0.8 || lightest.share > 0.1 {
-		t.Errorf("shares: heaviest %.3f, lightest %.3f; want the heaviest served first", heaviest.share, lightest.share)
+		t.Errorf("share of the heaviest class %.3f, of the lightest %.3f; want the heaviest served first",
+			heaviest.share, lightest.share)
 	}
 	sum := 0.0
 	for _, class := range f.ctl.classes.all {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -2,24 +2,24 @@
 // backend, and which are rejected.
 //
 // A limiter is one of several processes between the clients and the backends of a service; together
-// they are a tier. Each customer is on a plan, which limits the units that it may use at all limiters
-// together. A request has a class, which says how soon an answer is worth most and whether it may run
-// twice.
+// they form a tier. Each customer is on a plan, which limits the units that the customer may consume at all
+// limiters together. The class of a request defines its latency objective, its weight and whether it may run more
+// than once.
 //
-// A caller creates one Controller, hands it every event in the order of its clock, and carries out
-// the actions that come back. A Controller starts no goroutine, does no I/O and reads no clock: the
-// same settings, seed and events always give the same actions. It is not safe for concurrent use.
-// Clock times are durations since an origin of the caller's choice.
+// A caller creates one Controller, passes it every event in the order of its clock, and performs the actions
+// that are returned. A Controller starts no goroutine, does no I/O and reads no clock: the same settings, seed and
+// events always give the same actions. It is not safe for concurrent use. Clock times are durations since an origin
+// that the caller chooses.
 //
-// Each decision has a file of its own, with its state, its constants and its rule. In the order in
-// which a request meets them: admission.go, customers.go, dispatch.go, window.go, selection.go,
-// attempts.go, retry.go; request.go has the state of a request. What is measured and adjusted on the
-// way: classes.go, control.go, health.go, recovery.go, slowstart.go, loadreports.go, endpoints.go. What
-// limiters send each other: gossip.go, pacing.go. How a process hands over to the next: snapshot.go.
+// Each decision has its own file, with its state, constants and rules. In the order in which a request passes
+// through them: admission.go, customers.go, dispatch.go, window.go, selection.go, attempts.go, retry.go;
+// request.go contains the state of a request. Measurements and adjustments: classes.go, control.go, health.go,
+// recovery.go, slowstart.go, loadreports.go, endpoints.go. Messages between limiters: gossip.go, pacing.go.
+// Handover to a successor process: snapshot.go, heldslots.go.
 //
-// A deployment is fast or slow by its latency objectives, so most times are not constants but multiples
-// of the shortest or longest objective of all classes: a constant named ...Objectives is such a multiple,
-// one named ...PerObjective a divisor.
+// Deployments differ in their latency objectives, so most times are not constants but multiples of the shortest or
+// longest objective of all classes: a constant named ...Objectives is such a multiple, one named ...PerObjective a
+// divisor.
 package admission
 
 import (
@@ -36,9 +36,9 @@
 type Controller struct {
 	settings Settings
 	random   *rand.Rand
-	now      time.Duration // clock time of the event in hand
-	actions  []Action      // emitted for the event in hand
-	started  bool          // an event has come
+	now      time.Duration // clock time of the current event
+	actions  []Action      // emitted for the current event
+	started  bool          // an event has been handled
 	timer    timer
 
 	requests   map[RequestID]*request
@@ -49,37 +49,37 @@
 	retries    retryBudget
 	endpoints  endpointSet
 	reports    loadReports
-	slowStart  rate.Allowance // attempts, while all eligible backends are warming up
+	slowStart  rate.Allowance // attempts allowed while all eligible backends are warming up
 	gossip     gossipState
 	rejections RejectionCounts
 
-	// recoveryUntil is the clock time up to which this limiter makes recovery attempts; see
+	// recoveryUntil is the clock time until which this limiter makes recovery attempts; see
 	// RecoveryLease.
 	recoveryUntil time.Duration
 }
 
-// New returns a Controller that knows only its settings. The seed fixes all choices made by chance.
-func New(set Settings, seed uint64) *Controller {
-	set.Limiters = max(set.Limiters, 1)
-	classes := newClassSet(set.Classes)
+// New returns a Controller without any state but its settings. The seed determines all random choices.
+func New(settings Settings, seed uint64) *Controller {
+	settings.Limiters = max(settings.Limiters, 1)
+	classes := newClassSet(settings.Classes)
 	return &Controller{
-		settings:      set,
+		settings:      settings,
 		random:        rand.New(rand.NewPCG(seed, 0)),
 		timer:         timer{armedFor: math.MaxInt64, dueAt: math.MaxInt64},
 		requests:      map[RequestID]*request{},
 		classes:       classes,
-		customers:     newCustomerSet(set.Plans),
+		customers:     newCustomerSet(settings.Plans),
 		window:        newConcurrencyWindow(),
 		control:       newControlLoop(classes.longestObjective),
-		retries:       newRetryBudget(set.Limiters),
+		retries:       newRetryBudget(settings.Limiters),
 		endpoints:     newEndpointSet(classes.longestObjective),
-		gossip:        newGossipState(set),
+		gossip:        newGossipState(settings),
 		recoveryUntil: math.MaxInt64,
 	}
 }
 
-// Handle takes one event and appends what is to be done to out. Events must come in the order of
-// their clock times; a clock time before the last one counts as that one.
+// Handle processes one event and appends the resulting actions to out. Events must come in the order of their clock
+// times; a clock time before that of the previous event is replaced by it.
 func (ctl *Controller) Handle(now time.Duration, ev Event, out []Action) []Action {
 	ctl.now, ctl.actions = max(now, ctl.now), out
 	if !ctl.started {
@@ -93,7 +93,7 @@
 	return out
 }
 
-// handle hands an event to the decision that it calls for.
+// handle dispatches an event to its handler.
 func (ctl *Controller) handle(ev Event) {
 	switch ev := ev.(type) {
 	case *Request:
@@ -130,14 +130,14 @@
 	}
 }
 
-// start initializes what depends on the clock time of the start, which is that of the first event.
+// start initializes the state that depends on the start time, which is the clock time of the first event.
 func (ctl *Controller) start() {
 	ctl.started = true
 	if ctl.settings.Epoch == 0 {
 		ctl.settings.Epoch = uint32(ctl.now/time.Millisecond) + 1
 	}
 	ctl.control.nextAt = ctl.now + seconds(ctl.control.periodSeconds)
-	ctl.wakeBy(ctl.control.nextAt)
+	ctl.scheduleTick(ctl.control.nextAt)
 	ctl.startLedger()
 	ctl.announceToPeers()
 	if ctl.settings.PollEndpoints {
@@ -145,11 +145,11 @@
 	}
 }
 
-// onTick does what is due by time alone: the control loop, the ends of waits, and another selection for
-// requests for which no backend could be used.
+// onTick performs the work that is due at the current time: the control loop, the expiry of waiting times, and another
+// backend selection for requests that found no usable backend.
 func (ctl *Controller) onTick() {
 	if ctl.now < ctl.timer.armedFor {
-		return // a timer that was replaced
+		return // from a timer that was replaced
 	}
 	ctl.timer.armedFor, ctl.timer.dueAt = math.MaxInt64, math.MaxInt64
 	if ctl.now >= ctl.control.nextAt {
@@ -157,27 +157,27 @@
 		ctl.runControlLoop()
 		ctl.pollIfDue()
 	}
-	ctl.wakeBy(ctl.control.nextAt)
+	ctl.scheduleTick(ctl.control.nextAt)
 	ctl.freeExpiredSlots()
-	ctl.settleWaiting()
+	ctl.decideWaiting()
 	ctl.expireQueued()
 	ctl.cancelStuckAttempts()
 	ctl.dispatch()
-	ctl.wakeForQueuedPeers()
+	ctl.scheduleQueuedMessages()
 }
 
-// timer is the one timer that a Controller sets. Both clock times are math.MaxInt64 for none.
+// timer is the state of the only timer of a Controller. Both clock times are math.MaxInt64 for none.
 type timer struct {
 	armedFor time.Duration // clock time of the last SetTimer that has not fired
 	dueAt    time.Duration // clock time at which something is due
 }
 
-// wakeBy makes sure that onTick runs by a clock time. Nothing else makes it run: an idle Controller is
-// woken for its control loop only.
-func (ctl *Controller) wakeBy(at time.Duration) { ctl.timer.dueAt = min(ctl.timer.dueAt, at) }
+// scheduleTick ensures that onTick runs at a clock time or earlier. Nothing else schedules it: for an idle Controller
+// the timer is set for the control loop only.
+func (ctl *Controller) scheduleTick(at time.Duration) { ctl.timer.dueAt = min(ctl.timer.dueAt, at) }
 
-// armTimer sets the timer if something is due before the time that it is set for. Timers are full
-// microseconds and at least one step of the clock away.
+// armTimer sets the timer if something is due before the time for which it is set. Timers are rounded up to full
+// microseconds and are at least one clock resolution away.
 func (ctl *Controller) armTimer() {
 	if ctl.timer.dueAt >= ctl.timer.armedFor {
 		return
@@ -190,11 +190,11 @@
 
 func (ctl *Controller) emit(a Action) { ctl.actions = append(ctl.actions, a) }
 
-// startLedger starts a ledger of the customers' quotas that knows nothing of earlier use.
+// startLedger creates a ledger of the customers' quotas without knowledge of earlier consumption.
 func (ctl *Controller) startLedger() {
 	ctl.customers.ledger = quota.New(ctl.quotaConfig(), ctl.now)
 	if !slices.Contains(ctl.settings.LoadReportFields, utilizationField) {
-		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report can show whether it has restarted
+		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report can show whether the tier has restarted
 	}
 }
 
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The same settings, seeds and events give the same actions.
+// The same settings, seeds and events result in the same actions.
 func TestDeterminism(t *testing.T) {
-	play := func() []Action {
+	run := func() []Action {
 		var actions []Action
 		random := rand.New(rand.NewPCG(3, 3))
 		controllers := []*Controller{New(testSettings(), 1), New(testSettings(), 1)}
@@ -28,13 +28,13 @@
 		}
 		return actions
 	}
-	first, second := play(), play()
+	first, second := run(), run()
 	if fmt.Sprint(first) != fmt.Sprint(second) {
-		t.Error("the same events gave different actions")
+		t.Error("the same events resulted in different actions")
 	}
 }
 
-// Events that refer to nothing known do no harm.
+// Events that refer to unknown requests, backends, classes or plans are handled without a panic.
 func TestUnexpectedEvents(t *testing.T) {
 	settings := testSettings()
 	settings.Plans = append(settings.Plans, Plan{Name: "nil"})
@@ -55,12 +55,12 @@
 	f.handle(&Request{ID: 1002, Class: "read", Plan: "nil", Customer: "y", Units: 0, Budget: 0})
 	f.advance(time.Second)
 	if rejections := len(actionsOf[Reject](f.takeActions())); rejections != 2 {
-		t.Errorf("%d rejections with no backend, want 2", rejections)
+		t.Errorf("%d rejections without a backend, want 2", rejections)
 	}
 	New(Settings{}, 1).Handle(0, TimerFired{}, nil)
 }
 
-// The cost of an event and the number of timers do not grow with the number of limiters.
+// The cost of an event and the number of timers do not increase with the number of limiters.
 func TestCostPerEvent(t *testing.T) {
 	cost := func(limiters int) (allocations float64, timers int) {
 		settings := testSettings()
@@ -92,7 +92,7 @@
 	}
 }
 
-// BenchmarkRequest measures a request with its attempt, in a small and a large tier.
+// BenchmarkRequest measures a request with its attempt, in a small and in a large tier.
 func BenchmarkRequest(b *testing.B) {
 	for _, limiters := range []int{4, 400} {
 		b.Run(fmt.Sprint(limiters), func(b *testing.B) {
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -8,45 +8,46 @@
 	"lemongate/internal/quota"
 )
 
-// This file decides by a customer's quota whether a request is admitted. The quotas themselves are
-// held by a quota.Ledger, together with the other limiters.
+// This file decides whether the quota of a customer admits a request. A quota.Ledger manages the quotas, together with
+// the ledgers of the other limiters.
 
 const (
-	// grantTimeoutFraction is the longest that a request waits for a grant of other limiters, as a
+	// grantTimeoutFraction is the longest time that a request waits for a grant of other limiters, as a
 	// fraction of the shortest objective.
 	grantTimeoutFraction = 0.3
 	// forgetObjectives is the time in longest objectives after which idle customers and removed backends
-	// are forgotten.
+	// are deleted.
 	forgetObjectives = 20.0
-	// shutdownNotices is how many times each other limiter is notified of a shutdown: messages are lost.
+	// shutdownNotices is the number of times that each other limiter is notified of a shutdown, as messages may
+	// be lost.
 	shutdownNotices = 2
-	// attemptEndMargin is how long after its deadline an attempt may still be in flight, as a limiter may be held
-	// up between reading its clock and writing.
+	// attemptEndMargin is the time after its deadline for which an attempt may still be in flight, as a limiter may
+	// be delayed between reading its clock and writing.
 	attemptEndMargin = 200 * time.Millisecond
 )
 
-// customerKey identifies a customer on a plan. Requests of a customer may name different plans, as after a
-// change of plan; each is judged by the plan that it names.
+// customerKey identifies a customer on a plan. Requests of a customer may name different plans, for example after a
+// change of plan; each request is subject to the plan that it names.
 type customerKey struct{ name, plan string }
 
 // customer is a customer on a plan that has sent requests here.
 type customer struct {
 	name         string
 	plan         *Plan
-	planIndex    int // in the settings; one beyond them for a plan that they do not have
-	firstLimiter int // the limiters that serve it: setSize in a row from firstLimiter
+	planIndex    int // in the settings; len(Settings.Plans) for a plan that is not in the settings
+	firstLimiter int // the limiter set: setSize consecutive limiters starting at firstLimiter
 	setSize      int
 	account      *quota.Account
 	lastSeen     time.Duration // clock time
 	meanUnits    float64       // running mean of the units of a request
 
-	slots int // requests with a slot: admitted, and neither ended nor, if ended, without an attempt in flight
+	slots int // requests that have a slot, see takeSlot
 
-	waiting       []*request // for a grant, in the order of their arrival
+	waiting       []*request // for a grant, in the order of arrival
 	waitsForGrant bool       // is in customerSet.waiting
 }
 
-// customerSet is the customers that have not been forgotten, and the ledger of their quotas.
+// customerSet contains the known customers and the ledger of their quotas.
 type customerSet struct {
 	ledger    *quota.Ledger
 	planIndex map[string]int // in the settings, by name
@@ -54,11 +55,11 @@
 	order     []*customer // in the order of their first requests
 	waiting   []*customer // with requests that wait for a grant
 
-	slotsFreed []*customer            // whose slots the event at hand freed
+	slotsFreed []*customer            // whose slots were freed by the current event
 	held       map[RequestID]*request // of another process, which keep a slot without an attempt in flight here
 
 	firstRequestAt time.Duration // clock time of the first request; 0 for none
-	leaving        bool          // this limiter shuts down
+	shuttingDown   bool          // ShutdownStarted was received
 }
 
 func newCustomerSet(plans []Plan) customerSet {
@@ -69,8 +70,8 @@
 	return s
 }
 
-// touchCustomer returns the customer of a request and updates its measurements.
-func (ctl *Controller) touchCustomer(ev *Request) *customer {
+// recordCustomerRequest returns the customer of a request and updates the customer's measurements.
+func (ctl *Controller) recordCustomerRequest(ev *Request) *customer {
 	c := ctl.lookupCustomer(ev)
 	if c.meanUnits == 0 {
 		c.meanUnits = max(ev.Units, 1)
@@ -80,7 +81,7 @@
 	return c
 }
 
-// lookupCustomer finds the customer of a request, or adds it with its account in the ledger.
+// lookupCustomer returns the customer of a request. It adds an unknown customer, with an account in the ledger.
 func (ctl *Controller) lookupCustomer(ev *Request) *customer {
 	key := customerKey{ev.Customer, ev.Plan}
 	if c := ctl.customers.byKey[key]; c != nil {
@@ -99,10 +100,10 @@
 	return c
 }
 
-// reserveQuota has the ledger decide a request by its customer's quota, and acts on the decision. It
-// reports false if the decision waits for a grant of other limiters. With last, it does not wait any
-// longer and is decided by what is known here.
-func (ctl *Controller) reserveQuota(r *request, last bool) (settled bool) {
+// reserveQuota asks the ledger whether the customer's quota covers a request, and applies the decision. It returns
+// false if the decision has to wait for a grant of other limiters. If last is set, the ledger decides at once by the
+// local state.
+func (ctl *Controller) reserveQuota(r *request, last bool) (decided bool) {
 	decision, wait := ctl.customers.ledger.Reserve(r.customer.account, r.Units, last, ctl.now)
 	if decision == quota.Pending {
 		return false
@@ -111,7 +112,7 @@
 	return true
 }
 
-// waitForGrant lets a request wait until other limiters reply to the ledger's transfer request.
+// waitForGrant makes a request wait until other limiters reply to the ledger's transfer request.
 func (ctl *Controller) waitForGrant(r *request) {
 	c := r.customer
 	c.waiting = append(c.waiting, r)
@@ -120,11 +121,10 @@
 		c.waitsForGrant = true
 		ctl.customers.waiting = append(ctl.customers.waiting, c)
 	}
-	ctl.wakeBy(ctl.now + ctl.classes.pollInterval())
+	ctl.scheduleTick(ctl.now + ctl.classes.pollInterval())
 }
 
-// grantDeadline is the clock time at which a request that waits for a grant is decided by what is
-// known here.
+// grantDeadline returns the clock time at which a request that still waits for a grant is decided by the local state.
 func (ctl *Controller) grantDeadline(r *request) time.Duration {
 	margin := ctl.classes.pollInterval() * 2
 	byObjective := r.receivedAt + seconds(grantTimeoutFraction*ctl.classes.shortestObjective.Seconds())
@@ -132,17 +132,17 @@
 	return min(byObjective, byRequest) - margin
 }
 
-// settleWaiting decides the requests that wait for a grant: those whose grants have come, and those past
-// their grantDeadline by what is known here.
-func (ctl *Controller) settleWaiting() {
+// decideWaiting decides the requests that wait for a grant: those whose grants have arrived, and, by the local state,
+// those past their grantDeadline.
+func (ctl *Controller) decideWaiting() {
 	for _, c := range ctl.waitingCustomers() {
-		ctl.settleCustomer(c)
+		ctl.decideCustomerRequests(c)
 	}
 }
 
-// settleCustomer decides the waiting requests of a customer in order, up to the first that still has
-// to wait: those behind it would only take the units that it waits for.
-func (ctl *Controller) settleCustomer(c *customer) {
+// decideCustomerRequests decides the waiting requests of a customer in order, up to the first that still has to wait:
+// later requests would only take the units that it waits for.
+func (ctl *Controller) decideCustomerRequests(c *customer) {
 	waiting := c.waiting
 	c.waiting = nil
 	for i, r := range waiting {
@@ -154,12 +154,12 @@
 			continue
 		}
 		c.waiting = append(c.waiting, waiting[i:]...)
-		ctl.wakeBy(min(deadline, ctl.now+ctl.classes.pollInterval()*2) + ctl.settings.ClockResolution)
+		ctl.scheduleTick(min(deadline, ctl.now+ctl.classes.pollInterval()*2) + ctl.settings.ClockResolution)
 		return
 	}
 }
 
-// waitingCustomers lists the customers with requests that still wait, and forgets the rest.
+// waitingCustomers returns the customers with waiting requests, and removes the others from the list.
 func (ctl *Controller) waitingCustomers() []*customer {
 	ctl.customers.waiting = slices.DeleteFunc(ctl.customers.waiting, func(c *customer) bool {
 		c.waiting = slices.DeleteFunc(c.waiting, func(r *request) bool { return r.ended })
@@ -169,8 +169,8 @@
 	return slices.Clone(ctl.customers.waiting)
 }
 
-// takeSlot gives a request that is admitted a slot, which it keeps until it has ended and has no attempt in
-// flight: a queued request has one when it is forwarded, and a retry that waits for a backend when it is sent.
+// takeSlot gives an admitted request a slot. The request keeps it until it has ended and has no attempt in flight, so
+// a queued request has a slot when it is forwarded, and so has a retry that waited for a backend when it is sent.
 func (ctl *Controller) takeSlot(r *request) {
 	if !r.hasSlot {
 		r.hasSlot = true
@@ -192,38 +192,38 @@
 	}
 }
 
-// reuseFreedSlots gives slots that an event freed to requests that wait here, and the rest back to their lenders.
+// reuseFreedSlots gives the slots freed by an event to requests that wait here, and returns the rest to their lenders.
 func (ctl *Controller) reuseFreedSlots() {
 	for len(ctl.customers.slotsFreed) > 0 {
 		c := ctl.customers.slotsFreed[0]
 		ctl.customers.slotsFreed = ctl.customers.slotsFreed[1:]
 		if c.waitsForGrant {
-			ctl.settleCustomer(c)
+			ctl.decideCustomerRequests(c)
 		}
 		ctl.customers.ledger.ReleaseSlot(c.account, ctl.now)
 	}
 	ctl.customers.slotsFreed = nil
 }
 
-// startShutdown gives the quotas up for the other limiters and notifies them at once, whatever the pace of
-// messages, as the program may end any moment. With more than activePeers others each is sent a single
-// notice: if it is lost, the reply to the next transfer request carries the shutdown as well.
+// startShutdown releases the quotas to the other limiters and notifies them at once, regardless of pacing, as the
+// process may exit at any moment. With more than activePeers other limiters, each is sent a single notice: if it is
+// lost, the reply to the next transfer request carries the shutdown as well.
 func (ctl *Controller) startShutdown() {
-	ctl.customers.leaving = true
+	ctl.customers.shuttingDown = true
 	notices := shutdownNotices
 	if ctl.gossip.totalInterval > 0 {
 		notices = 1
 	}
 	for range notices {
 		for number := range ctl.settings.Limiters {
-			if number != ctl.settings.Self && ctl.gossips() {
+			if number != ctl.settings.Self && ctl.canGossip() {
 				ctl.sendPeerMessage(ctl.peer(number))
 			}
 		}
 	}
 }
 
-// forgetIdleCustomers forgets customers without a request for long, where the ledger loses nothing by it.
+// forgetIdleCustomers deletes customers that have been idle for long and whose accounts the ledger could drop.
 func (ctl *Controller) forgetIdleCustomers() {
 	ctl.customers.ledger.Sweep(seconds(forgetObjectives*ctl.classes.longestObjective.Seconds()), ctl.now)
 	ctl.customers.order = slices.DeleteFunc(ctl.customers.order, func(c *customer) bool {
@@ -234,11 +234,11 @@
 	})
 }
 
-// quotaConfig is the part of the settings that the ledger needs. It has one plan more than the settings,
-// without limits, for requests that name a plan which the settings do not have.
+// quotaConfig returns the configuration of the ledger. It has one plan more than the settings, without limits, for
+// requests that name a plan that is not in the settings.
 func (ctl *Controller) quotaConfig() quota.Config {
 	config := quota.Config{
-		Self: ctl.settings.Self, Limiters: ctl.settings.Limiters, Gossips: ctl.gossips(), Epoch: ctl.settings.Epoch,
+		Self: ctl.settings.Self, Limiters: ctl.settings.Limiters, Gossips: ctl.canGossip(), Epoch: ctl.settings.Epoch,
 		LongestAttempt: ctl.longestAttempt(),
 	}
 	for _, p := range ctl.settings.Plans {
@@ -253,9 +253,9 @@
 	return config
 }
 
-// leastAdmissionProbability is the least probability of being within the quota at which forwarding a
-// request earns anything: within the quota it earns its weight, beyond it costs OverQuotaCost less
-// ExcessFraction, as fractions of that weight.
+// leastAdmissionProbability returns the lowest probability of being within the quota at which forwarding a request
+// pays off. Within the quota a request earns its weight; beyond it, it costs OverQuotaCost minus ExcessFraction, as
+// fractions of that weight.
 func leastAdmissionProbability(p Plan) float64 {
 	loss := max(p.OverQuotaCost-p.ExcessFraction, 0)
 	return loss / (1 + loss)
@@ -269,19 +269,19 @@
 	return ctl.customers.ledger.Counters(ctl.now)
 }
 
-// IsLastHolder reports whether, with some other limiters restarting, this one is the last that holds
-// the quota of some customer.
+// IsLastHolder reports whether, while some other limiters are restarting, this limiter is the last one that holds the
+// quota of some customer.
 func (ctl *Controller) IsLastHolder(restarting []int) bool {
 	return ctl.customers.ledger.IsLastHolder(restarting)
 }
 
-// HoldersOf returns the limiters that hold a customer's quota, of a set of setSize limiters in a row
-// from firstLimiter: the same at every limiter.
+// HoldersOf returns the limiters that hold a customer's quota, out of a limiter set of setSize consecutive limiters
+// starting at firstLimiter. The result is the same at every limiter.
 func HoldersOf(customer string, firstLimiter, setSize, limiters int) []int {
 	return quota.HoldersOf(hashOf(customer), firstLimiter, setSize, limiters)
 }
 
-// hashOf is the FNV-1a hash that stands for a customer or a backend in messages between limiters.
+// hashOf returns the FNV-1a hash that identifies a customer or a backend in messages between limiters.
 func hashOf(name string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name)) // writing to a hash never fails
--- a/internal/admission/customers_test.go
+++ b/internal/admission/customers_test.go
@@ -9,7 +9,7 @@
 	"lemongate/internal/gossip"
 )
 
-// A request over quota is rejected at once, with a Retry-After of the time until the quota has refilled.
+// A request over quota is rejected at once. Its Retry-After is the time until the quota has refilled.
 func TestOverQuotaIsRejectedWithRetryAfter(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters, settings.GossipEnabled = 1, false
@@ -22,13 +22,13 @@
 	f.request("read", "small", "x")
 	rejects := actionsOf[Reject](f.takeActions())
 	if len(rejects) != 1 || rejects[0].RetryAfter != 500*ms {
-		t.Fatalf("ninth request on 8 units: %v, want one rejection with Retry-After 500ms", rejects)
+		t.Fatalf("ninth request with a quota of 8 units: %v, want one rejection with Retry-After 500ms", rejects)
 	}
 	f.now += 500 * ms
 	f.attemptOf(f.request("read", "small", "x"))
 }
 
-// A plan with MaxConcurrent admits that many attempts at once, and a freed slot is used again.
+// A plan with MaxConcurrent admits that many concurrent attempts, and a freed slot is used again.
 func TestMaxConcurrentLimitsSlots(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters, settings.GossipEnabled = 1, false
@@ -39,13 +39,13 @@
 	f.takeActions()
 	f.request("read", "concurrent", "x")
 	if len(actionsOf[Reject](f.takeActions())) != 1 {
-		t.Fatal("a third attempt was not rejected with two slots")
+		t.Fatal("a third attempt was not rejected on a plan with two slots")
 	}
 	f.finish(first, 0, backend, Succeeded, 10*ms)
 	f.attemptOf(f.request("read", "concurrent", "x"))
 }
 
-// Each limiter admits its part of a hard ceiling, and one that starts assumes that the burst is spent.
+// Each limiter admits its allocation of a ceiling, and a limiter that starts assumes that the burst is spent.
 func TestCeilingOfOneLimiter(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c")...)
 	forwarded := 0
@@ -58,14 +58,14 @@
 		}
 	}
 	if limit := 10*10/2 + 20/2; forwarded > limit || forwarded < limit/2 {
-		t.Errorf("%d forwarded in 10 s, want close to and at most %d", forwarded, limit)
+		t.Errorf("%d forwarded in 10 s, want at most %d and at least half of that", forwarded, limit)
 	}
 }
 
-// Queued requests reserve units of the ceiling, so that together they do not exceed it, and return them if they are
+// Queued requests reserve units of the ceiling, so that together they do not exceed it, and return the units if they are
 // not forwarded.
 func TestQueuedRequestsReserveCeilingUnits(t *testing.T) {
-	f := newFixture(t, testSettings()) // without a backend all are queued
+	f := newFixture(t, testSettings()) // without a backend, all requests are queued
 	f.request("read", "capped", "x")
 	f.advance(200 * ms)
 	f.now = 10 * time.Second
@@ -73,22 +73,22 @@
 	for range 30 {
 		f.request("read", "capped", "x")
 	}
-	f.advance(160 * ms) // some wait for a grant of the other limiter
+	f.advance(160 * ms) // some requests wait for a grant of the other limiter
 	if rejected := len(actionsOf[Reject](f.takeActions())); rejected != 20 {
-		t.Errorf("%d of 30 rejected, want all over this limiter's 10 units", rejected)
+		t.Errorf("%d of 30 rejected, want the 20 that exceed this limiter's 10 units", rejected)
 	}
 	f.advance(time.Second)
 	account := f.ctl.customers.byKey[customerKey{"x", "capped"}].account
 	if units := f.ctl.customers.ledger.CeilingLevel(account, f.now); units < 9 {
-		t.Errorf("ceiling has %.1f units after all were rejected, want them returned", units)
+		t.Errorf("ceiling has %.1f units after all requests were rejected, want at least 9 as they are returned", units)
 	}
 }
 
-// A customer first seen long after the start of a limiter has that limiter's part of the ceiling at once; at the start
-// it may be spent already, or lent in an earlier epoch. Many customers come only once.
+// A customer first seen long after the start of a limiter has that limiter's allocation of the ceiling immediately. At
+// the start, it may already be spent, or lent in an earlier epoch. Many customers send requests only once.
 func TestCeilingOfCustomerFirstSeenLate(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c")...)
-	for i, want := range []int{0, 10} { // at the start, and after a minute
+	for i, want := range []int{0, 10} { // at the start, and one minute later
 		f.takeActions()
 		for range 30 {
 			f.request("read", "capped", fmt.Sprint("c", i))
@@ -101,7 +101,7 @@
 	}
 }
 
-// Idle customers are forgotten, so that memory does not grow with the uptime.
+// Idle customers are deleted, so that memory does not grow with the uptime.
 func TestIdleCustomersAreForgotten(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	for i := range 50 {
@@ -114,11 +114,11 @@
 	customers := &f.ctl.customers
 	accounts := customers.ledger.Counters(f.now).Accounts
 	if n := len(customers.byKey) + len(customers.order) + len(f.ctl.requests) + accounts; n != 0 {
-		t.Errorf("%d entries left of idle customers", n)
+		t.Errorf("%d entries of idle customers remain, want 0", n)
 	}
 }
 
-// A request that waits for a grant that does not come is decided long before its deadline, by what is known here.
+// A request whose grant does not arrive is decided long before its deadline, by the local state.
 func TestWaitForGrantIsBounded(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c")...)
 	for range 10 {
@@ -128,13 +128,13 @@
 	actions := f.takeActions()
 	forwarded, rejected := len(actionsOf[StartAttempt](actions)), len(actionsOf[Reject](actions))
 	if forwarded+rejected != 10 || forwarded < 4 || forwarded > 8 {
-		t.Errorf("%d forwarded and %d rejected of 10, want the half of the burst that is allocated here to all of it",
+		t.Errorf("%d forwarded and %d rejected of 10, want between half of the burst, which is allocated here, and all of it",
 			forwarded, rejected)
 	}
 }
 
-// A request is judged by the plan that it names, whatever else is known of its customer's name, of a name with the
-// same hash, or was received from another limiter: no customer gets another one's limits.
+// A request is subject to the plan that it names, regardless of other plans of its customer, of a customer name with the
+// same hash, and of messages of another limiter: no customer gets the limits of another one.
 func TestRequestIsJudgedByItsOwnPlan(t *testing.T) {
 	other, customer := customersWithEqualHash(t)
 	for name, before := range map[string]func(f *fixture){
@@ -163,7 +163,8 @@
 		}
 		f.advance(160 * ms)
 		if rejected := len(actionsOf[Reject](f.takeActions())); rejected != 20 {
-			t.Errorf("%s: %d of 30 rejected, want all over the 10 units of its own plan's ceiling here", name, rejected)
+			t.Errorf("%s: %d of 30 rejected, want the 20 that exceed the 10 units of its own plan's ceiling here",
+				name, rejected)
 		}
 	}
 }
@@ -179,11 +180,11 @@
 		}
 		byHash[hashOf(name)] = name
 	}
-	t.Fatal("no two names share a hash")
+	t.Fatal("no two names have the same hash")
 	return "", ""
 }
 
-// Limiters that never receive a message of each other exceed a quota by no more than one burst.
+// Limiters that never receive messages from each other exceed a quota by at most one burst.
 func TestQuotaWithUnreachablePeers(t *testing.T) {
 	tr := newTier(3, func(int, int) bool { return true })
 	for tr.now < 20*time.Second {
@@ -192,19 +193,19 @@
 			tr.request(int(tr.now/(20*ms))%3, "small")
 		}
 	}
-	if most := 8 + 2*20 + 8; tr.forwarded > most || tr.forwarded < 8+2*20-3 {
-		t.Errorf("%d forwarded in 20 s without messages, want about 48 and at most %d", tr.forwarded, most)
+	if limit := 8 + 2*20 + 8; tr.forwarded > limit || tr.forwarded < 8+2*20-3 {
+		t.Errorf("%d forwarded in 20 s without messages between limiters, want about 48 and at most %d", tr.forwarded, limit)
 	}
 }
 
-// A customer that sends five times its quota to eighty limiters gets about its quota, also while messages are lost,
-// delayed and reordered, and while limiters restart.
+// A customer that sends five times its quota to eighty limiters gets about its quota, even if messages are lost, delayed
+// and reordered, and limiters restart.
 func TestQuotaOverManyLimiters(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		loss        float64
 		restarts    bool
-		least, most float64 // of the quota
+		least, most float64 // fraction of the quota
 	}{
 		{"no loss", 0, false, 0.75, 1.15},
 		{"loss", 0.07, false, 0.7, 1.25},
@@ -230,7 +231,7 @@
 	}
 }
 
-// A customer well within its quota has nothing rejected, whichever limiters its requests arrive at.
+// A customer well within its quota has no request rejected, regardless of the limiters at which they arrive.
 func TestUsageWithinQuotaIsAdmittedAtManyLimiters(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	tr := newTier(80, func(int, int) bool { return random.Float64() < 0.05 })
@@ -245,12 +246,12 @@
 	for range 200 {
 		tr.step()
 	}
-	if tr.forwarded < requests-2 { // the first owner that is requested may have less than a unit
-		t.Errorf("%d of %d forwarded, want all but one or two at under half of the quota", tr.forwarded, requests)
+	if tr.forwarded < requests-2 { // the first owner that receives a transfer request may have less than one unit
+		t.Errorf("%d of %d forwarded, want all but two at most, at less than half of the quota", tr.forwarded, requests)
 	}
 }
 
-// The slots of a customer are counted over many limiters, and a freed slot is used again at any of them.
+// The slots of a customer are counted across many limiters, and a freed slot is used again at any of them.
 func TestSlotsOverManyLimiters(t *testing.T) {
 	tr := newTier(50, neverLost)
 	for range 200 {
@@ -259,12 +260,12 @@
 		tr.request(tr.controllers[0].random.IntN(50), "concurrent")
 	}
 	if tr.forwarded < 35 {
-		t.Errorf("%d of 200 forwarded one after the other, want most of what two slots allow", tr.forwarded)
+		t.Errorf("%d of 200 sequential requests forwarded, want at least 35 with two slots", tr.forwarded)
 	}
 }
 
-// A limiter of a large tier notifies each other one of its shutdown only once: in a rolling restart many shut down at
-// once, and each takes in few messages.
+// A limiter of a large tier notifies each other limiter of its shutdown only once: in a rolling restart many limiters
+// shut down at the same time, and each accepts few messages.
 func TestShutdownNoticesInLargeTier(t *testing.T) {
 	for _, test := range []struct{ limiters, most int }{{3, 2 * shutdownNotices}, {80, 79}} {
 		settings := testSettings()
@@ -273,7 +274,8 @@
 		f.takeActions()
 		f.handle(ShutdownStarted{})
 		if sent := len(actionsOf[SendToPeer](f.takeActions())); sent < test.limiters-1 || sent > test.most {
-			t.Errorf("%d limiters: %d notices, want %d at most", test.limiters, sent, test.most)
+			t.Errorf("%d limiters: %d notices sent, want one per other limiter at least and %d in total at most",
+				test.limiters, sent, test.most)
 		}
 	}
 }
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -1,13 +1,13 @@
 package admission
 
-// This file decides which queued request is forwarded next: weighted dispatch among the classes, by
-// credit, while the window has room.
+// This file selects the queued request to forward next: weighted dispatch among the classes by dispatch credit, while
+// the window is not full.
 
-// maxCredit bounds the credit of a class, in dispatches, on both sides of zero.
+// maxCredit bounds the absolute value of a class's credit, in dispatches.
 const maxCredit = 2.0
 
 // dispatch forwards the requests that may be forwarded now: first retries that wait for a backend, then queued
-// requests of the classes by their credit, while the window has room.
+// requests of the classes by their credit, until the window is full.
 func (ctl *Controller) dispatch() {
 	ctl.dispatchRetries()
 	for {
@@ -22,7 +22,7 @@
 		r := c.queue[0]
 		b := ctl.selectBackend(r)
 		if b == nil {
-			ctl.wakeBy(ctl.now + ctl.classes.pollInterval())
+			ctl.scheduleTick(ctl.now + ctl.classes.pollInterval())
 			return
 		}
 		c.queue = c.queue[1:]
@@ -32,8 +32,9 @@
 	}
 }
 
-// nextClass drops requests that can no longer be in time from the heads of the queues, and returns the class
-// with the most credit of those with queued requests, the heavier one if equal; nil if nothing is queued.
+// nextClass removes requests that can no longer be served in time from the heads of the queues. Of the classes with
+// queued requests, it returns the one with the most credit, or with the most weight if credits are equal; nil if no
+// request is queued.
 func (ctl *Controller) nextClass() *requestClass {
 	var next *requestClass
 	for _, c := range ctl.classes.byWeight {
@@ -45,8 +46,8 @@
 	return next
 }
 
-// dropLateHeads drops requests from the head of a queue that have ended or can no longer be in time. It leaves
-// no margin, as what remains can be forwarded right now.
+// dropLateHeads removes requests from the head of a queue that have ended or can no longer be served in time. It uses
+// no margin, as the remaining requests can be forwarded immediately.
 func (ctl *Controller) dropLateHeads(c *requestClass) {
 	for len(c.queue) > 0 {
 		r := c.queue[0]
@@ -61,8 +62,8 @@
 	}
 }
 
-// expireQueued ends queued requests that cannot be in time, also behind the heads of the queues: their
-// budgets differ. It does so two poll intervals early, as it runs by a timer that may be late.
+// expireQueued ends queued requests that cannot be served in time, also behind the heads of the queues, as budgets
+// differ. It does so two poll intervals early, as it is run by a timer that may fire late.
 func (ctl *Controller) expireQueued() {
 	margin := ctl.classes.pollInterval() * 2
 	for _, c := range ctl.classes.byWeight {
@@ -71,7 +72,7 @@
 				continue
 			}
 			if expiry := ctl.latestStart(r) - margin; ctl.now <= expiry {
-				ctl.wakeBy(expiry + ctl.settings.ClockResolution)
+				ctl.scheduleTick(expiry + ctl.settings.ClockResolution)
 				continue
 			}
 			ctl.rejections.QueueTimeout++
@@ -80,8 +81,8 @@
 	}
 }
 
-// chargeCredit charges a class the dispatch that it had, and divides one dispatch among it and the classes with
-// queued requests by their shares: in the long run, classes are dispatched in proportion to their shares.
+// chargeCredit charges a class for one dispatch and distributes the credit of one dispatch among this class and the
+// classes with queued requests, by their shares. In the long run, classes are dispatched in proportion to their shares.
 func (ctl *Controller) chargeCredit(dispatched *requestClass) {
 	waiting := func(c *requestClass) bool { return len(c.queue) > 0 || c == dispatched }
 	sum := 0.0
--- a/internal/admission/dispatch_test.go
+++ b/internal/admission/dispatch_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// A queued request is rejected within its own budget, also behind one that may wait for longer.
+// A queued request is rejected within its own budget, even behind a request with a longer budget.
 func TestQueuedRequestEndsWithinItsBudget(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a")...)
 	for i := range int(math.Ceil(f.ctl.windowSize())) + 1 {
 		f.request("read", "free", fmt.Sprint("c", i))
 	}
-	f.ctl.window.attemptRate.Add(f.now, 1000, 1) // the queue seems to move fast, so the next request is queued
+	f.ctl.window.attemptRate.Add(f.now, 1000, 1) // the estimated queue delay is short, so the next request is queued
 	id := f.requestWithBudget("read", "free", "hasty", 60*ms)
 	if len(actionsOf[Reject](f.takeActions())) > 0 {
 		t.Fatal("the request with a short budget was not queued")
@@ -23,10 +23,10 @@
 			return
 		}
 	}
-	t.Error("a queued request was not rejected within its budget")
+	t.Error("a queued request was not rejected within its budget of 60 ms")
 }
 
-// Classes that have something queued are dispatched in proportion to their shares.
+// Classes with queued requests are dispatched in proportion to their shares.
 func TestDispatchByShares(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	dispatched := map[string]int{}
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -10,24 +10,24 @@
 	"lemongate/internal/quota"
 )
 
-// This file keeps the endpoint list: which backends there are, and which of them this limiter uses:
-// all, or a subset chosen by rendezvous hashing if there are many limiters and backends (see subsetSize).
+// This file manages the endpoint list and the backends that this limiter uses: all of them or, with many limiters and
+// backends, a subset chosen by rendezvous hashing (see subsetSize).
 
 const (
-	// minSubset is the least number of backends in the subset of a limiter: enough to avoid one that fails.
+	// minSubset is the minimum number of backends in the subset of a limiter: enough to avoid one that fails.
 	minSubset = 8
-	// minLimitersPerBackend is the least mean number of limiters that use a backend. Where there are no more
-	// limiters than that, each uses all backends.
+	// minLimitersPerBackend is the minimum mean number of limiters that use a backend. With at most that many
+	// limiters, each uses all backends.
 	minLimitersPerBackend = 12.0
 )
 
-// endpointSet is all known backends.
+// endpointSet contains all known backends.
 type endpointSet struct {
-	listed                  []*backend // live; the subset of this limiter first
+	listed                  []*backend // live backends; with subsets, in the order of rendezvousRank
 	byID                    map[string]*backend
-	byGossipKey             map[uint32]*backend // listed; nil where two share a key
-	medianLatencyPerAttempt float64             // median latencyPerAttempt of the listed ones; no unit, 1 is typical
-	forgetAfter             time.Duration       // time after which removed backends are forgotten
+	byGossipKey             map[uint32]*backend // listed backends; nil where several share a key
+	medianLatencyPerAttempt float64             // of the listed backends; without unit, 1 is typical
+	forgetAfter             time.Duration       // time after which removed backends are deleted
 	pollDue                 bool                // the last poll failed or ended
 }
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// onEndpointList brings the endpoint list up to date. A draining or removed backend gets no more attempts.
+// onEndpointList updates the known backends. A draining or removed backend gets no more attempts.
 func (ctl *Controller) onEndpointList(ev *EndpointList) {
 	if ev.Kind == ListFailed {
 		ctl.endpoints.pollDue = ctl.settings.PollEndpoints
@@ -54,7 +54,7 @@
 	ctl.dispatch()
 }
 
-// pollIfDue polls the endpoint list again after a poll has failed or ended.
+// pollIfDue starts a new poll of the endpoint list after the last one has failed or ended.
 func (ctl *Controller) pollIfDue() {
 	if ctl.endpoints.pollDue {
 		ctl.endpoints.pollDue = false
@@ -62,10 +62,10 @@
 	}
 }
 
-// mergeEndpoints merges a list or a change of it, and returns the backends that are new or have restarted.
+// mergeEndpoints merges a complete list or a delta, and returns the backends that are new or have restarted.
 func (ctl *Controller) mergeEndpoints(ev *EndpointList) (started []*backend) {
 	if ev.Kind != ListDelta {
-		for _, b := range ctl.endpoints.byID { // unless the list names it
+		for _, b := range ctl.endpoints.byID { // reverted below for backends in the list
 			b.State, b.unavailable = Removed, true
 			b.markRemoved(ctl.now)
 		}
@@ -90,8 +90,8 @@
 	return started
 }
 
-// newBackend returns a backend that is new or has restarted. It takes over the attempts that are still in
-// flight at the backend before its restart, nil for none, but no measurements.
+// newBackend returns a backend that is new or has restarted. A restarted backend keeps the attempts in flight of
+// earlier, its state before the restart, but no measurements. earlier is nil for a new backend.
 func newBackend(id string, earlier *backend) *backend {
 	b := &backend{relativeLoad: 1, gossipKey: gossip.BackendKey(hashOf(id))}
 	if earlier != nil {
@@ -103,18 +103,18 @@
 	return b
 }
 
-// markRemoved notes when a backend was removed.
+// markRemoved records the time of a removal, unless it is already recorded.
 func (b *backend) markRemoved(now time.Duration) {
 	if b.removedAt == 0 {
 		b.removedAt = now
 	}
 }
 
-// relist derives the listed backends from all known ones, and forgets those that were removed long ago: a
-// removed backend may come back as it was, but most are replaced under new IDs.
+// relist rebuilds the list of live backends, and deletes backends that were removed long ago: a removed backend may
+// come back, but most are replaced under new IDs.
 func (ctl *Controller) relist() {
 	set := &ctl.endpoints
-	clear(set.listed) // otherwise the array would keep backends alive beyond the new end
+	clear(set.listed) // otherwise the unused part of the array would keep backends reachable
 	set.listed = set.listed[:0]
 	for id, b := range set.byID {
 		forgotten := len(b.inFlight) == 0 && b.removedAt > 0 && ctl.now-b.removedAt > set.forgetAfter
@@ -134,8 +134,8 @@
 	set.indexByGossipKey()
 }
 
-// indexByGossipKey derives byGossipKey. Of backends that share a key none is found by it: an
-// observation of one would be taken for the other.
+// indexByGossipKey rebuilds byGossipKey. Backends that share a key cannot be found by it, as an observation of one would
+// be attributed to the other.
 func (s *endpointSet) indexByGossipKey() {
 	clear(s.byGossipKey)
 	for _, b := range s.listed {
@@ -147,27 +147,28 @@
 	}
 }
 
-// rendezvousRank orders the backends for this limiter, whose subset are the first ones: when the list
-// changes the order of the others stays, and each backend is used by about as many limiters.
+// rendezvousRank returns the sort key of a backend for this limiter, whose subset is the first backends in that order.
+// When the list changes, the relative order of the other backends stays the same, and each backend is used by about as
+// many limiters.
 func (ctl *Controller) rendezvousRank(b *backend) uint64 {
 	return quota.Mix64(uint64(hashOf(b.ID))<<32 | uint64(uint32(ctl.settings.Self)))
 }
 
-// subsetSize is how many backends are in the subset of this limiter, if there are that many.
+// subsetSize returns the number of backends in the subset of this limiter; the list may be shorter.
 func (ctl *Controller) subsetSize() int {
 	perLimiter := minLimitersPerBackend * float64(len(ctl.endpoints.listed)) / float64(ctl.settings.Limiters)
 	return max(int(math.Ceil(perLimiter)), minSubset)
 }
 
-// limitersPerBackend is how many limiters use a backend on average.
+// limitersPerBackend returns the mean number of limiters that use a backend.
 func (ctl *Controller) limitersPerBackend() float64 {
 	fraction := float64(ctl.subsetSize()) / float64(max(len(ctl.endpoints.listed), 1))
 	return float64(ctl.settings.Limiters) * min(fraction, 1)
 }
 
-// usableSubset returns how many of the listed backends, from the first on, this limiter chooses from, and
-// their capacity in warm backends. They include subsetSize backends that are not ejected, and more if many
-// are warming up.
+// usableSubset returns the number of listed backends, counted from the first, that this limiter chooses from, and their
+// capacity in warm backends. The subset has subsetSize backends that are not ejected, and more if many of them are
+// warming up.
 func (ctl *Controller) usableSubset() (size int, capacity float64) {
 	usable, wanted := 0, ctl.subsetSize()
 	for size < len(ctl.endpoints.listed) && (usable < wanted || capacity < minWarmFraction*float64(wanted)) {
@@ -180,7 +181,7 @@
 	return size, capacity
 }
 
-// meanCapacity is the mean of the relative capacities of the listed backends.
+// meanCapacity returns the mean relative capacity of the listed backends.
 func (ctl *Controller) meanCapacity() float64 {
 	sum := 0.0
 	for _, b := range ctl.endpoints.listed {
--- a/internal/admission/endpoints_test.go
+++ b/internal/admission/endpoints_test.go
@@ -10,8 +10,8 @@
 	"lemongate/internal/gossip"
 )
 
-// A draining or removed backend gets no attempt from the moment of the watch event on. With no backend left, a request
-// is rejected.
+// A draining or removed backend gets no attempt after the endpoint list reports its state. If no backend is left, a
+// request is rejected.
 func TestUnavailableBackendsGetNothing(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	draining := Backend{ID: "a", Zone: "north", State: Draining}
@@ -19,7 +19,7 @@
 	f.handle(&EndpointList{Kind: ListComplete, Backends: []Backend{{ID: "b", Zone: "south"}, draining}})
 	attempts := f.serve(100, func(StartAttempt) (Result, time.Duration) { return Succeeded, 20 * ms })
 	if attempts["a"] != 0 || attempts["b"] != 100 {
-		t.Errorf("attempts %v, want all at b", attempts)
+		t.Errorf("attempts by backend %v, want all 100 at b", attempts)
 	}
 	f.handle(&EndpointList{Kind: ListComplete})
 	f.takeActions()
@@ -27,12 +27,12 @@
 	f.advance(500 * ms)
 	rejects := actionsOf[Reject](f.actions)
 	if len(actionsOf[StartAttempt](f.actions)) > 0 || len(rejects) != 1 || rejects[0].Request != id {
-		t.Errorf("with no backend: %v, want a rejection", f.actions)
+		t.Errorf("without a backend: %v, want a rejection", f.actions)
 	}
 }
 
-// Removed backends are forgotten, also those that a complete list leaves out: most are replaced under new IDs. A
-// draining one is kept, as it may come back.
+// Removed backends are deleted, including those that a complete list omits: most are replaced under new IDs. A draining
+// backend is kept, as it may come back.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
 	f := newFixture(t, testSettings())
 	for i := range 50 {
@@ -45,11 +45,12 @@
 		f.now += f.ctl.endpoints.forgetAfter
 	}
 	if len(f.ctl.endpoints.byID) > 8 || len(f.ctl.endpoints.listed) != 1 {
-		t.Errorf("%d known, %d listed", len(f.ctl.endpoints.byID), len(f.ctl.endpoints.listed))
+		t.Errorf("%d backends known, %d listed, want at most 8 and exactly 1",
+			len(f.ctl.endpoints.byID), len(f.ctl.endpoints.listed))
 	}
 }
 
-// An observation whose key two backends share is ignored: it would eject the one for the failures of the other.
+// An observation whose key is shared by two backends is ignored: it could eject one backend for failures of the other.
 func TestObservationWithSharedKeyIsIgnored(t *testing.T) {
 	ids, byKey := []string{"a"}, map[uint32]string{}
 	for i := 0; len(ids) < 3; i++ {
@@ -69,14 +70,14 @@
 	f.observe(1, unreachable("a"), unreachable(ids[1]))
 	for i, id := range ids {
 		if got := f.ctl.endpoints.byID[id].ejected(); got != (i == 0) {
-			t.Errorf("%s ejected: %v", id, got)
+			t.Errorf("backend %s: ejected is %v, want only the backend with an unshared key ejected", id, got)
 		}
 	}
 }
 
-// In a large tier each limiter uses a subset of the backends, so that its connections are reused, and each backend is
-// in the subset of about as many limiters. Few limiters use all of a small list. A limiter whose subset is ejected goes
-// beyond it.
+// In a large tier each limiter uses a subset of the backends, so that its connections are reused, and each backend is in
+// the subset of about as many limiters. With few limiters, each uses all backends of a small list. A limiter whose
+// subset is ejected uses backends beyond it.
 func TestBackendSubset(t *testing.T) {
 	for _, test := range []struct{ limiters, backends, least, most int }{
 		{3, 10, 10, 10}, {80, 60, 9, 9}, {300, 200, 8, 8}, {300, 20, 8, 8},
@@ -98,24 +99,24 @@
 				used[f.ctl.selectBackend(r).ID] = true
 			}
 			if len(used) < test.least || len(used) > test.most {
-				t.Fatalf("%s: a limiter uses %d, want %d to %d", name, len(used), test.least, test.most)
+				t.Fatalf("%s: a limiter uses %d backends, want %d to %d", name, len(used), test.least, test.most)
 			}
 			for id := range used {
 				limitersOf[id]++
 				f.ctl.eject(f.ctl.endpoints.byID[id])
 			}
 			if self == 0 && test.backends > test.most && used[f.ctl.selectBackend(r).ID] {
-				t.Errorf("%s: an ejected backend was selected", name)
+				t.Errorf("%s: an ejected backend was selected, want one beyond the ejected subset", name)
 			}
 		}
 		mean := float64(test.limiters*test.most) / float64(test.backends)
 		for id, limiters := range limitersOf {
 			if float64(limiters) > 2.2*mean {
-				t.Errorf("%s: %d limiters use %s, the mean is %.0f", name, limiters, id, mean)
+				t.Errorf("%s: %d limiters use %s, want at most 2.2 times the mean of %.0f", name, limiters, id, mean)
 			}
 		}
 		if len(limitersOf) < test.backends*9/10 {
-			t.Errorf("%s: only %d backends are used", name, len(limitersOf))
+			t.Errorf("%s: only %d backends are used, want at least nine tenths of them", name, len(limitersOf))
 		}
 	}
 }
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// RequestID names a request. The caller chooses it and never reuses it within the life of a
+// RequestID identifies a request. The caller chooses it and never reuses it during the lifetime of a
 // Controller.
 type RequestID uint64
 
-// Event is something that happened outside: one of *EndpointList, *Request, *AttemptFinished,
-// TimerFired, TimePassed, *RequestEnded, *PeerMessage, *ProbeResult, *ResponseStarted, ShutdownStarted,
-// RecoveryLease, *AttemptAdopted and EpochRenewed.
+// Event is an input from outside: one of *EndpointList, *Request, *AttemptFinished, TimerFired, TimePassed,
+// *RequestEnded, *PeerMessage, *ProbeResult, *ResponseStarted, ShutdownStarted, RecoveryLease, *AttemptAdopted and
+// EpochRenewed.
 type Event interface{ event() }
 
-// BackendState is the state of a backend by the endpoint list.
+// BackendState is the state of a backend in the endpoint list.
 type BackendState uint8
 
 const (
@@ -29,21 +29,21 @@
 	Zone             string
 	Cell             int
 	State            BackendState
-	RelativeCapacity float64       // where Settings.CapacitiesKnown
-	StartedAt        time.Duration // clock time of its last start; 0 for long ago
+	RelativeCapacity float64       // set if Settings.CapacitiesKnown
+	StartedAt        time.Duration // clock time of the last start; 0 for a start long ago
 }
 
-// ListKind says how to read an EndpointList.
+// ListKind is the kind of an EndpointList.
 type ListKind uint8
 
 const (
-	// ListComplete names every backend there is.
+	// ListComplete contains every backend.
 	ListComplete ListKind = iota
-	// ListDelta names only what changed.
+	// ListDelta contains only the backends that changed.
 	ListDelta
-	// ListCached names every backend as last known, which may be outdated.
+	// ListCached contains every backend as last known, which may be outdated.
 	ListCached
-	// ListFailed names nothing: a poll failed or ended.
+	// ListFailed contains no backend: a poll failed or ended.
 	ListFailed
 )
 
@@ -59,34 +59,34 @@
 	Class        string
 	Plan         string
 	Customer     string
-	Units        float64       // taken from the customer's quota
+	Units        float64       // deducted from the customer's quota
 	Budget       time.Duration // how long the client waits from now on
-	FirstLimiter int           // the customer's limiter set: SetSize limiters in a row from FirstLimiter
+	FirstLimiter int           // the limiter set: SetSize consecutive limiters starting at FirstLimiter
 	SetSize      int
-	IsRetry      bool // the client marks it as a retry of its own
+	IsRetry      bool // the client marked it as its own retry
 }
 
-// Result says how an attempt or a probe ended.
+// Result is the outcome of an attempt or a probe.
 type Result uint8
 
 const (
-	// Succeeded attempts were served.
+	// Succeeded means that the backend served the attempt.
 	Succeeded Result = iota
-	// Errored attempts were failed by the backend; they may have run.
+	// Errored means that the backend failed the attempt; it may have run.
 	Errored
-	// Rejected attempts were refused by a full or draining backend; they never ran.
+	// Rejected means that a full or draining backend refused the attempt; it never ran.
 	Rejected
-	// TimedOut attempts may have run.
+	// TimedOut means that no response arrived in time; the attempt may have run.
 	TimedOut
 	// Unreachable means that the backend refuses connections; the attempt never ran.
 	Unreachable
-	// ConnectionLost attempts may have run.
+	// ConnectionLost means that the connection was lost; the attempt may have run.
 	ConnectionLost
-	// Canceled attempts may have run.
+	// Canceled means that the attempt was canceled; it may have run.
 	Canceled
-	// NotSent attempts never ran.
+	// NotSent means that the attempt was not sent; it never ran.
 	NotSent
-	// ConnectFailed means that no connection came up in time, or that it broke before the request
+	// ConnectFailed means that no connection was established in time, or that it broke before the request
 	// was written; the attempt never ran.
 	ConnectFailed
 )
@@ -96,25 +96,25 @@
 	return r == Rejected || r == Unreachable || r == NotSent || r == ConnectFailed
 }
 
-// AttemptFinished ends an attempt.
+// AttemptFinished reports the end of an attempt.
 type AttemptFinished struct {
 	Request RequestID
 	Attempt int // number of the attempt, from 0
 	Backend string
 	Result  Result
 	Latency time.Duration
-	Final   bool      // the request is over
-	Report  []float64 // load report by Settings.LoadReportFields, if any
+	Final   bool      // the request has ended
+	Report  []float64 // values of the load report in the order of Settings.LoadReportFields; nil for none
 }
 
-// TimerFired reports that the clock time of the last SetTimer has come.
+// TimerFired reports that the clock time of the last SetTimer has been reached.
 type TimerFired struct{}
 
-// TimePassed reports that the clock has come to a later time, and nothing else.
+// TimePassed reports only that the clock has advanced.
 type TimePassed struct{}
 
-// RequestEnded reports that a request is over here: its client disconnected, its deadline passed, or it
-// was withdrawn for another process of this limiter, see Snapshot.
+// RequestEnded reports that a request has ended here: its client disconnected, its deadline passed, or it was withdrawn
+// so that another process of this limiter handles it, see Snapshot.
 type RequestEnded struct{ Request RequestID }
 
 // PeerMessage is a message received from another limiter.
@@ -123,7 +123,7 @@
 	Data []byte
 }
 
-// ProbeResult ends the probe of a ProbeBackend.
+// ProbeResult reports the end of the probe of a ProbeBackend.
 type ProbeResult struct {
 	Backend string
 	Result  Result
@@ -131,34 +131,35 @@
 	Report  []float64
 }
 
-// ResponseStarted reports that the client is being sent the response of an attempt, which can no longer be
-// canceled.
+// ResponseStarted reports that the response of an attempt is being sent to the client, so that the attempt can no
+// longer be canceled.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 }
 
-// ShutdownStarted reports that this limiter shuts down: it admits no more requests of rate-limited plans, and
-// the other limiters use its allocations of the customers' quotas until it starts again.
+// ShutdownStarted reports that this limiter is shutting down: it admits no more requests of rate-limited plans, and the
+// other limiters use its allocations of the customers' quotas until it starts again.
 type ShutdownStarted struct{}
 
 // RecoveryLease reports that the holder of a lease makes the recovery attempts at ejected backends for all
-// limiters. Until is the clock time up to which this limiter holds it, 0 if it does not hold it. Before the
-// first RecoveryLease each limiter makes its own attempts.
+// limiters. Until is the clock time until which this limiter holds the lease, 0 if it does not hold it. Before the
+// first RecoveryLease each limiter makes its own recovery attempts.
 type RecoveryLease struct{ Until time.Duration }
 
-// AttemptAdopted reports an attempt that another process of this limiter has in flight: it counts at its backend and
-// among its customer's slots until its AttemptFinished. After one without success the slot is held, as that process may
-// retry the request: until the next AttemptAdopted of the request, its RequestEnded, or the time by which every
-// attempt of it must have ended. Without a Backend, the request has no attempt in flight and may be retried.
+// AttemptAdopted reports an attempt that another process of this limiter has in flight. The attempt counts at its
+// backend and its request among the slots of its customer until its AttemptFinished. After a result other than
+// success the slot is held, as the other process may retry the request: until the next AttemptAdopted of the request,
+// its RequestEnded, or the time by which every attempt of it must have ended. Without a Backend, the request has no
+// attempt in flight and may be retried.
 type AttemptAdopted struct {
 	Request
 	Attempt int
 	Backend string
 }
 
-// EpochRenewed reports that another process has run this limiter in the meantime, and that what it granted
-// is not known: the ledger starts anew, in a new epoch.
+// EpochRenewed reports that another process has run this limiter in the meantime, and that its grants are not known.
+// The Controller creates a new ledger in a new epoch.
 type EpochRenewed struct{ Epoch uint32 }
 
 func (*EndpointList) event()    {}
--- a/internal/admission/example_test.go
+++ b/internal/admission/example_test.go
@@ -7,16 +7,16 @@
 	"lemongate/internal/admission"
 )
 
-// limiter is a caller of a Controller. A real one sends attempts to backends, answers clients and arms a timer; this
-// one prints what it would do, and its backends succeed at once.
+// limiter is a caller of a Controller. A real caller sends attempts to backends, answers clients and sets a timer; this
+// one prints the actions, and its backends succeed at once.
 type limiter struct {
 	controller *admission.Controller
 	now        time.Duration               // clock time
-	events     []admission.Event           // that wait to be handled
-	attempts   map[admission.RequestID]int // started so far, by request
+	events     []admission.Event           // not yet handled
+	attempts   map[admission.RequestID]int // number of attempts started, by request
 }
 
-// run handles events until none is left. All of them go through one loop, in the order of the clock: a Controller is
+// run handles events until none is left. All events pass through one loop in the order of the clock, as a Controller is
 // not safe for concurrent use.
 func (l *limiter) run(events ...admission.Event) {
 	l.events = append(l.events, events...)
@@ -29,7 +29,7 @@
 	}
 }
 
-// perform carries an action out. What comes of it is the caller's next event.
+// perform performs an action. The result of an attempt is queued as an event.
 func (l *limiter) perform(action admission.Action) {
 	switch action := action.(type) {
 	case admission.StartAttempt:
@@ -44,11 +44,11 @@
 	case admission.Fail:
 		fmt.Println("fail request", action.Request)
 	case admission.SetTimer:
-		// A real caller hands over a TimerFired at action.At.
+		// A real caller passes a TimerFired at action.At.
 	}
 }
 
-// A customer whose quota is one unit per second sends two requests at once: the first is forwarded, the second is
+// A customer with a quota of one unit per second sends two requests at once: the first is forwarded, the second is
 // rejected with the time after which the quota allows it.
 func Example() {
 	l := &limiter{attempts: map[admission.RequestID]int{}}
--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -8,56 +8,56 @@
 	"lemongate/internal/gossip"
 )
 
-// This file decides what limiters send each other: observations of backends, the pressure on them, and the
-// transfer requests and grants of the ledger. When it is sent is decided in pacing.go.
+// This file handles the messages between limiters: observations of backends, upstream pressure, and the transfer
+// requests and grants of the ledger. pacing.go decides when a message is sent.
 
 const (
-	// observationRepeats is how many messages carry an observation.
+	// observationRepeats is the number of messages that carry an observation.
 	observationRepeats = 3
 	// announceWithinFraction is the time within which an announced observation is sent, as a fraction of the
 	// shortest objective.
 	announceWithinFraction = 0.3
-	// observationObjectives is the time in longest objectives after which the weight of an observation has
-	// fallen to 1/e.
+	// observationObjectives is the time in longest objectives in which the weight of an observation decays to
+	// 1/e.
 	observationObjectives = 1.5
-	// ageStepsPerObjective is the unit of an observation's age: steps in the shortest objective.
+	// ageStepsPerObjective is the number of steps per shortest objective in the encoded age of an observation.
 	ageStepsPerObjective = 32
-	// loadStepsPerOctave is the unit of an observation's load: steps per factor of two, around loadStepOne,
-	// which encodes the mean load. minEncodedLoad keeps the logarithm finite.
+	// loadStepsPerOctave is the number of steps per factor of two in the encoded load of an observation;
+	// loadStepOne encodes the mean load. minEncodedLoad keeps the logarithm finite.
 	loadStepsPerOctave = 16
 	loadStepOne        = 128
 	minEncodedLoad     = 1e-3
-	// pressureSteps is the unit of a message's pressure: it encodes a pressure of one.
+	// pressureSteps is the number of steps per pressure of one in the encoded pressure of a message.
 	pressureSteps = 64
 	// peerPressureWeight is the weight of another limiter's pressure in the running mean.
 	peerPressureWeight = 0.2
 	// peerEjectFailureRate is the failure rate in an observation above which the backend is ejected at once:
-	// another limiter got no connection.
+	// another limiter could not connect to it.
 	peerEjectFailureRate = 0.95
-	// urgentFailureChange is the change of a failure rate that others must know at once; for
-	// urgentObjectives longest objectives messages with observations only then skip observationPauses.
+	// urgentFailureChange is the change of a failure rate above which an observation is urgent. For the next
+	// urgentObjectives longest objectives, messages with observations only do not wait for observationPauses.
 	urgentFailureChange = 0.25
 	urgentObjectives    = 0.3
 )
 
-// peer is another limiter.
+// peer is the state of another limiter.
 type peer struct {
 	number          int
-	known           bool   // a message came from it
-	epoch           uint32 // of its start
+	known           bool   // a valid message was received from it
+	epoch           uint32 // of its latest start
 	lastReceivedSeq uint32
 	lastSentSeq     uint32
 	queued          bool          // is in gossipState.queued
-	dueAt           time.Duration // clock time at which it is to be sent a message
-	pacedUntil      time.Duration // clock time before which it may not be sent a message
+	dueAt           time.Duration // clock time at which the queued message is due
+	pacedUntil      time.Duration // clock time before which no message may be sent to it
 }
 
-// gossips reports whether there are other limiters that messages can be sent to.
-func (ctl *Controller) gossips() bool {
+// canGossip reports whether messages can be sent to other limiters.
+func (ctl *Controller) canGossip() bool {
 	return ctl.settings.GossipEnabled && ctl.settings.PeerMessagesPerSecond > 0 && ctl.settings.Limiters > 1
 }
 
-// peer finds another limiter by its number, or adds it.
+// peer returns the state of another limiter by its number, and creates it if necessary.
 func (ctl *Controller) peer(number int) *peer {
 	p := ctl.gossip.peers[number]
 	if p == nil {
@@ -67,7 +67,7 @@
 	return p
 }
 
-// handlePeerMessage acts on a message of another limiter.
+// handlePeerMessage applies a message of another limiter.
 func (ctl *Controller) handlePeerMessage(ev *PeerMessage) {
 	m, p, ok := ctl.receiveMessage(ev)
 	if !ok {
@@ -82,14 +82,14 @@
 			ctl.customers.ledger.HandleGrant(p.number, grant, ctl.now)
 		}
 	}
-	ctl.settleWaiting()
+	ctl.decideWaiting()
 	ctl.customers.ledger.ReturnUnusedSlots(ctl.now)
 	for _, o := range m.Observations {
 		ctl.mergeObservation(o)
 	}
 }
 
-// receiveMessage reads a message and records its sender's epoch. It is not ok if it is malformed, or not
+// receiveMessage decodes a message and records the epoch of its sender. ok is false if the message is malformed, or not
 // newer than the last one of that limiter.
 func (ctl *Controller) receiveMessage(ev *PeerMessage) (m gossip.Message, p *peer, ok bool) {
 	m, ok = gossip.Parse(ev.Data)
@@ -106,14 +106,14 @@
 		return m, p, false
 	}
 	if !sameEpoch {
-		ctl.queueMessage(p, 0) // which shows the peer that this limiter knows of its start
+		ctl.queueMessage(p, 0) // the message carries the peer's epoch, so the peer learns that it is known here
 	}
 	p.known, p.epoch, p.lastReceivedSeq = true, m.Epoch, m.Seq
 	return m, p, true
 }
 
-// mergeObservation records another limiter's observation of a backend, if it is newer than any known, and
-// passes it on. A wrong observation is corrected by the next one, which is newer still.
+// mergeObservation records another limiter's observation of a backend if it is newer than any known one, and forwards
+// it. A wrong observation is corrected by the next, newer one.
 func (ctl *Controller) mergeObservation(o gossip.Observation) {
 	b := ctl.endpoints.byGossipKey[o.Backend]
 	age := float64(o.Age) / ageStepsPerObjective * ctl.classes.shortestObjective.Seconds()
@@ -131,14 +131,14 @@
 	b.recoverIfHealthy()
 }
 
-// gossipFreshness is the weight, 0 to 1, that the newest observation of a backend has kept since it was made.
+// gossipFreshness returns the weight, 0 to 1, of the newest observation of a backend, which decays with its age.
 func (ctl *Controller) gossipFreshness(b *backend) float64 {
 	age := (ctl.now - b.observedAt).Seconds()
 	return math.Exp(-age / (observationObjectives * ctl.control.memorySeconds))
 }
 
-// announce has an observation of a backend, made at a clock time, sent to other limiters in the next
-// observationRepeats messages.
+// announce schedules an observation of a backend, made at a clock time, for the next observationRepeats messages to
+// other limiters.
 func (ctl *Controller) announce(b *backend, at time.Duration) {
 	b.observedAt = at
 	if math.Abs(b.failureRate-b.announcedFailureRate) > urgentFailureChange {
@@ -152,11 +152,11 @@
 	b.gossipRepeats = observationRepeats
 }
 
-// takeObservations returns the latest observations for a message, up to a number, and counts them as sent once
+// takeObservations returns the latest pending observations for a message, up to a limit, and counts them as sent once
 // more.
-func (ctl *Controller) takeObservations(most int) []gossip.Observation {
+func (ctl *Controller) takeObservations(limit int) []gossip.Observation {
 	var taken []gossip.Observation
-	for i := len(ctl.gossip.pending) - 1; i >= 0 && len(taken) < most; i-- {
+	for i := len(ctl.gossip.pending) - 1; i >= 0 && len(taken) < limit; i-- {
 		b := ctl.gossip.pending[i]
 		age := (ctl.now - b.observedAt).Seconds() / ctl.classes.shortestObjective.Seconds() * ageStepsPerObjective
 		current := age <= math.MaxUint8 && !b.unavailable
@@ -175,14 +175,14 @@
 	return taken
 }
 
-// encodeLoad is a relative load as an observation carries it.
+// encodeLoad encodes a relative load for an observation.
 func encodeLoad(load float64) uint8 {
 	steps := loadStepOne + loadStepsPerOctave*math.Log2(max(load, minEncodedLoad))
 	return uint8(min(max(steps, 0), math.MaxUint8))
 }
 
-// sendPeerMessage sends another limiter as much of what is queued for it as fits, and reports whether there
-// is more.
+// sendPeerMessage sends another limiter as much of what is queued for it as fits into a message, and reports whether
+// anything remains.
 func (ctl *Controller) sendPeerMessage(p *peer) (more bool) {
 	p.lastSentSeq++
 	m := gossip.Message{
@@ -195,11 +195,11 @@
 	return more
 }
 
-// servingAge is the time since the first request in units of gossip.ServingAgeStep, or gossip.LeavingAge in a
+// servingAge returns the time since the first request in units of gossip.ServingAgeStep, or gossip.LeavingAge during
 // shutdown.
 func (ctl *Controller) servingAge() uint8 {
 	switch {
-	case ctl.customers.leaving:
+	case ctl.customers.shuttingDown:
 		return gossip.LeavingAge
 	case ctl.customers.firstRequestAt == 0:
 		return 0
--- a/internal/admission/gossip_test.go
+++ b/internal/admission/gossip_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/gossip"
 )
 
-// Malformed messages, and those from limiters that do not exist, are ignored.
+// Malformed messages and messages from nonexistent limiters are ignored.
 func TestInvalidPeerMessages(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	for _, data := range [][]byte{nil, {3}, {2, 0, 0, 0, 0, 0, 0, 0, 0, 0}, {3, 17: 9}, make([]byte, 400)} {
@@ -22,11 +22,11 @@
 	f.handle(&PeerMessage{From: -1, Data: gossip.Message{}.Append(nil)})
 	for _, p := range f.ctl.gossip.peers {
 		if p.known {
-			t.Errorf("limiter %d is known by an invalid message", p.number)
+			t.Errorf("limiter %d is known after an invalid message", p.number)
 		}
 	}
 	f.handle(&PeerMessage{From: 1, Data: valid})
 	if p := f.ctl.gossip.peers[1]; p == nil || !p.known {
-		t.Error("limiter 1 is not known by a valid message")
+		t.Error("limiter 1 is not known after a valid message")
 	}
 }
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -12,11 +12,11 @@
 
 const ms = time.Millisecond
 
-// timerStep is how far the clock goes from one TimerFired to the next where time passes in a test.
+// timerStep is the time by which the clock advances from one TimerFired to the next in tests.
 const timerStep = 4 * ms
 
-// testSettings returns a small deployment: two limiters, a class of each Idempotency, and a plan of each kind of
-// limit.
+// testSettings returns the settings of a small deployment: two limiters, a class of each Idempotency, and a plan with
+// each kind of limit.
 func testSettings() Settings {
 	return Settings{
 		Self: 0, Limiters: 2, Zone: "north", ClockResolution: ms,
@@ -40,7 +40,7 @@
 	}
 }
 
-// backendList returns live backends by their IDs, in two zones by turns and each in a cell of its own.
+// backendList returns live backends with the given IDs, alternating between two zones and each in its own cell.
 func backendList(ids ...string) []Backend {
 	var list []Backend
 	for i, id := range ids {
@@ -49,7 +49,7 @@
 	return list
 }
 
-// fixture is the caller of one Controller: it hands events over and collects the actions that come back.
+// fixture is the caller of a single Controller: it passes events to the Controller and collects the returned actions.
 type fixture struct {
 	t       *testing.T
 	ctl     *Controller
@@ -57,8 +57,8 @@
 	actions []Action      // since the last takeActions
 	nextID  RequestID
 
-	scheduled    []scheduledResult // results of attempts that serve has still to deliver
-	attemptsMade map[RequestID]int // by serve
+	scheduled    []scheduledResult // results of attempts that serve still has to deliver
+	attemptsMade map[RequestID]int // number of attempts, by request, recorded by scheduleResult
 }
 
 // scheduledResult is the result of an attempt, and the clock time at which it is delivered.
@@ -67,14 +67,14 @@
 	result *AttemptFinished
 }
 
-// newFixture starts a Controller that has been handed a list of backends.
+// newFixture returns a fixture with a new Controller that has received the list of backends.
 func newFixture(t *testing.T, settings Settings, backends ...Backend) *fixture {
 	f := &fixture{t: t, ctl: New(settings, 7), nextID: 1, attemptsMade: map[RequestID]int{}}
 	f.handle(&EndpointList{Kind: ListCached, Backends: backends})
 	return f
 }
 
-// handle hands an event over.
+// handle passes an event to the Controller and collects its actions.
 func (f *fixture) handle(ev Event) { f.actions = f.ctl.Handle(f.now, ev, f.actions) }
 
 // takeActions returns the actions since the last call.
@@ -84,7 +84,7 @@
 	return actions
 }
 
-// advance lets time pass, with a TimerFired at each timerStep.
+// advance advances the clock by d, with a TimerFired at each timerStep.
 func (f *fixture) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += timerStep
@@ -92,12 +92,12 @@
 	}
 }
 
-// request hands over a request of one unit, with a budget of 2 s.
+// request passes a request of one unit, with a budget of 2 s.
 func (f *fixture) request(class, plan, customer string) RequestID {
 	return f.requestWithBudget(class, plan, customer, 2*time.Second)
 }
 
-// requestWithBudget hands over a request of one unit.
+// requestWithBudget passes a request of one unit with the given budget.
 func (f *fixture) requestWithBudget(class, plan, customer string, budget time.Duration) RequestID {
 	id := f.nextID
 	f.nextID++
@@ -105,19 +105,19 @@
 	return id
 }
 
-// finish hands over the result of an attempt. Only a success ends the request.
+// finish passes the result of an attempt. Only a success ends the request.
 func (f *fixture) finish(id RequestID, attempt int, backend string, result Result, latency time.Duration) {
 	f.handle(&AttemptFinished{
 		Request: id, Attempt: attempt, Backend: backend, Result: result, Latency: latency, Final: result == Succeeded,
 	})
 }
 
-// observe hands over the first message of another limiter, with observations of backends.
+// observe passes the first message of another limiter, with observations of backends.
 func (f *fixture) observe(from int, observations ...gossip.Observation) {
 	f.handle(&PeerMessage{From: from, Data: gossip.Message{Epoch: 5, Seq: 1, Observations: observations}.Append(nil)})
 }
 
-// attemptOf returns the first attempt of a request among the actions, which there must be.
+// attemptOf returns the first attempt of a request among the collected actions. It fails the test if there is none.
 func (f *fixture) attemptOf(id RequestID) StartAttempt {
 	f.t.Helper()
 	for _, attempt := range actionsOf[StartAttempt](f.actions) {
@@ -129,9 +129,9 @@
 	return StartAttempt{}
 }
 
-// serve hands over a number of idempotent requests, one each 10 ms, and plays the backends: respond says how each
-// attempt ends and after what time. It returns the number of attempts by backend. Results that are still to come are
-// delivered by the next call.
+// serve passes a number of idempotent requests, one every 10 ms, and simulates the backends: respond returns the result
+// and the latency of each attempt. serve returns the number of attempts by backend. Pending results are delivered by the
+// next call.
 func (f *fixture) serve(requests int, respond func(StartAttempt) (Result, time.Duration)) map[string]int {
 	attempts := map[string]int{}
 	for range requests {
@@ -153,7 +153,7 @@
 	return attempts
 }
 
-// deliverResults hands over the scheduled results whose time has come.
+// deliverResults passes the scheduled results that are due.
 func (f *fixture) deliverResults() {
 	for i := 0; i < len(f.scheduled); {
 		if f.scheduled[i].at > f.now {
@@ -165,7 +165,7 @@
 	}
 }
 
-// scheduleResult has the result of an attempt delivered after its latency.
+// scheduleResult schedules the result of an attempt after its latency.
 func (f *fixture) scheduleResult(attempt StartAttempt, result Result, latency time.Duration) {
 	f.scheduled = append(f.scheduled, scheduledResult{f.now + latency, &AttemptFinished{
 		Request: attempt.Request, Attempt: f.attemptsMade[attempt.Request], Backend: attempt.Backend,
@@ -174,7 +174,7 @@
 	f.attemptsMade[attempt.Request]++
 }
 
-// cancelScheduled has a canceled attempt end with the next delivery.
+// cancelScheduled replaces the scheduled result of a canceled attempt by Canceled, which is due immediately.
 func (f *fixture) cancelScheduled(cancel CancelAttempt) {
 	for i := range f.scheduled {
 		result := f.scheduled[i].result
@@ -185,8 +185,7 @@
 	}
 }
 
-// serveSequentially hands over idempotent requests one after the other. Those that are forwarded succeed after a
-// latency.
+// serveSequentially passes idempotent requests one after the other. Forwarded requests succeed after the latency.
 func (f *fixture) serveSequentially(requests int, latency time.Duration) {
 	for range requests {
 		f.request("read", "free", "x")
@@ -197,13 +196,13 @@
 	}
 }
 
-// idempotentRequest returns a request of the class read for tests that select a backend for it.
+// idempotentRequest returns a request of the class read for tests that select a backend.
 func (f *fixture) idempotentRequest() *request {
 	customer := f.ctl.lookupCustomer(&Request{Customer: "x", Plan: "free"})
 	return &request{Request: &Request{}, class: f.ctl.classes.all[0], customer: customer}
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type T.
 func actionsOf[T Action](actions []Action) []T {
 	var list []T
 	for _, action := range actions {
@@ -214,7 +213,7 @@
 	return list
 }
 
-// assertNear checks that a value is within a thousandth of what is wanted.
+// assertNear checks that a value differs from the expected one by at most a thousandth.
 func assertNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-3*math.Max(1, math.Abs(want)) {
@@ -222,17 +221,17 @@
 	}
 }
 
-// tier is several limiters that send each other messages over a network with delay and loss. Backends are not
-// modeled: each attempt succeeds at once.
+// tier is a set of limiters that exchange messages over a network with delay and loss. Backends are not modeled: each
+// attempt succeeds at once.
 type tier struct {
 	controllers []*Controller
 	settings    Settings
 	now         time.Duration
 	nextID      RequestID
-	forwarded   int // attempts so far
+	forwarded   int // number of attempts so far
 	inTransit   []peerDatagram
-	delay       time.Duration           // of a message that is sent now
-	lost        func(from, to int) bool // whether a message that is sent now is lost
+	delay       time.Duration           // of messages that are sent now
+	lost        func(from, to int) bool // reports whether a message that is sent now is lost
 }
 
 // peerDatagram is a message between two limiters and the clock time at which it arrives.
@@ -242,7 +241,7 @@
 	data     []byte
 }
 
-// newTier starts a tier of limiters with testSettings and four backends.
+// newTier returns a tier of limiters with testSettings and four backends.
 func newTier(limiters int, lost func(from, to int) bool) *tier {
 	tr := &tier{settings: testSettings(), lost: lost, delay: 10 * ms}
 	tr.settings.Limiters = limiters
@@ -253,7 +252,7 @@
 	return tr
 }
 
-// neverLost is the loss of a network that loses no message.
+// neverLost is the loss function of a network without message loss.
 func neverLost(_, _ int) bool { return false }
 
 // busyTier returns a tier that has served a customer on three plans for 16 s.
@@ -268,7 +267,7 @@
 	return tr
 }
 
-// restart puts a limiter that knows nothing in the place of one.
+// restart replaces a limiter by a new one without state.
 func (tr *tier) restart(number int) {
 	tr.settings.Self = number
 	tr.nextID++
@@ -276,7 +275,7 @@
 	tr.handle(number, &EndpointList{Backends: backendList("a", "b", "c", "d")})
 }
 
-// handle hands an event to a limiter and carries its actions out.
+// handle passes an event to a limiter and performs its actions.
 func (tr *tier) handle(number int, ev Event) {
 	ctl := tr.controllers[number]
 	for actions := ctl.Handle(tr.now, ev, nil); len(actions) > 0; actions = actions[1:] {
@@ -293,7 +292,7 @@
 	}
 }
 
-// step lets a timerStep pass: messages arrive, and the timers that are due fire.
+// step advances the clock by timerStep, delivers the messages that are due, and fires the timers that are due.
 func (tr *tier) step() {
 	tr.now += timerStep
 	sent := tr.inTransit
@@ -312,10 +311,10 @@
 	}
 }
 
-// request hands a limiter a request of the customer x.
+// request passes a request of the customer x to a limiter.
 func (tr *tier) request(number int, plan string) { tr.requestOf(number, plan, "x") }
 
-// requestOf hands a limiter a request of one unit of a customer that all limiters serve.
+// requestOf passes a limiter a request of one unit, of a customer whose limiter set contains all limiters.
 func (tr *tier) requestOf(number int, plan, customer string) {
 	tr.nextID++
 	tr.handle(number, &Request{
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -6,13 +6,13 @@
 )
 
 // A backend that fails fast, never responds, is far slower than the others or refuses connections gets few requests,
-// but some. Where all backends slow down alike none is ejected.
+// but some. If all backends become equally slow, none is ejected.
 func TestOutliersGetFewRequests(t *testing.T) {
 	usual := 30 * ms
 	for _, test := range []struct {
-		name        string
-		outlier     func() (Result, time.Duration)
-		most, least int // attempts of 600 requests
+		name                     string
+		outlier                  func() (Result, time.Duration)
+		maxAttempts, minAttempts int // attempts of 600 requests
 	}{
 		{"fails fast", func() (Result, time.Duration) { return Errored, 2 * ms }, 40, 1},
 		{"never responds", func() (Result, time.Duration) { return TimedOut, 2 * time.Second }, 40, 1},
@@ -26,8 +26,9 @@
 			}
 			return Succeeded, usual
 		})
-		if attempts["a"] > test.most || attempts["a"] < test.least {
-			t.Errorf("%s: got %d of 600, want %d to %d", test.name, attempts["a"], test.least, test.most)
+		if attempts["a"] > test.maxAttempts || attempts["a"] < test.minAttempts {
+			t.Errorf("%s: the outlier got %d of 600 attempts, want %d to %d",
+				test.name, attempts["a"], test.minAttempts, test.maxAttempts)
 		}
 	}
 	f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
@@ -35,14 +36,14 @@
 	f.serve(200, func(StartAttempt) (Result, time.Duration) { return Succeeded, 4 * usual })
 	for _, b := range f.ctl.endpoints.listed {
 		if b.ejected() {
-			t.Errorf("%s ejected while all were slow alike", b.ID)
+			t.Errorf("%s was ejected although all backends were equally slow", b.ID)
 		}
 	}
 }
 
-// Where a backend rejects one class of a plan, only that kind of request stays away for a while: it may have room for
-// the others.
-func TestRejectedKindOfRequestStaysAway(t *testing.T) {
+// If a backend rejects a class of a plan, only this kind of request avoids it for a while: the backend may accept other
+// requests.
+func TestRejectedKindOfRequestAvoidsBackend(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a")...)
 	id := f.request("read", "free", "x")
 	f.attemptOf(id)
@@ -50,13 +51,13 @@
 	f.takeActions()
 	f.finish(id, 0, "a", Rejected, 50*ms)
 	if len(actionsOf[StartAttempt](f.takeActions())) > 0 {
-		t.Error("retried at once where it was rejected")
+		t.Error("the request was retried at once at the backend that rejected it")
 	}
 	f.attemptOf(f.request("post", "free", "y"))
 }
 
-// A connection that fails counts as any failure: the request is retried elsewhere, and only three in a row eject the
-// backend. Some connections come late where all is well, and ejecting on each would leave too few backends.
+// A failed connection counts like any failure: the request is retried elsewhere, and only three consecutive failures
+// eject the backend. Some connections are slow in normal operation, and ejecting on each would leave too few backends.
 func TestConnectFailureIsAnOrdinaryFailure(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
 	failing := f.ctl.endpoints.byID["b"]
@@ -75,17 +76,17 @@
 		f.finish(id, 0, failing.ID, ConnectFailed, 10*ms)
 		retries := actionsOf[StartAttempt](f.takeActions())
 		if len(retries) != 1 || retries[0].Backend == failing.ID {
-			t.Fatalf("%v, want one retry elsewhere", retries)
+			t.Fatalf("retries %v, want one at another backend", retries)
 		}
 		f.finish(id, 1, retries[0].Backend, Succeeded, 10*ms)
 		f.takeActions()
 		failures++
 		if !ejectedBefore && failing.ejected() != (failures == 3) {
-			t.Fatalf("after %d failed connections ejected: %v", failures, failing.ejected())
+			t.Fatalf("after %d failed connections: ejected is %v, want ejection after 3", failures, failing.ejected())
 		}
 		if failures == 3 {
 			return
 		}
 	}
-	t.Errorf("got %d attempts, want 3", failures)
+	t.Errorf("%d attempts at the failing backend, want 3", failures)
 }
--- a/internal/admission/heldslots.go
+++ b/internal/admission/heldslots.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// This file holds the slots of requests of another process of this limiter that have no attempt in flight here, but
-// may still have one there: a retry that is decided there, or an attempt that a process which died left at a backend.
+// This file holds the slots of requests of another process of this limiter that have no attempt in flight here but may
+// still have one there: a retry decided by that process, or an attempt at a backend that remains after that process died.
 
 // heldSlotState is the stored form of a held slot.
 type heldSlotState struct {
@@ -19,18 +19,18 @@
 	Until        time.Duration `json:"Until"`
 }
 
-// longestAttempt is how long after the receipt of a request an attempt of it can be in flight.
+// longestAttempt returns the longest time after the arrival of a request for which an attempt of it can be in flight.
 func (ctl *Controller) longestAttempt() time.Duration {
 	return ctl.classes.longestDeadline() + attemptEndMargin
 }
 
-// planHasSlots reports whether a plan bounds the attempts in flight.
+// planHasSlots reports whether a plan limits the number of concurrent attempts.
 func (ctl *Controller) planHasSlots(name string) bool {
 	index, listed := ctl.customers.planIndex[name]
 	return listed && ctl.settings.Plans[index].MaxConcurrent > 0
 }
 
-// newAdoptedRequest returns a request of another process. It goes on with the slot that is held for it, if one is.
+// newAdoptedRequest returns a request of another process. The request takes over the slot that is held for it, if any.
 func (ctl *Controller) newAdoptedRequest(ev *Request) *request {
 	r := &request{
 		Request: ev, customer: ctl.lookupCustomer(ev), receivedAt: ctl.now, ended: true,
@@ -43,22 +43,22 @@
 	return r
 }
 
-// holdSlot keeps the slot of a request of another process until that process reports that the request has ended, or
+// holdSlot holds the slot of a request of another process until that process reports the end of the request, or until
 // every attempt of it must have ended.
 func (ctl *Controller) holdSlot(r *request) {
 	delete(ctl.requests, r.ID)
 	ctl.takeSlot(r)
 	ctl.customers.held[r.ID] = r
-	ctl.wakeBy(r.adoptedUntil)
+	ctl.scheduleTick(r.adoptedUntil)
 }
 
-// holdsSlotAfter reports whether a request keeps its slot after an attempt without success: the process that has it
-// may retry it, or may have died with the attempt still at the backend.
+// holdsSlotAfter reports whether a request keeps its slot after an attempt that did not succeed: the process that
+// handles the request may retry it, or may have died while the attempt is still at the backend.
 func (r *request) holdsSlotAfter(result Result) bool {
 	return r.adoptedUntil > 0 && result != Succeeded && r.customer.plan.MaxConcurrent > 0
 }
 
-// freeHeldSlot frees the slot that is held for a request, if one is.
+// freeHeldSlot frees the slot that is held for a request, if any.
 func (ctl *Controller) freeHeldSlot(id RequestID) {
 	if r := ctl.customers.held[id]; r != nil {
 		delete(ctl.customers.held, id)
@@ -66,18 +66,18 @@
 	}
 }
 
-// freeExpiredSlots frees the held slots whose requests can have no attempt in flight any more.
+// freeExpiredSlots frees the held slots of requests that can no longer have an attempt in flight.
 func (ctl *Controller) freeExpiredSlots() {
 	for _, id := range slices.Sorted(maps.Keys(ctl.customers.held)) {
 		if until := ctl.customers.held[id].adoptedUntil; ctl.now < until {
-			ctl.wakeBy(until)
+			ctl.scheduleTick(until)
 		} else {
 			ctl.freeHeldSlot(id)
 		}
 	}
 }
 
-// heldSlots returns the stored form of the slots that another process has to hold: those held here, and those of
+// heldSlots returns the stored form of the slots that the next process has to hold: those held here, and those of
 // retries that wait here for a backend.
 func (ctl *Controller) heldSlots() []heldSlotState {
 	var list []heldSlotState
@@ -99,7 +99,7 @@
 	}
 }
 
-// restoreHeldSlots holds the slots of a snapshot.
+// restoreHeldSlots holds the slots stored in a snapshot.
 func (ctl *Controller) restoreHeldSlots(list []heldSlotState) {
 	for _, held := range list {
 		if !ctl.planHasSlots(held.Plan) {
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -10,9 +10,9 @@
 	"lemongate/internal/gossip"
 )
 
-// ruleChecker is the caller of one Controller, and checks on each of its actions the rules of the service: what must
-// not run twice never does, a request is answered once and within its budget, and a backend that is draining or removed
-// gets nothing after the drain grace.
+// ruleChecker is the caller of a single Controller and checks the rules of the service on each of its actions: a request
+// that must not run twice never does, a request is answered exactly once and within its budget, and a draining or removed
+// backend gets no attempt after the drain grace.
 type ruleChecker struct {
 	t                *testing.T
 	ctl              *Controller
@@ -20,22 +20,22 @@
 	now              time.Duration
 	requests         map[RequestID]*requestRecord
 	zones            map[string]string        // by backend
-	unavailableAt    map[string]time.Duration // clock time at which the Controller learned of it, by backend
+	unavailableAt    map[string]time.Duration // clock time at which the Controller was notified, by backend
 	attemptsInFlight []RequestID
-	answers          int
+	answered         int
 }
 
-// requestRecord is what the actions so far have done for a request.
+// requestRecord is the state of a request according to the actions so far.
 type requestRecord struct {
 	class    Class
 	deadline time.Duration // clock time
 	attempts int
-	backend  string // where an attempt is in flight; empty for none
+	backend  string // of the attempt in flight; empty for none
 	sentAt   time.Duration
 	canceled bool // the attempt in flight
 	ended    bool
 
-	mayHaveRunOn   string // where the first attempt that may have run was; empty for none
+	mayHaveRunOn   string // backend of the first attempt that may have run; empty for none
 	mayHaveRunFrom time.Duration
 }
 
@@ -51,24 +51,26 @@
 	return checker
 }
 
-// handle hands an event over and checks the actions that come back.
+// handle passes an event to the Controller and checks the returned actions.
 func (checker *ruleChecker) handle(ev Event) {
 	for _, action := range checker.ctl.Handle(checker.now, ev, nil) {
 		switch action := action.(type) {
 		case StartAttempt:
 			checker.checkAttempt(action)
 		case Reject:
-			r := checker.checkAnswer(action.Request)
+			r := checker.checkEnd(action.Request)
 			neverRan := r.backend == "" && r.mayHaveRunOn == ""
 			if r.class.Idempotency != Idempotent && !neverRan {
-				checker.t.Fatalf("%v: %s rejected though it may have run", checker.now, r.class.Name)
+				checker.t.Fatalf("%v: request of class %s rejected although it may have run, want it failed",
+					checker.now, r.class.Name)
 			}
 		case Fail:
-			checker.checkAnswer(action.Request)
+			checker.checkEnd(action.Request)
 		case CancelAttempt:
 			r := checker.requests[action.Request]
 			if r == nil || r.backend == "" || action.Attempt != r.attempts-1 {
-				checker.t.Fatalf("%v: canceled attempt %d of %d, which is not out", checker.now, action.Attempt, action.Request)
+				checker.t.Fatalf("%v: canceled attempt %d of request %d, which is not in flight",
+					checker.now, action.Attempt, action.Request)
 			}
 			r.canceled = true
 		}
@@ -80,47 +82,48 @@
 	r, now := checker.requests[attempt.Request], checker.now
 	switch {
 	case r == nil || r.ended:
-		checker.t.Fatalf("%v: attempt for request %d after its end", now, attempt.Request)
+		checker.t.Fatalf("%v: attempt of request %d started after its end", now, attempt.Request)
 	case r.backend != "":
-		checker.t.Fatalf("%v: two attempts out for request %d", now, attempt.Request)
+		checker.t.Fatalf("%v: two attempts of request %d in flight", now, attempt.Request)
 	case r.attempts >= checker.settings.MaxAttempts:
-		checker.t.Fatalf("%v: attempt %d for request %d", now, r.attempts, attempt.Request)
+		checker.t.Fatalf("%v: attempt %d of request %d exceeds the maximum number of attempts",
+			now, r.attempts, attempt.Request)
 	case checker.zones[attempt.Backend] == "":
 		checker.t.Fatalf("%v: attempt at %q, which is in no endpoint list", now, attempt.Backend)
 	case r.mayHaveRunOn != "" && r.class.Idempotency == NonIdempotent:
-		checker.t.Fatalf("%v: non-idempotent request %d retried though it may have run", now, attempt.Request)
+		checker.t.Fatalf("%v: non-idempotent request %d retried although it may have run", now, attempt.Request)
 	case r.mayHaveRunOn != "" && r.class.Idempotency == IdempotentByKey && !checker.dropsRepeat(r, attempt.Backend):
-		checker.t.Fatalf("%v: keyed request %d retried outside of its scope or window", now, attempt.Request)
+		checker.t.Fatalf("%v: request %d with an idempotency key retried outside of its scope or window", now, attempt.Request)
 	}
 	if at, unavailable := checker.unavailableAt[attempt.Backend]; unavailable && now-at > checker.settings.DrainGrace {
-		checker.t.Fatalf("%v: attempt at %s, unavailable since %v", now, attempt.Backend, at)
+		checker.t.Fatalf("%v: attempt at backend %s, which is unavailable since %v", now, attempt.Backend, at)
 	}
 	r.attempts++
 	r.backend, r.sentAt, r.canceled = attempt.Backend, now, false
 	checker.attemptsInFlight = append(checker.attemptsInFlight, attempt.Request)
 }
 
-// dropsRepeat reports whether a backend drops a repeat of a keyed request that may have run. Keys are remembered by
-// zone.
+// dropsRepeat reports whether a backend drops a repeat of a request with an idempotency key that may have run. All
+// backends of a zone remember the key.
 func (checker *ruleChecker) dropsRepeat(r *requestRecord, backend string) bool {
 	return checker.zones[r.mayHaveRunOn] == checker.zones[backend] && checker.now-r.mayHaveRunFrom < r.class.IdempotencyWindow
 }
 
-// checkAnswer checks that a request may be answered without a response of a backend, and records that it was.
-func (checker *ruleChecker) checkAnswer(id RequestID) *requestRecord {
+// checkEnd checks that a request may be answered without a response of a backend, and records the answer.
+func (checker *ruleChecker) checkEnd(id RequestID) *requestRecord {
 	r := checker.requests[id]
 	if r == nil || r.ended {
-		checker.t.Fatalf("%v: second answer to request %d", checker.now, id)
+		checker.t.Fatalf("%v: second answer to request %d, or an answer to an unknown one", checker.now, id)
 	}
 	if checker.now > r.deadline+8*ms {
-		checker.t.Fatalf("%v: answer to request %d, due at %v", checker.now, id, r.deadline)
+		checker.t.Fatalf("%v: late answer to request %d, which was due at %v", checker.now, id, r.deadline)
 	}
 	r.ended = true
-	checker.answers++
+	checker.answered++
 	return r
 }
 
-// request hands over a request, and records it first.
+// request records a request and passes it to the Controller.
 func (checker *ruleChecker) request(request *Request, class Class) *requestRecord {
 	r := &requestRecord{class: class, deadline: checker.now + request.Budget}
 	checker.requests[request.ID] = r
@@ -128,7 +131,7 @@
 	return r
 }
 
-// finishAttempt ends the attempt in flight at an index of attemptsInFlight.
+// finishAttempt ends the attempt in flight at the given index of attemptsInFlight.
 func (checker *ruleChecker) finishAttempt(index int, result Result) {
 	id := checker.attemptsInFlight[index]
 	checker.attemptsInFlight = slices.Delete(checker.attemptsInFlight, index, index+1)
@@ -142,12 +145,12 @@
 	r.backend = ""
 	if result == Succeeded && !r.ended {
 		r.ended, ev.Final = true, true
-		checker.answers++
+		checker.answered++
 	}
 	checker.handle(ev)
 }
 
-// setState hands over that the state of a backend has changed.
+// setState changes the state of a backend and notifies the Controller.
 func (checker *ruleChecker) setState(b *Backend, state BackendState) {
 	b.State = state
 	if state == Live {
@@ -159,7 +162,7 @@
 	checker.handle(&EndpointList{Kind: ListDelta, Backends: []Backend{*b}})
 }
 
-// Whatever events come, in whatever order, the rules of the service are kept and each request is answered once.
+// For random events in random order, the rules of the service hold and each request is answered exactly once.
 func TestInvariants(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -180,19 +183,19 @@
 			if random.IntN(20) == 0 {
 				data := randomMessage(random, checker.ctl.settings.Epoch, uint32(step), backends)
 				if _, ok := gossip.Parse(data); !ok {
-					t.Fatal("a random message is not read")
+					t.Fatal("a random message could not be decoded")
 				}
 				checker.handle(&PeerMessage{From: random.IntN(3) - 1, Data: data})
 			}
 		}
-		if checker.answers != len(checker.requests) || len(checker.ctl.requests) != 0 {
-			t.Fatalf("seed %d: %d answers to %d requests, %d not forgotten",
-				seed, checker.answers, len(checker.requests), len(checker.ctl.requests))
+		if checker.answered != len(checker.requests) || len(checker.ctl.requests) != 0 {
+			t.Fatalf("seed %d: %d answers to %d requests, and %d requests not deleted",
+				seed, checker.answered, len(checker.requests), len(checker.ctl.requests))
 		}
 	}
 }
 
-// randomRequest hands over a request, whose client gives up at once in one of fifty cases.
+// randomRequest passes a random request; one client in fifty disconnects at once.
 func (checker *ruleChecker) randomRequest(random *rand.Rand, id RequestID) {
 	class := checker.settings.Classes[random.IntN(3)]
 	budget := class.Deadline / time.Duration(1+random.IntN(3))
@@ -203,13 +206,13 @@
 	if random.IntN(50) == 0 && !r.ended {
 		r.ended = true
 		checker.handle(&RequestEnded{Request: id})
-		checker.answers++
+		checker.answered++
 	}
 }
 
 func randomCustomer(random *rand.Rand) string { return fmt.Sprint("c", random.IntN(12)) }
 
-// randomResults ends attempts: those past their deadline, those that were canceled, and of the others one in twelve.
+// randomResults ends attempts: those past their deadline, canceled ones, and one in twelve of the others.
 func (checker *ruleChecker) randomResults(random *rand.Rand, failureRate float64) {
 	for i := 0; i < len(checker.attemptsInFlight); i++ {
 		r := checker.requests[checker.attemptsInFlight[i]]
@@ -227,9 +230,9 @@
 	}
 }
 
-// randomMessage is a message of another limiter with values chosen by chance, in the form that gossip.Parse reads. Half
-// of the messages are for the epoch of the receiver, and about customers that it has met, with the limiter set that they
-// have there, and about its backends. The sender restarts after every 500 steps.
+// randomMessage returns a message of another limiter with random values that gossip.Parse can decode. Half of the
+// messages are for the epoch of the receiver, and refer to customers that it may know, with their limiter set, and to its
+// backends. The sender restarts after every 500 steps.
 func randomMessage(random *rand.Rand, epoch, seq uint32, backends []Backend) []byte {
 	m := gossip.Message{
 		Epoch: 1 + seq/500, ReceiverEpoch: random.Uint32(), Seq: seq,
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -7,54 +7,52 @@
 	"lemongate/internal/rate"
 )
 
-// This file reads the load reports of backends, probes backends that have not reported for long, and infers from
-// the first reports whether the tier of limiters is new.
+// This file decodes the load reports of backends, probes backends that have not reported recently, and infers from the
+// first reports whether the tier is new.
 
 const (
-	// Names of values in a load report.
+	// Names of fields in a load report.
 	inFlightField    = "inflight"
 	queueField       = "queue"
 	latencyField     = "latency_ms"
 	utilizationField = "util"
 
-	// utilizationMargin is the fraction of its capacity that counts as left at a fully utilized backend.
+	// utilizationMargin is the fraction of its capacity that a fully utilized backend is assumed to have left.
 	utilizationMargin = 0.15
-	// maxRelativeLoad bounds a relative load and its inverse: if it were lower, all busy backends would look
-	// alike.
+	// maxRelativeLoad bounds a relative load and its inverse. With a lower bound, busy backends could not be
+	// distinguished.
 	maxRelativeLoad = 16.0
-	// latencyLoadWeight is the weight of one latency in the relative load, where no load is reported.
+	// latencyLoadWeight is the weight of a single latency in the relative load if no load is reported.
 	latencyLoadWeight = 0.3
 
 	// probeObjectives is the time in shortest objectives after which a backend without a response
 	// or an observation may be probed.
 	probeObjectives = 1.0
 	// probeRoundObjectives is the time in longest objectives in which all limiters together probe each
-	// backend once at most.
+	// backend at most once.
 	probeRoundObjectives = 4.0
 
-	// initialReports is the number of first reports from which it is inferred whether the tier of limiters is
-	// new.
+	// initialReports is the number of first reports from which the start state of the tier is inferred.
 	initialReports = 3
-	// newTierUtilization is the mean utilization of backends up to which the tier is inferred to be new.
+	// newTierUtilization is the highest mean utilization of backends at which the tier is inferred to be new.
 	newTierUtilization = 0.2
 )
 
-// loadReports is what the load reports of all backends have shown, and the allowance of probes.
+// loadReports contains what was derived from the load reports of all backends, and the allowance of probes.
 type loadReports struct {
 	meanLoad            float64        // running mean of loadReport.load
-	initialUtilizations []float64      // of the first reports, one per backend
-	probes              rate.Allowance // probes that may be made now
+	initialUtilizations []float64      // from the first reports, one per backend
+	probes              rate.Allowance // probes that may be sent now
 }
 
-// loadReport is the part of a load report that is used; values below 0 were not reported.
+// loadReport contains the values of a load report that are used; negative values were not reported.
 type loadReport struct {
-	inFlight    float64 // requests, queued ones included
+	inFlight    float64 // requests at the backend, including queued ones
 	latency     float64 // milliseconds
 	utilization float64 // 0 to 1
 }
 
-// onLoadReport records a load report. Only how a backend compares with the others counts, so the unit of
-// the load does not matter.
+// onLoadReport records a load report. The load is only compared between backends, so its unit does not matter.
 func (ctl *Controller) onLoadReport(b *backend, values []float64) {
 	report, ok := parseLoadReport(ctl.settings.LoadReportFields, values)
 	if !ok {
@@ -71,8 +69,8 @@
 	ctl.announce(b, ctl.now)
 }
 
-// parseLoadReport reads the values of a load report by the names of their fields. It is not ok if a value
-// is negative or not finite, or no field is used.
+// parseLoadReport assigns the values of a load report to fields by name. ok is false if a value is negative or not
+// finite, or if no field is used.
 func parseLoadReport(fields []string, values []float64) (report loadReport, ok bool) {
 	none := loadReport{inFlight: -1, latency: -1, utilization: -1}
 	report = none
@@ -92,8 +90,8 @@
 	return report, report != none
 }
 
-// load is a measure of the work that waits at a backend: its latency times the requests there, or if these
-// are not reported, its latency over the fraction of its capacity that is left.
+// load returns a measure of the pending work at a backend: its latency times the number of requests there or, if that
+// number is not reported, its latency divided by the fraction of its capacity that is left.
 func (r loadReport) load() float64 {
 	load := max(r.latency, 1) * (max(r.inFlight, 0) + 1)
 	if r.inFlight < 0 && r.utilization >= 0 {
@@ -102,11 +100,11 @@
 	return load
 }
 
-// clampLoad keeps a relative load within its bounds.
+// clampLoad limits a relative load to its bounds.
 func clampLoad(load float64) float64 { return min(max(load, 1/maxRelativeLoad), maxRelativeLoad) }
 
-// probeStaleBackend probes a backend, chosen at random, if there was no recent response or observation of it
-// and the rate of probes allows it.
+// probeStaleBackend probes a randomly chosen backend if there is no recent response or observation of it and the
+// probe rate allows it.
 func (ctl *Controller) probeStaleBackend() {
 	listed := ctl.endpoints.listed
 	if !ctl.settings.MayProbe || len(ctl.settings.LoadReportFields) == 0 || len(listed) == 0 {
@@ -118,8 +116,8 @@
 	if silence <= probeObjectives*ctl.classes.shortestObjective.Seconds() {
 		return
 	}
-	backendsEach := float64(len(listed)) / float64(ctl.settings.Limiters)
-	perSecond := backendsEach / (probeRoundObjectives * ctl.classes.longestObjective.Seconds())
+	backendsPerLimiter := float64(len(listed)) / float64(ctl.settings.Limiters)
+	perSecond := backendsPerLimiter / (probeRoundObjectives * ctl.classes.longestObjective.Seconds())
 	if ctl.reports.probes.Refill(ctl.now, perSecond, 1) < 1 {
 		return
 	}
@@ -127,9 +125,9 @@
 	ctl.emit(ProbeBackend{Backend: b.ID})
 }
 
-// inferStartState infers from the first reports whether the tier of limiters is new or has restarted: if
-// backends are busy already, there were limiters before, which have lost what they knew of the use of quotas.
-// Counted as new, they would give each customer a full burst again.
+// inferStartState infers from the first load reports whether the tier is new or has restarted. If backends are already
+// busy, limiters ran before and their records of quota consumption are lost. A restarted tier that is taken for a new
+// one would give each customer a full burst again.
 func (ctl *Controller) inferStartState(b *backend, utilization float64) {
 	if ctl.customers.ledger.StartState() != quota.StartUnknown || utilization < 0 || b.initialReportSeen {
 		return
@@ -149,5 +147,5 @@
 		state = quota.TierRestarted
 	}
 	ctl.customers.ledger.Resolve(state, ctl.now)
-	ctl.settleWaiting()
+	ctl.decideWaiting()
 }
--- a/internal/admission/loadreports_test.go
+++ b/internal/admission/loadreports_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// A load report with a value that makes no sense is ignored.
+// A load report with an invalid value is ignored.
 func TestInvalidLoadReports(t *testing.T) {
 	fields := []string{"inflight", "new", "util"}
 	for _, values := range [][]float64{nil, {-1}, {math.NaN()}, {1, 2, math.Inf(1)}} {
 		if _, ok := parseLoadReport(fields, values); ok {
-			t.Errorf("%v was accepted", values)
+			t.Errorf("load report %v was accepted, want it rejected", values)
 		}
 	}
 	want := loadReport{inFlight: 3, latency: -1, utilization: 0.5}
 	if got, ok := parseLoadReport(fields, []float64{3, 9, 0.5, 7}); got != want || !ok {
-		t.Errorf("parsed %+v %v, want %+v", got, ok, want)
+		t.Errorf("parsed %+v, ok %v, want %+v", got, ok, want)
 	}
 }
 
-// The probes of all limiters together are bounded, however many limiters there are.
+// The number of probes of all limiters together is bounded, regardless of the number of limiters.
 func TestProbeRateOfAllLimiters(t *testing.T) {
 	for _, limiters := range []int{3, 20, 80} {
 		settings := testSettings()
@@ -34,10 +34,11 @@
 			f.request("read", "free", "x")
 			probes += len(actionsOf[ProbeBackend](f.takeActions()))
 		}
-		backendsEach := 10.0 / float64(limiters)
-		most := 1 + backendsEach*10/(probeRoundObjectives*f.ctl.classes.longestObjective.Seconds())
-		if float64(probes) > most+1 || probes == 0 {
-			t.Errorf("%d limiters: one probed %d times in 10 s, want %.1f at most", limiters, probes, most)
+		backendsPerLimiter := 10.0 / float64(limiters)
+		maxProbes := 1 + backendsPerLimiter*10/(probeRoundObjectives*f.ctl.classes.longestObjective.Seconds())
+		if float64(probes) > maxProbes+1 || probes == 0 {
+			t.Errorf("%d limiters: a limiter sent %d probes in 10 s, want at least one and about %.1f at most",
+				limiters, probes, maxProbes)
 		}
 	}
 }
--- a/internal/admission/pacing.go
+++ b/internal/admission/pacing.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// This file decides when another limiter is sent a message. Each takes in only so many messages per
-// second from all others together, so the messages to each of them are paced. Beyond activePeers other
-// limiters (a large tier) all messages of a limiter have a common pace as well, by what they carry:
+// This file decides when a message is sent to another limiter. Each limiter accepts only a certain number of messages
+// per second from all others together, so messages are paced per receiver. With more than activePeers other limiters
+// (a large tier), all messages of a limiter also share a common pace, which depends on what a message carries:
 //
 //	carries             waits for                                          charges
-//	grants              nothing common                                     messagesPacedUntil
+//	grants              nothing                                            messagesPacedUntil
 //	transfer requests   requestsPacedUntil                                 messagesPacedUntil, requestsPacedUntil
-//	observations only   a full burst saved up in both, nextObservationsAt  messagesPacedUntil, requestsPacedUntil
+//	observations only   a full burst in both buckets, nextObservationsAt   messagesPacedUntil, requestsPacedUntil
 //
-// Each message moves nextObservationsAt, for which urgent observations do not wait. A message with grants and
-// transfer requests counts as one with grants. Notices of a shutdown are not paced.
+// Each message postpones nextObservationsAt, for which urgent observations do not wait. A message with both grants and
+// transfer requests is treated as one with grants. Shutdown notices are not paced.
 
 const (
 	// paceFraction is the fraction of PeerMessagesPerSecond that the busiest senders to a limiter may use
 	// together.
 	paceFraction = 0.7
-	// activePeers is how many limiters are assumed to send messages to the same one at a time. A tier where
-	// each has more peers is large: there, pacing the messages to each peer is not enough.
+	// activePeers is the number of limiters that are assumed to send messages to the same limiter at the same
+	// time. A tier with more peers than that is large: there, pacing per receiver is not sufficient.
 	activePeers = 6
-	// messageBurst is how many messages to one limiter may be sent without a pause.
+	// messageBurst is the number of messages that may be sent to a limiter without a pause.
 	messageBurst = 4
-	// observationPauses is how many totalIntervals pass after any message until one is sent that carries
-	// observations only: most are carried by messages that are sent anyway.
+	// observationPauses is the number of totalIntervals after any message before a message with observations
+	// only is sent. Most observations are carried by messages that are sent anyway.
 	observationPauses = 6
 )
 
-// gossipState is the other limiters, and what is to be sent to them. The clock times ...PacedUntil act as token
-// buckets: a message adds an interval to one, and a burst is how many intervals it may lie in the past.
+// gossipState contains the other limiters and what has to be sent to them. The clock times ...PacedUntil act as token
+// buckets: each message adds an interval, and the burst is the number of intervals that the time may lie in the past.
 type gossipState struct {
 	peers   map[int]*peer
-	queued  []*peer    // with a message to be sent
-	pending []*backend // with an observation that is still to be sent, the latest last
+	queued  []*peer    // to which a message has to be sent
+	pending []*backend // whose observation has still to be sent, the latest last
 
-	peerInterval  time.Duration // between messages to one limiter
-	totalInterval time.Duration // between any two messages; 0 for any up to activePeers peers
+	peerInterval  time.Duration // between messages to the same limiter
+	totalInterval time.Duration // between any two messages; 0 with at most activePeers peers
 
 	requestsPacedUntil time.Duration // clock time before which no transfer request may be sent without grants
-	messagesPacedUntil time.Duration // clock time up to which the rate of all messages is used up
+	messagesPacedUntil time.Duration // clock time until which the rate of all messages is used up
 	nextObservationsAt time.Duration // clock time before which no message is sent for observations only
-	urgentUntil        time.Duration // clock time up to which nextObservationsAt does not count
+	urgentUntil        time.Duration // clock time until which nextObservationsAt is ignored
 }
 
 // newGossipState derives the pace of messages from the settings.
-func newGossipState(set Settings) gossipState {
-	perSecond := paceFraction * max(set.PeerMessagesPerSecond, 1)
-	senders := set.Limiters - 1
+func newGossipState(settings Settings) gossipState {
+	perSecond := paceFraction * max(settings.PeerMessagesPerSecond, 1)
+	senders := settings.Limiters - 1
 	state := gossipState{
 		peers:        map[int]*peer{},
 		peerInterval: seconds(float64(min(senders, activePeers)) / perSecond),
@@ -61,10 +61,10 @@
 	return state
 }
 
-// announceToPeers has a message with what is new here sent to other limiters: to all of them, or to
-// activePeers of them, from a random one on, if there are more.
+// announceToPeers queues a message to the other limiters. If there are more than activePeers of them, it queues messages
+// to activePeers consecutive ones, starting at a random one.
 func (ctl *Controller) announceToPeers() {
-	if !ctl.gossips() {
+	if !ctl.canGossip() {
 		return
 	}
 	others := ctl.settings.Limiters - 1
@@ -78,8 +78,8 @@
 	}
 }
 
-// queueMessage has a message sent to another limiter within a time, given as a fraction of the shortest
-// objective. What it carries is decided when it is sent.
+// queueMessage schedules a message to another limiter within a time, given as a fraction of the shortest objective.
+// The content of the message is determined when it is sent.
 func (ctl *Controller) queueMessage(p *peer, within float64) {
 	at := ctl.now + seconds(within*ctl.classes.shortestObjective.Seconds())
 	if !p.queued {
@@ -87,23 +87,23 @@
 		ctl.gossip.queued = append(ctl.gossip.queued, p)
 	}
 	p.dueAt = min(p.dueAt, at)
-	ctl.wakeBy(p.sendableAt())
+	ctl.scheduleTick(p.sendableAt())
 }
 
-// sendableAt is the clock time from which on a queued message may be sent by the pace to its receiver.
+// sendableAt returns the earliest clock time at which the pace of the receiver allows a queued message.
 func (p *peer) sendableAt() time.Duration { return max(p.dueAt, p.pacedUntil) }
 
-// wakeForQueuedPeers makes sure that queued messages are sent when they are due. One that is due already
-// waits for the common pace, for which takePace has set the timer.
-func (ctl *Controller) wakeForQueuedPeers() {
+// scheduleQueuedMessages ensures that queued messages are sent when they are due. A message that is already due waits
+// for the common pace, for which chargePace has scheduled a tick.
+func (ctl *Controller) scheduleQueuedMessages() {
 	for _, p := range ctl.gossip.queued {
 		if at := p.sendableAt(); at > ctl.now {
-			ctl.wakeBy(at)
+			ctl.scheduleTick(at)
 		}
 	}
 }
 
-// sendQueuedMessages sends what is due, to each limiter at its pace.
+// sendQueuedMessages sends the messages that are due, subject to pacing.
 func (ctl *Controller) sendQueuedMessages() {
 	for _, number := range ctl.customers.ledger.TakeReadyPeers() {
 		ctl.queueMessage(ctl.peer(number), 0)
@@ -111,7 +111,7 @@
 	interval := ctl.gossip.peerInterval
 	for i := 0; i < len(ctl.gossip.queued); i++ {
 		p := ctl.gossip.queued[i]
-		if ctl.now < p.sendableAt() || !ctl.takePace(p) {
+		if ctl.now < p.sendableAt() || !ctl.chargePace(p) {
 			continue
 		}
 		p.pacedUntil = max(p.pacedUntil, ctl.now-messageBurst*interval) + interval
@@ -125,39 +125,39 @@
 	}
 }
 
-// takePace reports whether the common pace allows a message to a limiter, and charges it.
+// chargePace reports whether the common pace allows a message to a limiter, and charges the message.
 //
-// A message with grants is sent in any case, as there are no more grants than transfer requests received,
-// and does not delay transfer requests: otherwise an owner of many customers would keep its own waiting. A
-// message with observations only waits until a full burst is saved up: otherwise it would crowd out
-// transfers of quota, here and at the receiver.
-func (ctl *Controller) takePace(p *peer) bool {
+// A message with grants is always allowed, as there are no more grants than transfer requests received, and it does not
+// delay transfer requests: otherwise the transfer requests of an owner of many customers would wait behind its grants.
+// A message with observations only waits until both token buckets hold a full burst: otherwise such messages would
+// delay transfers of quota, here and at the receiver.
+func (ctl *Controller) chargePace(p *peer) bool {
 	g := &ctl.gossip
 	if g.totalInterval == 0 {
 		return true
 	}
-	savedUp := 2 * messageBurst * g.totalInterval
+	fullBurst := 2 * messageBurst * g.totalInterval
 	grants := ctl.customers.ledger.HasGrantsFor(p.number)
-	if at := ctl.paceAllowsAt(p, savedUp); !grants && ctl.now < at {
-		ctl.wakeBy(at)
+	if at := ctl.paceAllowsAt(p, fullBurst); !grants && ctl.now < at {
+		ctl.scheduleTick(at)
 		return false
 	}
-	g.messagesPacedUntil = max(g.messagesPacedUntil, ctl.now-savedUp) + g.totalInterval
+	g.messagesPacedUntil = max(g.messagesPacedUntil, ctl.now-fullBurst) + g.totalInterval
 	g.nextObservationsAt = ctl.now + observationPauses*g.totalInterval
 	if !grants {
-		g.requestsPacedUntil = max(g.requestsPacedUntil, ctl.now-savedUp) + g.totalInterval
+		g.requestsPacedUntil = max(g.requestsPacedUntil, ctl.now-fullBurst) + g.totalInterval
 	}
 	return true
 }
 
-// paceAllowsAt is the clock time at which the common pace allows a message without grants. A full burst is
-// saved up in the time savedUp.
-func (ctl *Controller) paceAllowsAt(p *peer, savedUp time.Duration) time.Duration {
+// paceAllowsAt returns the clock time at which the common pace allows a message without grants. fullBurst is the time
+// in which a token bucket refills a full burst.
+func (ctl *Controller) paceAllowsAt(p *peer, fullBurst time.Duration) time.Duration {
 	g := &ctl.gossip
 	if ctl.customers.ledger.HasRequestsFor(p.number) {
 		return g.requestsPacedUntil
 	}
-	at := max(g.requestsPacedUntil, g.messagesPacedUntil) + savedUp
+	at := max(g.requestsPacedUntil, g.messagesPacedUntil) + fullBurst
 	if ctl.now >= g.urgentUntil {
 		at = max(at, g.nextObservationsAt)
 	}
--- a/internal/admission/pacing_test.go
+++ b/internal/admission/pacing_test.go
@@ -10,23 +10,23 @@
 	"lemongate/internal/gossip"
 )
 
-// intake is what one limiter takes in of the messages of all others: a bucket per second with a burst.
-type intake struct {
+// receiver models the rate of messages that a limiter accepts from all others: a token bucket.
+type receiver struct {
 	tokens     float64
 	refilledAt time.Duration
-	received   int // messages so far, whether taken in or not
+	messages   int // sent to the limiter so far, accepted or not
 }
 
-// accepts counts a message in and reports whether there is room for it.
-func (in *intake) accepts(now time.Duration, perSecond, burst float64) bool {
-	in.received++
+// hasCapacity counts a message and reports whether the bucket has a token for it.
+func (in *receiver) hasCapacity(now time.Duration, perSecond, burst float64) bool {
+	in.messages++
 	in.tokens = min(in.tokens+(now-in.refilledAt).Seconds()*perSecond, burst)
 	in.refilledAt = now
 	return in.tokens >= 1
 }
 
-// No limiter of a large tier is sent more messages than it takes in, by all others together, and requests within the
-// quotas are admitted all the same. A pace per pair of limiters would not be enough, as there are many pairs.
+// No limiter of a large tier is sent more messages by all others together than it accepts, and requests within the
+// quotas are still admitted. Pacing per pair of limiters would not be sufficient, as there are many pairs.
 func TestMessageRateOfLargeTier(t *testing.T) {
 	const (
 		limiters  = 80
@@ -36,42 +36,42 @@
 		loss      = 0.078
 	)
 	random := rand.New(rand.NewPCG(7, 7))
-	intakes := make([]intake, limiters)
+	receivers := make([]receiver, limiters)
 	var tr *tier
 	tr = newTier(limiters, func(_, to int) bool {
-		if !intakes[to].accepts(tr.now, perSecond, burst) || random.Float64() < loss {
+		if !receivers[to].hasCapacity(tr.now, perSecond, burst) || random.Float64() < loss {
 			return true
 		}
-		intakes[to].tokens--
+		receivers[to].tokens--
 		return false
 	})
 	requests := 0
 	for tr.now < duration {
 		tr.delay = time.Duration(2+random.IntN(15)) * ms
 		tr.step()
-		if random.IntN(1000) < 800 { // 200 per second of 160 customers: 1.25 each, with a quota of 2
+		if random.IntN(1000) < 800 { // 200 per second from 160 customers: 1.25 each, with a quota of 2
 			requests++
 			tr.requestOf(random.IntN(limiters), "small", fmt.Sprint("c", random.IntN(160)))
 		}
 	}
-	for number := range intakes {
-		if received := intakes[number].received; float64(received) > perSecond*duration.Seconds() {
-			t.Errorf("limiter %d was sent %d messages in %v", number, received, duration)
+	for number := range receivers {
+		if received := receivers[number].messages; float64(received) > perSecond*duration.Seconds() {
+			t.Errorf("limiter %d was sent %d messages in %v, more than it accepts", number, received, duration)
 		}
 	}
 	if tr.forwarded < requests*9/10 {
-		t.Errorf("%d of %d forwarded", tr.forwarded, requests)
+		t.Errorf("%d of %d requests forwarded, want at least nine tenths", tr.forwarded, requests)
 	}
 }
 
-// carriesObservationsOnly reports whether a message has nothing to do with quotas.
+// carriesObservationsOnly reports whether a message has neither transfer requests nor grants.
 func carriesObservationsOnly(data []byte) bool {
 	m, ok := gossip.Parse(data)
 	return ok && len(m.Requests)+len(m.Grants) == 0
 }
 
-// In a large tier few messages carry nothing but observations while all is well, and yet a backend that goes down is
-// known to nearly all limiters soon.
+// In a large tier few messages carry only observations in normal operation, yet the failure of a backend is soon known
+// to nearly all limiters.
 func TestFewMessagesCarryObservationsOnly(t *testing.T) {
 	const limiters, duration = 36, 10 * time.Second
 	random := rand.New(rand.NewPCG(8, 8))
@@ -90,13 +90,13 @@
 			tr.requestOf(random.IntN(limiters), "small", fmt.Sprint("c", random.IntN(60)))
 		}
 	}
-	// The pace is 35 messages per second, one in observationPauses of them, and a tenth for chance.
-	most := int(limiters * duration.Seconds() * 35 / observationPauses * 1.1)
-	if observationsOnly > most || observationsOnly == 0 {
-		t.Errorf("%d messages with observations only, want some and %d at most", observationsOnly, most)
+	// The pace is 35 messages per second, of which one in observationPauses, plus a tenth for random variation.
+	maxMessages := int(limiters * duration.Seconds() * 35 / observationPauses * 1.1)
+	if observationsOnly > maxMessages || observationsOnly == 0 {
+		t.Errorf("%d messages with observations only, want at least one and at most %d", observationsOnly, maxMessages)
 	}
 
-	for range 100 { // messages that are in transit are older
+	for range 100 { // deliver the older messages in transit
 		tr.step()
 	}
 	ctl := tr.controllers[0]
@@ -116,20 +116,19 @@
 		}
 	}
 	if informed < limiters*9/10 {
-		t.Errorf("%d of %d limiters know of a backend that went down", informed, limiters)
+		t.Errorf("%d of %d limiters have received that a backend went down, want at least nine tenths", informed, limiters)
 	}
 }
 
-// A limiter that owns many customers and grants much still sends its own transfer requests at once, so that requests
-// within a quota need not wait behind grants; and its messages with observations only stay within the pace of all
-// messages.
-func TestGrantsLeaveRoomForTransferRequests(t *testing.T) {
+// A limiter that owns many customers and sends many grants still sends its own transfer requests at once, so that
+// requests within a quota do not wait behind grants. Its messages with observations only stay within the common pace.
+func TestGrantsDoNotDelayTransferRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters, settings.PeerMessagesPerSecond = 300, 40
 	f := newFixture(t, settings, backendList("a", "b", "c", "d")...)
 	f.now = time.Hour
 	requests, sentAtOnce, observationsOnly := 0, 0, 0
-	for i := range 3000 { // 12 s with 30 transfer requests received and 15 requests of customers with other owners a second
+	for i := range 3000 { // 12 s; per second 30 transfer requests received, and 15 requests of customers with other owners
 		f.now += timerStep
 		f.handle(TimerFired{})
 		if i%8 == 0 {
@@ -147,7 +146,7 @@
 			requests++
 		}
 		sentAtOnce += f.grantTransferRequests(uint32(i + 2))
-		for _, attempt := range actionsOf[StartAttempt](f.takeActions()) { // an observation to be announced as well
+		for _, attempt := range actionsOf[StartAttempt](f.takeActions()) { // also adds an observation to announce
 			f.finish(attempt.Request, 0, attempt.Backend, Succeeded, 50*ms)
 		}
 		for _, send := range actionsOf[SendToPeer](f.takeActions()) {
@@ -157,15 +156,16 @@
 		}
 	}
 	if sentAtOnce < requests*9/10 {
-		t.Errorf("%d of %d transfer requests were sent with their request", sentAtOnce, requests)
+		t.Errorf("%d of %d transfer requests were sent at once with their request, want at least nine tenths",
+			sentAtOnce, requests)
 	}
 	if observationsOnly > 12*5 {
-		t.Errorf("%d messages with observations only beside 45 others a second", observationsOnly)
+		t.Errorf("%d messages with observations only in 12 s, beside 45 others per second, want at most 60", observationsOnly)
 	}
 }
 
-// grantTransferRequests plays the owners: it grants all that the messages among the actions request, and returns how
-// many messages did.
+// grantTransferRequests simulates the owners: it grants everything that the messages among the actions request, and
+// returns the number of messages with transfer requests.
 func (f *fixture) grantTransferRequests(seq uint32) (messages int) {
 	for _, send := range actionsOf[SendToPeer](f.actions) {
 		m, _ := gossip.Parse(send.Data)
--- a/internal/admission/recovery_test.go
+++ b/internal/admission/recovery_test.go
@@ -8,9 +8,9 @@
 	"lemongate/internal/gossip"
 )
 
-// A backend that refuses a connection is ejected at once, and the request is retried elsewhere. The other limiters
-// learn of it and eject it too, until one of them finds it well. The first recovery attempt is late enough that all
-// limiters of a large tier together do not flood the backend.
+// A backend that refuses a connection is ejected at once, and the request is retried elsewhere. The other limiters are
+// notified and eject it too, until one of them observes that it is healthy. The first recovery attempt is late enough
+// that all limiters of a large tier together do not flood the backend.
 func TestUnreachableBackendIsEjectedEverywhere(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters = 80
@@ -21,33 +21,33 @@
 		for _, attempt := range actionsOf[StartAttempt](f.takeActions()) {
 			f.finish(attempt.Request, 0, attempt.Backend, Unreachable, ms)
 			if !f.ctl.endpoints.byID[attempt.Backend].ejected() {
-				t.Fatal("not ejected after a refused connection")
+				t.Fatal("the backend was not ejected after a refused connection")
 			}
 			id = attempt.Backend
 			if retries := actionsOf[StartAttempt](f.takeActions()); len(retries) != 1 || retries[0].Backend == id {
-				t.Fatalf("%v, want one retry elsewhere", retries)
+				t.Fatalf("retries %v, want one at another backend", retries)
 			}
 		}
 	}
 	backoff := f.ctl.endpoints.byID[id].nextRecoveryAt - f.now
 	if least := 2 * f.ctl.classes.longestObjective; backoff < least {
-		t.Errorf("recovery attempt after %v; by 80 limiters that is more often than each %v/80", backoff, least)
+		t.Errorf("recovery attempt after %v; with 80 limiters that is more than one per %v/80", backoff, least)
 	}
 	other := newFixture(t, settings, backendList("a", "b", "c", "d")...)
 	other.now = f.now + time.Second
 	b := other.ctl.endpoints.byID[id]
 	other.observe(1, gossip.Observation{Backend: b.gossipKey, Load: loadStepOne, FailureRate: math.MaxUint8})
 	if !b.ejected() {
-		t.Error("not ejected though another limiter observed that nothing listens there")
+		t.Error("the backend was not ejected although another limiter observed that it refuses connections")
 	}
 	other.now += time.Second
 	other.observe(2, gossip.Observation{Backend: b.gossipKey, Load: loadStepOne})
 	if b.ejected() {
-		t.Error("still ejected though another limiter observed that it is well")
+		t.Error("the backend is still ejected although another limiter observed that it is healthy")
 	}
 }
 
-// While one limiter makes the recovery attempts for all, it tries an ejected backend once its backoff is over, and no
+// While one limiter makes the recovery attempts for all, it attempts to use an ejected backend after its backoff, and no
 // other limiter does.
 func TestRecoveryAttemptsNeedTheLease(t *testing.T) {
 	for _, leaseHeld := range []bool{true, false} {
@@ -70,7 +70,8 @@
 				recoveryAttempts++
 			}
 			if attempt.Recovery != (attempt.Backend == ejected.ID) {
-				t.Errorf("attempt at %s is a recovery attempt: %v", attempt.Backend, attempt.Recovery)
+				t.Errorf("attempt at %s: Recovery is %v, want it set exactly for the ejected backend",
+					attempt.Backend, attempt.Recovery)
 			}
 			f.now += 10 * ms
 			f.finish(id, 0, attempt.Backend, Succeeded, 10*ms)
@@ -80,7 +81,7 @@
 			}
 		}
 		if (recoveryAttempts > 0) != leaseHeld || ejected.ejected() == leaseHeld {
-			t.Errorf("lease held %v: %d recovery attempts, still ejected: %v", leaseHeld, recoveryAttempts, ejected.ejected())
+			t.Errorf("lease held %v: %d recovery attempts, still ejected %v", leaseHeld, recoveryAttempts, ejected.ejected())
 		}
 	}
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -6,34 +6,34 @@
 )
 
 // request is a request that has not ended or has an attempt in flight. It waits for a grant of its
-// customer's quota, is queued (its quota is granted, it waits for the window), has an attempt in flight, or
+// customer's quota, is queued (its quota is granted and it waits for the window), has an attempt in flight, or
 // waits for a backend that its retry may use.
 type request struct {
 	*Request
 	class       *requestClass
 	customer    *customer
 	receivedAt  time.Duration // clock time
-	usefulUntil time.Duration // clock time after which an answer is worth little
+	usefulUntil time.Duration // clock time after which a response is worth little
 	deadline    time.Duration // clock time at which the client stops waiting
 
-	hasSlot    bool // counts among its customer's slots
-	queued     bool // units are reserved, and no attempt was made yet
+	hasSlot    bool // is counted in its customer's slots
+	queued     bool // units are reserved and no attempt was started yet
 	ended      bool // answered, or ended by the caller
-	responding bool // the client is being sent a response
+	responding bool // a response is being sent to the client
 
-	attempts          int           // made so far
+	attempts          int           // started so far
 	attemptedBackends []*backend    // by attempt
-	backend           *backend      // where an attempt is in flight; nil for none
+	backend           *backend      // of the attempt in flight; nil for none
 	sentAt            time.Duration // clock time of the last attempt
-	inFlightAtSend    int           // attempts in flight at the backend when it was sent, itself included
+	inFlightAtSend    int           // attempts in flight at the backend when it was sent, including itself
 	canceled          bool          // the attempt in flight has been canceled
-	ageRecorded       bool          // the attempt in flight has counted by its age, see recordLateAttempts
+	ageRecorded       bool          // the age of the attempt in flight has been recorded, see recordLateAttempts
 
 	// adoptedUntil is the clock time by which every attempt of a request of another process must have ended; 0 for a
 	// request of this process.
 	adoptedUntil time.Duration
 
-	retryPrepaid bool // a token is reserved for the retry after the cancellation, see cancelStuckAttempts
+	retryPrepaid bool // a retry token is reserved during the cancellation, see cancelStuckAttempts
 
 	// mayHaveRunOn is the backend of the first attempt that may have run, nil for none, and
 	// mayHaveRunFrom the clock time at which it was sent.
@@ -72,10 +72,10 @@
 	ctl.emit(CancelAttempt{Request: r.ID, Attempt: r.attempts - 1})
 }
 
-// endUnserved answers a request that no backend served: it rejects the request if the client may safely send
-// it again, and fails it if it may have run.
+// endUnserved ends a request that no backend served: it rejects the request if the client may safely send it again, and
+// fails it otherwise.
 func (ctl *Controller) endUnserved(r *request) {
-	if r.retryByClientIsHarmless() {
+	if r.safeForClientToRetry() {
 		ctl.emit(Reject{Request: r.ID, RetryAfter: ctl.settings.MaxRetryAfter})
 	} else {
 		ctl.emit(Fail{Request: r.ID})
@@ -84,9 +84,9 @@
 	ctl.release(r)
 }
 
-// retryByClientIsHarmless reports whether the client may send the request again without its running
-// twice with effect. A new try of the client can go to any backend.
-func (r *request) retryByClientIsHarmless() bool {
+// safeForClientToRetry reports whether the client may send the request again without the request taking effect twice.
+// A client retry can be forwarded to any backend.
+func (r *request) safeForClientToRetry() bool {
 	switch r.class.Idempotency {
 	case Idempotent:
 		return true
@@ -98,8 +98,8 @@
 	return r.mayHaveRunOn == nil && r.backend == nil
 }
 
-// release ends a request, and returns the units that it reserved if no attempt was made. It is forgotten
-// once it has no attempt in flight.
+// release ends a request, and returns the units that it reserved if no attempt was started. The request is deleted once
+// it has no attempt in flight.
 func (ctl *Controller) release(r *request) {
 	if r.queued {
 		r.queued = false
@@ -115,18 +115,17 @@
 	}
 }
 
-// RejectionCounts counts the requests that were ended without an answer of a backend, by cause. It does
-// not count those that were rejected at once for an unknown class, because an answer was of no use any more,
-// or in a shutdown, nor those that the caller ended (RequestEnded, AttemptFinished.Final). The tags are read by
-// scripts.
+// RejectionCounts counts the requests that ended without a response of a backend, by cause. It does not count requests
+// that were rejected at once for an unknown class, because a response was of no use any more, or during a shutdown,
+// nor those that the caller ended (RequestEnded, AttemptFinished.Final). Scripts read the JSON keys.
 type RejectionCounts struct {
-	// OverQuota counts requests beyond the quota, the ceiling or the slots of their customer as far as known
-	// here, so while the start state is unknown also ones that the quota might have covered.
+	// OverQuota counts requests that exceed the quota, the ceiling or the slots of their customer according to the
+	// local state. While the start state is unknown, this includes requests that the quota might have covered.
 	OverQuota    uint64 `json:"beyond"`
 	WindowFull   uint64 `json:"full"`  // the window was full and the queue too long
-	QueueTimeout uint64 `json:"held"`  // queued until no answer could be in time
-	NotRetried   uint64 `json:"tried"` // attempted without success, and not retried for whatever cause
+	QueueTimeout uint64 `json:"held"`  // queued until a response could no longer be in time
+	NotRetried   uint64 `json:"tried"` // attempted without success, and not retried for any reason
 }
 
-// Rejections returns the counts since the start.
+// Rejections returns the rejection counts since the start.
 func (ctl *Controller) Rejections() RejectionCounts { return ctl.rejections }
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A request whose attempt failed is retried only if it never ran or may run again; where it may have run and must not
-// run twice, it fails rather than being rejected, as a rejection invites the client to retry.
+// A request whose attempt failed is retried only if it never ran or may run again. If it may have run and must not run
+// twice, it fails instead of being rejected, as a rejection invites the client to retry.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, test := range []struct {
 		class   string
@@ -31,18 +31,18 @@
 		retries, failures := actionsOf[StartAttempt](f.actions), actionsOf[Fail](f.actions)
 		rejections := len(actionsOf[Reject](f.actions))
 		if (len(retries) == 1) != test.retried || (len(failures) == 1) != test.failed || rejections > 0 {
-			t.Errorf("%s after result %d: %v", test.class, test.result, f.actions)
+			t.Errorf("class %s after result %d: unexpected actions %v", test.class, test.result, f.actions)
 		}
 		if test.class == "post" && len(retries) == 1 {
 			backends := f.ctl.endpoints.byID
 			if backends[retries[0].Backend].Zone != backends[first.Backend].Zone {
-				t.Errorf("the retry of a keyed request left its zone")
+				t.Errorf("a request with an idempotency key was retried in another zone")
 			}
 		}
 	}
 }
 
-// A keyed request is not retried once backends may no longer drop the repeat.
+// A request with an idempotency key is not retried when backends may no longer drop the repeat.
 func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].IdempotencyWindow = 100 * ms
@@ -53,12 +53,12 @@
 	f.now += 95 * ms
 	f.finish(id, 0, first.Backend, ConnectionLost, 95*ms)
 	if len(actionsOf[StartAttempt](f.actions)) > 0 || len(actionsOf[Fail](f.actions)) != 1 {
-		t.Errorf("at the end of the idempotency window: %v, want a failure", f.actions)
+		t.Errorf("at the end of the idempotency window: %v, want a Fail and no attempt", f.actions)
 	}
 }
 
-// A retry of a keyed request that waits for a connection may not start once backends may no longer drop the repeat:
-// connecting may take longer than the idempotency window.
+// A retry of a request with an idempotency key that waits for a connection may not start when backends may no longer
+// drop the repeat: connecting may take longer than the idempotency window.
 func TestRetryStartsWithinIdempotencyWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].IdempotencyWindow = 300 * ms
@@ -67,23 +67,23 @@
 	first, sentAt := f.attemptOf(id), f.now
 	f.takeActions()
 	if first.StartBefore != 0 {
-		t.Errorf("the first attempt has to start before %v, want no bound", first.StartBefore)
+		t.Errorf("the first attempt has StartBefore %v, want no bound", first.StartBefore)
 	}
 	f.now += 50 * ms
 	f.finish(id, 0, first.Backend, ConnectionLost, 50*ms)
 	retries := actionsOf[StartAttempt](f.actions)
 	if want := sentAt + 270*ms; len(retries) != 1 || retries[0].StartBefore != want {
-		t.Fatalf("%v, want a retry that starts before %v", retries, want)
+		t.Fatalf("retries %v, want one with StartBefore %v", retries, want)
 	}
 	f.takeActions()
-	f.now = sentAt + 280*ms // no byte was written by then
+	f.now = sentAt + 280*ms // no byte of the retry has been written by then
 	f.finish(id, 1, retries[0].Backend, NotSent, 230*ms)
 	if len(actionsOf[StartAttempt](f.actions)) > 0 || len(actionsOf[Fail](f.actions)) != 1 {
-		t.Errorf("after the idempotency window: %v, want a failure", f.actions)
+		t.Errorf("after the idempotency window: %v, want a Fail and no attempt", f.actions)
 	}
 }
 
-// Retries are bounded by the retry budget, so that they do not slow a slow tier of backends further.
+// The retry budget bounds the number of retries, so that they do not slow down slow backends further.
 func TestRetryBudget(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c", "d", "e", "f")...)
 	const requests = 200
@@ -100,7 +100,7 @@
 			f.finish(id, number, started[0].Backend, Errored, 2*ms)
 		}
 	}
-	if most := float64(requests)*(1+retriesPerRequest) + f.ctl.retries.maxTokens; float64(attempts) > most {
-		t.Errorf("%d attempts for %d requests, want at most %.0f", attempts, requests, most)
+	if limit := float64(requests)*(1+retriesPerRequest) + f.ctl.retries.maxTokens; float64(attempts) > limit {
+		t.Errorf("%d attempts for %d requests, want at most %.0f", attempts, requests, limit)
 	}
 }
