--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -5,65 +5,66 @@
 	"slices"
 )
 
-// This file decides at which backend an attempt is made: the one expected to respond soonest, of a few
-// that are looked at. Each limiter looks at a small random choice out of its subset of the backends
-// (endpoints.go): hundreds of limiters that share their observations would all send to the best one, and
-// one that spread few requests over all backends would open a connection for nearly each.
+// This file selects the backend of an attempt: the one with the lowest expected latency among a few candidates. Each
+// limiter considers a small random sample of its subset of the backends (endpoints.go). If hundreds of limiters that
+// share their observations all chose the best backend, they would overload it; and a limiter that spread few requests
+// over all backends would open a connection for nearly each request.
 
 const (
-	// minChoices is how many backends are looked at, at least.
+	// minChoices is the minimum number of backends that are considered.
 	minChoices = 3
-	// choicesPerBackend is how often each usable backend is looked at when every limiter selects once. With
-	// so many limiters that each would look at fewer than minChoices, it is more often.
+	// choicesPerBackend is the number of times that each usable backend is considered when every limiter selects
+	// once. It is higher with so many limiters that each would consider fewer than minChoices.
 	choicesPerBackend = 4.0
-	// priorResponses is how many own responses of a backend weigh as much as the estimate by observations.
+	// priorResponses is the number of own responses of a backend that weigh as much as the estimate from
+	// observations.
 	priorResponses = 3.0
-	// unmeasuredLatencyFactor is the latency per attempt, over the median, that is assumed of a backend
-	// without recent own responses: a little better than it may be, so that it is tried.
+	// unmeasuredLatencyFactor is the latency per attempt, relative to the median, that is assumed for a backend
+	// without recent own responses. It is slightly optimistic, so that such backends are tried.
 	unmeasuredLatencyFactor = 0.8
-	// failureCost is the extra cost of a backend that always fails, in multiples of its latency.
+	// failureCost is the additional cost of a backend that always fails, in multiples of its latency.
 	failureCost = 4.0
-	// ejectedCost and triedCost are added to a cost: a backend that was tried for the request already is
-	// used only if there is no other, and an ejected one only if there is no tried one either.
+	// ejectedCost and triedCost are added to a cost: a backend that was already tried for the request is
+	// used only if there is no other, and an ejected backend only if there is no tried one either.
 	ejectedCost = 1e6
 	triedCost   = 1e3
-	// goodEnoughCost is the cost above which the search goes on beyond the first choices, meant for backends
-	// with triedCost or ejectedCost.
+	// goodEnoughCost is the cost above which the search continues beyond the first choices. Only triedCost and
+	// ejectedCost are meant to exceed it.
 	goodEnoughCost = 1e2
-	// assumedOtherAttempts is how many attempts of other limiters the latency per attempt assumes at a
-	// backend: without them a backend with one attempt would look worse than any busy one.
+	// assumedOtherAttempts is the number of attempts of other limiters at a backend that the latency per attempt
+	// assumes. Without them, a backend with one attempt would appear slower than any busy one.
 	assumedOtherAttempts = 2.0
-	// latencyPerAttemptWeight is the least weight of one response in the latency per attempt.
+	// latencyPerAttemptWeight is the minimum weight of a single response in the latency per attempt.
 	latencyPerAttemptWeight = 0.1
-	// ownResponseObjectives is the time in longest objectives after which what own responses have shown of a
-	// backend has faded to 1/e.
+	// ownResponseObjectives is the time in longest objectives in which the weight of a backend's own responses
+	// decays to 1/e.
 	ownResponseObjectives = 5.0
-	// lateLatencies is the age, in mean latencies, from which on the oldest attempt raises a backend's cost.
+	// lateLatencies is the age, in mean latencies, above which the oldest attempt raises a backend's cost.
 	lateLatencies = 2.0
-	// maxLimitersWithoutNoise is how many limiters choose by cost alone; with twice as many or more the noise
-	// on costs is complete.
+	// maxLimitersWithoutNoise is the number of limiters up to which the cost alone decides; with twice as many or
+	// more, the noise on costs is fully applied.
 	maxLimitersWithoutNoise = 6
-	// minMeanLatencySeconds and minLateSeconds keep from dividing by a mean latency of 0: that of responses in
-	// no time by the clock, and that of a class without a response so far.
+	// minMeanLatencySeconds and minLateSeconds prevent division by a mean latency of 0: the former for responses
+	// whose latency is below the clock resolution, the latter for a class without a response so far.
 	minMeanLatencySeconds = 1e-6
 	minLateSeconds        = 1e-3
 )
 
-// choice is the state of one search for a backend.
-type choice struct {
+// backendSearch is the state of one search for a backend.
+type backendSearch struct {
 	usable   int     // number of backends to choose from, see usableSubset
-	capacity float64 // of the usable backends, in warm ones
-	choices  int     // how many usable backends are looked at before the best is taken
+	capacity float64 // of the usable backends, in warm backends
+	choices  int     // number of usable backends that are considered before the best is taken
 
 	best    *backend
 	cost    float64  // of best
-	warm    bool     // an eligible backend that is not warming up was met
-	warmest *backend // of the eligible backends that are warming up; nil for none
+	warm    bool     // an eligible backend that is not warming up was found
+	warmest *backend // the one closest to full capacity of the eligible backends that are warming up; nil for none
 }
 
-// selectBackend returns the backend for the next attempt of a request, nil if none may be used now.
+// selectBackend returns the backend for the next attempt of a request, or nil if none may be used now.
 func (ctl *Controller) selectBackend(r *request) *backend {
-	c := choice{cost: math.Inf(1)}
+	c := backendSearch{cost: math.Inf(1)}
 	c.usable, c.capacity = ctl.usableSubset()
 	c.choices = ctl.choices(c.usable)
 	from := ctl.random.IntN(max(c.usable, 1))
@@ -72,7 +73,7 @@
 			break
 		}
 		b := ctl.endpoints.listed[i]
-		if i < c.usable { // the usable ones in turn from a random one on, then the others in their order
+		if i < c.usable { // the usable backends in rotation from a random start, then the others in list order
 			b = ctl.endpoints.listed[(from+i)%c.usable]
 		}
 		if ctl.eligible(r, b) && ctl.considerWarmUp(&c, b, i < c.choices) {
@@ -85,10 +86,10 @@
 	return c.best
 }
 
-// choices is how many of the usable backends are looked at before the best of them is taken.
+// choices returns the number of usable backends that are considered before the best of them is taken.
 func (ctl *Controller) choices(usable int) int {
-	ofTier := int(choicesPerBackend * float64(usable) / float64(ctl.settings.Limiters))
-	return min(max(ofTier, minChoices), usable)
+	choicesPerLimiter := int(choicesPerBackend * float64(usable) / float64(ctl.settings.Limiters))
+	return min(max(choicesPerLimiter, minChoices), usable)
 }
 
 // eligible reports whether an attempt of a request may go to a backend at all.
@@ -96,9 +97,9 @@
 	return ctl.deduplicates(r, b) && b.rejectedUntil[ctl.rejectionKind(r)] <= ctl.now
 }
 
-// considerWarmUp notes whether an eligible backend is warming up, and reports whether it may be
-// considered. One that is warming up may be only among the first choices, as often as slow start allows.
-func (ctl *Controller) considerWarmUp(c *choice, b *backend, amongFirst bool) bool {
+// considerWarmUp records whether an eligible backend is warming up, and reports whether it may be considered. A backend
+// that is warming up is considered only among the first choices, and only as often as slow start allows.
+func (ctl *Controller) considerWarmUp(c *backendSearch, b *backend, amongFirst bool) bool {
 	fraction := ctl.warmUpFraction(b)
 	if fraction == 1 {
 		c.warm = true
@@ -110,8 +111,8 @@
 	return amongFirst && ctl.admitsWarmingUp(b, c.choices, c.usable, c.capacity)
 }
 
-// consider makes a backend the best so far if it costs less.
-func (ctl *Controller) consider(c *choice, r *request, b *backend) {
+// consider makes a backend the best so far if its cost is lower.
+func (ctl *Controller) consider(c *backendSearch, r *request, b *backend) {
 	cost := ctl.backendCost(b) * ctl.costNoise()
 	switch {
 	case ctl.recoveryDue(b) && len(b.inFlight) == 0 && r.class.Idempotency == Idempotent && r.attempts == 0:
@@ -126,23 +127,23 @@
 	}
 }
 
-// backendCost is the latency to expect of a backend, in mean latencies of the class: the latency per
-// attempt times the attempts that would then be in flight there, raised where it warms up, is late or fails.
-// The latency per attempt is that of own responses as far as they are many and fresh, else an estimate: the
-// median of all backends times the observed load.
+// backendCost returns the latency expected of a backend, in mean latencies of the class: the latency per attempt times
+// the number of attempts that would then be in flight there, increased if the backend is warming up, late or failing.
+// The latency per attempt is that of own responses to the extent that they are many and recent, otherwise an estimate:
+// the median of all backends times the observed load.
 func (ctl *Controller) backendCost(b *backend) float64 {
 	ownWeight := ctl.freshness(b)
-	ownWeight *= b.samples * ownWeight / (b.samples*ownWeight + priorResponses) // one response weighs little
+	ownWeight *= b.samples * ownWeight / (b.samples*ownWeight + priorResponses) // a single response weighs little
 	observedWeight := ctl.gossipFreshness(b)
 	unmeasured := unmeasuredLatencyFactor * ctl.endpoints.medianLatencyPerAttempt * (1 + observedWeight*(b.relativeLoad-1))
 	cost := (unmeasured*(1-ownWeight) + b.latencyPerAttempt*ownWeight) * float64(len(b.inFlight)+1)
-	cost /= observedWeight + (1-observedWeight)*ctl.warmUpFraction(b) // an observed load includes that it warms up
+	cost /= observedWeight + (1-observedWeight)*ctl.warmUpFraction(b) // an observed load already reflects the warm-up
 	cost *= ctl.oldestAttemptFactor(b)
 	return cost * (1 + failureCost*b.failureRate*max(ownWeight, observedWeight))
 }
 
-// oldestAttemptFactor raises the cost of a backend whose oldest attempt is late: its age bounds the
-// latency from below, as the backend may take requests and never answer.
+// oldestAttemptFactor returns the factor on the cost of a backend whose oldest attempt is late: the age of the attempt
+// is a lower bound of the latency, as the backend may accept requests and never respond.
 func (ctl *Controller) oldestAttemptFactor(b *backend) float64 {
 	if len(b.inFlight) == 0 {
 		return 1
@@ -152,23 +153,23 @@
 	return max((ctl.now-oldest.sentAt).Seconds()/late, 1)
 }
 
-// costNoise is a random factor on costs: 1 with up to maxLimitersWithoutNoise limiters, and exponentially
-// distributed with twice as many or more. A backend is then chosen with a probability in proportion to one
-// over its cost: limiters that share their observations, a little late, would otherwise all choose the same
-// one and then all another.
+// costNoise returns a random factor for costs: 1 with at most maxLimitersWithoutNoise limiters, and exponentially
+// distributed with twice as many or more. A backend is then chosen with a probability inversely proportional to its
+// cost. Otherwise limiters that share their observations, with some delay, would all choose the same backend and then
+// all switch to another one.
 func (ctl *Controller) costNoise() float64 {
-	exponent := min(max(float64(ctl.settings.Limiters)/maxLimitersWithoutNoise-1, 0), 1) // 0 for no noise, 1 for all of it
+	exponent := min(max(float64(ctl.settings.Limiters)/maxLimitersWithoutNoise-1, 0), 1) // 0 for no noise, 1 for full noise
 	return math.Pow(ctl.random.ExpFloat64(), exponent)
 }
 
-// freshness is the weight, 0 to 1, that the own responses of a backend have kept since the last of them.
+// freshness returns the weight, 0 to 1, of the own responses of a backend, which decays with the time since the last one.
 func (ctl *Controller) freshness(b *backend) float64 {
 	age := (ctl.now - b.lastResponseAt).Seconds()
 	return math.Exp(-age / (ownResponseObjectives * ctl.control.memorySeconds))
 }
 
-// recordLatencyPerAttempt adds the latency of a response, in seconds, to the running latency per attempt of
-// its backend. The longer the backend was not used, the more the new response weighs.
+// recordLatencyPerAttempt adds the latency of a response, in seconds, to the running latency per attempt of its backend.
+// The new response weighs more the longer the backend was not used.
 func (ctl *Controller) recordLatencyPerAttempt(b *backend, r *request, latency float64) {
 	relative := (1 + assumedOtherAttempts) * latency / max(r.class.meanLatency, minMeanLatencySeconds)
 	perAttempt := relative / (float64(r.inFlightAtSend) + assumedOtherAttempts)
@@ -179,7 +180,7 @@
 	b.lastResponseAt = ctl.now
 }
 
-// measureMedianLatency is the median latency per attempt of the listed backends, 1 if there are none.
+// measureMedianLatency returns the median latency per attempt of the listed backends, or 1 if there are none.
 func (ctl *Controller) measureMedianLatency() float64 {
 	listed := ctl.endpoints.listed
 	if len(listed) == 0 {
--- a/internal/admission/selection_test.go
+++ b/internal/admission/selection_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// One response of a backend weighs little beside the observations of other limiters, many weigh more than these.
+// A single response of a backend weighs little compared with the observations of other limiters; many responses weigh
+// more than these.
 func TestFewResponsesWeighLittle(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	b := f.ctl.endpoints.byID["a"]
@@ -14,16 +15,16 @@
 	b.samples = 50
 	many := f.ctl.backendCost(b)
 	if few > 2 || many < 3.5 {
-		t.Errorf("cost %.1f after one slow response and %.1f after fifty; others observe 1 and the responses are 4", few, many)
+		t.Errorf("cost %.1f after one slow response, want at most 2, and %.1f after fifty, want at least 3.5", few, many)
 	}
 }
 
-// In a large tier the limiters do not all send to the backend that is observed to be the least loaded, though it gets
-// more than the others; in a small tier, where each limiter sees most of the load, it is simply chosen.
+// In a large tier the limiters do not all send to the backend that is observed to be the least loaded, although it gets
+// more than the others. In a small tier, where each limiter sees most of the load, it is simply chosen.
 func TestNoHerdingToLeastLoadedBackend(t *testing.T) {
 	for _, test := range []struct {
 		limiters    int
-		least, most float64 // fraction sent to the least loaded of ten, where a tenth is even
+		least, most float64 // fraction of requests for the least loaded of ten backends; an even share is a tenth
 	}{{3, 0.9, 1}, {20, 0.12, 0.5}, {80, 0.12, 0.24}} {
 		settings := testSettings()
 		settings.Limiters = test.limiters
@@ -41,13 +42,14 @@
 			}
 		}
 		if fraction := float64(chosen) / 5000; fraction < test.least || fraction > test.most {
-			t.Errorf("%d limiters: %.2f to the least loaded, want %.2f to %.2f", test.limiters, fraction, test.least, test.most)
+			t.Errorf("%d limiters: fraction %.2f to the least loaded, want %.2f to %.2f",
+				test.limiters, fraction, test.least, test.most)
 		}
 	}
 }
 
-// A backend that was slow gets requests again once it has recovered: otherwise all of them would end up at the few
-// backends that have some.
+// A backend that was slow gets requests again after it has recovered: otherwise all requests would end up at the few
+// backends that still get some.
 func TestRecoveredBackendIsUsedAgain(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
 	f.serve(300, func(attempt StartAttempt) (Result, time.Duration) {
@@ -59,6 +61,6 @@
 	f.serve(800, func(StartAttempt) (Result, time.Duration) { return Succeeded, 40 * ms })
 	attempts := f.serve(200, func(StartAttempt) (Result, time.Duration) { return Succeeded, 40 * ms })
 	if attempts["a"] < 20 {
-		t.Errorf("a recovered backend got %d of 200: %v", attempts["a"], attempts)
+		t.Errorf("a recovered backend got %d of 200 attempts, want at least 20: %v", attempts["a"], attempts)
 	}
 }
--- a/internal/admission/slots_cases_test.go
+++ b/internal/admission/slots_cases_test.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// singleSlotSide is a limiter without peers.
-func singleSlotSide(t *testing.T) *slotSide {
+// newSingleSlotLimiter returns a limiter without peers.
+func newSingleSlotLimiter(t *testing.T) *slotLimiter {
 	settings := testSettings()
 	settings.Limiters, settings.GossipEnabled = 1, false
-	return newSlotSide(t, settings, "a", "b", "c")
+	return newSlotLimiter(t, settings, "a", "b", "c")
 }
 
-// adoptedRequest is a request of a predecessor, of the customer that slotSide.start has.
+// adoptedRequest returns a request of a predecessor, of the same customer as those of slotLimiter.start.
 func adoptedRequest(id RequestID) Request {
 	return Request{ID: id, Class: "read", Plan: "concurrent", Customer: "x", Units: 1, SetSize: 2}
 }
 
-// Guards against a retry of a predecessor that has no slot: the end of its first attempt, which the predecessor
-// reports before the start of the second, gives the slot to the next request of the successor.
+// Guards against a retry of a predecessor without a slot: the predecessor reports the end of the first attempt before
+// the start of the second, and the successor gives the slot to its next request.
 func TestPredecessorRetryKeepsItsSlot(t *testing.T) {
-	s := singleSlotSide(t)
+	s := newSingleSlotLimiter(t)
 	s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Backend: "a"})
 	s.start()
-	s.start() // waits, or is rejected, for want of a slot
+	s.start() // waits, or is rejected, as no slot is free
 	s.handle(&AttemptFinished{Request: 1000, Backend: "a", Result: Unreachable, Final: true})
-	s.take()
+	s.collectActions()
 	s.start()
 	s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Attempt: 1, Backend: "b"})
-	s.take()
-	if open := len(s.open) + 1; open > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", open)
+	s.collectActions()
+	if inFlight := len(s.inFlight) + 1; inFlight > 2 {
+		t.Errorf("%d attempts in flight, want at most 2, one per slot", inFlight)
 	}
 }
 
-// Guards against a retry that waits at a predecessor when it hands over: the successor does not know of its slot.
+// Guards against a successor that does not count the slot of a retry that waits at the predecessor during the handover.
 func TestPredecessorRetryThatWaitsAtTheHandover(t *testing.T) {
-	predecessor := singleSlotSide(t)
+	predecessor := newSingleSlotLimiter(t)
 	first := predecessor.start()
 	predecessor.handle(&EndpointList{Kind: ListCached})
-	predecessor.end(first, ConnectFailed) // its retry waits
+	predecessor.end(first, ConnectFailed) // its retry waits for a backend
 	data, err := predecessor.ctl.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -48,33 +48,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	successor := &slotSide{fixture: &fixture{t: t, ctl: resumed, now: predecessor.now, nextID: 1 << 32}, open: map[RequestID]StartAttempt{}}
+	successor := &slotLimiter{fixture: &fixture{t: t, ctl: resumed, now: predecessor.now, nextID: 1 << 32}, inFlight: map[RequestID]StartAttempt{}}
 	successor.handle(TimerFired{})
 	list := &EndpointList{Kind: ListCached, Backends: backendList("b", "c")}
 	successor.handle(list)
 	successor.start()
 	successor.start()
 	predecessor.handle(list)
-	predecessor.take()
-	for _, attempt := range predecessor.open {
+	predecessor.collectActions()
+	for _, attempt := range predecessor.inFlight {
 		successor.handle(&AttemptAdopted{Request: adoptedRequest(first), Attempt: 1, Backend: attempt.Backend})
 	}
-	successor.take()
-	if open := len(predecessor.open) + len(successor.open); open > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", open)
+	successor.collectActions()
+	if inFlight := len(predecessor.inFlight) + len(successor.inFlight); inFlight > 2 {
+		t.Errorf("%d attempts in flight, want at most 2, one per slot", inFlight)
 	}
 }
 
-// Guards against slots of a customer that are counted by another one, whose name has the same hash.
+// Guards against counting the slots of a customer for another customer whose name has the same hash.
 func TestCustomersWithEqualHashesShareNoCount(t *testing.T) {
 	const one, other = "costarring", "liquid"
 	if hashOf(one) != hashOf(other) {
 		t.Fatal("the names have different hashes")
 	}
-	s := singleSlotSide(t)
+	s := newSingleSlotLimiter(t)
 	start := func(customer string) RequestID {
 		id := s.request("read", "concurrent", customer)
-		s.take()
+		s.collectActions()
 		return id
 	}
 	start(one)
@@ -83,94 +83,96 @@
 	s.end(shared, Succeeded)
 	start(one)
 	start(one)
-	if open := len(s.open); open > 2 {
-		t.Errorf("one customer has %d attempts in flight, 2 slots", open)
+	if inFlight := len(s.inFlight); inFlight > 2 {
+		t.Errorf("one customer has %d attempts in flight, want at most 2, one per slot", inFlight)
 	}
 }
 
-// Guards against an attempt of a predecessor that counts nowhere because its backend is not in the list here.
+// Guards against an attempt of a predecessor that has no slot because its backend is not in the endpoint list here.
 func TestAdoptedAttemptAtUnknownBackendHasASlot(t *testing.T) {
-	s := singleSlotSide(t)
+	s := newSingleSlotLimiter(t)
 	s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Backend: "gone"})
 	s.start()
 	s.start()
-	if open := len(s.open) + 1; open > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", open)
+	if inFlight := len(s.inFlight) + 1; inFlight > 2 {
+		t.Errorf("%d attempts in flight, want at most 2, one per slot", inFlight)
 	}
 }
 
-// borrowingSides returns a limiter with an attempt on a slot that the other lent, beside one on its own.
-func borrowingSides(t *testing.T) (borrower, lender *slotSide, sides []*slotSide) {
+// newBorrowerAndLender returns two limiters; the borrower has one attempt on its own slot and one on a slot that the
+// lender lent.
+func newBorrowerAndLender(t *testing.T) (borrower, lender *slotLimiter, limiters []*slotLimiter) {
 	for i := range 2 {
 		settings := testSettings()
 		settings.Self, settings.Epoch = i, 5
-		sides = append(sides, newSlotSide(t, settings, "a", "b", "c"))
+		limiters = append(limiters, newSlotLimiter(t, settings, "a", "b", "c"))
 	}
-	borrower, lender = sides[0], sides[1]
-	exchangeMessages(sides, 250)
+	borrower, lender = limiters[0], limiters[1]
+	exchangeMessages(limiters, 250)
 	borrower.start()
-	exchangeMessages(sides, 4)
+	exchangeMessages(limiters, 4)
 	borrower.start()
-	exchangeMessages(sides, 4)
-	if len(borrower.open) != 2 {
-		t.Fatalf("%d attempts in flight at the borrower, want 2", len(borrower.open))
+	exchangeMessages(limiters, 4)
+	if len(borrower.inFlight) != 2 {
+		t.Fatalf("%d attempts in flight at the borrower, want 2", len(borrower.inFlight))
 	}
-	return borrower, lender, sides
+	return borrower, lender, limiters
 }
 
-// Guards against a response that is still being sent after the deadline of its class, which ends no such attempt: a
-// stream has none.
+// Guards against lending out the slot of a response that is still being sent after the deadline of its class. The
+// deadline does not end such an attempt: a stream has none.
 func TestStreamOutlastsTheLoanOfItsSlot(t *testing.T) {
-	borrower, lender, sides := borrowingSides(t)
-	for id := range borrower.open {
+	borrower, lender, limiters := newBorrowerAndLender(t)
+	for id := range borrower.inFlight {
 		borrower.handle(&ResponseStarted{Request: id})
 	}
-	exchangeMessages(sides, 300) // six seconds
+	exchangeMessages(limiters, 300) // 6 s
 	lender.start()
-	exchangeMessages(sides, 4)
-	if open := len(borrower.open) + len(lender.open); open > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", open)
+	exchangeMessages(limiters, 4)
+	if inFlight := len(borrower.inFlight) + len(lender.inFlight); inFlight > 2 {
+		t.Errorf("%d attempts in flight, 2 slots", inFlight)
 	}
 }
 
-// Guards against a lender that takes a slot back while an attempt that began at the end of the loan is in flight up
-// to its deadline, and a little beyond.
+// Guards against a lender that takes a slot back while an attempt that started at the end of the loan is in flight, until
+// its deadline and slightly beyond.
 func TestAttemptOfTheLongestDeadlineKeepsItsSlot(t *testing.T) {
-	borrower, lender, sides := borrowingSides(t)
-	exchangeMessages(sides, 94) // 1.9 seconds since the request: the loan lasts for a moment more
+	borrower, lender, limiters := newBorrowerAndLender(t)
+	exchangeMessages(limiters, 94) // 1.9 s since the request, shortly before the end of the loan
 	var own RequestID
-	for id := range borrower.open {
+	for id := range borrower.inFlight {
 		own = max(own, id)
 	}
-	borrower.start() // waits for a slot, and gets the one that is freed
+	borrower.start() // waits for a slot and gets the one that is freed next
 	borrower.end(own, Succeeded)
-	if len(borrower.open) != 2 {
-		t.Fatalf("%d attempts in flight at the borrower, want 2: the freed slot was not used at once", len(borrower.open))
+	if len(borrower.inFlight) != 2 {
+		t.Fatalf("%d attempts in flight at the borrower, want 2: the freed slot was not used at once", len(borrower.inFlight))
 	}
 	started := borrower.now
-	exchangeMessages(sides, 1)
+	exchangeMessages(limiters, 1)
 	for borrower.now < started+2*time.Second+190*ms {
 		lender.start()
-		exchangeMessages(sides, 2)
-		if open := len(borrower.open) + len(lender.open); open > 2 {
-			t.Fatalf("%d attempts in flight, 2 slots, %v after the last start", open, borrower.now-started)
+		exchangeMessages(limiters, 2)
+		if inFlight := len(borrower.inFlight) + len(lender.inFlight); inFlight > 2 {
+			t.Fatalf("%d attempts in flight, want at most 2, one per slot, %v after the last start",
+				inFlight, borrower.now-started)
 		}
 	}
 }
 
-// Guards against a slot of a queued request that stays borrowed after the request ended unsent.
-func TestQueuedRequestThatEndsGivesItsSlotBack(t *testing.T) {
-	var sides []*slotSide
+// Guards against a slot of a queued request that stays borrowed after the request ended without an attempt.
+func TestEndedQueuedRequestReturnsItsSlot(t *testing.T) {
+	var limiters []*slotLimiter
 	for i := range 2 {
 		settings := testSettings()
 		settings.Self, settings.Epoch = i, 5
-		sides = append(sides, newSlotSide(t, settings))
+		limiters = append(limiters, newSlotLimiter(t, settings))
 	}
-	borrower, lender := sides[0], sides[1]
-	exchangeMessages(sides, 250)
+	borrower, lender := limiters[0], limiters[1]
+	exchangeMessages(limiters, 250)
 	borrower.start()
 	borrower.start() // both are queued, as there is no backend
-	exchangeMessages(sides, 4)
+	exchangeMessages(limiters, 4)
 	account := borrower.ctl.customers.order[0].account
 	if account.SlotsInUse != 2 {
 		t.Fatalf("%d slots in use, want 2", account.SlotsInUse)
@@ -178,14 +180,14 @@
 	for id := range borrower.ctl.requests {
 		borrower.handle(&RequestEnded{Request: id})
 	}
-	borrower.take()
+	borrower.collectActions()
 	if account.SlotsInUse != 0 {
-		t.Errorf("%d slots in use after all requests ended", account.SlotsInUse)
+		t.Errorf("%d slots in use after all requests ended, want 0", account.SlotsInUse)
 	}
-	exchangeMessages(sides, 3)
+	exchangeMessages(limiters, 3)
 	lender.handle(&EndpointList{Kind: ListCached, Backends: backendList("a", "b")})
 	lender.start()
-	if len(lender.open) != 1 {
+	if len(lender.inFlight) != 1 {
 		t.Error("the lender cannot use its slot 60 ms after the borrower's request ended")
 	}
 }
--- a/internal/admission/slots_order_test.go
+++ b/internal/admission/slots_order_test.go
@@ -2,101 +2,101 @@
 
 import "testing"
 
-// slotSide is a limiter of a tier of two, with the attempts that it has in flight.
-type slotSide struct {
+// slotLimiter is a limiter with its attempts in flight and the messages that it has sent.
+type slotLimiter struct {
 	*fixture
 
-	open     map[RequestID]StartAttempt
+	inFlight map[RequestID]StartAttempt
 	messages []SendToPeer
 }
 
-func newSlotSide(t *testing.T, settings Settings, backends ...string) *slotSide {
-	return &slotSide{fixture: newFixture(t, settings, backendList(backends...)...), open: map[RequestID]StartAttempt{}}
+func newSlotLimiter(t *testing.T, settings Settings, backends ...string) *slotLimiter {
+	return &slotLimiter{fixture: newFixture(t, settings, backendList(backends...)...), inFlight: map[RequestID]StartAttempt{}}
 }
 
-// take records what the actions start and send.
-func (s *slotSide) take() {
+// collectActions records the attempts and messages among the actions.
+func (s *slotLimiter) collectActions() {
 	for _, action := range s.takeActions() {
 		switch action := action.(type) {
 		case StartAttempt:
-			s.open[action.Request] = action
+			s.inFlight[action.Request] = action
 		case SendToPeer:
 			s.messages = append(s.messages, action)
 		}
 	}
 }
 
-// end ends an attempt in flight, the first of its request.
-func (s *slotSide) end(id RequestID, result Result) {
-	backend := s.open[id].Backend
-	delete(s.open, id)
+// end ends the attempt in flight of a request, which must be its first one.
+func (s *slotLimiter) end(id RequestID, result Result) {
+	backend := s.inFlight[id].Backend
+	delete(s.inFlight, id)
 	s.finish(id, 0, backend, result, 5*ms)
-	s.take()
+	s.collectActions()
 }
 
-// start hands over a request.
-func (s *slotSide) start() RequestID {
+// start passes a request of the customer x on the plan concurrent.
+func (s *slotLimiter) start() RequestID {
 	id := s.request("read", "concurrent", "x")
-	s.take()
+	s.collectActions()
 	return id
 }
 
-// exchangeMessages lets time pass at both limiters, and delivers their messages.
-func exchangeMessages(sides []*slotSide, rounds int) {
+// exchangeMessages advances the clocks of two limiters by 20 ms per round and delivers their messages.
+func exchangeMessages(limiters []*slotLimiter, rounds int) {
 	for range rounds {
-		for i, side := range sides {
-			side.advance(20 * ms)
-			side.take()
-			other := sides[1-i]
-			for _, message := range side.messages {
-				other.now = max(other.now, side.now)
+		for i, limiter := range limiters {
+			limiter.advance(20 * ms)
+			limiter.collectActions()
+			other := limiters[1-i]
+			for _, message := range limiter.messages {
+				other.now = max(other.now, limiter.now)
 				other.handle(&PeerMessage{From: i, Data: message.Data})
-				other.take()
+				other.collectActions()
 			}
-			side.messages = nil
+			limiter.messages = nil
 		}
 	}
 }
 
-// Guards against a retry that starts on a slot which another request got while the retry waited for a backend.
+// Guards against a retry that starts on a slot that another request got while the retry waited for a backend.
 func TestRetryThatWaitedNeedsASlot(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters, settings.GossipEnabled = 1, false
-	s := newSlotSide(t, settings, "a")
+	s := newSlotLimiter(t, settings, "a")
 	first := s.start()
 	s.start()
 	s.handle(&EndpointList{Kind: ListCached})
-	s.end(first, ConnectFailed) // its retry waits
+	s.end(first, ConnectFailed) // its retry waits for a backend
 	s.start()
 	s.handle(&EndpointList{Kind: ListCached, Backends: backendList("b", "c")})
-	s.take()
-	if len(s.open) > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", len(s.open))
+	s.collectActions()
+	if len(s.inFlight) > 2 {
+		t.Errorf("%d attempts in flight, want at most 2, one per slot", len(s.inFlight))
 	}
 }
 
-// Guards against a retry that starts at once on a borrowed slot which was given back at the end of the attempt before.
+// Guards against an immediate retry on a borrowed slot that was returned at the end of the previous attempt.
 func TestRetryAtOnceKeepsItsBorrowedSlot(t *testing.T) {
-	var sides []*slotSide
+	var limiters []*slotLimiter
 	for i := range 2 {
 		settings := testSettings()
 		settings.Self, settings.Epoch = i, 5
-		sides = append(sides, newSlotSide(t, settings, "a", "b", "c"))
+		limiters = append(limiters, newSlotLimiter(t, settings, "a", "b", "c"))
 	}
-	borrower, lender := sides[0], sides[1]
-	exchangeMessages(sides, 120)
+	borrower, lender := limiters[0], limiters[1]
+	exchangeMessages(limiters, 120)
 	borrower.start()
-	exchangeMessages(sides, 4)
-	borrowing := borrower.start()
-	exchangeMessages(sides, 4)
-	if len(borrower.open) != 2 {
-		t.Fatalf("%d attempts in flight at the borrower, want 2", len(borrower.open))
+	exchangeMessages(limiters, 4)
+	borrowed := borrower.start()
+	exchangeMessages(limiters, 4)
+	if len(borrower.inFlight) != 2 {
+		t.Fatalf("%d attempts in flight at the borrower, want 2", len(borrower.inFlight))
 	}
-	borrower.end(borrowing, Unreachable)
-	exchangeMessages(sides, 4)
+	borrower.end(borrowed, Unreachable)
+	exchangeMessages(limiters, 4)
 	lender.start()
-	exchangeMessages(sides, 4)
-	if open := len(borrower.open) + len(lender.open); open > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", open)
+	exchangeMessages(limiters, 4)
+	if inFlight := len(borrower.inFlight) + len(lender.inFlight); inFlight > 2 {
+		t.Errorf("%d attempts in flight, want at most 2, one per slot", inFlight)
 	}
 }
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -1,24 +1,24 @@
 package admission
 
-// This file decides how much a backend is sent while it warms up: in proportion to its capacity by then, so
-// that all limiters together, each by chance, send it no more than it can serve.
+// This file limits the attempts at a backend that is warming up, in proportion to its current capacity, so that all
+// limiters together, each deciding at random, do not send it more than it can serve.
 //
-// A capacity here is in warm backends: the sum of warmUpFraction over the usable backends.
+// Capacities are in warm backends: the sum of warmUpFraction over the usable backends.
 
 const (
-	// slowStartMargin is the fraction of its fair share that is sent to a backend that warms up.
+	// slowStartMargin is the fraction of its fair share that a backend is sent while it is warming up.
 	slowStartMargin = 0.9
-	// minWarmFraction is the capacity, per usable backend, below which these are not sent the full rate of
+	// minWarmFraction is the capacity, per usable backend, below which the backends are not sent the full rate of
 	// attempts.
 	minWarmFraction = 0.5
-	// maxIdleFactor bounds how many times its fair share a backend that warms up gets if it is observed to be
-	// idle: well below what overloads it.
+	// maxIdleFactor bounds the multiple of its fair share that a backend gets if it is warming up and observed to be
+	// idle. It is well below what overloads the backend.
 	maxIdleFactor = 2.5
-	// minWarmUpFraction is the least fraction of its capacity that a backend counts with.
+	// minWarmUpFraction is the minimum fraction of its capacity that a backend is assumed to have.
 	minWarmUpFraction = 0.01
 )
 
-// warmUpFraction is the least fraction of its capacity that a backend can have by now, 1 if it is warm.
+// warmUpFraction returns the minimum fraction of its capacity that a backend has now, 1 if it is warm.
 func (ctl *Controller) warmUpFraction(b *backend) float64 {
 	age := ctl.now - b.StartedAt
 	if b.StartedAt <= 0 || age >= ctl.settings.SlowStartDuration {
@@ -28,10 +28,10 @@
 	return from + (1-from)*max(age.Seconds(), 0)/ctl.settings.SlowStartDuration.Seconds()
 }
 
-// admitsWarmingUp decides by chance whether a backend that warms up is considered, if so many choices
-// are looked at out of so many usable backends of a capacity: as often as its fraction of a warm backend's
-// share. The fraction is the least that it may have, so a backend that is observed to be idle gets more:
-// otherwise the warm ones would be overloaded beside idle ones.
+// admitsWarmingUp decides at random whether a backend that is warming up is considered, when choices backends are
+// considered out of usable backends with the given capacity. The probability corresponds to the backend's fraction of
+// the share of a warm backend. As that fraction is a minimum, a backend that is observed to be idle gets more:
+// otherwise the warm backends would be overloaded while others are idle.
 func (ctl *Controller) admitsWarmingUp(b *backend, choices, usable int, capacity float64) bool {
 	size := float64(usable)
 	idle := min(max(1/b.relativeLoad, 1), maxIdleFactor)
@@ -40,8 +40,8 @@
 	return ctl.random.Float64() < fairShare/float64(choices)
 }
 
-// selectWarmingUp returns the warmest backend if all eligible ones are warming up, or nil if the capacity of
-// the usable backends does not allow another attempt now.
+// selectWarmingUp returns the warmest backend if all eligible ones are warming up, or nil if the capacity of the usable
+// backends does not allow another attempt now.
 func (ctl *Controller) selectWarmingUp(warmest *backend, usable int, capacity float64) *backend {
 	attempts := ctl.window.attemptRate.Value(ctl.now, ctl.control.memorySeconds)
 	perSecond := slowStartMargin * attempts * capacity / (minWarmFraction * float64(max(usable, 1)))
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// A backend that has just started gets a fraction of the requests of a warm one, which grows as it warms up.
+// A backend that has just started gets a fraction of the requests of a warm backend, which grows while it warms up.
 func TestSlowStart(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
 	respond := func(StartAttempt) (Result, time.Duration) { return Succeeded, 90 * ms }
 	f.serve(300, respond)
 	f.handle(&EndpointList{Kind: ListDelta, Backends: []Backend{{ID: "a", Zone: "north", StartedAt: f.now}}})
 	if attempts := f.serve(200, respond); attempts["a"] > 25 {
-		t.Errorf("just after its start one of four got %d of 200", attempts["a"])
+		t.Errorf("just after its start, one of four backends got %d of 200 attempts, want at most 25", attempts["a"])
 	}
 	if attempts := f.serve(800, respond); attempts["a"] == 0 || attempts["a"] > 200 {
-		t.Errorf("while it warmed up one of four got %d of 800", attempts["a"])
+		t.Errorf("while warming up, one of four backends got %d of 800 attempts, want 1 to 200", attempts["a"])
 	}
 	if attempts := f.serve(200, respond); attempts["a"] < 17 { // a third of an even share
-		t.Errorf("when it was warm one of four got %d of 200", attempts["a"])
+		t.Errorf("when warm, one of four backends got %d of 200 attempts, want at least 17", attempts["a"])
 	}
 }
 
-// Where all backends start at once, no warm one shows what rate they bear, and they are sent less than before.
+// If all backends start at once, no warm backend shows what rate they can serve, and they are sent less than before.
 func TestSlowStartOfAllBackends(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
 	respond := func(StartAttempt) (Result, time.Duration) { return Succeeded, 30 * ms }
@@ -40,12 +40,12 @@
 		forwarded += attempts
 	}
 	if forwarded == 0 || forwarded > 60 {
-		t.Errorf("%d of 100 forwarded to backends at a fifth of their capacity", forwarded)
+		t.Errorf("%d of 100 forwarded to backends at a fifth of their capacity, want 1 to 60", forwarded)
 	}
 }
 
-// A backend that warms up and is observed to be idle gets more than its least share, yet far less than overloads it;
-// one that is observed to be busy gets no more.
+// A backend that is warming up and observed to be idle gets more than its minimum share, yet far less than overloads it;
+// one that is observed to be busy does not get more.
 func TestIdleBackendThatWarmsUpGetsMore(t *testing.T) {
 	const trials, choices, usable = 20000, 1, 10
 	settings := testSettings()
@@ -70,20 +70,20 @@
 	}
 	idle, busy := fractionOfFairShare(0.25), fractionOfFairShare(2)
 	if idle < 1.8 || idle > 2.5 || busy > 1 {
-		t.Errorf("%.2f of its fair share where it is idle, %.2f where it is busy", idle, busy)
+		t.Errorf("fraction of its fair share %.2f if idle, want 1.8 to 2.5; %.2f if busy, want at most 1", idle, busy)
 	}
 }
 
-// warmUpScenario is a tier of limiters, some of whose backends start anew.
+// warmUpScenario is a tier of limiters, some of whose backends start.
 type warmUpScenario struct {
 	name     string
 	limiters int
-	starting int           // how many backends start
-	within   time.Duration // they start one after the other, under new IDs; 0 for all at once, under the same IDs
+	starting int           // number of backends that start
+	within   time.Duration // in which they start one after the other, under new IDs; 0 for all at once, under the same IDs
 }
 
-// Together, the limiters send no backend that warms up as much as overloads it: a zone with 20 of 60 backends starts at
-// once, or 36 are replaced within 7 s. Some limiters get the endpoint list late, some have just restarted.
+// The limiters together do not overload a backend that is warming up: a zone with 20 of 60 backends starts at once, or 36
+// backends are replaced within 7 s. Some limiters get the endpoint list late, some have just restarted.
 func TestSlowStartOverAllLimiters(t *testing.T) {
 	for _, scenario := range []warmUpScenario{
 		{"zone starts", 80, 20, 0},
@@ -112,15 +112,15 @@
 	warmUpRequestsPerSecond = 600
 	warmUpBegin             = time.Hour
 	warmUpLatency           = 150 * ms
-	warmUpFrom              = 0.17 // of its capacity that a backend has at its start
+	warmUpFrom              = 0.17 // fraction of its capacity that a backend has at its start
 	warmUpDuration          = 17 * time.Second
-	warmUpOverload          = 4 // times its capacity overload a backend
+	warmUpOverload          = 4 // multiple of its capacity that overloads a backend
 	warmUpOverloadDuration  = 1500 * ms
-	// warmUpCapacity is the rate that a warm backend bears, at 60 percent of utilization.
+	// warmUpCapacity is the rate that a warm backend can serve; its load is 60 percent of it.
 	warmUpCapacity = warmUpRequestsPerSecond / warmUpBackends / 0.6
 )
 
-// warmUpRun plays the backends and clients of a warmUpScenario. Limiters do not send each other messages.
+// warmUpRun simulates the backends and clients of a warmUpScenario. The limiters send no messages to each other.
 type warmUpRun struct {
 	scenario    warmUpScenario
 	settings    Settings
@@ -128,8 +128,8 @@
 	now         time.Duration
 	controllers []*Controller
 	listDelays  []time.Duration // of the endpoint list, by limiter
-	backends    []Backend       // before any of them starts anew
-	startsAt    []time.Duration // of the first backends, as many as start
+	backends    []Backend       // before any of them restarts
+	startsAt    []time.Duration // clock times of the backends that start, which are the first ones
 	results     []limiterResult // in the order in which they are due
 	attempts    map[string][]time.Duration
 	nextID      RequestID
@@ -165,13 +165,13 @@
 	return run
 }
 
-// newLimiter returns a limiter that knows nothing.
+// newLimiter returns a limiter without state.
 func (run *warmUpRun) newLimiter(number int, seed uint64) *Controller {
 	run.settings.Self = number
 	return New(run.settings, seed)
 }
 
-// startedID is the ID of a backend after it has started anew.
+// startedID returns the ID of a backend after its start.
 func (run *warmUpRun) startedID(i int) string {
 	if run.scenario.within > 0 {
 		return fmt.Sprintf("new%02d", i)
@@ -179,7 +179,7 @@
 	return run.backends[i].ID
 }
 
-// backendsAt is the endpoint list at a clock time.
+// backendsAt returns the endpoint list at a clock time.
 func (run *warmUpRun) backendsAt(at time.Duration) []Backend {
 	list := slices.Clone(run.backends)
 	for i, startsAt := range run.startsAt {
@@ -190,8 +190,8 @@
 	return list
 }
 
-// updateLists hands each limiter the endpoint list, ten times a second and late. After 2 s one limiter in eight
-// restarts.
+// updateLists passes the endpoint list to each limiter, ten times per second and with the delay of the limiter. After
+// 2 s, one limiter in eight restarts.
 func (run *warmUpRun) updateLists() {
 	elapsed := run.now - warmUpBegin
 	if elapsed%(100*ms) != 0 {
@@ -209,7 +209,7 @@
 	}
 }
 
-// request hands a request to a limiter chosen by chance.
+// request passes a request to a random limiter.
 func (run *warmUpRun) request() {
 	run.nextID++
 	number := run.random.IntN(run.scenario.limiters)
@@ -219,7 +219,7 @@
 	})
 }
 
-// deliverResults hands over the results that are due.
+// deliverResults passes the results that are due.
 func (run *warmUpRun) deliverResults() {
 	for len(run.results) > 0 && run.results[0].at <= run.now {
 		due := run.results[0]
@@ -228,7 +228,7 @@
 	}
 }
 
-// handle hands an event to a limiter, and has the attempts that it starts succeed after warmUpLatency.
+// handle passes an event to a limiter, and schedules a success after warmUpLatency for each attempt that it starts.
 func (run *warmUpRun) handle(number int, ev Event) {
 	for _, attempt := range actionsOf[StartAttempt](run.controllers[number].Handle(run.now, ev, nil)) {
 		run.attempts[attempt.Backend] = append(run.attempts[attempt.Backend], run.now)
@@ -239,7 +239,7 @@
 	}
 }
 
-// checkOverload checks the attempts at a backend in the 8 s after its start.
+// checkOverload checks that the attempts at a backend in the 8 s after its start do not overload it.
 func (run *warmUpRun) checkOverload(t *testing.T, i int) {
 	t.Helper()
 	startedAt := run.startsAt[i]
@@ -251,10 +251,10 @@
 			}
 		}
 		fraction := warmUpFrom + (1-warmUpFrom)*(from-startedAt).Seconds()/warmUpDuration.Seconds()
-		most := warmUpOverload * fraction * warmUpCapacity * warmUpOverloadDuration.Seconds()
-		if float64(attempts) > most {
-			t.Fatalf("%s, %d limiters: %d attempts at %s in %v from %v on, %.0f overload it",
-				run.scenario.name, run.scenario.limiters, attempts, run.startedID(i), warmUpOverloadDuration, from-startedAt, most)
+		limit := warmUpOverload * fraction * warmUpCapacity * warmUpOverloadDuration.Seconds()
+		if float64(attempts) > limit {
+			t.Fatalf("%s, %d limiters: %d attempts at %s in %v, starting %v after its start, but more than %.0f overload it",
+				run.scenario.name, run.scenario.limiters, attempts, run.startedID(i), warmUpOverloadDuration, from-startedAt, limit)
 		}
 	}
 }
--- a/internal/admission/snapshot_codec_test.go
+++ b/internal/admission/snapshot_codec_test.go
@@ -6,8 +6,8 @@
 	"lemongate/internal/alloctest"
 )
 
-// After PrepareSnapshots the first snapshot that a process takes costs what later ones do, and the first that
-// it resumes from too: while these are under way no process admits, and every process does each but once.
+// After PrepareSnapshots, the first Snapshot and the first Resume of a process cost no more than later ones: no process
+// admits requests during either of them, and every process does each only once.
 func TestFirstSnapshotCostsNoMoreThanLater(t *testing.T) {
 	if !alloctest.InFreshProcess(t) {
 		return
--- a/internal/admission/snapshot_state.go
+++ b/internal/admission/snapshot_state.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/rate"
 )
 
-// This file is the stored form of a Controller, and the one place where it is mapped to the live
-// types. The field tags are a format that other releases read; a live field may be renamed freely.
+// This file defines the stored form of a Controller, and is the only place that maps it to the live types. The field
+// tags are a format that other releases read; live fields may be renamed freely.
 
 func ledgerState(l *quota.Ledger) *quota.LedgerState {
 	if l == nil {
@@ -19,8 +19,8 @@
 	return &state
 }
 
-// limiterState is the stored form of a Controller, without what follows from its settings or from
-// other state, and without requests, which stay where they are.
+// limiterState is the stored form of a Controller. It contains neither what follows from the settings or from other
+// state, nor requests, which stay in their process.
 type limiterState struct {
 	Now                        time.Duration           `json:"now"`
 	Started                    bool                    `json:"running"`
@@ -83,7 +83,7 @@
 	Weight            float64          `json:"Worth"`
 }
 
-// backendState is the stored form of what is known of a backend.
+// backendState is the stored form of a backend and its measurements.
 type backendState struct {
 	backendEntryState
 	LatencyPerAttempt    float64               `json:"slope"`
@@ -103,7 +103,7 @@
 	InitialReportSeen    bool                  `json:"reported"`
 }
 
-// backendEntryState is the stored form of an entry of the list of backends.
+// backendEntryState is the stored form of an entry of the endpoint list.
 type backendEntryState struct {
 	ID               string        `json:"ID"`
 	Zone             string        `json:"Zone"`
@@ -141,7 +141,7 @@
 	UpdatedAt time.Duration `json:"at"`
 }
 
-// rejectionsState is the stored form of the counts of rejections.
+// rejectionsState is the stored form of RejectionCounts.
 type rejectionsState struct {
 	OverQuota        uint64 `json:"beyond"`
 	WindowFull       uint64 `json:"full"`
@@ -155,7 +155,7 @@
 	UpdatedAt time.Duration `json:"at"`
 }
 
-// settingsState is the form of Settings of which the fingerprint is taken.
+// settingsState is the form of Settings from which the fingerprint is computed.
 type settingsState struct {
 	Epoch                 uint32               `json:"Epoch"`
 	Self                  int                  `json:"Self"`
@@ -204,7 +204,7 @@
 		Ledger:                     ledgerState(x.customers.ledger),
 		Customers:                  memento.List(x.customers.order, newCustomerState),
 		FirstRequestAt:             x.customers.firstRequestAt,
-		Leaving:                    x.customers.leaving,
+		Leaving:                    x.customers.shuttingDown,
 		InitialUtilizations:        x.reports.initialUtilizations,
 		Peers:                      memento.Values(x.gossip.peers, newPeerState),
 		TransferRequestsPacedUntil: x.gossip.requestsPacedUntil,
@@ -227,8 +227,7 @@
 	}
 }
 
-// restore puts the state into a Controller that knows its settings alone. The ledger needs the
-// configuration and is restored apart.
+// restore copies the state into a new Controller. The ledger needs its configuration and is restored separately.
 func (s limiterState) restore(ctl *Controller) {
 	ctl.now = s.Now
 	ctl.started = s.Started
@@ -237,7 +236,7 @@
 	ctl.reports.meanLoad = s.MeanLoad
 	ctl.customers.order = memento.List(s.Customers, customerState.restore)
 	ctl.customers.firstRequestAt = s.FirstRequestAt
-	ctl.customers.leaving = s.Leaving
+	ctl.customers.shuttingDown = s.Leaving
 	ctl.reports.initialUtilizations = s.InitialUtilizations
 	ctl.gossip.peers = memento.Values(s.Peers, peerState.restore)
 	ctl.gossip.requestsPacedUntil = s.TransferRequestsPacedUntil
--- a/internal/admission/snapshot_state_test.go
+++ b/internal/admission/snapshot_state_test.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/golden"
 )
 
-// decodeSnapshot decodes a snapshot that release 0.8.0 wrote, each field with a value of its own.
+// decodeSnapshot decodes a snapshot written by release 0.8.0, in which each field has a different value.
 func decodeSnapshot(t *testing.T, data []byte) (snapshot, *Controller) {
 	t.Helper()
 	var s snapshot
@@ -20,13 +20,13 @@
 	return s, ctl
 }
 
-// Each field of a snapshot of release 0.8.0 is decoded into the live field that it was written from.
+// Each field of a snapshot of release 0.8.0 is decoded into the live field from which it was written.
 func TestSnapshotOfEarlierReleaseIsDecoded(t *testing.T) {
 	for pattern := range golden.Patterns {
 		data := golden.Read(t, fmt.Sprintf("snapshot/snapshot-%d.json", pattern))
 		s, ctl := decodeSnapshot(t, data)
 		if s.Fingerprint != 123456789 || s.Epoch != 77 {
-			t.Errorf("fingerprint %d, epoch %d", s.Fingerprint, s.Epoch)
+			t.Errorf("fingerprint %d, epoch %d, want 123456789 and 77", s.Fingerprint, s.Epoch)
 		}
 		fields := map[string]string{}
 		for path, text := range golden.Fields(t, data) {
@@ -89,7 +89,7 @@
 			"order.0.seen":           ctl.customers.order[0].lastSeen,
 			"order.0.units":          ctl.customers.order[0].meanUnits,
 			"first":                  ctl.customers.firstRequestAt,
-			"left":                   ctl.customers.leaving,
+			"left":                   ctl.customers.shuttingDown,
 			"starting":               ctl.reports.initialUtilizations,
 			"peers.729.number":       ctl.gossip.peers[729].number,
 			"peers.729.epoch":        ctl.gossip.peers[729].epoch,
@@ -127,7 +127,7 @@
 	}
 }
 
-// A snapshot is encoded to the bytes that release 0.8.0 wrote of the same state.
+// A snapshot is encoded to the same bytes that release 0.8.0 wrote for the same state.
 func TestSnapshotIsEncodedAsByEarlierRelease(t *testing.T) {
 	for pattern := range golden.Patterns {
 		name := fmt.Sprintf("snapshot/snapshot-%d.json", pattern)
@@ -142,8 +142,8 @@
 	}
 }
 
-// The fingerprint of settings is the one that release 0.8.0 computes: otherwise each release rejects
-// the snapshots of the other.
+// The fingerprint of settings equals the one that release 0.8.0 computes: otherwise each release would reject the
+// snapshots of the other.
 func TestSettingsFingerprintOfEarlierRelease(t *testing.T) {
 	var settings Settings
 	(&golden.Filler{}).Fill(&settings)
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// endRequests withdraws all requests, as has to be done before a snapshot.
+// endRequests withdraws all requests, which is required before a snapshot.
 func endRequests(ctl *Controller) {
 	for id := range ctl.requests {
 		ctl.Handle(ctl.now, &RequestEnded{Request: id}, nil)
 	}
 }
 
-// A snapshot is complete: a Controller that resumes from it gives the same snapshot again, in a tier with allocated
+// A snapshot is complete: a Controller that resumes from it returns the same snapshot again, in a tier with allocated
 // accounts and in one with owners.
 func TestSnapshotIsComplete(t *testing.T) {
 	for _, limiters := range []int{2, 3, 80} {
@@ -32,22 +32,24 @@
 			}
 			second, err := resumed.Snapshot()
 			if err != nil || string(first) != string(second) {
-				t.Errorf("limiter %d of %d: snapshot of %d bytes, then of %d, %v", number, limiters, len(first), len(second), err)
+				t.Errorf("limiter %d of %d: snapshots before (%d bytes) and after Resume (%d bytes) differ, or error: %v",
+					number, limiters, len(first), len(second), err)
 			}
 			if !sameDerivedState(ctl, resumed) {
-				t.Errorf("limiter %d of %d: derived state differs", number, limiters)
+				t.Errorf("limiter %d of %d: derived state differs after Resume", number, limiters)
 			}
 			other := ctl.settings
 			other.Plans = slices.Clone(other.Plans)
 			other.Plans[0].Rate *= 2
 			if _, err := Resume(other, 9, first); !errors.Is(err, ErrOtherSettings) {
-				t.Errorf("resumed allocations of other settings: %v", err)
+				t.Errorf("Resume with other settings: error %v, want ErrOtherSettings", err)
 			}
 		}
 	}
 }
 
-// sameDerivedState reports whether what a resumed Controller derives from its snapshot is as large as in the original.
+// sameDerivedState reports whether the state that a resumed Controller derives from its snapshot has the same size as in
+// the original.
 func sameDerivedState(original, resumed *Controller) bool {
 	return resumed.settings.Epoch == original.settings.Epoch &&
 		len(resumed.customers.byKey) == len(original.customers.byKey) &&
@@ -57,15 +59,15 @@
 		len(resumed.gossip.queued) == len(original.gossip.queued)
 }
 
-// What is no snapshot is rejected, and before its first event a Controller has nothing to store.
+// Invalid snapshots are rejected, and a Controller has no snapshot before its first event.
 func TestInvalidSnapshots(t *testing.T) {
 	for _, data := range []string{"", "{}", "null", `{"Print":1,"Gateway":null}`, `{"Gateway":{"ledger":7}}`} {
 		if _, err := Resume(testSettings(), 1, []byte(data)); err == nil {
-			t.Errorf("resumed from %q", data)
+			t.Errorf("Resume accepted the invalid snapshot %q", data)
 		}
 	}
 	if _, err := New(testSettings(), 1).Snapshot(); !errors.Is(err, ErrNotStarted) {
-		t.Errorf("snapshot before the first event: %v", err)
+		t.Errorf("Snapshot before the first event: error %v, want ErrNotStarted", err)
 	}
 }
 
@@ -77,8 +79,8 @@
 	})
 }
 
-// A Controller that resumed and the original give the same actions for the same events ever after.
-func TestResumedControllerDecidesAlike(t *testing.T) {
+// A resumed Controller and the original return the same actions for the same events.
+func TestResumedControllerMakesSameDecisions(t *testing.T) {
 	tr := busyTier(3)
 	original := tr.controllers[0]
 	endRequests(original)
@@ -103,24 +105,24 @@
 			want := withoutTimers(original.Handle(now, ev, nil))
 			got := withoutTimers(resumed.Handle(now, ev, nil))
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
-				t.Fatalf("in step %d: %v, want %v", i, got, want)
+				t.Fatalf("step %d: resumed Controller returned %v, want %v as the original", i, got, want)
 			}
 		}
 	}
 }
 
-// A process that takes its limiter back after another one has stood in for it holds quotas like one that starts anew: it
-// does not grant what the other may have granted, and other limiters see a new epoch.
+// A process that resumes its limiter after another process has run it treats quotas like a new process: it does not
+// grant what the other process may have granted, and other limiters see a new epoch.
 func TestRenewedEpoch(t *testing.T) {
 	tr := busyTier(3)
 	ctl := tr.controllers[0]
 	epoch := ctl.settings.Epoch + 9
 	ctl.Handle(ctl.now, EpochRenewed{Epoch: epoch}, nil)
 	if ctl.settings.Epoch != epoch || ctl.customers.ledger.Epoch != epoch {
-		t.Errorf("epoch %d, in the ledger %d, want %d", ctl.settings.Epoch, ctl.customers.ledger.Epoch, epoch)
+		t.Errorf("epoch %d, epoch of the ledger %d, want %d for both", ctl.settings.Epoch, ctl.customers.ledger.Epoch, epoch)
 	}
 	if customers, requests := len(ctl.customers.byKey), len(ctl.requests); customers > requests {
-		t.Errorf("%d customers are known with %d requests", customers, requests)
+		t.Errorf("%d customers are known with %d requests, want no more customers than requests", customers, requests)
 	}
 	for range 500 {
 		tr.step()
@@ -131,7 +133,7 @@
 	}
 }
 
-// Whatever is given for a snapshot, it is rejected or makes a Controller that decides.
+// Any input for Resume is rejected or results in a Controller that handles events.
 func FuzzResume(f *testing.F) {
 	ctl := busyTier(2).controllers[0]
 	data, err := ctl.Snapshot()
--- a/internal/admission/window_test.go
+++ b/internal/admission/window_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A request is forwarded at once while the window has room, and queued while it is full.
+// A request is forwarded at once while the window is not full, and queued while it is full.
 func TestFullWindowQueuesRequests(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	size := int(math.Ceil(f.ctl.windowSize()))
@@ -14,18 +14,18 @@
 		f.request("read", "free", fmt.Sprint("c", i))
 	}
 	if forwarded := len(actionsOf[StartAttempt](f.takeActions())); forwarded != size {
-		t.Fatalf("%d forwarded below the window, want %d", forwarded, size)
+		t.Fatalf("%d requests forwarded before the window is full, want %d", forwarded, size)
 	}
 	queued := f.request("read", "free", "more")
 	if actions := f.takeActions(); len(actions) != 0 {
-		t.Fatalf("with a full window: %v, want the request queued", actions)
+		t.Fatalf("with a full window: %v, want the request queued without an action", actions)
 	}
 	f.now += 20 * ms
 	f.finish(1, 0, f.ctl.requests[1].backend.ID, Succeeded, 20*ms)
 	f.attemptOf(queued)
 }
 
-// Attempts that get no response shrink the window: in an overload the latencies of responses alone would grow it.
+// Attempts without a response shrink the window: during an overload, the latencies of responses alone would grow it.
 func TestOverloadShrinksWindow(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	for i := range 40 {
@@ -34,11 +34,12 @@
 	before := f.ctl.window.scale
 	f.advance(1200 * ms)
 	if f.ctl.window.scale >= before {
-		t.Errorf("window scale %.2f after a jam, was %.2f; want it narrower", f.ctl.window.scale, before)
+		t.Errorf("window scale %.2f after 1.2 s without responses, want less than %.2f as before", f.ctl.window.scale, before)
 	}
 }
 
-// A window of less than one attempt still admits some: with few requests per second it would otherwise never open.
+// A window smaller than one attempt still admits some attempts: otherwise no attempt would ever start at low request
+// rates.
 func TestWindowBelowOneOpens(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters, settings.GossipEnabled = 100, false
@@ -55,6 +56,6 @@
 		}
 	}
 	if forwarded < 5 || forwarded > 150 {
-		t.Errorf("%d of 200 forwarded through a window of %.2f, want some of them", forwarded, f.ctl.windowSize())
+		t.Errorf("%d of 200 requests forwarded with a window of %.2f, want 5 to 150", forwarded, f.ctl.windowSize())
 	}
 }
