--- a/internal/admission/customers_test.go
+++ b/internal/admission/customers_test.go
@@ -202,10 +202,10 @@
 // and reordered, and limiters restart.
 func TestQuotaOverManyLimiters(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		loss        float64
-		restarts    bool
-		least, most float64 // fraction of the quota
+		name                     string
+		loss                     float64
+		restarts                 bool
+		minFraction, maxFraction float64 // fraction of the quota
 	}{
 		{"no loss", 0, false, 0.75, 1.15},
 		{"loss", 0.07, false, 0.7, 1.25},
@@ -225,8 +225,8 @@
 			}
 		}
 		quota := 8 + 2*duration.Seconds()
-		if got := float64(tr.forwarded) / quota; got < test.least || got > test.most {
-			t.Errorf("%s: %.2f of the quota forwarded, want %.2f to %.2f", test.name, got, test.least, test.most)
+		if got := float64(tr.forwarded) / quota; got < test.minFraction || got > test.maxFraction {
+			t.Errorf("%s: %.2f of the quota forwarded, want %.2f to %.2f", test.name, got, test.minFraction, test.maxFraction)
 		}
 	}
 }
@@ -267,15 +267,15 @@
 // A limiter of a large tier notifies each other limiter of its shutdown only once: in a rolling restart many limiters
 // shut down at the same time, and each accepts few messages.
 func TestShutdownNoticesInLargeTier(t *testing.T) {
-	for _, test := range []struct{ limiters, most int }{{3, 2 * shutdownNotices}, {80, 79}} {
+	for _, test := range []struct{ limiters, maxNotices int }{{3, 2 * shutdownNotices}, {80, 79}} {
 		settings := testSettings()
 		settings.Limiters = test.limiters
 		f := newFixture(t, settings)
 		f.takeActions()
 		f.handle(ShutdownStarted{})
-		if sent := len(actionsOf[SendToPeer](f.takeActions())); sent < test.limiters-1 || sent > test.most {
+		if sent := len(actionsOf[SendToPeer](f.takeActions())); sent < test.limiters-1 || sent > test.maxNotices {
 			t.Errorf("%d limiters: %d notices sent, want one per other limiter at least and %d in total at most",
-				test.limiters, sent, test.most)
+				test.limiters, sent, test.maxNotices)
 		}
 	}
 }
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -90,8 +90,8 @@
 	return started
 }
 
-// newBackend returns a backend that is new or has restarted. A restarted backend keeps the attempts in flight of
-// earlier, its state before the restart, but no measurements. earlier is nil for a new backend.
+// newBackend returns the state of a backend that is new or has restarted. For a restarted backend, earlier is its state
+// before the restart: the attempts in flight are kept, the measurements are not. For a new backend, earlier is nil.
 func newBackend(id string, earlier *backend) *backend {
 	b := &backend{relativeLoad: 1, gossipKey: gossip.BackendKey(hashOf(id))}
 	if earlier != nil {
--- a/internal/admission/endpoints_test.go
+++ b/internal/admission/endpoints_test.go
@@ -79,7 +79,7 @@
 // the subset of about as many limiters. With few limiters, each uses all backends of a small list. A limiter whose
 // subset is ejected uses backends beyond it.
 func TestBackendSubset(t *testing.T) {
-	for _, test := range []struct{ limiters, backends, least, most int }{
+	for _, test := range []struct{ limiters, backends, minUsed, maxUsed int }{
 		{3, 10, 10, 10}, {80, 60, 9, 9}, {300, 200, 8, 8}, {300, 20, 8, 8},
 	} {
 		name := fmt.Sprintf("%d limiters, %d backends", test.limiters, test.backends)
@@ -98,18 +98,18 @@
 			for range 400 {
 				used[f.ctl.selectBackend(r).ID] = true
 			}
-			if len(used) < test.least || len(used) > test.most {
-				t.Fatalf("%s: a limiter uses %d backends, want %d to %d", name, len(used), test.least, test.most)
+			if len(used) < test.minUsed || len(used) > test.maxUsed {
+				t.Fatalf("%s: a limiter uses %d backends, want %d to %d", name, len(used), test.minUsed, test.maxUsed)
 			}
 			for id := range used {
 				limitersOf[id]++
 				f.ctl.eject(f.ctl.endpoints.byID[id])
 			}
-			if self == 0 && test.backends > test.most && used[f.ctl.selectBackend(r).ID] {
+			if self == 0 && test.backends > test.maxUsed && used[f.ctl.selectBackend(r).ID] {
 				t.Errorf("%s: an ejected backend was selected, want one beyond the ejected subset", name)
 			}
 		}
-		mean := float64(test.limiters*test.most) / float64(test.backends)
+		mean := float64(test.limiters*test.maxUsed) / float64(test.backends)
 		for id, limiters := range limitersOf {
 			if float64(limiters) > 2.2*mean {
 				t.Errorf("%s: %d limiters use %s, want at most 2.2 times the mean of %.0f", name, limiters, id, mean)
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -92,12 +92,12 @@
 	}
 }
 
-// request passes a request of one unit, with a budget of 2 s.
+// request passes a request of one unit, with a budget of 2 s, to the Controller.
 func (f *fixture) request(class, plan, customer string) RequestID {
 	return f.requestWithBudget(class, plan, customer, 2*time.Second)
 }
 
-// requestWithBudget passes a request of one unit with the given budget.
+// requestWithBudget passes a request of one unit, with the given budget, to the Controller.
 func (f *fixture) requestWithBudget(class, plan, customer string, budget time.Duration) RequestID {
 	id := f.nextID
 	f.nextID++
@@ -105,14 +105,14 @@
 	return id
 }
 
-// finish passes the result of an attempt. Only a success ends the request.
+// finish passes the result of an attempt to the Controller. Only a success ends the request.
 func (f *fixture) finish(id RequestID, attempt int, backend string, result Result, latency time.Duration) {
 	f.handle(&AttemptFinished{
 		Request: id, Attempt: attempt, Backend: backend, Result: result, Latency: latency, Final: result == Succeeded,
 	})
 }
 
-// observe passes the first message of another limiter, with observations of backends.
+// observe passes the first message of another limiter to the Controller, with observations of backends.
 func (f *fixture) observe(from int, observations ...gossip.Observation) {
 	f.handle(&PeerMessage{From: from, Data: gossip.Message{Epoch: 5, Seq: 1, Observations: observations}.Append(nil)})
 }
@@ -153,7 +153,7 @@
 	return attempts
 }
 
-// deliverResults passes the scheduled results that are due.
+// deliverResults passes the scheduled results that are due to the Controller.
 func (f *fixture) deliverResults() {
 	for i := 0; i < len(f.scheduled); {
 		if f.scheduled[i].at > f.now {
--- a/internal/admission/pacing_test.go
+++ b/internal/admission/pacing_test.go
@@ -55,8 +55,8 @@
 		}
 	}
 	for number := range receivers {
-		if received := receivers[number].messages; float64(received) > perSecond*duration.Seconds() {
-			t.Errorf("limiter %d was sent %d messages in %v, more than it accepts", number, received, duration)
+		if sent := receivers[number].messages; float64(sent) > perSecond*duration.Seconds() {
+			t.Errorf("limiter %d was sent %d messages in %v, more than it accepts", number, sent, duration)
 		}
 	}
 	if tr.forwarded < requests*9/10 {
--- a/internal/admission/recovery_test.go
+++ b/internal/admission/recovery_test.go
@@ -30,8 +30,8 @@
 		}
 	}
 	backoff := f.ctl.endpoints.byID[id].nextRecoveryAt - f.now
-	if least := 2 * f.ctl.classes.longestObjective; backoff < least {
-		t.Errorf("recovery attempt after %v; with 80 limiters that is more than one per %v/80", backoff, least)
+	if minBackoff := 2 * f.ctl.classes.longestObjective; backoff < minBackoff {
+		t.Errorf("recovery attempt after %v; with 80 limiters that is more than one per %v/80", backoff, minBackoff)
 	}
 	other := newFixture(t, settings, backendList("a", "b", "c", "d")...)
 	other.now = f.now + time.Second
@@ -47,8 +47,8 @@
 	}
 }
 
-// While one limiter makes the recovery attempts for all, it attempts to use an ejected backend after its backoff, and no
-// other limiter does.
+// While the holder of a lease makes the recovery attempts for all limiters, it makes one at an ejected backend after the
+// backoff, and no other limiter does.
 func TestRecoveryAttemptsNeedTheLease(t *testing.T) {
 	for _, leaseHeld := range []bool{true, false} {
 		f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
--- a/internal/admission/selection_test.go
+++ b/internal/admission/selection_test.go
@@ -23,8 +23,8 @@
 // more than the others. In a small tier, where each limiter sees most of the load, it is simply chosen.
 func TestNoHerdingToLeastLoadedBackend(t *testing.T) {
 	for _, test := range []struct {
-		limiters    int
-		least, most float64 // fraction of requests for the least loaded of ten backends; an even share is a tenth
+		limiters                 int
+		minFraction, maxFraction float64 // fraction of requests for the least loaded of ten backends; an even share is a tenth
 	}{{3, 0.9, 1}, {20, 0.12, 0.5}, {80, 0.12, 0.24}} {
 		settings := testSettings()
 		settings.Limiters = test.limiters
@@ -41,9 +41,9 @@
 				chosen++
 			}
 		}
-		if fraction := float64(chosen) / 5000; fraction < test.least || fraction > test.most {
+		if fraction := float64(chosen) / 5000; fraction < test.minFraction || fraction > test.maxFraction {
 			t.Errorf("%d limiters: fraction %.2f to the least loaded, want %.2f to %.2f",
-				test.limiters, fraction, test.least, test.most)
+				test.limiters, fraction, test.minFraction, test.maxFraction)
 		}
 	}
 }
--- a/internal/admission/slots_cases_test.go
+++ b/internal/admission/slots_cases_test.go
@@ -130,7 +130,7 @@
 	lender.start()
 	exchangeMessages(limiters, 4)
 	if inFlight := len(borrower.inFlight) + len(lender.inFlight); inFlight > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", inFlight)
+		t.Errorf("%d attempts in flight, want at most 2, one per slot", inFlight)
 	}
 }
 
--- a/internal/admission/snapshot_codec_test.go
+++ b/internal/admission/snapshot_codec_test.go
@@ -17,12 +17,12 @@
 	ctl.Handle(0, &EndpointList{Kind: ListComplete, Backends: backendList("a", "b")}, nil)
 	ctl.Handle(0, &Request{ID: 1, Class: "read", Plan: "small", Customer: "x", Units: 1, Budget: 1000 * ms, SetSize: 2}, nil)
 	var data []byte
-	take := func() { data, _ = ctl.Snapshot() }
+	takeSnapshot := func() { data, _ = ctl.Snapshot() }
 	resume := func() {
 		if _, err := Resume(testSettings(), 1, data); err != nil {
 			t.Fatal(err)
 		}
 	}
-	alloctest.CompareFirst(t, "Snapshot", take)
+	alloctest.CompareFirst(t, "Snapshot", takeSnapshot)
 	alloctest.CompareFirst(t, "Resume", resume)
 }
--- a/internal/admission/window_test.go
+++ b/internal/admission/window_test.go
@@ -34,7 +34,7 @@
 	before := f.ctl.window.scale
 	f.advance(1200 * ms)
 	if f.ctl.window.scale >= before {
-		t.Errorf("window scale %.2f after 1.2 s without responses, want less than %.2f as before", f.ctl.window.scale, before)
+		t.Errorf("window scale %.2f after 1.2 s without responses, want less than the %.2f before", f.ctl.window.scale, before)
 	}
 }
 
