--- a/cmd/lemongate-experiment/demo.go
+++ b/cmd/lemongate-experiment/demo.go
@@ -22,26 +22,26 @@
 	demoBackends = 6
 	// backendDelay is how long a backend takes to respond.
 	backendDelay = 30 * time.Millisecond
-	// maxLatency is the longest latency that the histogram distinguishes.
+	// maxLatency is the largest latency that the histogram distinguishes.
 	maxLatency = 10 * time.Second
-	// histogramDigits is the precision of the histogram.
+	// histogramDigits is the precision of the histogram, in significant digits.
 	histogramDigits = 3
 )
 
-// The customer that requests twice its quota: a fifth of all requests at a tenth of their rate.
+// The customer that requests twice its quota: it sends a fifth of all requests, and its plan has a tenth of their rate.
 const (
 	cappedPlan     = "capped"
 	cappedCustomer = 7
 )
 
-// demoCommand plays a small tier of real processes, which shows a limiter at work.
+// demoCommand runs a small tier of real processes to show a limiter at work.
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:    "demo",
 		Aliases: []string{"town"},
-		Usage:   "play three limiters, six backends, discovery and clients on this machine, and kill a backend in the middle",
+		Usage:   "run three limiters, six backends, discovery and clients on this machine, and kill a backend after a third of the time",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "for", Usage: "how long", Value: 20 * time.Second},
+			&cli.DurationFlag{Name: "for", Usage: "how long the demo runs", Value: 20 * time.Second},
 			&cli.Float64Flag{Name: "rate", Usage: "requests per second of all clients", Value: 200},
 			programFlag(),
 		},
@@ -49,7 +49,7 @@
 	}
 }
 
-// runDemo plays the demo until its end or an interrupt.
+// runDemo runs the demo until its end or an interrupt.
 func runDemo(ctx context.Context, cmd *cli.Command) error {
 	program, err := limiterProgram(cmd)
 	if err != nil {
@@ -59,9 +59,9 @@
 	defer stop()
 	out := cmd.Root().Writer
 	h := newHost(out)
-	return h.run(context.Background(), func() error { // an interrupt ends the demo with its last line
+	return h.run(context.Background(), func() error { // after an interrupt, the demo still prints its last line
 		d := newDemo(h, out, program, cmd.Duration("for"), cmd.Float64("rate"))
-		return d.play(ctx)
+		return d.run(ctx)
 	})
 }
 
@@ -74,11 +74,11 @@
 	up       int     // backends that are not killed
 
 	mu     sync.Mutex
-	second *tally // of this second
+	second *tally // of the current second
 	total  *tally
 }
 
-// newDemo starts the limiters of a demo, which end with the host.
+// newDemo starts the limiters of a demo; they end with the host.
 func newDemo(h *host, out io.Writer, program string, duration time.Duration, rate float64) *demo {
 	tier := processharness.New(h, demoLimiters, demoBackends, program, "serve", "--log-level", "error")
 	tier.Plans = append(tier.Plans, processharness.Plan{Name: cappedPlan, Rate: rate / 10, Burst: rate / 5})
@@ -94,9 +94,9 @@
 	}
 }
 
-// play sends requests and prints a line every second.
-func (d *demo) play(ctx context.Context) error {
-	printf(d.out, "%d limiters, %d backends; a fifth of the requests is one customer's, at twice its quota\n",
+// run sends requests and prints a line every second.
+func (d *demo) run(ctx context.Context) error {
+	printf(d.out, "%d limiters, %d backends; one customer sends a fifth of the requests, at twice its quota\n",
 		demoLimiters, demoBackends)
 	printf(d.out, "%8s %8s %8s %8s %8s %6s %8s %8s %5s\n",
 		"second", "req/s", "served", "rejected", "failed", "lost", "p50 ms", "p99 ms", "up")
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// demoRequest is the request of a number.
+// demoRequest returns the request with number n.
 func demoRequest(n int) processharness.Request {
 	request := processharness.Request{
 		Limiter:  n % demoLimiters,
@@ -163,7 +163,7 @@
 	}
 }
 
-// printSecond prints the line of a second and starts the next one.
+// printSecond prints the line of a second and starts the tally of the next one.
 func (d *demo) printSecond(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,10 +171,10 @@
 	d.second = newTally()
 }
 
-// tally is what came of the requests of some time.
+// tally counts the results of requests over some time.
 type tally struct {
-	all, served, rejected, failed, lost int
-	latency                             *hdrhistogram.Histogram // µs, of those served
+	requests, served, rejected, failed, lost int
+	latency                                  *hdrhistogram.Histogram // µs, of those served
 }
 
 func newTally() *tally {
@@ -183,7 +183,7 @@
 
 // add counts a result.
 func (t *tally) add(r processharness.Result) {
-	t.all++
+	t.requests++
 	switch r.Status {
 	case 0:
 		t.lost++
@@ -197,9 +197,9 @@
 	}
 }
 
-// row is the line of a tally.
+// row formats a tally as a line of the table.
 func (t *tally) row(title string, seconds float64, up int) string {
 	milliseconds := func(percentile float64) float64 { return float64(t.latency.ValueAtQuantile(percentile)) / 1e3 }
-	return fmt.Sprintf("%8s %8.0f %8d %8d %8d %6d %8.1f %8.1f %5d", title, float64(t.all)/seconds,
+	return fmt.Sprintf("%8s %8.0f %8d %8d %8d %6d %8.1f %8.1f %5d", title, float64(t.requests)/seconds,
 		t.served, t.rejected, t.failed, t.lost, milliseconds(50), milliseconds(99), up)
 }
--- a/cmd/lemongate-experiment/demo_test.go
+++ b/cmd/lemongate-experiment/demo_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// The demo plays to its end with a response to every request, and prints a line each second; it has its
-// former name, too.
+// The demo runs to its end with a response to every request, and prints a line each second. Its former command
+// name works, too.
 func TestDemo(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lemongate")
 	if out, err := exec.Command("go", "build", "-o", program, "lemongate/cmd/lemongate").CombinedOutput(); err != nil {
@@ -24,10 +24,10 @@
 	}
 	for _, want := range []string{"\n       1 ", "a backend is killed", "it is back", "  in all "} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, &out)
+			t.Errorf("the output has no %q:\n%s", want, &out)
 		}
 	}
 	if err := command().Run(context.Background(), []string{"lemongate-experiment", "town", "--program", "no such file"}); err == nil {
-		t.Error("a demo without limiters")
+		t.Error("a demo with a missing limiter program ended without an error")
 	}
 }
--- a/cmd/lemongate-experiment/format_test.go
+++ b/cmd/lemongate-experiment/format_test.go
@@ -12,24 +12,24 @@
 	"lemongate/internal/golden"
 )
 
-// Subcommands, flags and the file of outcomes are those that scripts of 0.8.0 use. There may be more.
+// Subcommands, flags and the outcomes file are those that scripts of release 0.8.0 use. There may be more.
 func TestFormatOfEarlierRelease(t *testing.T) {
-	var now []string
+	var current []string
 	for _, c := range command().Commands {
 		for _, name := range c.Names() {
-			now = append(now, name)
+			current = append(current, name)
 			for _, f := range c.Flags {
 				line := fmt.Sprintf("%s --%s %T", name, strings.Join(f.Names(), " -"), f)
 				if d, ok := f.(cli.DocGenerationFlag); ok {
 					line += fmt.Sprintf(" %q", d.GetDefaultText())
 				}
-				now = append(now, line)
+				current = append(current, line)
 			}
 		}
 	}
 	for line := range strings.Lines(string(golden.Read(t, "commands.txt"))) {
-		if line = strings.TrimSpace(line); !slices.Contains(now, line) {
-			t.Errorf("missing: %s", line)
+		if line = strings.TrimSpace(line); !slices.Contains(current, line) {
+			t.Errorf("no command or flag %s", line)
 		}
 	}
 	var r report
--- a/cmd/lemongate-experiment/host.go
+++ b/cmd/lemongate-experiment/host.go
@@ -14,11 +14,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// errStopped is the error of a run that Fatal ended; the reason was printed.
-var errStopped = errors.New("the run could not go on")
+// errStopped is the error of a run that Fatal ended; Fatal has printed the reason.
+var errStopped = errors.New("the run stopped after a failure")
 
-// host is what processes of the limiter are played in: a command's stand-in for a test. All that was
-// started in it ends with it, also after a panic or an interrupt.
+// host takes the place of a test in a command that runs processes of the limiter; it implements
+// processharness.Host. Everything started with it ends with it, also after a panic or an interrupt.
 type host struct {
 	out    io.Writer
 	parent *host
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	cleanup []func()
-	ended   bool // cleanup was called, or is being called
+	ended   bool // cleanup functions were called, or are being called
 	failed  bool
 
 	endOnce  sync.Once
@@ -35,14 +35,14 @@
 
 func newHost(out io.Writer) *host { return &host{out: out, fatal: make(chan struct{})} }
 
-// within returns a host that ends before this one does.
-func (h *host) within() *host {
-	inner := &host{out: h.out, parent: h, fatal: make(chan struct{})}
-	h.Cleanup(inner.end)
-	return inner
+// newChild returns a host that ends before this one does.
+func (h *host) newChild() *host {
+	child := &host{out: h.out, parent: h, fatal: make(chan struct{})}
+	h.Cleanup(child.end)
+	return child
 }
 
-// run calls a function, and ends all that it started. It returns early if the context is done or the host
+// run calls a function and ends everything that it started. It returns early if the context is done or the host
 // fails; the goroutine of the function then ends with the program.
 func (h *host) run(ctx context.Context, do func() error) error {
 	done := make(chan error, 1)
@@ -69,19 +69,19 @@
 	}
 }
 
-// Helper does nothing; it is part of a test.
+// Helper does nothing; processharness.Host requires it.
 func (h *host) Helper() {}
 
-// Fatal fails the host and those around it, and ends the goroutine that calls it.
+// Fatal fails the host and its ancestors, and ends the calling goroutine.
 func (h *host) Fatal(args ...any) {
 	h.Errorf("%s", fmt.Sprint(args...))
-	for up := h; up != nil; up = up.parent {
-		up.failOnce.Do(func() { close(up.fatal) })
+	for ancestor := h; ancestor != nil; ancestor = ancestor.parent {
+		ancestor.failOnce.Do(func() { close(ancestor.fatal) })
 	}
 	runtime.Goexit()
 }
 
-// Errorf prints a failure.
+// Errorf prints a failure and marks the host as failed.
 func (h *host) Errorf(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,8 +99,8 @@
 	return h.failed
 }
 
-// Cleanup registers a function that is called at the end, the last one first. After the end it is called at once:
-// a run that was interrupted may have been starting a process just then.
+// Cleanup registers a function that is called at the end, the last one first. After the end it is called at once,
+// because an interrupted run may have been starting a process.
 func (h *host) Cleanup(f func()) {
 	h.mu.Lock()
 	ended := h.ended
@@ -119,11 +119,11 @@
 	if err != nil {
 		h.Fatal(err)
 	}
-	h.Cleanup(func() { _ = os.RemoveAll(dir) }) // what is left is in the system's directory for temporary files
+	h.Cleanup(func() { _ = os.RemoveAll(dir) }) // what cannot be removed stays in the system's temporary directory
 	return dir
 }
 
-// end ends all that was started, once.
+// end calls the registered cleanup functions, once.
 func (h *host) end() {
 	h.endOnce.Do(func() {
 		h.mu.Lock()
@@ -136,7 +136,7 @@
 	})
 }
 
-// limiterProgram is the path of the limiter's program that a command is to start.
+// limiterProgram returns the path of the limiter program that a command is to start.
 func limiterProgram(cmd *cli.Command) (string, error) {
 	program := cmd.String("program")
 	if program == "" {
--- a/cmd/lemongate-experiment/main.go
+++ b/cmd/lemongate-experiment/main.go
@@ -1,5 +1,5 @@
-// Command lemongate-experiment plays experiments on lemongate: tiers of real limiters in virtual time or on
-// processes, with faults by schedule, and a verdict at the end.
+// Command lemongate-experiment runs experiments on lemongate: tiers of real limiters in virtual time or as
+// processes, with scheduled faults, and a verdict at the end.
 package main
 
 import (
@@ -25,11 +25,11 @@
 	os.Exit(1)
 }
 
-// command is the command line of the program.
+// command returns the command line of the program.
 func command() *cli.Command {
 	return &cli.Command{
 		Name:     "lemongate-experiment",
-		Usage:    "play experiments on lemongate",
+		Usage:    "run experiments on lemongate",
 		Commands: []*cli.Command{runCommand(), soakCommand(), demoCommand(), schemaCommand()},
 	}
 }
@@ -46,10 +46,10 @@
 	}
 }
 
-// printf prints to standard output, whose errors could not be reported.
+// printf prints to standard output. It ignores write errors, which could not be reported.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
-// programFlag names the limiter's program.
+// programFlag is the flag for the path of the limiter program.
 func programFlag() cli.Flag {
-	return &cli.StringFlag{Name: "program", Usage: "the limiter's `FILE`; by default lemongate beside this program"}
+	return &cli.StringFlag{Name: "program", Usage: "the limiter program's `FILE`; by default lemongate beside this program"}
 }
--- a/cmd/lemongate-experiment/run.go
+++ b/cmd/lemongate-experiment/run.go
@@ -21,41 +21,41 @@
 	"lemongate/internal/simulation"
 )
 
-// errBroken ends the program with exit code 1 after a verdict that says so.
+// errBroken ends the program with exit code 1 after the verdict "broken" was printed.
 var errBroken = errors.New("broken")
 
 const (
-	// maxSeeds is how many seeds one command plays.
+	// maxSeeds is how many seeds one command may run.
 	maxSeeds = 100_000
-	// breachesShown is how many breaches of rules are shown of each case.
+	// breachesShown is how many breaches are printed for each case.
 	breachesShown = 3
 )
 
-// runCommand plays an experiment.
+// runCommand runs an experiment.
 func runCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "run",
-		Usage:     "play an experiment and print the verdict",
+		Usage:     "run an experiment and print the verdict",
 		ArgsUsage: "FILE.json",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Usage: "play this seed only"},
-			&cli.StringFlag{Name: "seeds", Usage: "play the seeds `N..M`"},
+			&cli.Uint64Flag{Name: "seed", Usage: "run this seed only"},
+			&cli.StringFlag{Name: "seeds", Usage: "run the seeds `N..M`"},
 			&cli.StringFlag{Name: "json", Usage: "write the outcomes to `FILE`"},
-			&cli.BoolFlag{Name: "processes", Usage: "on processes of the program, in real time"},
-			&cli.IntFlag{Name: "at-once", Usage: "with --processes, play `N` runs at once", Value: 1},
+			&cli.BoolFlag{Name: "processes", Usage: "run on processes of the limiter program, in real time"},
+			&cli.IntFlag{Name: "at-once", Usage: "with --processes, execute `N` runs at once", Value: 1},
 			programFlag(),
 		},
 		Action: run,
 	}
 }
 
-// seedRange is the first and the last seed that are played.
+// seedRange holds the first and the last seed to run.
 type seedRange struct{ first, last uint64 }
 
-// run plays the experiment that a command names, and prints its outcomes.
+// run runs the experiment that a command names, and prints its outcomes.
 func run(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
-		return errors.New("run: one experiment file is wanted")
+		return errors.New("run: want one experiment file")
 	}
 	e, err := readExperiment(cmd.Args().First())
 	if err != nil {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	outcomes, err := play(ctx, cmd, e, seeds)
+	outcomes, err := runExperiment(ctx, cmd, e, seeds)
 	if err != nil {
 		return err
 	}
@@ -97,10 +97,10 @@
 	return e, nil
 }
 
-// parseSeeds are the seeds that the flags name; by default those of the experiment.
+// parseSeeds returns the seeds that the flags name, by default those of the experiment.
 func parseSeeds(cmd *cli.Command, e *experiment.Experiment) (seedRange, error) {
 	if cmd.IsSet("seed") && cmd.IsSet("seeds") {
-		return seedRange{}, errors.New("seed, seeds: only one of the two")
+		return seedRange{}, errors.New("seed, seeds: only one of the two may be set")
 	}
 	if cmd.IsSet("seed") {
 		return seedRange{cmd.Uint64("seed"), cmd.Uint64("seed")}, nil
@@ -111,7 +111,7 @@
 	return seedRange{1, uint64(max(e.Seeds, 1))}, nil
 }
 
-// parseSeedRange reads N..M.
+// parseSeedRange parses N..M.
 func parseSeedRange(text string) (seedRange, error) {
 	firstText, lastText, _ := strings.Cut(text, "..")
 	first, firstErr := strconv.ParseUint(firstText, 10, 64)
@@ -122,9 +122,9 @@
 	return seedRange{first, last}, nil
 }
 
-// play plays an experiment in virtual time or on processes, as the flags say. On processes it plays the
-// first seed only, if no flag names any.
-func play(ctx context.Context, cmd *cli.Command, e *experiment.Experiment, seeds seedRange) ([]experiment.Outcome, error) {
+// runExperiment runs an experiment in virtual time or on processes, as the flags say. On processes it runs only the
+// first seed, unless a flag names seeds.
+func runExperiment(ctx context.Context, cmd *cli.Command, e *experiment.Experiment, seeds seedRange) ([]experiment.Outcome, error) {
 	if !cmd.Bool("processes") {
 		return e.Run(seeds.first, seeds.last), nil
 	}
@@ -135,7 +135,7 @@
 	if !cmd.IsSet("seeds") && !cmd.IsSet("seed") {
 		seeds.last = seeds.first
 	}
-	if err := e.Playable(processharness.CheckPlayable); err != nil {
+	if err := e.CheckSupported(processharness.CheckPlayable); err != nil {
 		return nil, err
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
@@ -143,22 +143,22 @@
 	h := newHost(cmd.Root().Writer)
 	var outcomes []experiment.Outcome
 	err = h.run(ctx, func() error {
-		outcomes = e.RunOn(seeds.first, seeds.last, playerOnProcesses(h, program), max(cmd.Int("at-once"), 1))
+		outcomes = e.RunWith(seeds.first, seeds.last, processRunner(h, program), max(cmd.Int("at-once"), 1))
 		return nil
 	})
 	return outcomes, err
 }
 
-// playerOnProcesses plays scenarios on processes that end with each run.
-func playerOnProcesses(h *host, program string) experiment.Player {
+// processRunner returns a RunFunc that runs scenarios on processes, which end with each run.
+func processRunner(h *host, program string) experiment.RunFunc {
 	return func(sc simulation.Scenario, seed uint64) simulation.Result {
-		inner := h.within()
-		defer inner.end()
-		return processharness.Play(inner, sc, seed, program, "serve", "--log-level", "error")
+		child := h.newChild()
+		defer child.end()
+		return processharness.Play(child, sc, seed, program, "serve", "--log-level", "error")
 	}
 }
 
-// printFailures prints the bounds that were missed and the first rules that were broken.
+// printFailures prints the bounds that were missed and the first breaches of rules.
 func printFailures(out io.Writer, outcomes []experiment.Outcome) {
 	for _, o := range outcomes {
 		for _, line := range o.Missed {
@@ -170,7 +170,7 @@
 	}
 }
 
-// report is the form of the file that --json writes.
+// report is the content of the file that --json writes.
 type report struct {
 	Experiment string               `json:"experiment"`
 	First      uint64               `json:"first_seed"`
@@ -197,7 +197,7 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
-// buildRevision is the revision of the sources that the program was built from, with a + for changes.
+// buildRevision returns the revision of the sources that the program was built from, with a + if they were modified.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/lemongate-experiment/soak.go
+++ b/cmd/lemongate-experiment/soak.go
@@ -12,14 +12,14 @@
 	"lemongate/internal/soak"
 )
 
-// soakCommand plays limiters as processes under signals and faults drawn from a seed.
+// soakCommand runs limiters as processes under signals, crashes and faults drawn from a seed.
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "play limiters as processes under signals, crashes and faults drawn from a seed",
+		Usage: "run limiters as processes under signals, crashes and faults drawn from a seed",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Usage: "play this seed only", Value: 1},
-			&cli.StringFlag{Name: "seeds", Usage: "play the seeds `N..M`"},
+			&cli.Uint64Flag{Name: "seed", Usage: "run this seed only", Value: 1},
+			&cli.StringFlag{Name: "seeds", Usage: "run the seeds `N..M`"},
 			&cli.DurationFlag{Name: "duration", Usage: "of each run", Value: 20 * time.Second},
 			&cli.BoolFlag{Name: "schedule", Usage: "print the steps of each seed"},
 			programFlag(),
@@ -28,7 +28,7 @@
 	}
 }
 
-// runSoak plays the seeds one after another, and prints a line for each and a verdict.
+// runSoak runs the seeds one after another, and prints a line for each and a verdict.
 func runSoak(ctx context.Context, cmd *cli.Command) error {
 	seeds := seedRange{cmd.Uint64("seed"), cmd.Uint64("seed")}
 	if text := cmd.String("seeds"); text != "" {
@@ -47,7 +47,7 @@
 	broken := 0
 	err = h.run(ctx, func() error {
 		for seed := seeds.first; seed <= seeds.last; seed++ {
-			broken += playSoak(cmd, h, seed, program)
+			broken += runSoakSeed(cmd, h, seed, program)
 		}
 		return nil
 	})
@@ -62,23 +62,23 @@
 	return nil
 }
 
-// playSoak plays a seed, prints what came of it, and returns 1 if a rule was broken.
-func playSoak(cmd *cli.Command, h *host, seed uint64, program string) (broken int) {
+// runSoakSeed runs a seed, prints its result, and returns 1 if a rule was broken.
+func runSoakSeed(cmd *cli.Command, h *host, seed uint64, program string) (broken int) {
 	out, duration := cmd.Root().Writer, cmd.Duration("duration")
 	if cmd.Bool("schedule") {
 		for _, step := range soak.Schedule(seed, duration) {
 			printf(out, "%v\n", step)
 		}
 	}
-	inner := h.within()
-	defer inner.end()
-	result := soak.Play(inner, seed, duration, program, "serve", "--log-level", "info")
+	child := h.newChild()
+	defer child.end()
+	result := soak.Play(child, seed, duration, program, "serve", "--log-level", "info")
 	printf(out, "seed %d: %d requests, %d served, %d restarts (%d hot), %d killed while they shut down, %d clients left, %d long attempts, %d rules broken\n",
 		seed, result.Requests, result.Served, result.Restarts, result.Hot, result.Killed, result.Left, result.LongAttempts, len(result.Breaches))
 	for _, breach := range result.Breaches[:min(len(result.Breaches), breachesShown)] {
 		printf(out, "  %s\n", breach)
 	}
-	if len(result.Breaches) > 0 || inner.Failed() {
+	if len(result.Breaches) > 0 || child.Failed() {
 		return 1
 	}
 	return 0
--- a/internal/experiment/equivalence_test.go
+++ b/internal/experiment/equivalence_test.go
@@ -24,22 +24,22 @@
 // equivalenceSeed is the seed of the recorded runs.
 const equivalenceSeed = 3
 
-// recorded are the experiments that are recorded, and how much of each in seconds: beyond its first
-// faults where they come early enough. The others take minutes, run on processes, or repeat these.
-var recorded = []struct {
+// recordedExperiments are the experiments that are recorded, and how many seconds of each: past its first faults
+// if they come early enough. The other experiments take minutes, run on processes, or repeat these.
+var recordedExperiments = []struct {
 	name    string
 	seconds float64
 }{
 	{"empty-start", 14}, {"rejoin", 16}, {"upgrade", 9}, {"lease", 25}, {"rollup", 20}, {"walk", 22}, {"zone-loss", 8},
 }
 
-// largeTierSeconds is how much is recorded of a tier of 80 limiters.
+// largeTierSeconds is how many seconds are recorded of a tier of 80 limiters or more.
 const largeTierSeconds = 2
 
 // Every limiter of every case of the experiments handles the same events and returns the same effects as
-// the recorded release did. A run is closed: one decision that
-// differs changes what comes after it. The digest is over kinds and values; no name of a type or
-// field enters it. Texts for people are left out.
+// the recorded release did. Each decision influences the later events of its run, so one decision that differs
+// changes all that comes after it. The digest is over kinds and values; no name of a type or field enters it.
+// Texts for people are left out.
 func TestSameDecisionsAsEarlierRelease(t *testing.T) {
 	type run struct {
 		name     string
@@ -47,7 +47,7 @@
 		line     string
 	}
 	var runs []*run
-	for _, r := range recorded {
+	for _, r := range recordedExperiments {
 		data, err := os.ReadFile(filepath.Join("../../experiments", r.name+".json"))
 		if err != nil {
 			t.Fatal(err)
@@ -84,7 +84,7 @@
 	golden.Equal(t, "decisions.txt", []byte(b.String()))
 }
 
-// digest is taken of the events and effects of a run.
+// digest is a hash of the events and effects of a run.
 type digest struct {
 	hash            hash.Hash64
 	events, effects int
@@ -114,8 +114,8 @@
 	d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
 }
 
-// value adds all fields of a value, in their order. What the core passes through unread is left out, and so
-// is text for people.
+// value adds all fields of a value, in their order, except values that the core passes through unread and texts
+// for people.
 func (d *digest) value(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -153,18 +153,18 @@
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if !reasons[v.Type().Field(i).Name] {
+			if !textFields[v.Type().Field(i).Name] {
 				d.value(v.Field(i))
 			}
 		}
-	case reflect.Interface: // contents and links, which the core passes through
+	case reflect.Interface: // message contents and links, which the core passes through
 	default:
-		panic(fmt.Sprintf("no digest of a %v", v.Kind()))
+		panic(fmt.Sprintf("cannot digest a value of kind %v", v.Kind()))
 	}
 }
 
-// reasons are the names of fields with text for people.
-var reasons = map[string]bool{"Why": true, "Reason": true}
+// textFields are the names of the fields that hold text for people.
+var textFields = map[string]bool{"Why": true, "Reason": true}
 
 var (
 	eventKinds  = kinds(events)
@@ -191,7 +191,7 @@
 	return number
 }
 
-// events and effects are numbered by their places here, which never change.
+// events and effects are numbered by their positions here, which must not change.
 var (
 	events = []core.Event{
 		&core.RequestReceived{}, &core.ClientDisconnected{}, core.RequestMalformed{}, &core.ClientConnClosed{}, &core.AttemptFinished{},
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package experiment reads experiments, plays their cases over seeds and decides the verdict. An
+// Package experiment reads experiments, runs their cases with several seeds and determines the verdict. An
 // experiment is a JSON file that experiment.schema.json describes.
 package experiment
 
@@ -17,16 +17,16 @@
 
 // Experiment is a scenario, the faults of each of its cases, and what must hold.
 type Experiment struct {
-	Name  string              `json:"name"`
-	About string              `json:"about"`
-	Seeds int                 `json:"seeds"`   // runs of each case, where the command line has none
-	Shift float64             `json:"shift_s"` // faults start up to this much later, by the seed
-	Base  simulation.Scenario `json:"scenario"`
-	Cases []Case              `json:"cases"`
-	All   []Bound             `json:"expect"` // of every case
+	Name      string              `json:"name"`
+	About     string              `json:"about"`
+	Seeds     int                 `json:"seeds"`   // runs of each case, unless the command line says otherwise
+	Shift     float64             `json:"shift_s"` // faults start up to this much later, depending on the seed
+	Base      simulation.Scenario `json:"scenario"`
+	Cases     []Case              `json:"cases"`
+	ExpectAll []Bound             `json:"expect"` // of every case
 }
 
-// Case is a run of the scenario with faults of its own.
+// Case is a variant of the scenario with faults of its own.
 type Case struct {
 	Name   string             `json:"name"`
 	Faults []simulation.Fault `json:"faults"`
@@ -34,9 +34,9 @@
 	Expect []Bound            `json:"expect"`
 }
 
-// Bound is what a measure must keep to over all seeds: its mean, or the value of each run.
+// Bound limits a measure over all seeds: its mean, or its value in each run.
 type Bound struct {
-	Measure string   `json:"measure"` // a field of simulation.Result, as it is named in files
+	Measure string   `json:"measure"` // a field of simulation.Result or SlotResult, as it is named in files
 	Over    string   `json:"over"`    // "mean" (default) or "each"
 	Max     *float64 `json:"most"`    // nil for no bound
 	Min     *float64 `json:"least"`   // nil for no bound
@@ -45,7 +45,7 @@
 // overEach is the value of Bound.Over for a bound on each run.
 const overEach = "each"
 
-// scenario is what a case plays.
+// scenario returns the scenario of a case.
 func (e *Experiment) scenario(c Case) (simulation.Scenario, error) {
 	sc := e.Base
 	sc.Plans = slices.Clone(sc.Plans)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// small is an experiment that takes a few milliseconds.
+// small is an experiment whose runs take a few milliseconds.
 const small = `{"name": "small", "scenario": {"limiters": 3, "seconds": 4,
 	"plans": [{"name": "p", "rate": 5, "burst": 10, "customers": 2, "times": 3}],
 	"traffic": {"busiest": 0.8, "moves_s": 1, "units": [1], "deadline_ms": 1000},
@@ -19,7 +19,7 @@
 func TestExperimentFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.json")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d files: %v", len(files), err)
+		t.Fatalf("%d experiment files, error %v", len(files), err)
 	}
 	for _, path := range files {
 		data, err := os.ReadFile(path)
@@ -48,12 +48,12 @@
 		text := strings.Replace(small, c.from, c.to, 1)
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s in place of %s: %v, want one line with %s", c.to, c.from, err, c.names)
+			t.Errorf("%s in place of %s: error %v, want one line with %s", c.to, c.from, err, c.names)
 		}
 	}
 }
 
-// The same seed gives the same run, and a bound that is missed breaks the verdict.
+// The same seed gives the same run, and a bound that is missed gives the verdict "broken".
 func TestVerdict(t *testing.T) {
 	x, err := Parse([]byte(small))
 	if err != nil {
@@ -69,7 +69,7 @@
 		t.Errorf("two runs of the same seeds differ:\n%+v\n%+v", a, b)
 	}
 	if line, held := Verdict(a); !held || line != "verdict: held" || a[0].Mean["served"] < 20 {
-		t.Errorf("%s, %.0f served", line, a[0].Mean["served"])
+		t.Errorf("%s, %.0f served; want the verdict held and at least 20 served", line, a[0].Mean["served"])
 	}
 	most := 1.0
 	x.Cases[0].Expect = []Bound{{Measure: "served", Max: &most}}
@@ -78,7 +78,7 @@
 	}
 }
 
-// A limit of attempts in flight has bounds and columns of its own.
+// A limit of attempts in flight has measures and columns of its own.
 func TestSlotMeasures(t *testing.T) {
 	text := strings.Replace(strings.Replace(small, `"customers": 2`, `"concurrency": 3, "customers": 2`, 1),
 		`{"measure": "beyond", "most": 100}`, `{"measure": "slots_probed", "over": "each", "least": 7}`, 1)
@@ -100,7 +100,7 @@
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, err := Parse(data); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("an error of more than a line: %q", err)
+			t.Errorf("the error has more than one line: %q", err)
 		}
 	})
 }
--- a/internal/experiment/format_test.go
+++ b/internal/experiment/format_test.go
@@ -10,8 +10,8 @@
 	"lemongate/internal/golden"
 )
 
-// An experiment that 0.8.0 wrote is read into the fields that it was written from, and written with the
-// same bytes; so are outcomes.
+// An experiment file of release 0.8.0 is read into the fields that it was written from and is written with the
+// same bytes; outcomes are written with the same bytes, too.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var x Experiment
 	(&golden.Filler{}).Fill(&x)
@@ -37,12 +37,12 @@
 	golden.Equal(t, "experiment.schema.json", withoutLaterProperties(Schema))
 }
 
-// laterProperty is in the description of each property of the schema that the release which wrote the files did
-// not have. Such a property takes one line.
+// laterProperty is in the description of each schema property that is newer than the release which wrote the
+// recorded files. Such a property takes one line.
 const laterProperty = "; since 0."
 
-// withoutLaterProperties is the schema without the properties that were added since; the rest has to stay byte for
-// byte, and with it what is required.
+// withoutLaterProperties returns the schema without the properties that were added since. The rest has to stay byte
+// for byte, including which properties are required.
 func withoutLaterProperties(schema []byte) []byte {
 	var kept []byte
 	for line := range bytes.Lines(schema) {
@@ -53,13 +53,13 @@
 	return kept
 }
 
-// Plan.MaxConcurrent is read and written under the name that the settings of limiters have for it, and a plan
-// without it is written as before.
+// Plan.MaxConcurrent is read and written under the name that it has in the settings of limiters, and a plan without
+// a limit is written as before.
 func TestFormatOfConcurrency(t *testing.T) {
 	withLimit := strings.Replace(small, `"customers": 2`, `"concurrency": 6, "customers": 2`, 1)
 	x, err := Parse([]byte(withLimit))
 	if err != nil || x.Base.Plans[0].MaxConcurrent != 6 {
-		t.Fatalf("%+v, %v", x, err)
+		t.Fatalf("parsed as %+v, error %v", x, err)
 	}
 	for _, c := range []struct {
 		text string
@@ -71,12 +71,12 @@
 		}
 		data, err := json.Marshal(x.Base.Plans[0])
 		if err != nil || strings.Contains(string(data), `"concurrency":6`) != c.want || strings.Contains(string(data), "concurrency") != c.want {
-			t.Errorf("%s, %v", data, err)
+			t.Errorf("plan written as %s, error %v", data, err)
 		}
 	}
 	for _, wrong := range []string{`-1`, `1.5`, `"6"`} {
 		if _, err := Parse([]byte(strings.Replace(withLimit, `"concurrency": 6`, `"concurrency": `+wrong, 1))); err == nil || !strings.Contains(err.Error(), "/scenario/plans/0/concurrency") {
-			t.Errorf("%s: %v", wrong, err)
+			t.Errorf("concurrency of %s: error %v, want one that names the field", wrong, err)
 		}
 	}
 }
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -8,21 +8,21 @@
 	"lemongate/internal/simulation"
 )
 
-// Outcome is what came of a case over its seeds. Measures are fields of simulation.Result, as they are
-// named in files.
+// Outcome holds the measures of a case over its seeds. Measures are fields of simulation.Result and SlotResult, as
+// they are named in files.
 type Outcome struct {
 	Case    string             `json:"case"`
 	Runs    int                `json:"runs"`
 	Mean    map[string]float64 `json:"mean"`
-	Worst   map[string]float64 `json:"worst"` // the largest of all runs
+	Worst   map[string]float64 `json:"worst"` // the largest value of all runs
 	P99     map[string]float64 `json:"p99"`
 	Min     map[string]float64 `json:"least"`
-	Broken  []string           `json:"broken,omitempty"`   // rules
+	Broken  []string           `json:"broken,omitempty"`   // the first rule that each run broke
 	Missed  []string           `json:"missed,omitempty"`   // bounds
 	BadSeed uint64             `json:"bad_seed,omitempty"` // the first whose run broke a rule
 }
 
-// summarize is the outcome of a case; first is the seed of the first result.
+// summarize returns the outcome of a case; first is the seed of the first result.
 func summarize(c Case, bounds []Bound, results []simulation.Result, first uint64) Outcome {
 	o := Outcome{
 		Case:  c.Name,
@@ -48,12 +48,12 @@
 	return o
 }
 
-// measures are the numbers of a result by their names in files.
+// measures returns the numbers of a result by their names in files.
 func measures(r simulation.Result) map[string]float64 {
 	var fields map[string]any
 	for _, part := range []any{r, r.Slots} {
-		data, _ := json.Marshal(part)     // numbers and texts, which cannot fail
-		_ = json.Unmarshal(data, &fields) // of what was marshaled just before
+		data, _ := json.Marshal(part)     // numbers and strings, which cannot fail
+		_ = json.Unmarshal(data, &fields) // reads what Marshal wrote
 	}
 	numbers := map[string]float64{}
 	for name, v := range fields {
@@ -75,7 +75,7 @@
 	o.Broken = append(o.Broken, fmt.Sprintf("seed %d: %s", seed, r.Broken[0]))
 }
 
-// recordMeasure records the values of a measure, one of each run.
+// recordMeasure records the values of a measure, one per run.
 func (o *Outcome) recordMeasure(measure string, values []float64) {
 	total := 0.0
 	for _, v := range values {
@@ -89,7 +89,7 @@
 	o.P99[measure] = sorted[min(int(0.99*float64(count)), count-1)]
 }
 
-// checkBound records whether a bound is missed. A measure that is not a number misses each bound.
+// checkBound records a bound that is missed. A measure that is not a number (NaN) misses every bound.
 func (o *Outcome) checkBound(b Bound) {
 	high, low, prefix := o.Mean[b.Measure], o.Mean[b.Measure], "mean "
 	if b.Over == overEach {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Verdict is the last line of a run: whether all held, or the first that did not.
+// Verdict returns the last line of a run: whether all rules and bounds held, or the first that did not.
 func Verdict(outcomes []Outcome) (line string, held bool) {
 	for _, o := range outcomes {
 		if len(o.Broken) > 0 {
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -25,13 +25,13 @@
 			return nil, fmt.Errorf("/cases/%d%w", i, err)
 		}
 	}
-	if err := checkBounds(e.All, known); err != nil {
+	if err := checkBounds(e.ExpectAll, known); err != nil {
 		return nil, err
 	}
 	return &e, nil
 }
 
-// checkCase checks what the schema cannot. Its error begins with the path of the field within the case.
+// checkCase checks what the schema cannot express. Its error begins with the path of the field within the case.
 func (e *Experiment) checkCase(c Case, known map[string]float64) error {
 	sc, err := e.scenario(c)
 	if err != nil {
@@ -60,15 +60,15 @@
 
 func (b Bound) check(known map[string]float64) error {
 	if _, ok := known[b.Measure]; !ok {
-		return fmt.Errorf("measure: no measure %q", b.Measure)
+		return fmt.Errorf("measure: unknown measure %q", b.Measure)
 	}
 	if b.Max == nil && b.Min == nil {
-		return errors.New("neither most nor least")
+		return errors.New("neither most nor least is set")
 	}
 	return nil
 }
 
-// checkFault checks that a fault fits the scenario that it is played in.
+// checkFault checks that a fault fits its scenario.
 func checkFault(f simulation.Fault, sc simulation.Scenario) error {
 	if err := checkNumbers("limiters", f.Limiters, sc.Limiters); err != nil {
 		return err
@@ -80,10 +80,10 @@
 		return err
 	}
 	if f.Role != "" && sc.Leases == nil {
-		return errors.New("who: there are no leases")
+		return errors.New("who: the scenario has no leases")
 	}
 	if f.Kind == simulation.FaultClock && f.Rate <= 0 {
-		return errors.New("rate: a clock runs at more than 0")
+		return errors.New("rate: the rate of a clock must be above 0")
 	}
 	return nil
 }
@@ -92,7 +92,7 @@
 func checkNumbers(field string, numbers []int, count int) error {
 	for _, n := range numbers {
 		if n >= count {
-			return fmt.Errorf("%s: number %d of %d", field, n, count)
+			return fmt.Errorf("%s: number %d, want one below %d", field, n, count)
 		}
 	}
 	return nil
--- a/internal/experiment/repeatable_test.go
+++ b/internal/experiment/repeatable_test.go
@@ -7,8 +7,8 @@
 	"lemongate/internal/simulation"
 )
 
-// The same seed gives the same run where backends crash: their open attempts broke off in the order of a
-// map, and a seed that showed a fault once did not show it again.
+// The same seed gives the same run if backends crash. The open attempts of a crashed backend used to end in the
+// order of a map, so that a seed which showed a fault once did not show it again.
 func TestCrashedBackendsGiveSameRun(t *testing.T) {
 	const runs, seed = 3, 810008
 	data, err := os.ReadFile("../../experiments/lease.json")
@@ -21,14 +21,14 @@
 	}
 	last := x.Cases[len(x.Cases)-1]
 	if last.Name != "backends die and come back cold" {
-		t.Fatalf("the last case is %q", last.Name)
+		t.Fatalf("the last case is %q, want the one with crashing backends", last.Name)
 	}
 	scenario, err := x.scenario(last)
 	if err != nil {
 		t.Fatal(err)
 	}
 	scenario.Seconds = 20
-	scenario.Backends.Work *= 10 // several open attempts at each backend
+	scenario.Backends.Work *= 10 // gives each backend several open attempts
 	for i, fault := range scenario.Faults {
 		if fault.Kind == simulation.FaultBackendCrash {
 			scenario.Faults[i].Backends = []int{1, 2, 3, 4, 5, 6, 7}
@@ -42,7 +42,7 @@
 	first := digestOfRun()
 	for range runs {
 		if got := digestOfRun(); got != first {
-			t.Fatalf("digest %016x, then %016x", first, got)
+			t.Fatalf("two runs with the same seed differ: digest %016x, then %016x", first, got)
 		}
 	}
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,15 +10,15 @@
 	"lemongate/internal/simulation"
 )
 
-// Player plays a scenario once.
-type Player func(sc simulation.Scenario, seed uint64) simulation.Result
+// RunFunc runs a scenario once.
+type RunFunc func(sc simulation.Scenario, seed uint64) simulation.Result
 
-// Playable returns an error that names the first fault that a player cannot play; plays returns the reason
-// for each, nil for none.
-func (e *Experiment) Playable(plays func(simulation.Fault) error) error {
+// CheckSupported returns an error that names the first fault which check rejects. check returns the reason why a
+// fault cannot be run, nil if it can.
+func (e *Experiment) CheckSupported(check func(simulation.Fault) error) error {
 	for i, c := range e.Cases {
 		for j, f := range slices.Concat(e.Base.Faults, c.Faults) {
-			if err := plays(f); err != nil {
+			if err := check(f); err != nil {
 				return fmt.Errorf("/cases/%d, fault %d: %w", i, j, err)
 			}
 		}
@@ -26,42 +26,42 @@
 	return nil
 }
 
-// Run plays every case over the seeds from first to last in virtual time, and returns the outcome of
-// each. Runs are played in parallel; the outcome does not depend on how many at once.
+// Run runs every case with the seeds from first to last in virtual time, and returns the outcome of each case.
+// Runs are executed in parallel; the outcomes do not depend on how many at once.
 func (e *Experiment) Run(first, last uint64) []Outcome {
-	return e.RunOn(first, last, simulation.Run, runtime.GOMAXPROCS(0))
+	return e.RunWith(first, last, simulation.Run, runtime.GOMAXPROCS(0))
 }
 
-// RunOn is Run with a Player, which plays at most atOnce runs at once.
-func (e *Experiment) RunOn(first, last uint64, play Player, atOnce int) []Outcome {
+// RunWith is Run with a RunFunc; at most parallelism runs are executed at once.
+func (e *Experiment) RunWith(first, last uint64, run RunFunc, parallelism int) []Outcome {
 	var outcomes []Outcome
 	for _, c := range e.Cases {
 		sc, _ := e.scenario(c) // Parse has checked it
-		results := e.playSeeds(sc, first, last, play, atOnce)
-		outcomes = append(outcomes, summarize(c, slices.Concat(e.All, c.Expect), results, first))
+		results := e.runSeeds(sc, first, last, run, parallelism)
+		outcomes = append(outcomes, summarize(c, slices.Concat(e.ExpectAll, c.Expect), results, first))
 	}
 	return outcomes
 }
 
-// playSeeds plays a scenario with each seed, and returns when the last run has ended.
-func (e *Experiment) playSeeds(sc simulation.Scenario, first, last uint64, play Player, atOnce int) []simulation.Result {
+// runSeeds runs a scenario with each seed, and returns when the last run has ended.
+func (e *Experiment) runSeeds(sc simulation.Scenario, first, last uint64, run RunFunc, parallelism int) []simulation.Result {
 	results := make([]simulation.Result, last-first+1)
-	slots := make(chan struct{}, atOnce)
+	semaphore := make(chan struct{}, parallelism)
 	var runs sync.WaitGroup
 	for i := range results {
 		seed := first + uint64(i)
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		runs.Go(func() {
-			results[i] = play(e.withShiftedFaults(sc, seed), seed)
-			<-slots
+			results[i] = run(e.withShiftedFaults(sc, seed), seed)
+			<-semaphore
 		})
 	}
 	runs.Wait()
 	return results
 }
 
-// withShiftedFaults is a scenario whose faults start later by a fraction of Shift that the seed gives. A
-// fault that starts with the run stays.
+// withShiftedFaults returns a scenario whose faults start later by a fraction of Shift that depends on the seed.
+// Faults that start with the run are not shifted.
 func (e *Experiment) withShiftedFaults(sc simulation.Scenario, seed uint64) simulation.Scenario {
 	shift := rand.New(rand.NewPCG(seed, 3)).Float64() * e.Shift
 	sc.Faults = slices.Clone(sc.Faults)
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// statistic is one of the figures of a measure over the runs of a case.
+// statistic selects one of the statistics of an outcome's measures.
 type statistic func(*Outcome) map[string]float64
 
-func mean(o *Outcome) map[string]float64  { return o.Mean }
-func worst(o *Outcome) map[string]float64 { return o.Worst }
-func p99(o *Outcome) map[string]float64   { return o.P99 }
-func least(o *Outcome) map[string]float64 { return o.Min }
+func mean(o *Outcome) map[string]float64    { return o.Mean }
+func worst(o *Outcome) map[string]float64   { return o.Worst }
+func p99(o *Outcome) map[string]float64     { return o.P99 }
+func minimum(o *Outcome) map[string]float64 { return o.Min }
 
 // column shows a statistic of a measure.
 type column struct {
-	title   string
-	of      statistic
-	measure string
+	title     string
+	statistic statistic
+	measure   string
 }
 
-// quotaColumns are those of most experiments.
+// quotaColumns are the columns of experiments that need no others.
 var quotaColumns = []column{
 	{"asked", mean, "asked"},
 	{"due", mean, "due"},
@@ -38,7 +38,7 @@
 	{"wait99", mean, "wait_99_ms"},
 }
 
-// slotColumns are those of experiments with plans that have a limit of attempts in flight.
+// slotColumns are the columns of experiments with plans that limit attempts in flight.
 var slotColumns = []column{
 	{"reqs", mean, "reqs"},
 	{"served", mean, "served"},
@@ -55,7 +55,7 @@
 	{"us/req", mean, "cpu_us_per_req"},
 }
 
-// usageColumns are those of experiments with usage reports.
+// usageColumns are the columns of experiments with usage reports.
 var usageColumns = []column{
 	{"holders", mean, "holders"},
 	{"overlaps", worst, "overlaps"},
@@ -73,7 +73,7 @@
 	{"us/req", mean, "cpu_us_per_req"},
 }
 
-// zoneColumns are those of experiments with several zones.
+// zoneColumns are the columns of experiments with several zones.
 var zoneColumns = []column{
 	{"reqs", mean, "reqs"},
 	{"served", mean, "served"},
@@ -89,12 +89,12 @@
 	{"us/req", mean, "cpu_us_per_req"},
 }
 
-// restartColumns are those of experiments with rolling restarts.
+// restartColumns are the columns of experiments with rolling restarts.
 var restartColumns = []column{
 	{"holders", mean, "holders"},
 	{"overlaps", worst, "overlaps"},
 	{"walked", mean, "walked"},
-	{"w.least", least, "walked"},
+	{"w.least", minimum, "walked"},
 	{"walking", worst, "walking"},
 	{"none ms", mean, "no_holder_ms"},
 	{"msg/s", mean, "lease_messages_per_s"},
@@ -104,7 +104,7 @@
 	{"us/req", mean, "cpu_us_per_req"},
 }
 
-// leaseColumns are those of experiments with attempts under a lease.
+// leaseColumns are the columns of experiments with attempts under a lease.
 var leaseColumns = []column{
 	{"holders", mean, "holders"},
 	{"overlaps", worst, "overlaps"},
@@ -125,7 +125,7 @@
 	{"us/req", mean, "cpu_us_per_req"},
 }
 
-// Table shows the outcomes, a line for each case.
+// Table formats the outcomes as a table with a line for each case.
 func Table(outcomes []Outcome) string {
 	columns := selectColumns(outcomes)
 	width := len("case")
@@ -141,14 +141,14 @@
 	for _, o := range outcomes {
 		fmt.Fprintf(&b, "%-*s %5d", width, o.Case, o.Runs)
 		for _, c := range columns {
-			b.WriteString(cell(c.of(&o)[c.measure]))
+			b.WriteString(cell(c.statistic(&o)[c.measure]))
 		}
 		b.WriteByte('\n')
 	}
 	return b.String()
 }
 
-// cell shows a value, without decimals where it is long.
+// cell formats a value, without decimals if it is long.
 func cell(value float64) string {
 	if math.Abs(value) >= 1000 {
 		return fmt.Sprintf(" %8.0f", value)
@@ -156,7 +156,7 @@
 	return fmt.Sprintf(" %8.2f", value)
 }
 
-// selectColumns chooses the columns by what the outcomes have.
+// selectColumns selects the columns by the measures that the outcomes have.
 func selectColumns(outcomes []Outcome) []column {
 	if len(outcomes) == 0 {
 		return quotaColumns
--- a/internal/experiment/usage_test.go
+++ b/internal/experiment/usage_test.go
@@ -7,12 +7,12 @@
 	"lemongate/internal/simulation"
 )
 
-// Usage is not reported twice where a successor reported what it took over and died in its probation: the
-// predecessor, which admits again, reported it once more.
+// A successor reports the usage that it inherited and dies during its probation. That usage must not be reported
+// twice: the predecessor, which admits again, used to report it once more.
 func TestFailedHotRestartReportsUsageOnce(t *testing.T) {
 	const (
-		seed           = 5 // of six played, the one that showed it
-		mostUnitsTwice = 1 // as in the experiments of usage
+		seed              = 5 // of six seeds, the one that showed the fault
+		maxDuplicateUnits = 1 // as in the experiments on usage
 	)
 	data, err := os.ReadFile("../../experiments/rollup.json")
 	if err != nil {
@@ -33,19 +33,19 @@
 			Kind: simulation.FaultHotRestart, At: at, Limiters: []int{0, 1, 2, 3, 4}, Dies: simulation.Successor, Down: 3,
 		}}
 		r := simulation.Run(scenario, seed)
-		if r.UsageOver > mostUnitsTwice || r.UsageDuplicates > 0 {
-			t.Errorf("hot restarts at %v s: %.0f units too many, %d periods twice", at, r.UsageOver, r.UsageDuplicates)
+		if r.UsageOver > maxDuplicateUnits || r.UsageDuplicates > 0 {
+			t.Errorf("hot restarts at %v s: %.0f units reported too many, %d periods in two reports", at, r.UsageOver, r.UsageDuplicates)
 		}
 	}
 }
 
-// Usage is not lost where the lease holder is cut off with a period that it collected from itself alone, the
-// others report that period without it, and the lease changes hands again.
+// No usage is lost if a network partition cuts off the lease holder with a period that it collected from itself
+// alone, the others report that period without it, and the lease then passes to another holder once more.
 func TestCutOffHolderLosesNoUsage(t *testing.T) {
 	const (
-		seed         = 700001
-		caseName     = "one limiter is cut off for five periods"
-		mostUnitsOut = 8 // as in the experiment: units at backends at the end
+		seed            = 700001
+		caseName        = "one limiter is cut off for five periods"
+		maxMissingUnits = 8 // as in the experiment: units at backends at the end
 	)
 	data, err := os.ReadFile("../../experiments/rollup.json")
 	if err != nil {
@@ -64,8 +64,8 @@
 			t.Fatal(err)
 		}
 		r := simulation.Run(x.withShiftedFaults(scenario, seed), seed)
-		if r.UsageUnder > mostUnitsOut || r.UsageOver > 1 || r.UsageDuplicates > 0 {
-			t.Errorf("%.0f units missing, %.0f too many, %d periods twice", r.UsageUnder, r.UsageOver, r.UsageDuplicates)
+		if r.UsageUnder > maxMissingUnits || r.UsageOver > 1 || r.UsageDuplicates > 0 {
+			t.Errorf("%.0f units missing in the reports, %.0f too many, %d periods in two reports", r.UsageUnder, r.UsageOver, r.UsageDuplicates)
 		}
 		return
 	}
--- a/internal/simulation/backends.go
+++ b/internal/simulation/backends.go
@@ -9,54 +9,54 @@
 )
 
 const (
-	// backendDelay is how long a message takes between a limiter and a backend.
+	// backendDelay is the one-way latency between a limiter and a backend.
 	backendDelay = 800 * time.Microsecond
 	// connectTimeout is how long a limiter waits for a connection to a machine that does not respond.
 	connectTimeout = 250 * time.Millisecond
-	// repeatWork is how long a backend takes to respond to the repeat of an idempotency key.
-	repeatWork = time.Millisecond
-	// utilizationMemory is the time constant of the utilization in load reports.
-	utilizationMemory = 400 * time.Millisecond
-	// latencyWeight is the weight of one response in the latency of load reports.
+	// repeatServiceTime is the service time of a request that repeats an idempotency key.
+	repeatServiceTime = time.Millisecond
+	// utilizationTimeConstant is the time constant of the moving average of the utilization in load reports.
+	utilizationTimeConstant = 400 * time.Millisecond
+	// latencyWeight is the weight of one response in the moving average of the latency in load reports.
 	latencyWeight = 0.1
 )
 
-// backend has cores, a queue, a cold start, and a memory of idempotency keys.
+// backend models a backend: cores, a queue, a slow start, and the idempotency keys of earlier requests.
 type backend struct {
-	world       *world
-	number      int
-	up          bool
-	refuses     bool // connections, while the endpoint list shows it
-	silent      bool // its machine does not respond
-	startedAt   time.Duration
-	incarnation int // crashes so far
-	busy        int // cores
-	queue       []*attempt
-	keys        map[uint64]time.Duration // when a request with an idempotency key ran
-
-	utilization   float64 // running mean of the busy fraction of the cores
+	world        *world
+	number       int
+	up           bool
+	refuses      bool // refuses connections, while the endpoint list shows no change
+	unresponsive bool // its machine does not respond
+	startedAt    time.Duration
+	incarnation  int // incremented when a fault drops all attempts
+	busy         int // cores in use
+	queue        []*attempt
+	keys         map[uint64]time.Duration // when a request with an idempotency key was served
+
+	utilization   float64 // moving average of the fraction of the cores in use
 	utilizationAt time.Duration
-	latency       float64 // ms, running mean
+	latency       float64 // ms, moving average
 }
 
-// attempt is an attempt on its way, at a backend or finished.
+// attempt is an attempt on its way to a backend, at a backend, or finished.
 type attempt struct {
 	limiter     *limiter
 	incarnation int // of the limiter
 	request     *request
 	id          core.AttemptID
 	backend     *backend
-	over        bool   // finished, or no one waits for its result
+	done        bool   // finished or canceled, or its process was killed
 	token       uint64 // fencing token, 0 for none
 }
 
-// finish reports to the limiter how an attempt finished, after the way back.
+// finish reports the result of an attempt to the limiter after the network delay, unless the attempt is done.
 func (a *attempt) finish(result admission.Result, report []float64) {
-	if a.over {
+	if a.done {
 		return
 	}
-	a.over = true
-	a.limiter.world.judgeEnd(a)
+	a.done = true
+	a.limiter.world.recordEnd(a)
 	a.limiter.world.after(backendDelay, func() {
 		if a.limiter.incarnation == a.incarnation {
 			a.limiter.post(&core.AttemptFinished{Attempt: a.id, Result: result, Report: report, Response: a.request.id})
@@ -77,7 +77,7 @@
 	r.attempts[e.Attempt.Number] = a
 	w.result.Attempts++
 	if a.backend == nil {
-		w.breach("an attempt at %q, which is no backend", e.Backend)
+		w.breach("attempt at unknown backend %q", e.Backend)
 		return
 	}
 	if w.zone(a.backend.number) == w.zone(l.number) {
@@ -86,7 +86,7 @@
 	w.after(backendDelay, func() { a.backend.receive(a) })
 }
 
-// backendByName is the backend of a name, nil if there is none.
+// backendByName returns the backend with a name, nil if there is none.
 func (w *world) backendByName(name string) *backend {
 	for _, b := range w.backends {
 		if b.name() == name {
@@ -98,18 +98,18 @@
 
 func (b *backend) name() string { return fmt.Sprintf("b%02d", b.number) }
 
-// updateUtilization brings the running mean of the utilization up to now.
+// updateUtilization updates the moving average of the utilization to the current time.
 func (b *backend) updateUtilization() {
 	now := b.world.now
-	left := decay(now-b.utilizationAt, utilizationMemory)
+	left := decay(now-b.utilizationAt, utilizationTimeConstant)
 	b.utilization = b.utilization*left + (1-left)*float64(b.busy)/float64(b.world.scenario.Backends.Cores)
 	b.utilizationAt = now
 }
 
-// receive takes in an attempt that has arrived: it is served, queued or rejected.
+// receive handles an attempt that has arrived: it fails, is served, is queued or is rejected.
 func (b *backend) receive(a *attempt) {
 	w := b.world
-	if b.silent {
+	if b.unresponsive {
 		w.result.AttemptsAtDown++
 		w.after(connectTimeout, func() { a.finish(admission.ConnectFailed, nil) })
 		return
@@ -119,9 +119,9 @@
 		a.finish(admission.Unreachable, nil)
 		return
 	}
-	w.judgeToken(a)
-	w.judgeArrival(a)
-	w.judgeQuota(a)
+	w.checkToken(a)
+	w.recordArrival(a)
+	w.checkQuota(a)
 	switch {
 	case b.busy < w.scenario.Backends.Cores:
 		b.serve(a)
@@ -132,7 +132,7 @@
 	}
 }
 
-// speed is the fraction of its full speed that a backend has by now.
+// speed returns the backend's current fraction of full speed, which is below 1 during the slow start.
 func (b *backend) speed() float64 {
 	sc := b.world.scenario.Backends
 	if b.startedAt == 0 || sc.SlowStartDuration <= 0 {
@@ -141,17 +141,17 @@
 	return min(sc.ColdFraction+(1-sc.ColdFraction)*(b.world.now-b.startedAt).Seconds()/sc.SlowStartDuration, 1)
 }
 
-// serve occupies a core with an attempt.
+// serve runs an attempt on a core until its service time has passed.
 func (b *backend) serve(a *attempt) {
 	w, incarnation := b.world, b.incarnation
 	b.updateUtilization()
 	b.busy++
 	work := time.Duration(float64(w.exponential(milliseconds(w.scenario.Backends.Work))) / b.speed())
 	if b.isRepeat(a.request) {
-		work = repeatWork
+		work = repeatServiceTime
 	}
 	if w.slots.probing {
-		work = slotProbeWork
+		work = slotProbeServiceTime
 	}
 	w.after(work, func() {
 		if b.incarnation == incarnation {
@@ -160,8 +160,8 @@
 	})
 }
 
-// isRepeat reports whether a request repeats an idempotency key within the window, and remembers the key
-// of one that does not.
+// isRepeat reports whether a request repeats an idempotency key within IdempotencyWindow. If not, it records
+// the request's key.
 func (b *backend) isRepeat(r *request) bool {
 	if !r.keyed {
 		return false
@@ -174,55 +174,55 @@
 	return false
 }
 
-// complete responds to an attempt, and serves what is queued.
+// complete responds to an attempt and serves queued attempts on the cores that are free.
 func (b *backend) complete(a *attempt, work time.Duration) {
 	b.updateUtilization()
 	b.busy--
 	b.latency += latencyWeight * (work.Seconds()*1e3 - b.latency)
 	a.finish(admission.Succeeded, []float64{b.latency, b.utilization})
-	b.world.judgeEnd(a)
+	b.world.recordEnd(a)
 	for len(b.queue) > 0 && b.busy < b.world.scenario.Backends.Cores {
 		next := b.queue[0]
 		b.queue = b.queue[1:]
-		if !next.over {
+		if !next.done {
 			b.serve(next)
 		}
 	}
 }
 
-// dropAll forgets all attempts at the backend.
-func (b *backend) dropAll() {
+// dropAttempts drops all attempts at the backend without a response.
+func (b *backend) dropAttempts() {
 	b.incarnation++
 	b.busy, b.queue, b.utilization = 0, nil, 0
 }
 
-// fallSilent leaves all open attempts without a response.
-func (b *backend) fallSilent() {
-	b.silent = true
-	b.dropAll()
+// stopResponding makes the backend unresponsive; its open attempts get no response.
+func (b *backend) stopResponding() {
+	b.unresponsive = true
+	b.dropAttempts()
 }
 
-// crash resets the connections of all open attempts; the endpoint list shows it late.
+// crash resets the connections of all open attempts. The endpoint list shows the crash after ListLag.
 func (b *backend) crash() {
 	w := b.world
 	b.up = false
-	b.dropAll()
+	b.dropAttempts()
 	for _, a := range w.openAttempts() {
 		if a.backend == b {
 			a.finish(admission.ConnectionLost, nil)
 		}
 	}
-	w.judgeBackendDeath(b)
+	w.recordBackendCrash(b)
 	w.after(milliseconds(w.scenario.Backends.ListLag), w.publishEndpoints)
 }
 
-// boot starts a backend that crashed; the endpoint list shows it late.
+// boot starts a backend that crashed. The endpoint list shows the start after ListLag.
 func (b *backend) boot() {
 	b.up, b.startedAt = true, b.world.now
 	b.world.after(milliseconds(b.world.scenario.Backends.ListLag), b.world.publishEndpoints)
 }
 
-// endpointList is the endpoint list of discovery.
+// endpointList returns the endpoint list that discovery sends.
 func (w *world) endpointList() []core.Endpoint {
 	var list []core.Endpoint
 	for _, b := range w.backends {
@@ -237,7 +237,7 @@
 	return list
 }
 
-// publishEndpoints sends the endpoint list to all processes.
+// publishEndpoints sends the endpoint list to all limiter processes.
 func (w *world) publishEndpoints() {
 	list := w.endpointList()
 	for _, l := range w.limiters {
--- a/internal/simulation/bucket.go
+++ b/internal/simulation/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bucket is a token bucket, as the rules define it: the reference that a run is judged by.
+// Bucket is a token bucket as the rules define it: the reference that a run is checked against.
 type Bucket struct {
 	rate  float64 // units per second
 	burst float64 // units
@@ -10,31 +10,31 @@
 	at    time.Duration
 }
 
-// NewBucket returns a Store that is full. The rate is in units per second, the burst in units.
+// NewBucket returns a Bucket that is full. The rate is in units per second, the burst in units.
 func NewBucket(rate, burst float64, now time.Duration) Bucket {
 	return Bucket{rate: rate, burst: burst, level: burst, at: now}
 }
 
 // Refill refills the bucket up to now, and returns its level in units.
-func (s *Bucket) Refill(now time.Duration) float64 {
-	s.level = min(s.level+(now-s.at).Seconds()*s.rate, s.burst)
-	s.at = now
-	return s.level
+func (b *Bucket) Refill(now time.Duration) float64 {
+	b.level = min(b.level+(now-b.at).Seconds()*b.rate, b.burst)
+	b.at = now
+	return b.level
 }
 
 // Take consumes units if the bucket has them, and reports whether it had.
-func (s *Bucket) Take(now time.Duration, units float64) bool {
-	if s.Refill(now) < units {
+func (b *Bucket) Take(now time.Duration, units float64) bool {
+	if b.Refill(now) < units {
 		return false
 	}
-	s.level -= units
+	b.level -= units
 	return true
 }
 
 // Consume consumes units even if the bucket does not have them, and returns its level, which may be below
 // zero.
-func (s *Bucket) Consume(now time.Duration, units float64) float64 {
-	s.Refill(now)
-	s.level -= units
-	return s.level
+func (b *Bucket) Consume(now time.Duration, units float64) float64 {
+	b.Refill(now)
+	b.level -= units
+	return b.level
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// clientDelay is how long a request takes to a limiter.
+	// clientDelay is the one-way latency between a client and a limiter.
 	clientDelay = 500 * time.Microsecond
 	// responseSlack is how much later than its deadline a response may be.
 	responseSlack = 100 * time.Millisecond
 )
 
-// customer sends requests through the limiters of its set, with the reference buckets of its quota.
+// customer sends requests to the limiters of its set. Its reference buckets show how its quota is enforced.
 type customer struct {
 	name         string
 	plan         int // index
 	firstLimiter int
 	setSize      int
-	busiest      int    // index in the set
-	quota        Bucket // of what reaches the backends
-	ceiling      Bucket // of what reaches the backends
-	ideal        Bucket // of one limiter that receives all first tries
+	busiest      int    // index in the set of the busiest limiter
+	quota        Bucket // of the requests that reach backends
+	ceiling      Bucket // of the requests that reach backends
+	ideal        Bucket // of a single limiter that would receive all first tries
 	tally        tally
 	slots        slotTally
 }
 
-// tally counts what one customer got, in units.
+// tally sums the units of one customer's requests.
 type tally struct {
 	requested           float64 // first tries
 	due                 float64 // see Result.Due
 	within, beyond      float64 // forwarded, within the quota and beyond it
 	rejected            float64 // tries rejected without an attempt
-	rejectedWithinQuota float64 // see Result.RefusedRoom
-	ceilingDebt         float64 // most that the ceiling's bucket was below zero
+	rejectedWithinQuota float64 // see Result.RejectedWithinQuota
+	ceilingDebt         float64 // largest amount that the ceiling's bucket was below zero
 }
 
 // request is one try of a client at a limiter.
@@ -50,21 +50,21 @@
 	units    float64
 	keyed    bool
 	key      uint64 // idempotency key
-	retries  int    // that the client has left
+	retries  int    // that the client may still send
 	sentAt   time.Duration
 	counted  bool // an attempt has reached a backend
-	answered bool
-	lost     bool // with its limiter
+	answered bool // has a response
+	lost     bool // its limiter's process was killed
 	attempts map[int]*attempt
 }
 
-// requestKey identifies a request of a limiter, whichever of its processes has it.
+// requestKey identifies a request of a limiter, whichever of its processes handles it.
 type requestKey struct {
 	limiter int
 	id      core.RequestID
 }
 
-// openAttempts are the attempts of all open requests, in the same order every time.
+// openAttempts returns the attempts of all open requests, sorted so that runs are repeatable.
 func (w *world) openAttempts() (list []*attempt) {
 	byLimiterAndID := func(a, b requestKey) int {
 		return cmp.Or(cmp.Compare(a.limiter, b.limiter), cmp.Compare(a.id, b.id))
@@ -81,8 +81,8 @@
 // cancelAttempt cancels an attempt, if there is one with the number.
 func (w *world) cancelAttempt(r *request, number int) {
 	if a := r.attempts[number]; a != nil {
-		a.over = true
-		w.judgeCancel(a)
+		a.done = true
+		w.recordCancel(a)
 	}
 }
 
@@ -94,7 +94,7 @@
 			w.customers = append(w.customers, c)
 			w.scheduleArrival(c)
 			if moves := w.scenario.Traffic.BusiestDuration; moves > 0 {
-				w.scheduleMove(c, seconds(moves*w.random.Float64()))
+				w.scheduleBusiestChange(c, seconds(moves*w.random.Float64()))
 			}
 		}
 	}
@@ -117,15 +117,16 @@
 	}
 }
 
-// scheduleMove has another limiter become the busiest of a customer, again and again.
-func (w *world) scheduleMove(c *customer, wait time.Duration) {
+// scheduleBusiestChange makes another limiter the busiest of a customer after wait, and then every BusiestDuration.
+func (w *world) scheduleBusiestChange(c *customer, wait time.Duration) {
 	w.after(wait, func() {
 		c.busiest = (c.busiest + 1 + w.random.IntN(max(c.setSize-1, 1))) % c.setSize
-		w.scheduleMove(c, seconds(w.scenario.Traffic.BusiestDuration))
+		w.scheduleBusiestChange(c, seconds(w.scenario.Traffic.BusiestDuration))
 	})
 }
 
-// scheduleArrival schedules the next request of a customer. Arrivals do not wait for responses.
+// scheduleArrival schedules the next request of a customer. The load is open-loop: arrivals do not wait for
+// responses.
 func (w *world) scheduleArrival(c *customer) {
 	plan := w.scenario.Plans[c.plan]
 	interval := w.exponential(seconds(w.scenario.Traffic.MeanUnits() / (plan.Rate * plan.LoadFactor)))
@@ -152,8 +153,8 @@
 	w.send(r, w.selectLimiter(c))
 }
 
-// selectLimiter chooses the limiter for a request: the busiest of the customer's set or another one. If it
-// is down it is the next of the set that is not; nil if all are.
+// selectLimiter selects the limiter for a request: the busiest of the customer's set or another one. If that
+// limiter is down, it selects the next one of the set that is up; nil if all are down.
 func (w *world) selectLimiter(c *customer) *limiter {
 	index := c.busiest
 	if w.random.Float64() >= w.scenario.Traffic.BusiestFraction && c.setSize > 1 {
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// send sends a request to a limiter; nil for none that is up.
+// send sends a request to a limiter; a nil limiter means that none is up.
 func (w *world) send(r *request, l *limiter) {
 	w.lastID++
 	r.id, r.limiter, r.sentAt, r.attempts = w.lastID, l, w.now, map[int]*attempt{}
@@ -189,7 +190,7 @@
 	})
 }
 
-// requestReceived is the event of a request that has arrived at its limiter.
+// requestReceived returns the event of a request that has arrived at its limiter.
 func (w *world) requestReceived(r *request, budget time.Duration) *core.RequestReceived {
 	class := classIdempotent
 	if r.keyed {
@@ -213,18 +214,18 @@
 	}
 }
 
-// slack is how much later than its deadline a response may be: a limiter that is stalled responds after
-// its stall.
+// slack returns how much later than its deadline a response may be: a stalled limiter responds after its
+// stall.
 func (w *world) slack(l *limiter) time.Duration {
 	return max(l.stalledUntil-w.now, 0) + responseSlack
 }
 
-// judgeQuota counts the first attempt of a request that has reached a backend: the request consumes its
-// units from the reference buckets.
-func (w *world) judgeQuota(a *attempt) {
+// checkQuota handles the first attempt of a request that has reached a backend: it consumes the request's units
+// from the reference buckets and checks the ceiling.
+func (w *world) checkQuota(a *attempt) {
 	r := a.request
-	if r.counted || r.answered && a.over {
-		return // counted before, or canceled on its way
+	if r.counted || r.answered && a.done {
+		return // counted before, or canceled before it arrived
 	}
 	r.counted = true
 	w.usage.unitsReached += r.units
@@ -242,7 +243,7 @@
 	level := c.ceiling.Consume(w.now, r.units)
 	c.tally.ceilingDebt = max(c.tally.ceilingDebt, -level)
 	if -level > plan.Tolerance {
-		w.breach("the ceiling's bucket of %s is at %.1f, %.1f allowed", c.name, level, -plan.Tolerance)
+		w.breach("the ceiling's bucket of %s is at %.1f units, must not be below %.1f", c.name, level, -plan.Tolerance)
 	}
 }
 
@@ -260,7 +261,7 @@
 	case core.Served:
 		w.result.Served++
 		if id, ok := e.Response.(uint64); !ok || id != r.id {
-			w.breach("request %d got the response of another one", r.id)
+			w.breach("request %d got the response of another request", r.id)
 		}
 	case core.Failed:
 		w.result.Failed++
@@ -270,7 +271,7 @@
 	}
 }
 
-// handleRejection counts a rejected request, and has its client retry.
+// handleRejection counts a rejected request and schedules the client's retry.
 func (w *world) handleRejection(r *request, retryAfter time.Duration) {
 	if r.counted {
 		return
@@ -280,7 +281,7 @@
 	if c.quota.Refill(w.now) > c.quota.burst/2 {
 		c.tally.rejectedWithinQuota += r.units
 	}
-	w.judgeRejection(c, c.quota.level >= r.units)
+	w.recordRejection(c, c.quota.level >= r.units)
 	if r.retries <= 0 {
 		return
 	}
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// start is the virtual time at which a run starts: late enough that the start of a backend long ago
-// still has a time.
+// start is the virtual time at which a run starts: late enough that a backend that started long before the run
+// still has a valid start time.
 const start = time.Hour
 
-// scheduler is the virtual clock and the queue of what happens later.
+// scheduler is the virtual clock and the queue of scheduled tasks.
 type scheduler struct {
 	now      time.Duration
 	queue    taskQueue
 	sequence uint64 // of the last task
 }
 
-// task is something that happens at a time. Tasks of the same time run in the order in which they were
+// task is a function to run at a time. Tasks of the same time run in the order in which they were
 // scheduled.
 type task struct {
 	at       time.Duration
@@ -25,13 +25,13 @@
 	run      func()
 }
 
-// at schedules a task for a time, at the earliest now.
+// at schedules a task for a time; a time in the past counts as now.
 func (s *scheduler) at(at time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.queue, task{at: max(at, s.now), sequence: s.sequence, run: run})
 }
 
-// after schedules a task for after a delay.
+// after schedules a task to run after a delay.
 func (s *scheduler) after(delay time.Duration, run func()) { s.at(s.now+delay, run) }
 
 // runUntil runs all tasks up to and including those of the time end.
@@ -65,7 +65,7 @@
 func (q *taskQueue) Pop() any {
 	last := len(*q) - 1
 	next := (*q)[last]
-	(*q)[last] = task{} // frees what the task refers to
+	(*q)[last] = task{} // releases what the task refers to
 	*q = (*q)[:last]
 	return next
 }
@@ -76,7 +76,7 @@
 // seconds converts a number of seconds to a Duration.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// decay is the weight that is left of a running mean after a time.
-func decay(elapsed, memory time.Duration) float64 {
-	return math.Exp(-elapsed.Seconds() / memory.Seconds())
+// decay returns the weight of the previous value of a moving average after the elapsed time.
+func decay(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
 }
--- a/internal/simulation/clock_test.go
+++ b/internal/simulation/clock_test.go
@@ -7,7 +7,7 @@
 )
 
 // Tasks run in the order of their times, those of the same time in the order in which they were scheduled,
-// and none after the end. What is scheduled for the past runs now.
+// and none after the end. A task scheduled for a time in the past runs now.
 func TestSchedulerRunsTasksInOrder(t *testing.T) {
 	s := scheduler{now: start}
 	var ran []string
@@ -24,21 +24,21 @@
 		t.Errorf("ran %q, want %q", ran, want)
 	}
 	if s.now != start+3*time.Second {
-		t.Errorf("the clock is at %v", s.now)
+		t.Errorf("the clock is at %v, want 3s after the start", s.now)
 	}
 }
 
-// What is scheduled for after the end runs when the run goes on.
+// A task scheduled for a time after the end runs when the run is continued.
 func TestSchedulerKeepsTasksAfterEnd(t *testing.T) {
 	s := scheduler{now: start}
 	ran := 0
 	s.at(start+time.Second, func() { ran++ })
 	s.runUntil(start + time.Second - 1)
 	if ran != 0 {
-		t.Error("ran before its time")
+		t.Error("the task ran before its time")
 	}
 	s.runUntil(start + time.Second)
 	if ran != 1 {
-		t.Errorf("ran %d times, want once", ran)
+		t.Errorf("the task ran %d times, want once", ran)
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,11 +1,11 @@
 package simulation
 
-// faultStarters starts each kind of fault, for the limiters and backends that it names, and schedules its
-// end.
+// faultStarters maps each kind of fault to the function that starts it, for the limiters and backends that the
+// fault names, and schedules its end.
 var faultStarters = map[FaultKind]func(*world, Fault){
 	FaultPartition:      (*world).startPartition,
-	FaultMute:           (*world).startMute,
-	FaultDeaf:           (*world).startDeaf,
+	FaultMute:           (*world).startOutgoingLoss,
+	FaultDeaf:           (*world).startIncomingLoss,
 	FaultLoss:           (*world).startLoss,
 	FaultClock:          (*world).changeClocks,
 	FaultStall:          (*world).startStall,
@@ -14,24 +14,24 @@
 	FaultRollingRestart: (*world).startRollingRestart,
 	FaultBackendCrash:   (*world).crashBackends,
 	FaultBackendRefuses: (*world).startRefusing,
-	FaultBackendSilent:  (*world).startSilence,
+	FaultBackendSilent:  (*world).startUnresponsive,
 }
 
-// startFault starts a fault, and schedules the next time that it does.
+// startFault starts a fault and schedules its next start.
 func (w *world) startFault(f Fault) {
 	resolved := f
 	resolved.Limiters = w.faultLimiters(f)
 	resolved.Backends = w.faultBackends(f)
-	if begin := faultStarters[f.Kind]; begin != nil {
-		begin(w, resolved)
+	if startKind := faultStarters[f.Kind]; startKind != nil {
+		startKind(w, resolved)
 	}
 	if w.repeats(f) {
 		w.after(seconds(f.Every), func() { w.startFault(f) })
 	}
 }
 
-// repeats reports whether a fault that starts now is to start again. A restart does so within For, if that
-// is set.
+// repeats reports whether a fault that starts now is to start again. If For is set, a restart repeats only
+// within that time.
 func (w *world) repeats(f Fault) bool {
 	next := w.now + seconds(f.Every)
 	if f.Every <= 0 || next >= w.end {
@@ -40,7 +40,7 @@
 	return f.Kind != FaultRestart || f.For <= 0 || next <= start+seconds(f.At+f.For)
 }
 
-// faultLimiters are the numbers of the limiters that a fault is for.
+// faultLimiters returns the numbers of the limiters that a fault affects.
 func (w *world) faultLimiters(f Fault) []int {
 	switch f.Role {
 	case "":
@@ -58,7 +58,7 @@
 	return acceptors
 }
 
-// faultBackends are the numbers of the backends that a fault is for.
+// faultBackends returns the numbers of the backends that a fault affects.
 func (w *world) faultBackends(f Fault) []int {
 	if f.Zone <= 0 {
 		return f.Backends
@@ -92,38 +92,38 @@
 	for partition, group := range f.Groups {
 		w.forLimiters(group, func(l *limiter) { l.partition = partition })
 	}
-	for _, way := range f.LostWays {
-		w.lostWays[[2]int{way[0], way[1]}] = true
+	for _, direction := range f.LostWays {
+		w.lostDirections[[2]int{direction[0], direction[1]}] = true
 	}
 	w.after(seconds(f.For), func() {
 		for _, l := range w.limiters {
 			l.partition = 0
 		}
-		clear(w.lostWays)
+		clear(w.lostDirections)
 	})
 }
 
-func (w *world) startMute(f Fault) {
-	w.forLimiters(f.Limiters, func(l *limiter) { l.muted = true })
+func (w *world) startOutgoingLoss(f Fault) {
+	w.forLimiters(f.Limiters, func(l *limiter) { l.dropsOutgoing = true })
 	w.after(seconds(f.For), func() {
-		w.forLimiters(f.Limiters, func(l *limiter) { l.muted = false })
+		w.forLimiters(f.Limiters, func(l *limiter) { l.dropsOutgoing = false })
 	})
 }
 
-func (w *world) startDeaf(f Fault) {
-	w.forLimiters(f.Limiters, func(l *limiter) { l.deaf = true })
+func (w *world) startIncomingLoss(f Fault) {
+	w.forLimiters(f.Limiters, func(l *limiter) { l.dropsIncoming = true })
 	w.after(seconds(f.For), func() {
-		w.forLimiters(f.Limiters, func(l *limiter) { l.deaf = false })
+		w.forLimiters(f.Limiters, func(l *limiter) { l.dropsIncoming = false })
 	})
 }
 
 func (w *world) startLoss(f Fault) {
-	usual := w.scenario.Network.Loss
+	configuredLoss := w.scenario.Network.Loss
 	w.scenario.Network.Loss = f.Rate
-	w.after(seconds(f.For), func() { w.scenario.Network.Loss = usual })
+	w.after(seconds(f.For), func() { w.scenario.Network.Loss = configuredLoss })
 }
 
-// changeClocks changes the rates of clocks, which show the same time just after it.
+// changeClocks changes the rates of clocks. The time that a clock shows does not jump.
 func (w *world) changeClocks(f Fault) {
 	w.forLimiters(f.Limiters, func(l *limiter) {
 		before := l.clock()
@@ -140,7 +140,7 @@
 	})
 }
 
-// handleStalledEvents handles what arrived during a stall, as far as the limiter is not stalled again.
+// handleStalledEvents handles the events that arrived during a stall, until the limiter is stalled again.
 func (l *limiter) handleStalledEvents() {
 	for len(l.stalledEvents) > 0 && l.world.now >= l.stalledUntil {
 		handle := l.stalledEvents[0]
@@ -178,9 +178,9 @@
 	})
 }
 
-func (w *world) startSilence(f Fault) {
+func (w *world) startUnresponsive(f Fault) {
 	w.forBackends(f.Backends, func(b *backend) {
-		b.fallSilent()
-		w.after(seconds(f.For), func() { b.silent = false })
+		b.stopResponding()
+		w.after(seconds(f.For), func() { b.unresponsive = false })
 	})
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each kind of fault that the schema of experiments allows can be started.
+// Each kind of fault in the experiment schema has a function that starts it.
 func TestEachFaultKindOfSchemaHasStarter(t *testing.T) {
 	data, err := os.ReadFile("../experiment/experiment.schema.json")
 	if err != nil {
@@ -29,10 +29,10 @@
 	kinds := schema.Defs.Fault.Properties.Kind.Enum
 	for _, kind := range kinds {
 		if faultStarters[kind] == nil {
-			t.Errorf("%q has no starter", kind)
+			t.Errorf("fault kind %q has no starter", kind)
 		}
 	}
 	if len(kinds) != len(faultStarters) {
-		t.Errorf("%d kinds in the schema, %d starters", len(kinds), len(faultStarters))
+		t.Errorf("%d fault kinds in the schema, %d starters", len(kinds), len(faultStarters))
 	}
 }
--- a/internal/simulation/format_test.go
+++ b/internal/simulation/format_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/golden"
 )
 
-// A Result has the fields that 0.8.0 wrote: the bounds of experiments name them.
+// A Result has the JSON names that release 0.8.0 wrote: the bounds of experiments refer to them.
 func TestResultOfEarlierRelease(t *testing.T) {
 	var r Result
 	(&golden.Filler{}).Fill(&r)
--- a/internal/simulation/hotrestart.go
+++ b/internal/simulation/hotrestart.go
@@ -8,29 +8,29 @@
 	"lemongate/internal/hotrestart"
 )
 
-// This file models hot restarts: the successor is a limiter of its own here, under the same number, and a
-// link joins the two processes.
+// This file models hot restarts. The successor is a second limiter process with the same number, and a link
+// connects the two processes.
 
 const (
-	// linkDelay is how long a message takes over a link.
+	// linkDelay is the one-way latency of a link.
 	linkDelay = 300 * time.Microsecond
-	// closePoll is how often a process that ends looks whether all its requests are answered.
-	closePoll = 20 * time.Millisecond
-	// successorInverse: while both processes accept clients, all but one in this many requests arrive at
-	// the predecessor, over connections of before.
-	successorInverse = 3
+	// closePollInterval is how often a closing process checks whether all its requests have a response.
+	closePollInterval = 20 * time.Millisecond
+	// successorRequestDivisor: while both processes accept clients, one request in this many arrives at the
+	// successor. The others arrive at the predecessor, over connections opened before the hot restart.
+	successorRequestDivisor = 3
 )
 
-// link is a process's end of the link to the other process of its limiter.
+// link is one process's end of the link to the other process of its limiter.
 type link struct {
 	peer       *limiter // nil for none
-	generation int      // counts links
-	paused     bool     // the listeners are paused: datagrams wait
-	queued     []func() // deliveries of these
-	closing    bool     // the process ends once it has answered all
+	generation int      // number of the link; messages sent over an earlier link are dropped
+	paused     bool     // the listeners are paused: datagrams are queued
+	queued     []func() // deliver the queued datagrams
+	closing    bool     // the process ends once all its requests have a response
 }
 
-// hasHotRestarts reports whether a scenario has hot restarts: limiters look for predecessors only there.
+// hasHotRestarts reports whether a scenario has hot restarts. Limiters look for a predecessor only if it does.
 func (sc *Scenario) hasHotRestarts() bool {
 	for _, f := range sc.Faults {
 		if f.Kind == FaultHotRestart {
@@ -40,8 +40,8 @@
 	return false
 }
 
-// startHotRestart starts a successor of a limiter, and schedules the shutdown of the predecessor and the
-// death of one of the two.
+// startHotRestart starts a successor of a limiter, and schedules the shutdown of the predecessor and the kill
+// of the process that the fault names, if any.
 func (w *world) startHotRestart(l *limiter, f Fault) {
 	if l.machine == nil || l.link.peer != nil {
 		return // down, or in a hot restart already
@@ -59,7 +59,7 @@
 	}
 }
 
-// newSuccessor is a process that is linked with a running one, and not started yet.
+// newSuccessor returns a process that is linked to a running one and not started yet.
 func (w *world) newSuccessor(l *limiter) *limiter {
 	successor := &limiter{
 		world:       w,
@@ -76,14 +76,14 @@
 	return successor
 }
 
-// shutDownIfHandedOver shuts a predecessor down, unless its successor was denied or has died.
+// shutDownIfHandedOver shuts a predecessor down, unless its successor was denied or has ended.
 func (l *limiter) shutDownIfHandedOver() {
 	if l.machine != nil && l.machine.Phase() == core.HandedOver {
 		l.post(core.ShutdownRequested{})
 	}
 }
 
-// endProcess kills one of two linked processes. The other one has its sockets from then on.
+// endProcess kills one of two linked processes. The other one has the sockets of both from then on.
 func (w *world) endProcess(l *limiter) {
 	peer := l.link.peer
 	if l.machine == nil || peer == nil {
@@ -102,7 +102,7 @@
 	w.after(linkDelay, func() { peer.post(core.LinkClosed{Epoch: w.epoch()}) })
 }
 
-// sendOverLink sends the other process an event, in order with all that was sent before.
+// sendOverLink sends an event to the other process. Events arrive in the order in which they were sent.
 func (l *limiter) sendOverLink(ev core.Event) {
 	to, generation := l.link.peer, l.link.generation
 	if to == nil {
@@ -115,8 +115,8 @@
 	})
 }
 
-// executeHotRestart carries out an effect of a hot restart; others have no effect here.
-func (l *limiter) executeHotRestart(e core.Effect) {
+// executeHotRestartEffect executes an effect of a hot restart, and ignores others.
+func (l *limiter) executeHotRestartEffect(e core.Effect) {
 	if ev := l.linkEvent(e); ev != nil {
 		l.sendOverLink(ev)
 		return
@@ -140,7 +140,7 @@
 	}
 }
 
-// linkEvent is the event that an effect sends over the link, nil for an effect that does not.
+// linkEvent returns the event that an effect sends over the link, nil for an effect that sends none.
 func (l *limiter) linkEvent(e core.Effect) core.Event {
 	switch e := e.(type) {
 	case core.DenySuccessor:
@@ -178,7 +178,7 @@
 	l.sendOverLink(&core.SuccessorConnected{Link: l})
 }
 
-// adoptSockets makes the process the one that has the sockets of its limiter.
+// adoptSockets makes the process the owner of its limiter's sockets.
 func (l *limiter) adoptSockets() {
 	l.world.limiters[l.number] = l
 	if peer := l.link.peer; peer != nil {
@@ -188,7 +188,7 @@
 	l.step(&core.EndpointsUpdated{Kind: admission.ListComplete, Endpoints: l.world.endpointList()})
 }
 
-// resumeListeners receives the datagrams that waited.
+// resumeListeners delivers the queued datagrams.
 func (l *limiter) resumeListeners() {
 	l.link.paused = false
 	for _, deliver := range l.link.queued {
@@ -197,28 +197,28 @@
 	l.link.queued = nil
 }
 
-// endWhenIdle ends a process that is to end, once all its requests are answered.
+// endWhenIdle ends a closing process once all its requests have a response.
 func (l *limiter) endWhenIdle() {
 	if l.machine == nil {
 		return
 	}
 	for _, r := range l.world.openRequests {
 		if r.limiter == l {
-			l.world.after(closePoll, l.endWhenIdle)
+			l.world.after(closePollInterval, l.endWhenIdle)
 			return
 		}
 	}
 	l.world.endProcess(l)
 }
 
-// selectProcess is the process at which a request arrives, of two: some clients still have connections to
-// the predecessor.
+// selectProcess returns the process of the limiter at which a request arrives: during a hot restart some clients
+// still have connections to the predecessor.
 func (l *limiter) selectProcess() *limiter {
 	peer := l.link.peer
 	if peer == nil || peer.machine == nil || peer.link.closing || peer.machine.Phase() != core.HandedOver {
 		return l
 	}
-	if l.world.lastID%successorInverse == 0 {
+	if l.world.lastID%successorRequestDivisor == 0 {
 		return l
 	}
 	return peer
--- a/internal/simulation/hotrestart_test.go
+++ b/internal/simulation/hotrestart_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// Hot restarts of many limiters, one after another and at once, with one process dying at any point of
-// some: no ceiling is exceeded, no request but those of a process that died goes without a response, and none
-// gets the response of another. With no deaths the tier forwards as much of what is due, and as little
-// beyond it, as the same tier without hot restarts.
+// Many limiters are hot restarted, one after another and at once; in some runs one of the two processes is killed
+// at various points. No ceiling is exceeded, only requests of a killed process go without a response, and no
+// request gets the response of another one. With no process killed, the tier forwards as much of the due units,
+// and as little beyond the quotas, as the same tier without hot restarts.
 func TestHotRestarts(t *testing.T) {
-	// LEMONGATE_LONG=1 plays the sizes that take minutes.
+	// LEMONGATE_LONG=1 runs larger tiers, which takes minutes.
 	sizes, seedsOfThree := []int{3, 30}, uint64(8)
 	if os.Getenv("LEMONGATE_LONG") != "" {
 		sizes, seedsOfThree = []int{3, 80, 300}, 200
@@ -19,20 +19,20 @@
 		seeds := map[int]uint64{3: seedsOfThree, 30: 1, 80: 2, 300: 1}[n]
 		all := everyNth(n, 1, 0)
 		for seed := range seeds {
-			undisturbed := Run(shortRun(n), seed)
-			sc := shortRun(n)
+			baseline := Run(shortScenario(n), seed)
+			sc := shortScenario(n)
 			sc.Faults = []Fault{{Kind: FaultHotRestart, At: 1, For: 0.4, Every: 1.3, Limiters: all}}
 			r := Run(sc, seed)
 			if r.Breaches > 0 {
 				t.Errorf("%d limiters, seed %d: %d rules broken: %v", n, seed, r.Breaches, r.Broken)
 			}
 			if seed == 0 {
-				t.Logf("%d limiters: within %.3f of due (undisturbed %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.WithinQuota/r.Due,
-					undisturbed.WithinQuota/undisturbed.Due, r.BeyondQuota/r.Due, undisturbed.BeyondQuota/undisturbed.Due, r.Messages, undisturbed.Messages)
+				t.Logf("%d limiters: within %.3f of due (without hot restarts %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.WithinQuota/r.Due,
+					baseline.WithinQuota/baseline.Due, r.BeyondQuota/r.Due, baseline.BeyondQuota/baseline.Due, r.Messages, baseline.Messages)
 			}
-			if r.WithinQuota/r.Due < 0.95*undisturbed.WithinQuota/undisturbed.Due || r.BeyondQuota/r.Due > undisturbed.BeyondQuota/undisturbed.Due+0.02 {
-				t.Errorf("%d limiters, seed %d: within %.3f, undisturbed %.3f; beyond %.3f, undisturbed %.3f", n, seed,
-					r.WithinQuota/r.Due, undisturbed.WithinQuota/undisturbed.Due, r.BeyondQuota/r.Due, undisturbed.BeyondQuota/undisturbed.Due)
+			if r.WithinQuota/r.Due < 0.95*baseline.WithinQuota/baseline.Due || r.BeyondQuota/r.Due > baseline.BeyondQuota/baseline.Due+0.02 {
+				t.Errorf("%d limiters, seed %d: within %.3f, without hot restarts %.3f; beyond %.3f, without %.3f", n, seed,
+					r.WithinQuota/r.Due, baseline.WithinQuota/baseline.Due, r.BeyondQuota/r.Due, baseline.BeyondQuota/baseline.Due)
 			}
 			for i, dies := range []Process{Predecessor, Successor, Predecessor, Successor} {
 				sc.Faults = []Fault{{
@@ -44,7 +44,7 @@
 				}
 				r := Run(sc, seed)
 				if r.Breaches > 0 {
-					t.Errorf("%d limiters, seed %d, %s dies after %.1f ms: %d rules broken: %v", n, seed, dies,
+					t.Errorf("%d limiters, seed %d, %s killed after %.1f ms: %d rules broken: %v", n, seed, dies,
 						1e3*sc.Faults[0].Down, r.Breaches, r.Broken)
 				}
 			}
@@ -52,8 +52,8 @@
 	}
 }
 
-// shortRun is a large tier of some size, or a small one, for a short time.
-func shortRun(n int) Scenario {
+// shortScenario is largeTier with n limiters and a short run; below 30 limiters it has fewer customers and backends.
+func shortScenario(n int) Scenario {
 	sc := largeTier(max(n, 30))
 	sc.Limiters, sc.Seconds = n, 6
 	sc.Traffic.LimitersPerCustomer = max(n*3/4, 2)
--- a/internal/simulation/largetier_test.go
+++ b/internal/simulation/largetier_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// largeTier is a tier with sets of three limiters in four, low traffic, and customers of which some
-// request three times their quota or more.
+// largeTier is a scenario in which the set of each customer has three quarters of the limiters, traffic is low, and
+// some customers request three times their quota or more.
 func largeTier(limiters int) Scenario {
 	sc := Scenario{
 		Limiters: limiters, Seconds: 9,
@@ -39,8 +39,8 @@
 	return list
 }
 
-// Whatever fails of owners and their backups, no ceiling is exceeded, every request gets its response, and
-// most of what is due is forwarded.
+// Whichever owners and backup owners fail, no ceiling is exceeded, every request gets its response, and most of the
+// due units are forwarded.
 func TestLargeTierWithFaults(t *testing.T) {
 	const n = 30
 	partition := Fault{Kind: FaultPartition, At: 4, For: 6}
@@ -52,9 +52,9 @@
 		rolling = append(rolling, Fault{Kind: FaultRestart, At: 1.5 + 0.5*float64(r), Down: 0.8, Limiters: everyNth(n, 10, r)})
 	}
 	for _, c := range []struct {
-		name   string
-		faults []Fault
-		least  float64 // of what is due, forwarded within the quotas
+		name        string
+		faults      []Fault
+		minFraction float64 // of the due units, forwarded within the quotas
 	}{
 		{"no fault", nil, 0.92},
 		{"seven in ten killed at once", []Fault{{Kind: FaultRestart, At: 2, Down: 2, Limiters: everyNth(n, 10, 0, 1, 2, 3, 4, 5, 6)}}, 0.8},
@@ -65,12 +65,12 @@
 		sc := largeTier(n)
 		sc.Faults = c.faults
 		r := Run(sc, 7)
-		t.Logf("%s: %.3f within, %.3f beyond, %.2f rejected within the quota, of what is due", c.name, r.WithinQuota/r.Due, r.BeyondQuota/r.Due, r.RejectedWithinQuota/r.Due)
+		t.Logf("%s: %.3f within, %.3f beyond, %.2f rejected within the quota, of the due units", c.name, r.WithinQuota/r.Due, r.BeyondQuota/r.Due, r.RejectedWithinQuota/r.Due)
 		if r.Breaches > 0 {
 			t.Errorf("%s: %d rules broken: %v", c.name, r.Breaches, r.Broken)
 		}
-		if r.WithinQuota < c.least*r.Due {
-			t.Errorf("%s: %.3f of what is due forwarded, want %.2f", c.name, r.WithinQuota/r.Due, c.least)
+		if r.WithinQuota < c.minFraction*r.Due {
+			t.Errorf("%s: %.3f of the due units forwarded within the quotas, want at least %.2f", c.name, r.WithinQuota/r.Due, c.minFraction)
 		}
 	}
 }
--- /dev/null
+++ b/internal/simulation/leasechecker.go
@@ -0,0 +1,161 @@
+package simulation
+
+import (
+	"time"
+
+	"lemongate/internal/core"
+	"lemongate/internal/lease"
+)
+
+const (
+	// leaseCheckInterval is the time between two checks of the leases.
+	leaseCheckInterval = 2 * time.Millisecond
+	// clockDrift is the assumed bound of the difference between the rates of clocks, as a fraction.
+	clockDrift = 0.01
+)
+
+// leaseChecker checks the leases of one task from outside of the limiters: by the attempts that reach the backends,
+// and by whether each limiter, even a stalled one, would act as holder now by its own clock. At most one limiter
+// holds the lease at a time, and fencing tokens do not decrease.
+type leaseChecker struct {
+	task            string
+	enabled         bool
+	maxAttemptToken uint64 // of the attempts that reached a backend
+	maxHeldToken    uint64 // under which the lease was held
+	vacantSince     time.Duration
+	vacancies       []time.Duration // times without a holder
+	messages        map[int]int     // by receiver
+	leaseBytes      int             // in these messages
+}
+
+// leaseSettings returns the lease settings of a limiter that starts now.
+func (w *world) leaseSettings() *lease.Settings {
+	sc := w.scenario.Leases
+	return &lease.Settings{
+		Tasks:         sc.Tasks,
+		AcceptorCount: sc.AcceptorCount,
+		Duration:      milliseconds(sc.Duration),
+		ClockDrift:    clockDrift,
+		MinToken:      uint64(w.now / time.Millisecond),
+	}
+}
+
+// startLeaseChecker checks the leases periodically from now on, if the scenario has any.
+func (w *world) startLeaseChecker() {
+	if w.scenario.Leases == nil {
+		return
+	}
+	w.leases = leaseChecker{task: w.scenario.Leases.Tasks[0], enabled: true, messages: map[int]int{}}
+	w.after(0, w.checkLeasesPeriodically)
+}
+
+func (w *world) checkLeasesPeriodically() {
+	w.checkLeases()
+	w.after(leaseCheckInterval, w.checkLeasesPeriodically)
+}
+
+// holds reports whether a limiter holds the lease now, by its own clock, and under which token.
+func (w *world) holds(l *limiter) (token uint64, held bool) {
+	if l.machine == nil {
+		return 0, false
+	}
+	return l.machine.Holds(l.clock(), w.leases.task)
+}
+
+// leaseHolder returns the limiter that holds the lease now, or -1.
+func (w *world) leaseHolder() int {
+	for i, l := range w.limiters {
+		if _, held := w.holds(l); held {
+			return i
+		}
+	}
+	return -1
+}
+
+// checkLeases checks which limiters hold the lease now, and which are restarting.
+func (w *world) checkLeases() {
+	holder := -1
+	for i, l := range w.limiters {
+		token, held := w.holds(l)
+		if !held {
+			continue
+		}
+		if holder >= 0 {
+			w.result.Overlaps++
+			w.breach("limiters %d and %d both hold the lease of %s", holder, i, w.leases.task)
+		}
+		holder = i
+		w.checkHeldToken(i, token)
+	}
+	w.checkRestarts()
+	w.leases.recordVacancy(w.now, holder < 0)
+}
+
+// checkHeldToken checks the fencing token under which a limiter holds the lease.
+func (w *world) checkHeldToken(limiter int, token uint64) {
+	switch {
+	case token < w.leases.maxHeldToken:
+		w.breach("limiter %d holds the lease under token %d after token %d", limiter, token, w.leases.maxHeldToken)
+	case token > w.leases.maxHeldToken:
+		w.result.Holders++
+		w.leases.maxHeldToken = token
+	}
+}
+
+// recordVacancy records whether the lease has no holder now.
+func (c *leaseChecker) recordVacancy(now time.Duration, vacant bool) {
+	switch {
+	case vacant && c.vacantSince == 0:
+		c.vacantSince = now
+	case !vacant && c.vacantSince > 0:
+		c.vacancies = append(c.vacancies, now-c.vacantSince)
+		c.vacantSince = 0
+	}
+}
+
+// checkToken checks the fencing token of an attempt that has reached a backend.
+func (w *world) checkToken(a *attempt) {
+	if a.token == 0 {
+		return
+	}
+	w.result.LeasedAttempts++
+	if a.token < w.leases.maxAttemptToken {
+		w.result.TokenFalls++
+		w.breach("limiter %d starts an attempt under token %d after token %d", a.limiter.number, a.token, w.leases.maxAttemptToken)
+	}
+	w.leases.maxAttemptToken = max(w.leases.maxAttemptToken, a.token)
+}
+
+// recordDatagram counts a datagram, if it is about leases.
+func (c *leaseChecker) recordDatagram(e core.SendToPeer) {
+	if c.enabled && lease.IsMessage(e.Data) {
+		c.messages[e.Peer]++
+		c.leaseBytes += len(e.Data)
+	}
+}
+
+// summarizeLeases stores the measures of the leases in the result. The first vacancy is the one at the start and
+// does not count; a vacancy that has not ended at the end does.
+func (w *world) summarizeLeases() {
+	c, r := &w.leases, &w.result
+	if !c.enabled {
+		return
+	}
+	if c.vacantSince > 0 {
+		c.vacancies = append(c.vacancies, w.now-c.vacantSince)
+	}
+	for _, vacancy := range c.vacancies[min(len(c.vacancies), 1):] {
+		ms := float64(vacancy) / float64(time.Millisecond)
+		r.NoHolder += ms / float64(len(c.vacancies)-1)
+		r.NoHolderWorst = max(r.NoHolderWorst, ms)
+	}
+	messages := 0
+	for _, n := range c.messages {
+		messages += n
+		r.LeaseBusiest = max(r.LeaseBusiest, float64(n)/w.scenario.Seconds)
+	}
+	r.LeaseMessages = float64(messages) / w.scenario.Seconds
+	r.LeaseBytes = float64(c.leaseBytes) / w.scenario.Seconds
+	r.RestartsOpen = w.restarts.waiting + len(w.restarts.restarting)
+	w.summarizeUsage()
+}
--- a/internal/simulation/limiter.go
+++ b/internal/simulation/limiter.go
@@ -9,18 +9,18 @@
 	"lemongate/internal/hotrestart"
 )
 
-// limiter is a process of a limiter: its real state machine, and the model of what surrounds it.
+// limiter is one process of a limiter: the real state machine in a simulated environment.
 type limiter struct {
 	world         *world
 	number        int
-	incarnation   int           // starts and ends so far; what was meant for an earlier one is void
+	incarnation   int           // starts and ends so far; tasks scheduled for an earlier one do nothing
 	machine       *core.Machine // nil while the process is down
-	clockRate     float64       // of its clock
+	clockRate     float64       // of its clock, relative to virtual time
 	clockOffset   time.Duration
 	stalledUntil  time.Duration
-	stalledEvents []func()      // arrived while it is stalled
-	muted         bool          // sends no datagrams
-	deaf          bool          // receives none
+	stalledEvents []func()      // handle the events that arrived during a stall
+	dropsOutgoing bool          // all datagrams that it sends are lost
+	dropsIncoming bool          // all datagrams that are sent to it are lost
 	partition     int           // limiters of other partitions are not reached
 	receiveAt     time.Duration // see receive
 	link          link
@@ -34,7 +34,7 @@
 	}
 }
 
-// clock is the limiter's own time.
+// clock returns the time of the limiter's own clock.
 func (l *limiter) clock() time.Duration {
 	return l.clockOffset + time.Duration(float64(l.world.now-start)*l.clockRate) + start
 }
@@ -47,7 +47,7 @@
 	l.notifyObserver(nil, effects)
 	l.execute(effects)
 	if l.link.peer != nil {
-		return // it gets all from its predecessor
+		return // its predecessor transfers the state
 	}
 	if l.world.scenario.hasHotRestarts() {
 		l.step(core.LinkClosed{Epoch: l.world.epoch()})
@@ -55,7 +55,7 @@
 	l.step(&core.EndpointsUpdated{Kind: admission.ListComplete, Endpoints: l.world.endpointList()})
 }
 
-// config is the configuration that the process starts with.
+// config returns the configuration that the process starts with.
 func (l *limiter) config() core.Config {
 	w, sc := l.world, &l.world.scenario
 	c := core.Config{Settings: w.settings(l.number), Seed: w.random.Uint64(), KnownEndpoints: w.endpointList()}
@@ -73,13 +73,13 @@
 	return c
 }
 
-// The request classes of each run.
+// The request classes of every scenario.
 const (
 	classIdempotent = "read"
 	classKeyed      = "post"
 )
 
-// settings are the settings of a limiter.
+// settings returns the settings of a limiter.
 func (w *world) settings(number int) admission.Settings {
 	backends := w.scenario.Backends
 	set := admission.Settings{
@@ -116,7 +116,7 @@
 	return set
 }
 
-// classes are the request classes; backends drop repeats of an idempotency key within a window.
+// classes returns the request classes; backends drop repeats of an idempotency key within the window.
 func classes(window time.Duration) []admission.Class {
 	return []admission.Class{
 		{
@@ -138,21 +138,21 @@
 	}
 }
 
-// bootIfDown starts a limiter that is down; another fault may have started it already.
+// bootIfDown boots a limiter that is down; another fault may have booted it already.
 func (l *limiter) bootIfDown() {
 	if l.machine == nil {
 		l.boot()
 	}
 }
 
-// stop ends the process; what is scheduled for it is void.
+// stop ends the process; tasks scheduled for it do nothing.
 func (l *limiter) stop() {
-	l.world.judgeDeath(l)
+	l.world.recordProcessExit(l)
 	l.incarnation++
 	l.machine = nil
 }
 
-// kill ends the process without notice. The connections of its clients break: their requests are lost.
+// kill ends the process without notice. The connections of its clients break, so their requests are lost.
 func (l *limiter) kill() {
 	l.stop()
 	l.stalledEvents = nil
@@ -163,13 +163,13 @@
 		}
 		for _, a := range r.attempts {
 			if a.limiter == l {
-				a.over = true
+				a.done = true
 			}
 		}
 	}
 }
 
-// post has the limiter handle an event, now or at the end of its stall.
+// post delivers an event to the limiter, now or at the end of its stall.
 func (l *limiter) post(ev core.Event) {
 	if l.machine == nil {
 		return
@@ -181,7 +181,7 @@
 	l.step(ev)
 }
 
-// ifAlive is a function that runs another one if this process has not ended by then.
+// ifAlive returns a function that calls run, unless this process has ended by then.
 func (l *limiter) ifAlive(run func()) func() {
 	incarnation := l.incarnation
 	return func() {
@@ -200,14 +200,14 @@
 	l.execute(effects)
 }
 
-// notifyObserver shows the Observer what the limiter did, if there is one.
+// notifyObserver passes an event and its effects to the Observer, if there is one.
 func (l *limiter) notifyObserver(ev core.Event, effects []core.Effect) {
 	if observe := l.world.observe; observe != nil {
 		observe(l.number, l.clock(), ev, effects)
 	}
 }
 
-// execute carries out effects.
+// execute executes effects.
 func (l *limiter) execute(effects []core.Effect) {
 	for _, e := range effects {
 		l.executeOne(e)
@@ -225,7 +225,7 @@
 		if r := l.openRequest(e.Attempt.Request); r != nil {
 			w.cancelAttempt(r, e.Attempt.Number)
 		} else {
-			w.judgeLateCancel(l, e.Attempt)
+			w.recordLateCancel(l, e.Attempt)
 		}
 	case core.Respond:
 		w.respond(l, e)
@@ -236,17 +236,17 @@
 	case core.WriteUsage:
 		l.writeUsage(e)
 	default:
-		l.executeHotRestart(e)
+		l.executeHotRestartEffect(e)
 	}
 }
 
-// openRequest is an open request of the limiter, nil if there is none with the ID.
+// openRequest returns an open request of the limiter, nil if there is none with the ID.
 func (l *limiter) openRequest(id core.RequestID) *request {
 	return l.world.openRequests[requestKey{l.number, id}]
 }
 
-// setTimer schedules a TimerFired for a time of the limiter's clock. It rounds up: a limiter sets a timer
-// that fires early again at once.
+// setTimer schedules a TimerFired event for a time of the limiter's clock. It rounds up, because a limiter whose
+// timer fires early sets it again at once.
 func (l *limiter) setTimer(at time.Duration) {
 	wait := time.Duration(math.Ceil(float64(at-l.clock())/l.clockRate)) + time.Microsecond
 	l.world.after(max(wait, 0), l.ifAlive(func() { l.post(core.TimerFired{}) }))
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxDatagramSize is the size in bytes that no datagram may exceed.
+	// maxDatagramSize is the largest allowed size of a datagram, in bytes.
 	maxDatagramSize = 256
-	// receiveBurst is how much of its rate a limiter receives at once.
+	// receiveBurst is the time whose datagrams, at its maximum rate, a limiter can receive at once.
 	receiveBurst = 500 * time.Millisecond
 )
 
@@ -20,7 +20,7 @@
 	w.result.Bytes += len(e.Data)
 	w.leases.recordDatagram(e)
 	if len(e.Data) > maxDatagramSize {
-		w.breach("a datagram of %d bytes", len(e.Data))
+		w.breach("a datagram of %d bytes exceeds the size limit", len(e.Data))
 	}
 	for to := range w.limiters {
 		if to != from.number && (e.Peer < 0 || e.Peer == to) {
@@ -33,7 +33,7 @@
 // the same whether limiters are separated or not.
 func (w *world) transmit(from *limiter, to int, data []byte) {
 	network := w.scenario.Network
-	if w.networkRandom.Float64() < network.Loss || from.muted {
+	if w.networkRandom.Float64() < network.Loss || from.dropsOutgoing {
 		return
 	}
 	copies := 1
@@ -44,7 +44,7 @@
 	for range copies {
 		delay := milliseconds(network.DelayMin + w.networkRandom.Float64()*(network.DelayMax-network.DelayMin))
 		if w.networkRandom.Float64() < network.Delayed {
-			delay += seconds(network.DelayedFor) // sent before any partition
+			delay += seconds(network.DelayedFor) // counts as sent before any partition
 		} else if w.separated(from, to) {
 			continue
 		}
@@ -54,13 +54,13 @@
 
 // separated reports whether a fault separates a sender from a receiver.
 func (w *world) separated(from *limiter, to int) bool {
-	return from.partition != w.limiters[to].partition || w.lostWays[[2]int{from.number, to}]
+	return from.partition != w.limiters[to].partition || w.lostDirections[[2]int{from.number, to}]
 }
 
-// receive hands a datagram to a limiter. What comes faster than the limiter receives is dropped.
+// receive delivers a datagram to a limiter. Datagrams beyond the limiter's maximum rate are dropped.
 func (w *world) receive(from, number int, data []byte) {
 	to := w.limiters[number]
-	if to.deaf || to.machine == nil {
+	if to.dropsIncoming || to.machine == nil {
 		return
 	}
 	if rate := w.scenario.Network.MaxReceivedPerSecond; rate > 0 {
--- a/internal/simulation/restartjudge.go
+++ b/internal/simulation/restartchecker.go
@@ -8,27 +8,27 @@
 	"lemongate/internal/core"
 )
 
-// restartSlotPoll is how often it is looked whether a limiter has its restart slot.
-const restartSlotPoll = 50 * time.Millisecond
+// restartSlotPollInterval is how often a limiter that waits for its restart slot is checked.
+const restartSlotPollInterval = 50 * time.Millisecond
 
-// restartJudge judges rolling restarts: no more limiters restart at once than may, and never all that
-// have the buckets of a customer.
-type restartJudge struct {
+// restartChecker checks rolling restarts: no more limiters restart at once than MaxRestarting allows, and never
+// all limiters that hold the buckets of one customer.
+type restartChecker struct {
 	waiting    int          // limiters that wait for a restart slot
 	restarting map[int]bool // by number: killed under a restart slot, and not serving yet
-	ownerSets  [][]int      // the limiters that have each customer's buckets, where more than one does
+	ownerSets  [][]int      // the limiters that hold each customer's buckets, if more than one does
 }
 
-// requestRestart has a limiter restarted once it has a restart slot.
+// requestRestart restarts a limiter once it has a restart slot.
 func (w *world) requestRestart(number int, down time.Duration) {
 	if w.restarts.restarting == nil {
-		w.restarts = restartJudge{restarting: map[int]bool{}, ownerSets: w.ownerSets()}
+		w.restarts = restartChecker{restarting: map[int]bool{}, ownerSets: w.ownerSets()}
 	}
 	w.restarts.waiting++
 	w.restartWithSlot(number, down)
 }
 
-// ownerSets are the limiters that have each customer's buckets, where more than one does.
+// ownerSets returns the limiters that hold each customer's buckets, if more than one does.
 func (w *world) ownerSets() [][]int {
 	var sets [][]int
 	for _, c := range w.customers {
@@ -40,11 +40,11 @@
 	return sets
 }
 
-// restartWithSlot restarts a limiter if it has a restart slot, else looks again later.
+// restartWithSlot restarts a limiter if it has a restart slot, and otherwise checks again later.
 func (w *world) restartWithSlot(number int, down time.Duration) {
 	l := w.limiters[number]
 	if !l.hasRestartSlot() {
-		w.after(restartSlotPoll, func() { w.restartWithSlot(number, down) })
+		w.after(restartSlotPollInterval, func() { w.restartWithSlot(number, down) })
 		return
 	}
 	w.restarts.restarting[number] = true
@@ -53,7 +53,7 @@
 	w.after(down, l.bootIfDown)
 }
 
-// hasRestartSlot reports whether a limiter has a restart slot; one that has not requested any does so.
+// hasRestartSlot reports whether a limiter has a restart slot, and requests one if the limiter has not yet.
 func (l *limiter) hasRestartSlot() bool {
 	if l.machine == nil || l.world.now < l.stalledUntil {
 		return false
@@ -68,8 +68,8 @@
 	return false
 }
 
-// judgeRestarts judges which limiters are restarting under restart slots now.
-func (w *world) judgeRestarts() {
+// checkRestarts checks which limiters are restarting under restart slots now.
+func (w *world) checkRestarts() {
 	restarting := w.restarts.restarting
 	for number := range restarting {
 		if l := w.limiters[number]; l.machine != nil && l.machine.Phase() == core.Serving {
@@ -78,14 +78,14 @@
 		}
 	}
 	if len(restarting) > w.scenario.Leases.MaxRestarting {
-		w.breach("%d limiters restart under restart slots", len(restarting))
+		w.breach("%d limiters restart at once under restart slots", len(restarting))
 	}
 	if len(restarting) < 2 {
 		return
 	}
 	for _, owners := range w.restarts.ownerSets {
 		if !slices.ContainsFunc(owners, func(n int) bool { return !restarting[n] }) {
-			w.breach("limiters %v restart, which are all that have the buckets of a customer", owners)
+			w.breach("limiters %v restart at once: they are all that hold the buckets of one customer", owners)
 		}
 	}
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -6,26 +6,26 @@
 	"lemongate/internal/usage"
 )
 
-// Result is what came of a run. Units are those of a customer, on average, unless the name says Worst
-// or 99 (over the customers). The names in files are kept: "refused" are rejections, "fetches" attempts,
-// "reqs" requests.
+// Result holds the measures of a run. Units are the mean over the customers, unless the name says Worst (their
+// maximum) or 99 (their 99th percentile). The names in files are older: there "refused" are rejections, "fetches"
+// attempts, "reqs" requests.
 type Result struct {
 	Requested           float64 `json:"asked"`         // units of first tries
-	Due                 float64 `json:"due"`           // units that one limiter would forward that received all first tries
+	Due                 float64 `json:"due"`           // units that one limiter that gets all first tries would forward
 	WithinQuota         float64 `json:"inside"`        // units forwarded within the quota
 	BeyondQuota         float64 `json:"beyond"`        // units forwarded beyond it
 	BeyondWorst         float64 `json:"beyond_worst"`  // units, of the customer with most
 	Beyond99            float64 `json:"beyond_99"`     // units
 	RejectedUnits       float64 `json:"refused_units"` // units of tries rejected without an attempt
 	RejectedWithinQuota float64 `json:"refused_room"`  // of these, while the reference bucket was over half full
-	CeilingDebtWorst    float64 `json:"under_worst"`   // units that a ceiling's reference bucket was below zero
+	CeilingDebtWorst    float64 `json:"under_worst"`   // units by which a ceiling's reference bucket was below zero
 	CeilingDebt99       float64 `json:"under_99"`      // units
 
 	Requests       int `json:"reqs"`
 	Served         int `json:"served"`
-	Lost           int `json:"lost"`    // without a complete response, though the limiter lived; of processes alone
-	Resent         int `json:"resent"`  // on a new connection, as a kept one had ended; of processes alone
-	Doubled        int `json:"doubled"` // requests with an idempotency key that ran twice; of processes alone
+	Lost           int `json:"lost"`    // without a complete response, though the limiter was up; only on processes
+	Resent         int `json:"resent"`  // on a new connection, as a kept one had ended; only on processes
+	Doubled        int `json:"doubled"` // requests with an idempotency key that ran twice; only on processes
 	Rejected       int `json:"refused"`
 	Failed         int `json:"failed"`
 	NoLimiter      int `json:"no_limiter"` // tries that found every limiter of their set down
@@ -43,7 +43,7 @@
 	QueueTime50 float64 `json:"wait_50_ms"` // from a request's arrival to its first attempt
 	QueueTime99 float64 `json:"wait_99_ms"`
 
-	// Of the first task that is done under a lease.
+	// Measures of the first task that is done under a lease.
 	Holders         int     `json:"holders"`      // times that another incarnation of a limiter acquired it
 	Overlaps        int     `json:"overlaps"`     // observations of two holders
 	NoHolder        float64 `json:"no_holder_ms"` // mean time without one, of the times after the first
@@ -62,16 +62,16 @@
 	LeaseBytes      float64 `json:"lease_bytes_per_s"`
 	LeaseBusiest    float64 `json:"lease_busiest_per_s"` // messages to the limiter that receives most
 
-	Slots SlotResult `json:"-"` // its figures stand beside those of the Result
+	Slots SlotResult `json:"-"` // its measures are listed beside those of the Result
 
 	Breaches int      `json:"breaches"` // of rules
 	Broken   []string `json:"broken,omitempty"`
 }
 
-// maxBreachesKept is how many breaches of rules a Result describes.
+// maxBreachesKept is how many breaches a Result describes.
 const maxBreachesKept = 5
 
-// RecordBreach counts a breach of a rule, and keeps the description of the first ones.
+// RecordBreach counts a breach of a rule and keeps the description if it is one of the first.
 func (r *Result) RecordBreach(description string) {
 	r.Breaches++
 	if len(r.Broken) < maxBreachesKept {
@@ -79,8 +79,8 @@
 	}
 }
 
-// RecordUsage records the summary of all usage reports, and returns the units that they report. breach is
-// called for each period that is in two reports which do not say so.
+// RecordUsage records the summary of all usage reports and returns the units that they report. It calls breach
+// for each period that is in two reports which do not say so.
 func (r *Result) RecordUsage(summary usage.Summary, breach func(format string, args ...any)) float64 {
 	r.Periods = len(summary.Reports)
 	r.UsageFaults = len(summary.Faults)
@@ -95,7 +95,7 @@
 	return reported
 }
 
-// finish summarizes the run.
+// finish returns the result of the run.
 func (w *world) finish() Result {
 	w.summarizeCustomers()
 	slices.Sort(w.queueTimes)
@@ -110,7 +110,7 @@
 	return *r
 }
 
-// summarizeCustomers puts the means and worst figures of the customers into the result.
+// summarizeCustomers stores the measures over the customers in the result.
 func (w *world) summarizeCustomers() {
 	r := &w.result
 	count := float64(max(len(w.customers), 1))
@@ -132,7 +132,7 @@
 	r.CeilingDebtWorst, r.CeilingDebt99 = quantile(ceilingDebts, 1), quantile(ceilingDebts, 0.99)
 }
 
-// quantile is a quantile of sorted values, 0 if there are none.
+// quantile returns a quantile of sorted values, 0 if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -2,8 +2,8 @@
 
 import "lemongate/internal/lease"
 
-// Scenario describes what is played. Times are in seconds unless the name of the field in files says
-// otherwise.
+// Scenario describes a tier, its traffic and its faults. Times are in seconds unless the name of the field in
+// files says otherwise.
 type Scenario struct {
 	Limiters int     `json:"limiters"`
 	Seconds  float64 `json:"seconds"`
@@ -11,12 +11,12 @@
 	Traffic  Traffic `json:"traffic"`
 	Backends Backend `json:"backends"`
 	Network  Network `json:"network"`
-	Zones    int     `json:"zones"` // limiters and backends are assigned to them in turn; 0 for one
+	Zones    int     `json:"zones"` // limiters and backends are assigned to them round-robin; 0 for one
 	Leases   *Leases `json:"leases,omitempty"`
 	Faults   []Fault `json:"faults"`
 }
 
-// SetSize is the number of limiters in a customer's set.
+// SetSize returns the number of limiters in a customer's set.
 func (sc *Scenario) SetSize() int {
 	if sc.Traffic.LimitersPerCustomer <= 0 {
 		return sc.Limiters
@@ -24,7 +24,7 @@
 	return min(sc.Traffic.LimitersPerCustomer, sc.Limiters)
 }
 
-// Acceptors are the numbers of the acceptors of the first task that is done under a lease. The scenario
+// Acceptors returns the numbers of the acceptors of the first task that is done under a lease. The scenario
 // must have leases.
 func (sc *Scenario) Acceptors() []int {
 	var numbers []int
@@ -73,7 +73,7 @@
 	Deadline            float64   `json:"deadline_ms"` // how long a client waits for the response
 }
 
-// MeanUnits is the mean number of units of a request.
+// MeanUnits returns the mean number of units of a request.
 func (t *Traffic) MeanUnits() float64 {
 	mean := 0.0
 	for _, u := range t.Units {
@@ -88,10 +88,10 @@
 	Cores             int     `json:"cores"`
 	Work              float64 `json:"work_ms"`     // mean, exponentially distributed
 	Queue             int     `json:"queue"`       // length of the queue, beyond which attempts are rejected
-	ColdFraction      float64 `json:"cold"`        // fraction of full speed just after a start, growing linearly ...
-	SlowStartDuration float64 `json:"warm_s"`      // ... to 1 within this
+	ColdFraction      float64 `json:"cold"`        // fraction of full speed just after a start; it grows linearly ...
+	SlowStartDuration float64 `json:"warm_s"`      // ... to 1 within this time
 	IdempotencyWindow float64 `json:"window_s"`    // how long repeats of an idempotency key are dropped
-	ListLag           float64 `json:"list_lag_ms"` // until the endpoint list shows a change
+	ListLag           float64 `json:"list_lag_ms"` // time until the endpoint list shows a change
 }
 
 // Network describes how datagrams travel between limiters.
@@ -100,8 +100,8 @@
 	DelayMax             float64 `json:"delay_max_ms"`
 	Loss                 float64 `json:"loss"`     // fraction that is lost
 	Duplicated           float64 `json:"twice"`    // fraction that is duplicated
-	Delayed              float64 `json:"old"`      // fraction that arrives OldFor late
-	DelayedFor           float64 `json:"old_s"`    // see Old
+	Delayed              float64 `json:"old"`      // fraction that is delayed by DelayedFor
+	DelayedFor           float64 `json:"old_s"`    // see Delayed
 	MaxReceivedPerSecond float64 `json:"in_per_s"` // datagrams per second that a limiter receives; 0 for no bound
 }
 
@@ -110,8 +110,8 @@
 
 // The kinds of faults.
 const (
-	// FaultPartition separates limiters in different Groups, and both ends of each pair of Ways, in that
-	// direction only.
+	// FaultPartition separates limiters in different Groups, and loses datagrams between both ends of each pair
+	// of LostWays, in that direction only.
 	FaultPartition FaultKind = "cut"
 	// FaultMute loses all datagrams that Limiters send.
 	FaultMute FaultKind = "mute"
@@ -119,22 +119,22 @@
 	FaultDeaf FaultKind = "deaf"
 	// FaultLoss loses the fraction Rate of all datagrams.
 	FaultLoss FaultKind = "loss"
-	// FaultClock has the clocks of Limiters run Rate times as fast, from then on.
+	// FaultClock makes the clocks of Limiters run Rate times as fast from then on.
 	FaultClock FaultKind = "clock"
-	// FaultStall stops Limiters; events that arrive meanwhile are handled at the end.
+	// FaultStall stops Limiters; events that arrive meanwhile are handled at the end of the fault.
 	FaultStall FaultKind = "stall"
 	// FaultRestart kills Limiters, and starts them without any state after Down.
 	FaultRestart FaultKind = "restart"
-	// FaultHotRestart starts a successor of each of Limiters. Its predecessor is shut down after For. The
-	// process that Dies names is killed Down after the begin.
+	// FaultHotRestart starts a successor of each of Limiters. The predecessor is shut down after For. The process
+	// that Dies names is killed Down after the start of the fault.
 	FaultHotRestart FaultKind = "takeover"
 	// FaultRollingRestart restarts Limiters once they have a restart slot, each down for Down.
 	FaultRollingRestart FaultKind = "walk"
-	// FaultBackendCrash kills Backends, and starts them cold at the end.
+	// FaultBackendCrash kills Backends, and starts them cold at the end of the fault.
 	FaultBackendCrash FaultKind = "backend"
-	// FaultBackendRefuses has Backends refuse all connections, while the endpoint list shows no change.
+	// FaultBackendRefuses makes Backends refuse all connections, while the endpoint list shows no change.
 	FaultBackendRefuses FaultKind = "down"
-	// FaultBackendSilent has connections to Backends time out, while the endpoint list shows no change.
+	// FaultBackendSilent makes connections to Backends time out, while the endpoint list shows no change.
 	FaultBackendSilent FaultKind = "silent"
 )
 
@@ -147,28 +147,28 @@
 	Successor   Process = "heir"
 )
 
-// Role names limiters by what they are at the time of a fault, as files do.
+// Role selects limiters by their role at the time of a fault, as files name it.
 type Role string
 
 // The roles of limiters for the first task that is done under a lease.
 const (
 	RoleHolder      Role = "holder"
 	RoleAcceptors   Role = "keepers" // all of them
-	RoleOneAcceptor Role = "keeper"  // chosen by chance
+	RoleOneAcceptor Role = "keeper"  // selected at random
 )
 
-// Fault is something that goes wrong at a time, for a time. Each kind uses the fields that its
-// constant names.
+// Fault is a fault that starts at a time and lasts for a time. Each kind uses the fields that its constant
+// names.
 type Fault struct {
 	Kind     FaultKind `json:"kind"`
 	At       float64   `json:"at_s"`
 	For      float64   `json:"for_s"`
 	Groups   [][]int   `json:"groups,omitempty"`   // of limiters
 	LostWays [][]int   `json:"ways,omitempty"`     // sender and receiver
-	Limiters []int     `json:"limiters,omitempty"` // replaced by Who, if that is set
+	Limiters []int     `json:"limiters,omitempty"` // replaced by those of Role, if that is set
 	Backends []int     `json:"backends,omitempty"` // replaced by Zone, if that is set
 	Down     float64   `json:"down_s,omitempty"`
-	Every    float64   `json:"every_s,omitempty"` // the fault begins again after this; 0 for never
+	Every    float64   `json:"every_s,omitempty"` // the fault starts again after this; 0 for never
 	Rate     float64   `json:"rate,omitempty"`
 	Dies     Process   `json:"dies,omitempty"`
 	Role     Role      `json:"who,omitempty"`
--- a/internal/simulation/slotjudge_test.go
+++ b/internal/simulation/slotchecker_test.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/golden"
 )
 
-// slotWorld is a world with one customer that may have two attempts in flight, two limiters and a backend that
-// does not finish by itself.
+// slotWorld returns a world with one customer that may have two attempts in flight, two limiters and a backend that
+// does not finish attempts by itself.
 func slotWorld() (*world, *customer) {
 	sc := Scenario{
 		Limiters: 2, Seconds: 10,
@@ -26,7 +26,7 @@
 	return w, w.customers[0]
 }
 
-// arrive has an attempt of a new request arrive at the backend.
+// arrive makes an attempt of a new request arrive at the backend.
 func (w *world) arrive(l *limiter) *attempt {
 	w.lastID++
 	r := &request{id: w.lastID, customer: w.customers[0], limiter: l, units: 1, sentAt: w.now, attempts: map[int]*attempt{}}
@@ -36,15 +36,15 @@
 	return a
 }
 
-func checkSlots(t *testing.T, w *world, over, overKilled, overTries int) {
+func checkSlots(t *testing.T, w *world, excess, excessWithOrphaned, triesOverLimit int) {
 	t.Helper()
-	if j := w.slots; j.over != over || j.overKilled != overKilled || j.overTries != overTries {
-		t.Errorf("%d over, %d with those left behind, %d tries; want %d, %d and %d", j.over, j.overKilled, j.overTries, over, overKilled, overTries)
+	if c := w.slots; c.excess != excess || c.excessWithOrphaned != excessWithOrphaned || c.triesOverLimit != triesOverLimit {
+		t.Errorf("%d over, %d with those left behind, %d tries; want %d, %d and %d", c.excess, c.excessWithOrphaned, c.triesOverLimit, excess, excessWithOrphaned, triesOverLimit)
 	}
 }
 
-// The judge counts the attempts of all limiters together.
-func TestSlotJudgeCountsExcess(t *testing.T) {
+// The slot checker counts the attempts of all limiters together.
+func TestSlotCheckerCountsExcess(t *testing.T) {
 	w, _ := slotWorld()
 	w.arrive(w.limiters[0])
 	w.arrive(w.limiters[1])
@@ -54,22 +54,22 @@
 	w.arrive(w.limiters[1])
 	checkSlots(t, w, 2, 2, 2)
 	if r := w.slots.result(&w.scenario, 0); r.Over != 2 || r.OverKilled != 2 || r.OverTries != 2 {
-		t.Errorf("%+v", r)
+		t.Errorf("result %+v, want 2 over, 2 with orphaned attempts and 2 tries", r)
 	}
 }
 
 // An attempt is in flight until its backend has responded or learns that its connection has ended.
-func TestSlotJudgeCountsUntilConnectionEnds(t *testing.T) {
+func TestSlotCheckerCountsUntilConnectionEnds(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		end  func(w *world, a *attempt)
-		wait time.Duration
-		over int
+		name   string
+		end    func(w *world, a *attempt)
+		wait   time.Duration
+		excess int
 	}{
 		{"finished", func(_ *world, a *attempt) { a.backend.complete(a, time.Second) }, 0, 0},
 		{"canceled just before", func(w *world, a *attempt) { w.cancelAttempt(a.request, 0) }, backendDelay - 1, 1},
 		{"canceled", func(w *world, a *attempt) { w.cancelAttempt(a.request, 0) }, backendDelay, 0},
-		{"canceled after the response", func(w *world, a *attempt) { w.judgeLateCancel(a.limiter, a.id) }, backendDelay, 0},
+		{"canceled after the response", func(w *world, a *attempt) { w.recordLateCancel(a.limiter, a.id) }, backendDelay, 0},
 		{"in flight", func(*world, *attempt) {}, time.Hour, 1},
 	} {
 		w, _ := slotWorld()
@@ -79,34 +79,34 @@
 		w.runUntil(w.now + c.wait)
 		w.now = max(w.now, start+c.wait)
 		w.arrive(w.limiters[1])
-		if w.slots.over != c.over {
-			t.Errorf("%s: %d over, want %d", c.name, w.slots.over, c.over)
+		if w.slots.excess != c.excess {
+			t.Errorf("%s: %d over, want %d", c.name, w.slots.excess, c.excess)
 		}
 	}
 }
 
-// What a process that died left at its backends counts apart, until the backend is done with it, at most until
-// the request's deadline.
-func TestSlotJudgeCountsAttemptsLeftBehind(t *testing.T) {
+// The attempts of a killed process are counted separately until the backend has finished them, at most until the
+// request's deadline.
+func TestSlotCheckerCountsOrphanedAttempts(t *testing.T) {
 	w, c := slotWorld()
 	a := w.arrive(w.limiters[0])
 	w.arrive(w.limiters[0])
 	w.limiters[0].kill()
 	w.arrive(w.limiters[1])
 	checkSlots(t, w, 0, 1, 0)
-	a.over = true
+	a.done = true
 	w.backends[0].complete(a, time.Second)
-	if len(c.slots.leftBehind) != 1 {
-		t.Errorf("%d left behind, want 1", len(c.slots.leftBehind))
+	if len(c.slots.orphaned) != 1 {
+		t.Errorf("%d orphaned, want 1", len(c.slots.orphaned))
 	}
 	w.runUntil(w.now + 2*time.Second)
-	if len(c.slots.leftBehind) != 0 || len(c.slots.inFlight) != 1 {
-		t.Errorf("%d left behind, %d in flight, want 0 and 1", len(c.slots.leftBehind), len(c.slots.inFlight))
+	if len(c.slots.orphaned) != 0 || len(c.slots.inFlight) != 1 {
+		t.Errorf("%d orphaned, %d in flight, want 0 and 1", len(c.slots.orphaned), len(c.slots.inFlight))
 	}
 }
 
-// A rejection counts where a slot and the units are free.
-func TestSlotJudgeCountsRejectionsWithFreeSlot(t *testing.T) {
+// A rejection counts if a slot and the units are free.
+func TestSlotCheckerCountsRejectionsWithFreeSlot(t *testing.T) {
 	w, c := slotWorld()
 	reject := func() { w.handleRejection(&request{customer: c, units: 1}, 0) }
 	reject()
@@ -115,14 +115,14 @@
 	w.arrive(w.limiters[1])
 	reject()
 	if w.slots.rejectedFree != 2 {
-		t.Errorf("%d, want 2", w.slots.rejectedFree)
+		t.Errorf("%d rejections with a free slot, want 2", w.slots.rejectedFree)
 	}
 	a := c.slots.inFlight[0]
 	a.backend.complete(a, time.Second)
 	c.quota.Consume(w.now, 200)
 	reject()
 	if w.slots.rejectedFree != 2 {
-		t.Errorf("%d with no units, want 2", w.slots.rejectedFree)
+		t.Errorf("%d rejections with a free slot after one without units, want 2", w.slots.rejectedFree)
 	}
 }
 
@@ -132,15 +132,15 @@
 	sc.Seconds = 4
 	sc.Plans = []Plan{{Name: "p", Rate: 100, Burst: 100, Customers: 1, LoadFactor: 0.2, MaxConcurrent: 6}}
 	if r := Run(sc, 1); r.Slots.Over != 0 || r.Slots.Unusable != 0 || r.Slots.Probed != 6 || r.Slots.Messages <= 0 {
-		t.Errorf("%+v", r.Slots)
+		t.Errorf("without faults %+v, want 6 slots probed, all usable, none over, and messages", r.Slots)
 	}
 	sc.Faults = []Fault{{Kind: FaultDeaf, At: 1, For: 100, Limiters: []int{0, 1, 2}}, {Kind: FaultStall, At: 1, For: 100, Limiters: []int{0}}}
 	if r := Run(sc, 1); r.Slots.Unusable != 2 {
-		t.Errorf("%v unusable with a limiter that stalls and no loans, want its 2", r.Slots.Unusable)
+		t.Errorf("%v slots unusable with a stalled limiter and no loans, want its 2", r.Slots.Unusable)
 	}
 }
 
-// The figures have the names that the bounds of experiments use.
+// The measures have the names that the bounds of experiments use.
 func TestSlotResultNames(t *testing.T) {
 	var r SlotResult
 	(&golden.Filler{}).Fill(&r)
--- a/internal/simulation/smalltier_test.go
+++ b/internal/simulation/smalltier_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// smallTier is a tier of few limiters, each of which gets requests of every customer often.
+// smallTier is a scenario with few limiters, each of which often gets requests of every customer.
 func smallTier(limiters, setSize int) Scenario {
 	sc := Scenario{
 		Limiters: limiters, Seconds: 20,
@@ -24,7 +24,7 @@
 	return sc
 }
 
-// In a tier of few limiters nearly all that is due is forwarded, also in sets of five and six, where a
+// In a tier of few limiters nearly all due units are forwarded, also in sets of five and six, where a
 // customer's buckets have one owner.
 func TestSmallTierForwardsWhatIsDue(t *testing.T) {
 	for _, c := range []struct{ limiters, setSize int }{{3, 3}, {6, 3}, {6, 5}, {6, 6}, {9, 8}} {
@@ -32,13 +32,13 @@
 		for seed := range uint64(4) {
 			r := Run(smallTier(c.limiters, c.setSize), seed)
 			if r.Breaches > 0 {
-				t.Errorf("%+v: %v", c, r.Broken)
+				t.Errorf("%+v: rules broken: %v", c, r.Broken)
 			}
 			due, within, rejected, beyond = due+r.Due, within+r.WithinQuota, rejected+r.RejectedWithinQuota, beyond+r.BeyondQuota
 		}
-		t.Logf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota, of what is due", c, within/due, beyond/due, rejected/due)
+		t.Logf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota, of the due units", c, within/due, beyond/due, rejected/due)
 		if within < 0.95*due || rejected > 0.12*due || beyond > 0.02*due {
-			t.Errorf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota", c, within/due, beyond/due, rejected/due)
+			t.Errorf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota; want at least 0.95, at most 0.02 and at most 0.12 of the due units", c, within/due, beyond/due, rejected/due)
 		}
 	}
 }
--- a/internal/simulation/usagejudge.go
+++ b/internal/simulation/usagechecker.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// diskDelay is how long a usage report takes to be written, and again the notice of it to come back.
+	// diskDelay is how long a usage report takes to be written, and then the limiter to learn of it.
 	diskDelay = 3 * time.Millisecond
-	// maxUnitsInTransit is how many units may be with backends at the end: they are not recorded yet.
-	maxUnitsInTransit = 10
+	// maxUnitsAtBackends is how many units may be at backends at the end of a run: they are not recorded yet.
+	maxUnitsAtBackends = 10
 )
 
-// usageJudge judges the usage reports by what reached the backends.
-type usageJudge struct {
+// usageChecker checks the usage reports by the units that reached the backends.
+type usageChecker struct {
 	reports      []usage.Report // as written
 	unitsReached float64        // units that reached backends
 }
 
-// writeUsage writes a usage report, unless the process dies before or its lease expires.
+// writeUsage writes a usage report after diskDelay, unless the process ends or its lease expires before.
 func (l *limiter) writeUsage(e core.WriteUsage) {
 	l.world.after(diskDelay, l.ifAlive(func() { l.finishWrite(e) }))
 }
 
-// finishWrite writes a usage report, after a stall of the limiter.
+// finishWrite writes a usage report, after the end of a stall of the limiter.
 func (l *limiter) finishWrite(e core.WriteUsage) {
 	w := l.world
 	written := core.UsageWritten{Token: e.Token}
@@ -37,14 +37,14 @@
 	case l.clock() >= e.StartBefore:
 		written.LeaseExpired = true
 	default:
-		reports, _, _ := usage.ReadReports(bytes.NewReader(e.Report)) // what is torn is missing in the summary
+		reports, _, _ := usage.ReadReports(bytes.NewReader(e.Report)) // a truncated report is missing in the summary
 		w.usage.reports = append(w.usage.reports, reports...)
 	}
 	w.after(diskDelay, l.ifAlive(func() { l.post(written) }))
 }
 
-// summarizeUsage puts the figures of the usage reports into the result. A period that is in two reports
-// which do not say so breaks a rule, and so do units that are in no report without one that says so.
+// summarizeUsage stores the measures of the usage reports in the result. A period that is in two reports which do
+// not say so breaks a rule, and so do units that are in no report if no report says so.
 func (w *world) summarizeUsage() {
 	if w.scenario.Leases.UsagePeriod <= 0 {
 		return
@@ -59,12 +59,12 @@
 	accounted := reported + w.unreportedUnits(summary)
 	r.UsageOver = max(accounted-w.usage.unitsReached, 0)
 	r.UsageUnder = max(w.usage.unitsReached-accounted, 0)
-	if r.UsageUnder > maxUnitsInTransit && r.UsageFaults == 0 {
+	if r.UsageUnder > maxUnitsAtBackends && r.UsageFaults == 0 {
 		w.breach("%.0f units are in no report, and no report says so", r.UsageUnder)
 	}
 }
 
-// unreportedUnits are the units that limiters have recorded since the last period reported.
+// unreportedUnits returns the units that limiters have recorded since the last reported period.
 func (w *world) unreportedUnits(summary usage.Summary) float64 {
 	var last uint32
 	if n := len(summary.Reports); n > 0 {
