--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// This file admits new client connections.
+// This file accepts and rejects new client connections.
 
 const (
-	// newConnPatience is how long a client may usually take from its connect to its request. When the set is
-	// full, a new connection that has sent nothing for longer is closed before ones that are idle for less
-	// than minIdleTime. It is also how long the request of a rejected connection is waited for.
-	newConnPatience = 100 * time.Millisecond
-	// maxRejected is how many rejected connections may wait for their requests at once.
-	maxRejected = 16
-	// finalAcceptTimeout is how long after Close connections are accepted that the system has let connect
-	// by then.
+	// newConnTimeout is how long a client usually takes at most to send its request after it has connected. When
+	// the set is full, a new connection that has sent nothing for longer is closed before connections that have
+	// been idle for less than minIdleTime. It is also the time to wait for the request of a rejected connection.
+	newConnTimeout = 100 * time.Millisecond
+	// maxRejectedConns is the maximum number of rejected connections that wait for their requests at once.
+	maxRejectedConns = 16
+	// finalAcceptTimeout is the time after Close during which the server still accepts connections that the kernel
+	// has already established.
 	finalAcceptTimeout = 20 * time.Millisecond
-	// rejectionReadBytes is the size of the reads of what a rejected client sent.
+	// rejectionReadBytes is the buffer size for reading what a rejected client has sent.
 	rejectionReadBytes = 4 << 10
 )
 
 // A deadlineListener is a listener whose Accept can be interrupted.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// Accept implements net.Listener: it returns the next connection that is not rejected. It may close another
-// one for it. After Close it still returns those that the system has let connect by then.
+// Accept implements net.Listener. It returns the next connection that is not rejected, and may close another
+// connection to make room for it. After Close it still returns the connections that the kernel has established by then.
 func (s *connSet) Accept() (net.Conn, error) {
 	for {
 		accepted, err := s.Listener.Accept()
@@ -38,11 +38,11 @@
 			if resumed {
 				continue
 			}
-			if s.finalAccepts || stopped {
-				_ = s.Listener.Close() // Accept ends in any case
+			if s.finalAcceptStarted || stopped {
+				_ = s.Listener.Close() // Accept ends even if this fails
 				return nil, net.ErrClosed
 			}
-			s.finalAccepts = true
+			s.finalAcceptStarted = true
 			s.setAcceptDeadline(time.Now().Add(finalAcceptTimeout))
 		case err != nil:
 			return nil, err
@@ -54,8 +54,8 @@
 	}
 }
 
-// waitForResume waits for resume or Close if accepting is paused, and reports which of them was called. If
-// accepting is not paused, both results are false. After Close in a pause, new connections are those of another process.
+// waitForResume waits for resume or Close if accepting is paused, and reports which of them was called. If accepting
+// is not paused, both results are false. After a Close during a pause, the other process accepts new connections.
 func (s *connSet) waitForResume() (resumed, stopped bool) {
 	s.mu.Lock()
 	resume := s.resumed
@@ -71,27 +71,27 @@
 	}
 }
 
-// setAcceptDeadline sets the deadline of a listener that was interrupted, and so has one.
+// setAcceptDeadline sets the deadline of a listener whose Accept was interrupted, so it is a deadlineListener.
 func (s *connSet) setAcceptDeadline(deadline time.Time) {
-	_ = s.Listener.(deadlineListener).SetDeadline(deadline) // fails on a closed listener alone
+	_ = s.Listener.(deadlineListener).SetDeadline(deadline) // fails only on a closed listener
 }
 
-// admit adds a connection in a state, and closes another for it if need be. It returns nil if there is no
-// room for it.
+// admit adds a connection in the given state, and closes another connection to make room if the set is full. It
+// returns nil if it rejects the connection.
 func (s *connSet) admit(accepted net.Conn, state connState) *clientConn {
 	s.mu.Lock()
-	var out evicted
+	var evicted evictedConn
 	if s.isFull() {
-		out = s.evictLeastUseful()
-		if out.clientConn == nil { // all have requests in progress
+		evicted = s.evictLeastUseful()
+		if evicted.clientConn == nil { // no connection may be closed, for example because all have requests in progress
 			state = stateRejected
 		}
 	}
 	conn := newClientConn(s, accepted, state)
-	requestCame := state == stateRejected && conn.hasInput()
-	if state == stateRejected && !requestCame && s.byState[stateRejected].Len() >= maxRejected {
-		out = s.evictLongest(stateRejected, 0)
-		if out.clientConn == nil { // the requests of all have come, and they are being notified
+	requestReceived := state == stateRejected && conn.hasInput()
+	if state == stateRejected && !requestReceived && s.byState[stateRejected].Len() >= maxRejectedConns {
+		evicted = s.evictLongest(stateRejected, 0)
+		if evicted.clientConn == nil { // every rejected client has sent its request and is being answered
 			s.mu.Unlock()
 			_ = accepted.Close() // nothing was sent on it
 			s.onRejected(false)
@@ -100,9 +100,9 @@
 	}
 	s.add(conn)
 	s.mu.Unlock()
-	out.finish()
+	evicted.finish()
 	switch {
-	case requestCame: // nothing to wait for
+	case requestReceived: // reject does not have to wait
 		conn.reject()
 	case state == stateRejected:
 		go conn.reject()
@@ -112,43 +112,43 @@
 	return nil
 }
 
-// isFull reports whether a further connection would be beyond the bound. Rejected ones do not count. The
+// isFull reports whether a further connection would exceed the limit. Rejected connections do not count. The
 // caller holds s.mu.
 func (s *connSet) isFull() bool {
-	return s.maxConns > 0 && s.open-s.byState[stateRejected].Len() >= s.bound()
+	return s.maxConns > 0 && s.open-s.byState[stateRejected].Len() >= s.connLimit()
 }
 
-// reject closes a new connection for which there is no room. Once its request comes, it is answered with 429,
-// and what the client sent is read, as a close over that would be a reset. It ends within the set's patience
-// and the timeout of a write.
+// reject closes a new connection for which there is no room. It answers the request with 429 once the request
+// arrives, and reads what the client has sent, because closing a socket with unread input resets the connection. It
+// ends within the set's rejectionTimeout plus the timeout of a write.
 func (c *clientConn) reject() {
-	_ = c.SetReadDeadline(time.Now().Add(c.set.patience)) // fails on a closed connection alone
+	_ = c.SetReadDeadline(time.Now().Add(c.set.rejectionTimeout)) // fails only on a closed connection
 	notified := false
 	if c.readRequestStart() {
 		_, err := c.Write(c.set.rejection)
-		notified = err == nil // else another new connection took its place
+		notified = err == nil // the write fails if the connection was closed for another new one
 	}
-	_ = c.Close() // of no further use
+	_ = c.Close() // an error has no consequence here
 	c.set.onRejected(notified)
 }
 
-// readRequestStart waits for the first bytes of a request, reads what has come, and reports whether anything
-// has.
+// readRequestStart waits for the first bytes of a request, reads all input that has arrived, and reports whether
+// there was any.
 func (c *clientConn) readRequestStart() bool {
 	var buffer [rejectionReadBytes]byte
-	n, _ := c.Conn.Read(buffer[:]) // an error is as good as nothing
-	came := n > 0
+	n, _ := c.Conn.Read(buffer[:]) // an error counts as no input
+	received := n > 0
 	if c.raw == nil {
-		return came
+		return received
 	}
-	_ = c.raw.Control(func(fd uintptr) { // also what came while the limiter was suspended
+	_ = c.raw.Control(func(fd uintptr) { // also reads input that arrived while the process was suspended
 		for {
 			n, _ := syscall.Read(int(fd), buffer[:])
 			if n <= 0 {
 				return
 			}
-			came = true
+			received = true
 		}
 	})
-	return came
+	return received
 }
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -9,60 +9,60 @@
 	"lemongate/internal/testnet"
 )
 
-// A limiter that was suspended finds more new connections at once than may wait to be rejected. All clients
-// whose requests have come are notified, in turn and before those that have sent nothing.
+// After a limiter was suspended, more new connections may arrive at once than may wait to be rejected. All clients
+// whose requests have arrived are notified, in order and before clients that have sent nothing.
 func TestAllRejectedClientsAreNotified(t *testing.T) {
-	server, _ := startBoundedServer(t, 1)
+	server, _ := startServerWithMaxConns(t, 1)
 	client := server.connect(t)
-	client.send(good)
+	client.send(validRequest)
 	id := (<-server.events).(*core.RequestReceived).ID
-	server.setPatience(time.Minute)
-	for range maxRejected {
+	server.setRejectionTimeout(time.Minute)
+	for range maxRejectedConns {
 		server.connect(t)
 	}
-	server.awaitState(stateRejected, maxRejected)
-	for range 3 * maxRejected {
+	server.awaitState(stateRejected, maxRejectedConns)
+	for range 3 * maxRejectedConns {
 		accepted, dialed := testnet.Pair(t)
 		late := newTestClient(t, dialed)
-		late.send(good)
+		late.send(validRequest)
 		raw, err := accepted.SyscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
-		for probe := (&clientConn{raw: raw}); !probe.hasInput(); time.Sleep(time.Millisecond) {
+		for socket := (&clientConn{raw: raw}); !socket.hasInput(); time.Sleep(time.Millisecond) {
 		}
 		if server.connSet().admit(accepted, stateNew) != nil {
-			t.Error("admitted beyond the bound")
+			t.Error("admitted a connection beyond the limit")
 		}
 		if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Full: true}) {
-			t.Errorf("posted %+v", ev)
+			t.Errorf("posted %+v, want ClientConnClosed with Full", ev)
 		}
 		if resp, _ := late.response(); resp.StatusCode != 429 || !resp.Close {
-			t.Errorf("%+v", resp)
+			t.Errorf("response %+v, want status 429 and the connection closed", resp)
 		}
 	}
-	server.awaitState(stateRejected, maxRejected)
+	server.awaitState(stateRejected, maxRejectedConns)
 	server.reject(id)
 	client.response()
 }
 
-// A crossedConn is a connection on which something happens after each read.
-type crossedConn struct {
+// A readHookConn is a connection that calls afterRead after each read.
+type readHookConn struct {
 	net.Conn
-	then func()
+	afterRead func()
 }
 
-func (c *crossedConn) Read(p []byte) (int, error) {
-	defer c.then()
+func (c *readHookConn) Read(p []byte) (int, error) {
+	defer c.afterRead()
 	return c.Conn.Read(p)
 }
 
-// A rejected connection that is closed for another as its request comes is not notified, and does not count as
-// notified.
+// A rejected connection that is closed for another one while its request arrives is not notified, and is not reported
+// as notified.
 func TestRejectedConnDisplaced(t *testing.T) {
-	server, _ := startBoundedServer(t, 1)
+	server, _ := startServerWithMaxConns(t, 1)
 	client := server.connect(t)
-	client.send(good)
+	client.send(validRequest)
 	id := (<-server.events).(*core.RequestReceived).ID
 	conns := server.connSet()
 	accepted, dialed := testnet.Pair(t)
@@ -71,14 +71,14 @@
 		conns.evictLongest(stateRejected, 0)
 		conns.mu.Unlock()
 	}
-	if conns.admit(&crossedConn{accepted, displace}, stateNew) != nil {
-		t.Error("admitted beyond the bound")
+	if conns.admit(&readHookConn{accepted, displace}, stateNew) != nil {
+		t.Error("admitted a connection beyond the limit")
 	}
 	late := newTestClient(t, dialed)
-	late.send(good)
+	late.send(validRequest)
 	late.expectClose()
 	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Unread: true}) {
-		t.Errorf("posted %+v", ev)
+		t.Errorf("posted %+v, want ClientConnClosed with Unread", ev)
 	}
 	server.reject(id)
 	client.response()
--- a/internal/httpserver/clientconn.go
+++ b/internal/httpserver/clientconn.go
@@ -13,63 +13,64 @@
 )
 
 const (
-	// writeTimeout bounds a write to a client that does not read.
+	// writeTimeout is the timeout of a write to a client that does not read.
 	writeTimeout = 10 * time.Second
-	// maxReadAhead is how many bytes are read behind a request in progress; the last read may exceed it.
+	// maxReadAhead is the number of bytes after which reading ahead of a request in progress stops; the last read
+	// may exceed it.
 	maxReadAhead = 16 << 10
 )
 
-// A clientConn is a client connection, and what it is doing.
+// A clientConn is a client connection and its state.
 type clientConn struct {
 	net.Conn
 	set *connSet
-	raw syscall.RawConn // nil if there is no socket
+	raw syscall.RawConn // nil if the connection is not a socket
 
-	// set.mu guards the rest.
+	// set.mu guards the fields below.
 	state            connState
-	since            time.Time     // of the state
-	element          *list.Element // in the list of the state
-	requestStartedAt time.Time     // from when on the time for the next request counts: connect, last response or first byte
-	hasRequestBytes  bool          // some of the next request was read
-	readAhead        []byte        // read behind a request in progress, for the next reads of net/http
-	readerWaits      bool          // net/http waits at the socket for more bytes, so it has no complete request
+	since            time.Time     // when the connection entered the state
+	element          *list.Element // in the list of connections in this state
+	requestStartedAt time.Time     // start of the time allowed for the next request: the connect, last response or first byte
+	hasRequestBytes  bool          // part of the next request was read
+	readAhead        []byte        // bytes read beyond a request in progress, for the next reads of net/http
+	readerBlocked    bool          // net/http is waiting at the socket for more bytes, so it has no complete request
 }
 
-// newClientConn returns a connection that is not in the set yet. The caller holds set.mu.
+// newClientConn returns a connection that is not yet in the set. The caller holds set.mu.
 func newClientConn(set *connSet, accepted net.Conn, state connState) *clientConn {
 	now := set.now()
 	c := &clientConn{Conn: accepted, set: set, state: state, since: now, requestStartedAt: now}
 	if socket, ok := accepted.(syscall.Conn); ok {
-		c.raw, _ = socket.SyscallConn() // nil for one that is closed already
+		c.raw, _ = socket.SyscallConn() // nil for a connection that is already closed
 	}
 	return c
 }
 
-// setState sets the state of the connection unless it is closed, and returns the state that it was in.
-func (c *clientConn) setState(state connState) (was connState) {
+// setState sets the state of the connection unless the connection is closed, and returns the previous state.
+func (c *clientConn) setState(state connState) (previous connState) {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
 	return c.setStateLocked(state)
 }
 
 // setStateLocked is setState for a caller that holds set.mu.
-func (c *clientConn) setStateLocked(state connState) (was connState) {
-	was = c.state
-	if was == stateClosed || was == state {
-		return was
+func (c *clientConn) setStateLocked(state connState) (previous connState) {
+	previous = c.state
+	if previous == stateClosed || previous == state {
+		return previous
 	}
-	c.set.byState[was].Remove(c.element)
+	c.set.byState[previous].Remove(c.element)
 	c.state, c.since = state, c.set.now()
 	if state == stateClosed {
 		c.set.open--
-		return was
+		return previous
 	}
 	c.element = c.set.byState[state].PushBack(c)
-	return was
+	return previous
 }
 
-// startServing notes that a request was read completely, and reports whether to serve it: not if the
-// connection is closed.
+// startServing records that a request was read completely, and reports whether to serve it: a request on a closed
+// connection is not served.
 func (c *clientConn) startServing() bool {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
@@ -77,7 +78,7 @@
 	return c.setStateLocked(stateBusy) != stateClosed
 }
 
-// requestDone notes that a request was answered. A part of the next one may have been read already.
+// requestDone records that a request was answered. Part of the next request may already have been read.
 func (c *clientConn) requestDone() {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
@@ -85,24 +86,24 @@
 	c.setStateLocked(stateReading)
 }
 
-// hasInput reports whether something waits to be read in the socket. Its end does not count. The caller
-// holds set.mu.
+// hasInput reports whether the socket has bytes to read. The end of the stream does not count. The caller holds
+// set.mu.
 func (c *clientConn) hasInput() bool {
 	if c.raw == nil {
 		return false
 	}
 	var one [1]byte
 	n := 0
-	_ = c.raw.Control(func(fd uintptr) { // nothing waits in a closed socket
+	_ = c.raw.Control(func(fd uintptr) { // fails on a closed socket, which has no input
 		n, _, _ = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return n > 0
 }
 
-// Read implements net.Conn. Reading and the change of state that follows are one step: if a connection is
-// closed between requests, no byte of the next one was read, so a reset shows its client that it may send that
-// one again. The states of net/http do not serve for that: it calls a connection idle until a complete head
-// was read, and would close some with a request in its buffer.
+// Read implements net.Conn. Reading and the state change that follows are one step under set.mu. So if a connection
+// is closed between requests, no byte of the next request was read, and a reset tells the client that it may resend
+// that request. The connection states of net/http are not sufficient for this: net/http considers a connection idle
+// until it has read a complete head, and would close some connections with a request in its buffer.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -111,7 +112,7 @@
 		return n, nil
 	}
 	if c.tryHandOver() {
-		return 0, io.EOF // closed here, open there
+		return 0, io.EOF // closed in this process, open in the other one
 	}
 	if c.raw == nil {
 		return c.readWithoutSocket(p)
@@ -119,23 +120,23 @@
 	return c.readSocket(p)
 }
 
-// watchesForClose reports whether a read is the one by which net/http watches for its client to disconnect
-// while a request is served: it reads a single byte.
-func watchesForClose(p []byte) bool { return len(p) == 1 }
+// isBackgroundRead reports whether a read is the one with which net/http detects that the client disconnects while
+// a request is served: it reads a single byte.
+func isBackgroundRead(p []byte) bool { return len(p) == 1 }
 
-// takeReadAhead copies to net/http what was read ahead. It also detects that the connection is idle: net/http
-// reads on only when its buffer is empty, so if none of the next request was read by then, it has not begun.
+// takeReadAhead copies bytes that were read ahead to p. It also detects that the connection is idle: net/http reads
+// again only when its buffer is empty, so if no byte of the next request was read by then, that request has not begun.
 func (c *clientConn) takeReadAhead(p []byte) (n int) {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
 	switch {
-	case watchesForClose(p) || c.state == stateClosed:
+	case isBackgroundRead(p) || c.state == stateClosed:
 	case len(c.readAhead) > 0:
 		c.hasRequestBytes = true
 		n = copy(p, c.readAhead)
 		c.readAhead = c.readAhead[n:]
 		if len(c.readAhead) == 0 {
-			c.readAhead = nil // frees it
+			c.readAhead = nil // frees the memory
 		}
 	case c.state == stateReading && !c.hasRequestBytes:
 		c.setStateLocked(stateIdle)
@@ -147,12 +148,12 @@
 	n, err = c.Conn.Read(p)
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	c.noteRead(n)
+	c.recordRead(n)
 	return n, err
 }
 
-// readSocket waits for something to read. If the deadline has passed it looks once more, as the limiter may
-// have been suspended and the bytes have come in time.
+// readSocket waits for input and reads it. If the deadline has passed it reads once more without waiting: the
+// process may have been suspended, and the input may have arrived before the deadline.
 func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	waitErr := c.raw.Read(func(fd uintptr) (done bool) {
 		n, err = c.receive(fd, p)
@@ -170,7 +171,7 @@
 	switch {
 	case waitErr != nil:
 		c.set.mu.Lock()
-		c.readerWaits = false
+		c.readerBlocked = false
 		c.set.mu.Unlock()
 		return 0, waitErr
 	case err != nil:
@@ -181,39 +182,38 @@
 	return n, nil
 }
 
-// receive reads what is in the socket, and fails with syscall.EAGAIN if it is empty. During a request in
-// progress it reads ahead, so that bytes behind that request do not hide that the client has disconnected.
+// receive reads what is in the socket, and fails with syscall.EAGAIN if the socket is empty. While a request is in
+// progress it reads ahead, because unread bytes after that request would hide that the client has disconnected.
 func (c *clientConn) receive(fd uintptr, p []byte) (n int, err error) {
 	c.set.mu.Lock()
 	defer c.set.mu.Unlock()
-	c.readerWaits = false
+	c.readerBlocked = false
 	if c.mustClose(p) {
 		c.setStateLocked(stateClosed)
 	}
 	if c.state == stateClosed {
 		return 0, net.ErrClosed
 	}
-	if watchesForClose(p) {
+	if isBackgroundRead(p) {
 		return c.receiveAhead(fd, p)
 	}
 	n, err = rawread.Nonblocking(fd, p)
-	c.noteRead(n)
-	c.readerWaits = errors.Is(err, syscall.EAGAIN)
+	c.recordRead(n)
+	c.readerBlocked = errors.Is(err, syscall.EAGAIN)
 	return n, err
 }
 
-// mustClose reports whether the connection is closed instead of read from, for a shutdown. The caller holds
-// set.mu.
+// mustClose reports whether a shutdown requires the connection to be closed instead of read. The caller holds set.mu.
 func (c *clientConn) mustClose(p []byte) bool {
 	if c.set.draining && c.state == stateIdle && !c.hasInput() {
 		return true
 	}
-	return c.set.noMoreReads && !watchesForClose(p)
+	return c.set.readsStopped && !isBackgroundRead(p)
 }
 
-// receiveAhead reads all that is in the socket into readAhead. Once that has maxReadAhead bytes, it returns
-// the first of them, which ends net/http's watch for a close. Otherwise it returns no byte but the error of
-// the last read, nil at the end of the connection. The caller holds set.mu.
+// receiveAhead reads all bytes in the socket into readAhead. Once readAhead has maxReadAhead bytes, receiveAhead
+// returns the first of them, which ends net/http's background read. Until then it returns no byte but the error of the
+// last read, which is nil at the end of the stream. The caller holds set.mu.
 func (c *clientConn) receiveAhead(fd uintptr, p []byte) (n int, err error) {
 	for {
 		if len(c.readAhead) >= maxReadAhead {
@@ -221,7 +221,7 @@
 			return 1, nil
 		}
 		n, err = rawread.Nonblocking(fd, c.set.scratch[:])
-		c.noteRead(n)
+		c.recordRead(n)
 		if n == 0 {
 			return 0, err
 		}
@@ -229,23 +229,23 @@
 	}
 }
 
-// noteRead notes that bytes were read. The caller holds set.mu.
-func (c *clientConn) noteRead(n int) {
+// recordRead updates the state after n bytes were read. The caller holds set.mu.
+func (c *clientConn) recordRead(n int) {
 	if n <= 0 {
 		return
 	}
 	c.hasRequestBytes = true
 	if c.state == stateIdle {
-		c.requestStartedAt = c.set.now() // the first request counts from the start of the connection
+		c.requestStartedAt = c.set.now() // the time for the first request counts from the connect instead
 	}
 	if c.state == stateIdle || c.state == stateNew {
 		c.setStateLocked(stateReading)
 	}
 }
 
-// Write implements net.Conn. It sets a timeout: a client that does not read would keep its connection and the
-// memory of the response for good. In stateClosed it fails, as net/http takes a read that was cut off for a
-// malformed request and would answer that.
+// Write implements net.Conn. It sets a timeout: a client that does not read would otherwise keep its connection and
+// the memory of the response indefinitely. In stateClosed it fails, because net/http takes a read that was cut off
+// for a malformed request and would answer it.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.set.mu.Lock()
 	state := c.state
@@ -253,16 +253,16 @@
 	if state == stateClosed {
 		return 0, net.ErrClosed
 	}
-	_ = c.SetWriteDeadline(c.set.now().Add(writeTimeout)) // the write fails too
+	_ = c.SetWriteDeadline(c.set.now().Add(writeTimeout)) // if this fails, the write fails too
 	return c.Conn.Write(p)
 }
 
-// CloseWrite closes the sending side. net/http calls it half a second before Close, so that the client can
-// read its last response.
+// CloseWrite closes the sending side. net/http calls it half a second before Close, so that the client can read its
+// last response.
 func (c *clientConn) CloseWrite() error {
-	was := c.setState(stateLingering)
-	if was == stateReading { // net/http has answered a request that it could not read
-		c.set.onClosed(was)
+	previous := c.setState(stateLingering)
+	if previous == stateReading { // net/http has answered a request that it could not parse
+		c.set.onClosed(previous)
 	}
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
@@ -272,9 +272,9 @@
 
 // Close implements net.Conn. It reports a connection that is closed before a complete request was read.
 func (c *clientConn) Close() error {
-	was := c.setState(stateClosed)
-	if was == stateNew || was == stateReading {
-		c.set.onClosed(was)
+	previous := c.setState(stateClosed)
+	if previous == stateNew || previous == stateReading {
+		c.set.onClosed(previous)
 	}
 	return c.Conn.Close()
 }
--- a/internal/httpserver/connset.go
+++ b/internal/httpserver/connset.go
@@ -8,94 +8,94 @@
 	"time"
 )
 
-// A connState is a stage in the life of a client connection.
+// A connState is the state of a client connection.
 type connState uint8
 
 const (
-	stateNew       connState = iota // no byte came yet
-	stateReading                    // a part of a request was read; or one was just answered, and what net/http may have read behind it was not looked at yet
+	stateNew       connState = iota // no byte was received yet
+	stateReading                    // part of a request was read; or a request was just answered, and whether net/http has read beyond it is not known yet
 	stateBusy                       // a request is being decided or answered
-	stateIdle                       // between requests: the next one is waited for
-	stateLingering                  // answered for the last time, and open so that the client can read it
-	stateRejected                   // new and beyond the bound; its client is notified once its request comes
+	stateIdle                       // between requests: the server waits for the next one
+	stateLingering                  // the last response was sent; open so that the client can read it
+	stateRejected                   // new and beyond the limit; its client is notified once its request arrives
 	stateClosed
 	numStates
 )
 
-// String returns the state in the words of release 0.8.0.
+// String returns the name that release 0.8.0 has for the state.
 func (s connState) String() string {
 	return [...]string{"silent", "reading", "busy", "idle", "ending", "turned", "closed"}[s]
 }
 
-// A connSet has the client connections of a server, and knows what each is doing. As a listener it accepts
-// beyond its bound: one that stops there would let connections that send nothing keep the usual clients
-// out. Instead it closes the connection of least use, and never one with a request in progress.
+// A connSet holds the client connections of a server and their states. As a listener it accepts connections beyond
+// its limit: if it stopped accepting there, connections that send nothing would keep regular clients out. Instead it
+// closes the least useful connection, and never one with a request in progress.
 //
-// Choosing a connection and closing it is one step under mu, and so is reading from one and changing its
-// state. So a connection that is closed for another has had no byte of the next request read, or is stuck in
-// the middle of one. A reset shows its client that the limiter has not read what it may have sent.
+// Choosing a connection and closing it is one step under mu, and so is reading from a connection and changing its
+// state. So when a connection is closed for another, either no byte of its next request was read, or it is stuck in
+// the middle of a request. A reset tells its client that the limiter has not read what the client may have sent.
 type connSet struct {
 	net.Listener
-	maxConns int // 0 for no bound
+	maxConns int // 0 for no limit
 	now      func() time.Time
-	// onClosed is called for each evicted connection, and for each other one that is closed in stateNew or
-	// stateReading, also if its client has closed it. It is not called for idle connections that net/http's
-	// idle timeout or their clients end, nor for those that drain, stopReading, mustClose or tryHandOver ends.
-	onClosed   func(was connState)
-	onRejected func(notified bool) // a new connection was rejected, and its client notified or not
-	rejection  []byte              // the response to the request of a rejected connection
-	patience   time.Duration       // how long that request is waited for
-	stopped    chan struct{}       // closed by Close
-	stopOnce   sync.Once
+	// onClosed is called for each evicted connection, and for each other connection that is closed in stateNew or
+	// stateReading, even if its client has closed it. It is not called for idle connections that net/http's idle
+	// timeout or their clients close, nor for connections that drain, stopReading, mustClose or tryHandOver close.
+	onClosed         func(previous connState)
+	onRejected       func(notified bool) // called for each rejected new connection: whether its client was notified
+	rejection        []byte              // the response to the request of a rejected connection
+	rejectionTimeout time.Duration       // time to wait for that request
+	stopped          chan struct{}       // closed by Close
+	stopOnce         sync.Once
 
-	// finalAccepts: Close was called, and finalAcceptTimeout runs. Of Accept alone, which net/http's one loop calls:
-	// it holds over its calls, or each connection that came in that time would begin it again.
-	finalAccepts bool
+	// finalAcceptStarted is set once Accept has started finalAcceptTimeout after Close. Only Accept uses it,
+	// which only net/http's accept loop calls. It keeps its value between the calls; otherwise each connection that
+	// arrives within finalAcceptTimeout would restart that time.
+	finalAcceptStarted bool
 
-	mu          sync.Mutex
-	byState     [numStates]list.List // of *clientConn, the longest in the state first
-	open        int
-	share       float64       // fraction of maxConns that may be open, while another process has the rest; Server.share, once there is a connSet
-	resumed     chan struct{} // closed by resume; nil while accepting is not paused
-	scratch     [4 << 10]byte // to read ahead into
-	draining    bool          // a connection that becomes idle is closed
-	noMoreReads bool          // nothing more is read of any request that is not complete
+	mu            sync.Mutex
+	byState       [numStates]list.List // of *clientConn, longest in the state first
+	open          int
+	resourceShare float64       // fraction of maxConns that may be open while another process has the rest; copied from Server.resourceShare
+	resumed       chan struct{} // closed by resume; nil while accepting is not paused
+	scratch       [4 << 10]byte // buffer for reading ahead
+	draining      bool          // a connection that becomes idle is closed
+	readsStopped  bool          // incomplete requests are not read any further
 
-	// handOver hands an idle connection over to another process; nil while they stay.
+	// handOver hands an idle connection over to another process; nil while connections are not handed over.
 	handOver func(syscall.Conn) error
 }
 
 func newConnSet(listener net.Listener, maxConns int, now func() time.Time) *connSet {
 	return &connSet{
 		Listener: listener, maxConns: maxConns, now: now,
-		patience: newConnPatience, stopped: make(chan struct{}), share: 1,
+		rejectionTimeout: newConnTimeout, stopped: make(chan struct{}), resourceShare: 1,
 	}
 }
 
-// bound returns how many connections may be open now. The caller holds s.mu.
-func (s *connSet) bound() int { return max(int(float64(s.maxConns)*s.share), 1) }
+// connLimit returns the number of connections that may be open now. The caller holds s.mu.
+func (s *connSet) connLimit() int { return max(int(float64(s.maxConns)*s.resourceShare), 1) }
 
-// setShare sets which fraction of the bound may be used.
-func (s *connSet) setShare(fraction float64) {
+// setResourceShare sets the fraction of maxConns that may be open.
+func (s *connSet) setResourceShare(fraction float64) {
 	s.mu.Lock()
-	s.share = fraction
+	s.resourceShare = fraction
 	s.mu.Unlock()
 }
 
-// count returns how many connections are open.
 func (s *connSet) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open
 }
 
-// add counts a connection in its state. The caller holds s.mu.
+// add adds a connection to the list of its state. The caller holds s.mu.
 func (s *connSet) add(c *clientConn) {
 	c.element = s.byState[c.state].PushBack(c)
 	s.open++
 }
 
-// conns returns the connections in some states. The caller holds s.mu.
+// conns returns the connections in the given states. The caller holds s.mu.
 func (s *connSet) conns(states ...connState) []*clientConn {
 	var conns []*clientConn
 	for _, state := range states {
--- a/internal/httpserver/crossing_test.go
+++ b/internal/httpserver/crossing_test.go
@@ -18,31 +18,31 @@
 	"lemongate/internal/upstream"
 )
 
-// A limiter that was suspended finds connections idle for long with a request in the socket. None of these
+// After a limiter was suspended, connections may have been idle for long and have a request in the socket. None of them
 // is evicted or closed at a shutdown: the request is read and answered.
 func TestNotClosedOverRequestInSocket(t *testing.T) {
-	for name, selected := range map[string]func(*connSet) evicted{
-		"sweep": func(conns *connSet) evicted { return conns.evictLongest(stateIdle, minIdleTime) },
+	for name, choose := range map[string]func(*connSet) evictedConn{
+		"sweep": func(conns *connSet) evictedConn { return conns.evictLongest(stateIdle, minIdleTime) },
 		"room":  (*connSet).evictLeastUseful,
-		"drain": func(conns *connSet) evicted { return conns.evictLongest(stateIdle, 0) },
+		"drain": func(conns *connSet) evictedConn { return conns.evictLongest(stateIdle, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server, past := startBoundedServer(t, 8)
+			server, elapsed := startServerWithMaxConns(t, 8)
 			client := server.connect(t)
 			client.requestReady()
 			server.awaitState(stateIdle, 1)
-			past.Add(int64(time.Minute))
-			server.evict(func(conns *connSet) evicted { // the reader cannot get to what comes meanwhile
+			elapsed.Add(int64(time.Minute))
+			server.evict(func(conns *connSet) evictedConn { // holds conns.mu, so the reader cannot read the request yet
 				idle := conns.byState[stateIdle].Front().Value.(*clientConn)
-				client.send(good)
+				client.send(validRequest)
 				for !idle.hasInput() {
 					time.Sleep(time.Millisecond)
 				}
-				return selected(conns)
+				return choose(conns)
 			})
 			ev, ok := (<-server.events).(*core.RequestReceived)
 			if !ok {
-				t.Fatal("closed over a request")
+				t.Fatal("closed a connection with a request in its socket")
 			}
 			server.reject(ev.ID)
 			client.expectRejected()
@@ -50,69 +50,68 @@
 	}
 }
 
-// A connection whose request was read completely, but is not posted yet, is not closed however long that
-// takes.
+// A connection whose request was read completely but is not posted yet is not closed, however long posting takes.
 func TestNotEvictedWithCompleteRequest(t *testing.T) {
-	read, post := make(chan bool), make(chan bool)
-	past := time.Duration(0)
+	nowCalled, proceed := make(chan bool), make(chan bool)
+	elapsed := time.Duration(0)
 	start := time.Now()
 	server := startServer(t, func(o *Options) {
 		o.MaxConns = 1
-		o.Wall = func() time.Time { return start.Add(past) }
-		o.Now = func() time.Duration { read <- true; <-post; return 42 }
+		o.WallClock = func() time.Time { return start.Add(elapsed) }
+		o.Now = func() time.Duration { nowCalled <- true; <-proceed; return 42 }
 	})
 	client := server.connect(t)
-	client.send(good)
-	<-read
-	server.evict(func(conns *connSet) evicted {
-		past = time.Minute
+	client.send(validRequest)
+	<-nowCalled
+	server.evict(func(conns *connSet) evictedConn {
+		elapsed = time.Minute
 		return conns.evictLeastUseful()
 	})
-	post <- true
+	proceed <- true
 	ev, ok := (<-server.events).(*core.RequestReceived)
 	if !ok {
-		t.Fatal("closed with a complete request")
+		t.Fatal("closed a connection with a complete request")
 	}
 	server.reject(ev.ID)
 	client.expectRejected()
 }
 
-// A connection that is stuck in the middle of a request is closed for another.
+// A connection that is stuck in the middle of a request is closed to make room for another.
 func TestHalfRequestIsEvicted(t *testing.T) {
-	server, past := startBoundedServer(t, 1)
+	server, elapsed := startServerWithMaxConns(t, 1)
 	client := server.connect(t)
-	client.send(goodHead)
+	client.send(validHead)
 	server.awaitState(stateReading, 1)
-	server.awaitReaderWaits()
-	past.Add(int64(stuckReadingTime))
-	usual := server.connect(t)
-	usual.requestReady()
+	server.awaitReaderBlocked()
+	elapsed.Add(int64(stuckReadingTime))
+	regular := server.connect(t)
+	regular.requestReady()
 	client.expectClose()
 }
 
-// A client that ends its sending counts as disconnected, which looks the same: its request is withdrawn. It
-// reads on, so it gets the one response there is to such a request, a local reply.
+// A client that closes its sending side counts as disconnected, because the server cannot distinguish the two: its
+// request is canceled. The client still reads, so it gets the only response to such a request, a local reply.
 func TestHalfClosedConnIsAnswered(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
-	client.send(good)
+	client.send(validRequest)
 	id := (<-server.events).(*core.RequestReceived).ID
 	client.closeWrite()
 	if ev := (<-server.events).(*core.ClientDisconnected); ev.Request != id {
-		t.Errorf("%+v", ev)
+		t.Errorf("posted %+v, want the disconnect of the request", ev)
 	}
 	server.reject(id)
 	client.expectRejected()
 	client.expectClose()
 }
 
-// A response that crosses the end of a client's sending is written.
+// A response is written even if the client closes its sending side at the same time.
 func TestResponseCrossesHalfClose(t *testing.T) {
 	var server *testServer
 	server = startServer(t, func(o *Options) {
 		post := o.Post
 		o.Post = func(ev core.Event) {
-			if disconnected, ok := ev.(*core.ClientDisconnected); ok { // it was answered by then
+			if disconnected, ok := ev.(*core.ClientDisconnected); ok { // respond after the server has seen the disconnect
 				server.Respond(core.Respond{Request: disconnected.Request, Kind: core.Served, Response: &upstream.Response{Body: []byte("yes")}})
 				return
 			}
@@ -120,51 +119,52 @@
 		}
 	})
 	client := server.connect(t)
-	client.send(good)
+	client.send(validRequest)
 	<-server.events
 	client.closeWrite()
 	if resp, body := client.response(); resp.StatusCode != 200 || body != "yes" {
-		t.Errorf("%d %q", resp.StatusCode, body)
+		t.Errorf("status %d, body %q, want 200 and \"yes\"", resp.StatusCode, body)
 	}
 }
 
-// A request that came together with the one before is in the buffer of net/http, not in the socket. Its
-// connection is not between requests, and is not closed for another.
+// A request that arrived together with the one before it is in net/http's buffer, not in the socket. Its connection is
+// not between requests, and is not closed to make room for another.
 func TestNotClosedOverRequestInBuffer(t *testing.T) {
 	l := testnet.Listen(t)
-	start := time.Now() // the time does not go on, or a sweep would close it
-	server := newTestServer(l, func(o *Options) { o.MaxConns, o.Wall = 1, func() time.Time { return start } })
-	answered, goOn := make(chan bool), make(chan bool)
+	start := time.Now() // the clock stands still, otherwise a sweep would close the connection
+	server := newTestServer(l, func(o *Options) { o.MaxConns, o.WallClock = 1, func() time.Time { return start } })
+	answered, proceed := make(chan bool), make(chan bool)
 	connState := server.server.ConnState
 	server.server.ConnState = func(c net.Conn, state http.ConnState) {
 		connState(c, state)
 		if state == http.StateIdle {
 			answered <- true
-			<-goOn
+			<-proceed
 		}
 	}
 	server.run(t, l)
 	client := server.connect(t)
-	client.send(good + strings.Replace(good, "9b1f", "0000", 1))
+	client.send(validRequest + strings.Replace(validRequest, "9b1f", "0000", 1))
 	server.reject((<-server.events).(*core.RequestReceived).ID)
 	client.response()
 	<-answered
 	server.evict((*connSet).evictLeastUseful)
 	server.connSet().drain()
-	goOn <- true
+	proceed <- true
 	ev, ok := (<-server.events).(*core.RequestReceived)
 	if !ok {
-		t.Fatal("closed over a request in the buffer")
+		t.Fatal("closed a connection with a request in net/http's buffer")
 	}
 	server.reject(ev.ID)
 	client.expectRejected()
 	<-answered
-	goOn <- true
-	client.expectClose() // as it becomes idle
+	proceed <- true
+	client.expectClose() // the server closes it when it becomes idle
 }
 
-// A client that sends many requests at once and disconnects has gone, whatever it sent behind the first: that
-// one is withdrawn at once, and the others come as those of a client that has disconnected, or not at all.
+// A client that pipelines many requests and disconnects counts as disconnected, whatever it sent after the first
+// request: the first request is canceled immediately, and the others are posted as requests of a disconnected client, or
+// not at all.
 func TestPipelinesAndDisconnects(t *testing.T) {
 	for name, n := range map[string]int{"in the buffer of net/http": 3, "read ahead": 30} {
 		t.Run(name, func(t *testing.T) {
@@ -172,13 +172,13 @@
 			client := server.connect(t)
 			var requests strings.Builder
 			for i := range n {
-				requests.WriteString(strings.Replace(good, "9b1f", fmt.Sprintf("%04x", i), 1))
+				requests.WriteString(strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04x", i), 1))
 			}
 			client.send(requests.String())
 			first := (<-server.events).(*core.RequestReceived)
 			client.close()
 			if ev, ok := (<-server.events).(*core.ClientDisconnected); !ok || ev.Request != first.ID {
-				t.Fatalf("posted %+v", ev)
+				t.Fatalf("posted %+v, want the disconnect of the first request", ev)
 			}
 			server.reject(first.ID)
 			for server.Conns() > 0 {
@@ -186,7 +186,7 @@
 				case ev := <-server.events:
 					next, ok := ev.(*core.RequestReceived)
 					if !ok || !next.Disconnected {
-						t.Fatalf("posted %+v", ev)
+						t.Fatalf("posted %+v, want a request of a disconnected client", ev)
 					}
 					server.reject(next.ID)
 				case <-time.After(time.Millisecond):
@@ -196,26 +196,26 @@
 	}
 }
 
-// Beyond a bound nothing is read ahead: a client that pipelines many requests costs no memory, and they are
-// answered in turn.
+// Reading ahead stops at a limit, so that a client that pipelines many requests uses no more memory than that, and the
+// requests are answered in order.
 func TestReadAheadOfPipelinedRequests(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
 	const n = 400
 	go func() {
 		for i := range n {
-			client.send(strings.Replace(good, "9b1f", fmt.Sprintf("%04x", i), 1))
+			client.send(strings.Replace(validRequest, "9b1f", fmt.Sprintf("%04x", i), 1))
 		}
 	}()
 	for i := range n {
 		ev := (<-server.events).(*core.RequestReceived)
 		if want := fmt.Sprintf("%04x03aa5c7e2d41", i); ev.CallID != want {
-			t.Fatalf("%s came where %s is due", ev.CallID, want)
+			t.Fatalf("received request %s, want %s", ev.CallID, want)
 		}
 		conns := server.connSet()
 		conns.mu.Lock()
 		if got := len(conns.byState[stateBusy].Front().Value.(*clientConn).readAhead); got >= maxReadAhead+4<<10 {
-			t.Errorf("%d bytes read ahead", got)
+			t.Errorf("%d bytes read ahead, beyond the limit", got)
 		}
 		conns.mu.Unlock()
 		server.reject(ev.ID)
@@ -223,8 +223,8 @@
 	}
 }
 
-// A limiter that was suspended finds the deadline of a read passed and what was to be read in the socket. It
-// reads that.
+// After a limiter was suspended, the deadline of a read may have passed while its input is in the socket. The input is
+// read.
 func TestDeadlinePassesOnlyWithoutInput(t *testing.T) {
 	server := startServer(t)
 	accepted, dialed := testnet.Pair(t)
@@ -241,10 +241,10 @@
 	}
 	p := make([]byte, 8)
 	if n, err := conn.Read(p); string(p[:n]) != "GET" || err != nil {
-		t.Errorf("read %q, %v", p[:n], err)
+		t.Errorf("read %q, error %v, want \"GET\"", p[:n], err)
 	}
 	if n, err := conn.Read(p); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read %q, %v where there is nothing", p[:n], err)
+		t.Errorf("without input: read %q, error %v, want the deadline exceeded", p[:n], err)
 	}
 	_ = dialed.Close()
 	for eof := false; !eof; time.Sleep(time.Millisecond) {
@@ -253,8 +253,8 @@
 	}
 }
 
-// Small writes are sent at once, also on connections that another process handed over: delayed by the
-// system, they would be lost at a close over unread bytes.
+// Small writes are sent immediately, also on connections that another process has handed over: if the kernel delayed
+// them, a close with unread input would lose them.
 func TestNoDelay(t *testing.T) {
 	server := startServer(t)
 	accepted, _ := testnet.Pair(t)
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	adopted, err := net.FileConn(file)
-	_ = file.Close() // the connection has a descriptor of its own
+	_ = file.Close() // the connection has its own descriptor
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -281,17 +281,17 @@
 			noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		})
 		if noDelay == 0 || err != nil || controlErr != nil {
-			t.Errorf("%v connection: TCP_NODELAY %d, %v, %v", state, noDelay, err, controlErr)
+			t.Errorf("%v connection: TCP_NODELAY is %d, want it set; errors %v, %v", state, noDelay, err, controlErr)
 		}
 	}
 }
 
-// Bad clients of every kind have no more connections than the bound, cost usual clients nothing, and once they
-// have gone nothing is left of them.
+// Misbehaving clients of every kind have no more connections than the limit and do not affect regular clients, and
+// once they have disconnected no connection or goroutine of theirs is left.
 func TestBadClientsLeaveNothing(t *testing.T) {
-	server, past := startBoundedServer(t, 16)
-	server.setPatience(time.Minute) // however late a usual client gets to run
-	go func() {                     // ends with the test program: nobody closes the channel
+	server, elapsed := startServerWithMaxConns(t, 16)
+	server.setRejectionTimeout(time.Minute) // however late a regular client is scheduled
+	go func() {                             // ends with the test program: nobody closes the channel
 		for ev := range server.events {
 			if ev, ok := ev.(*core.RequestReceived); ok {
 				server.reject(ev.ID)
@@ -300,9 +300,9 @@
 	}()
 	first := server.connect(t)
 	first.requestReady()
-	server.awaitState(stateIdle, 1) // so all that the server itself needs runs by now
+	server.awaitState(stateIdle, 1) // by now all goroutines of the server itself are running
 	before := runtime.NumGoroutine() - 1
-	many := strings.Repeat(good, 200)
+	manyRequests := strings.Repeat(validRequest, 200)
 	clients := []*testClient{first}
 	for i := range 150 {
 		client := server.connect(t)
@@ -310,28 +310,28 @@
 		switch i % 6 {
 		case 0: // sends nothing
 		case 1:
-			client.send(goodHead[:i])
+			client.send(validHead[:i])
 		case 2:
 			client.send("\x00\xff" + strings.Repeat("x", 5000))
 		case 3:
-			client.send(goodHead + "Content-Length: 60000\n\n123")
+			client.send(validHead + "Content-Length: 60000\n\n123")
 		case 4:
-			go client.send(many) // and reads nothing
+			go client.send(manyRequests) // and does not read
 		case 5:
-			client.send(many[:20000])
+			client.send(manyRequests[:20000])
 			client.closeWithReset()
 		}
-		past.Add(int64(stuckReadingTime) / 4)
-		if n := server.Conns(); n > 16+maxRejected {
-			t.Fatalf("%d connections", n)
+		elapsed.Add(int64(stuckReadingTime) / 4)
+		if n := server.Conns(); n > 16+maxRejectedConns {
+			t.Fatalf("%d connections open, beyond the limit", n)
 		}
 		if i%10 == 9 {
-			usual := server.connect(t)
-			usual.send(good)
-			if resp, _ := usual.response(); resp.StatusCode != 429 {
-				t.Errorf("a usual client: %d", resp.StatusCode)
+			regular := server.connect(t)
+			regular.send(validRequest)
+			if resp, _ := regular.response(); resp.StatusCode != 429 {
+				t.Errorf("regular client: status %d, want 429", resp.StatusCode)
 			}
-			usual.close()
+			regular.close()
 		}
 	}
 	for _, client := range clients {
@@ -339,13 +339,12 @@
 	}
 	for end := time.Now().Add(20 * time.Second); server.Conns() > 0 || runtime.NumGoroutine() > before; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections left, %d goroutines where %d were", server.Conns(), runtime.NumGoroutine(), before)
+			t.Fatalf("%d connections left, want 0; %d goroutines left, want at most %d", server.Conns(), runtime.NumGoroutine(), before)
 		}
 	}
 }
 
-// Whenever net/http looks whether its client has disconnected, a connection has no more than the bound read
-// ahead.
+// Each time net/http checks whether its client has disconnected, the connection has no more than the limit read ahead.
 func TestReadAheadIsBounded(t *testing.T) {
 	accepted, dialed := testnet.Pair(t)
 	conns := newConnSet(nil, 0, time.Now)
@@ -361,10 +360,10 @@
 		}
 		got += string(one[:])
 		if len(conn.readAhead) >= maxReadAhead+len(conns.scratch) {
-			t.Fatalf("%d bytes read ahead", len(conn.readAhead))
+			t.Fatalf("%d bytes read ahead, beyond the limit", len(conn.readAhead))
 		}
 	}
 	if got != sent[:len(got)] {
-		t.Error("not in turn")
+		t.Error("bytes were not read in the order in which they were sent")
 	}
 }
--- a/internal/httpserver/evict.go
+++ b/internal/httpserver/evict.go
@@ -2,68 +2,68 @@
 
 import "time"
 
-// This file evicts client connections: it closes some for new ones where the set is full, and idle ones
-// where it is crowded.
+// This file evicts client connections: it closes connections to make room for new ones when the set is full, and
+// idle connections when the set is crowded.
 
 const (
-	// minIdleTime is after how long an idle connection is closed while the set is crowded, and after how
-	// long it is among the first to be closed when the set is full.
+	// minIdleTime is the idle time after which a connection is closed while the set is crowded, and after which it
+	// is among the first to be closed when the set is full.
 	minIdleTime = 2 * time.Second
-	// stuckReadingTime is after how long a connection in stateReading counts as stuck, as clients send a
-	// request in one piece.
+	// stuckReadingTime is the time after which a connection in stateReading counts as stuck: clients send a request
+	// in one piece.
 	stuckReadingTime = time.Second
-	// sweepInterval is how often idle connections are closed while the set is crowded.
+	// sweepInterval is the interval at which idle connections are closed while the set is crowded.
 	sweepInterval = 500 * time.Millisecond
-	// crowdedFraction is the fraction of the bound above which the set is crowded. Some clients send one
-	// request and keep their connection for good, and clients that have no descriptor left cannot send any.
+	// crowdedFraction is the fraction of the limit above which the set is crowded. Some clients send one request and
+	// keep their connection open indefinitely, and clients that run out of file descriptors cannot send any.
 	crowdedFraction = 0.25
 )
 
-// An evicted connection is in stateClosed, but its socket is open until finish closes it, which waits for the
-// reader and so is called without the set's mu. The zero value means that none was evicted.
-type evicted struct {
+// An evictedConn is a connection in stateClosed whose socket is open until finish closes it. finish waits for the
+// reader and so is called without holding the set's mu. The zero value means that no connection was evicted.
+type evictedConn struct {
 	*clientConn
-	was connState // the state from which it was evicted
+	previous connState // the state before the eviction
 }
 
 // finish closes the socket and reports the connection as closed.
-func (e evicted) finish() {
+func (e evictedConn) finish() {
 	if e.clientConn == nil {
 		return
 	}
-	_ = e.Conn.Close()          // the connection has ended in any case
-	if e.was != stateRejected { // reject reports those
-		e.set.onClosed(e.was)
+	_ = e.Conn.Close()               // the connection has ended even if this fails
+	if e.previous != stateRejected { // reject reports rejected connections
+		e.set.onClosed(e.previous)
 	}
 }
 
-// evictLeastUseful closes the first connection that it finds, in this order: one that lingers; one idle for
-// minIdleTime; a new one that has sent nothing for newConnPatience; one stuck in the middle of a request; any
-// idle one, as its client repeats a request that crosses the close; any new one that has sent nothing. A
-// connection with a request in progress is never closed, nor one with a request of which a part was read, if
-// that is not stuck. The caller holds s.mu.
-func (s *connSet) evictLeastUseful() evicted {
+// evictLeastUseful closes the first connection that it finds in this order: a lingering one; one that has been idle
+// for minIdleTime; a new one that has sent nothing for newConnTimeout; one stuck in the middle of a request; any idle
+// one, because its client resends a request that crosses the close; any new one that has sent nothing. It never closes
+// a connection with a request in progress, nor one that has read part of a request and is not stuck. The caller holds
+// s.mu.
+func (s *connSet) evictLeastUseful() evictedConn {
 	for _, candidates := range []struct {
 		state   connState
 		minTime time.Duration
 	}{
 		{stateLingering, 0},
 		{stateIdle, minIdleTime},
-		{stateNew, newConnPatience},
+		{stateNew, newConnTimeout},
 		{stateReading, stuckReadingTime},
 		{stateIdle, 0},
 		{stateNew, 0},
 	} {
-		if out := s.evictLongest(candidates.state, candidates.minTime); out.clientConn != nil {
-			return out
+		if evicted := s.evictLongest(candidates.state, candidates.minTime); evicted.clientConn != nil {
+			return evicted
 		}
 	}
-	return evicted{}
+	return evictedConn{}
 }
 
-// evictLongest evicts, of the connections that have been in a state for minTime at least, the one that has
-// been in it for longest and may be evicted. The caller holds s.mu.
-func (s *connSet) evictLongest(state connState, minTime time.Duration) evicted {
+// evictLongest evicts the connection that has been in the given state longest, of those that have been in it for at
+// least minTime and may be evicted. The caller holds s.mu.
+func (s *connSet) evictLongest(state connState, minTime time.Duration) evictedConn {
 	for e := s.byState[state].Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
 		if s.now().Sub(c.since) < minTime {
@@ -73,20 +73,20 @@
 			continue
 		}
 		c.setStateLocked(stateClosed)
-		return evicted{c, state}
+		return evictedConn{c, state}
 	}
-	return evicted{}
+	return evictedConn{}
 }
 
-// mayEvict reports whether a connection may be evicted from its state. If a part of a request waits in its
-// socket it may not: a limiter that was suspended finds requests there that came meanwhile. The caller holds
-// set.mu.
+// mayEvict reports whether a connection in its current state may be evicted. Except when it lingers, a connection with
+// input in its socket may not: after a process was suspended, sockets hold requests that arrived in the meantime. The
+// caller holds set.mu.
 func (c *clientConn) mayEvict() bool {
 	switch c.state {
 	case stateLingering:
 		return true
 	case stateReading:
-		return c.readerWaits && !c.hasInput()
+		return c.readerBlocked && !c.hasInput()
 	}
 	return !c.hasInput()
 }
@@ -95,24 +95,24 @@
 func (s *connSet) sweep() {
 	for {
 		s.mu.Lock()
-		var out evicted
+		var evicted evictedConn
 		if s.isCrowded() {
-			out = s.evictLongest(stateIdle, minIdleTime)
+			evicted = s.evictLongest(stateIdle, minIdleTime)
 		}
 		s.mu.Unlock()
-		if out.clientConn == nil {
+		if evicted.clientConn == nil {
 			return
 		}
-		out.finish()
+		evicted.finish()
 	}
 }
 
-// isCrowded reports whether more than crowdedFraction of the bound is open. The caller holds s.mu.
+// isCrowded reports whether more connections are open than crowdedFraction of the limit. The caller holds s.mu.
 func (s *connSet) isCrowded() bool {
-	return s.maxConns > 0 && float64(s.open) > crowdedFraction*float64(s.bound())
+	return s.maxConns > 0 && float64(s.open) > crowdedFraction*float64(s.connLimit())
 }
 
-// sweepUntilClosed sweeps until Close.
+// sweepUntilClosed calls sweep every sweepInterval until Close.
 func (s *connSet) sweepUntilClosed() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/internal/httpserver/evict_test.go
+++ b/internal/httpserver/evict_test.go
@@ -8,90 +8,89 @@
 	"lemongate/internal/core"
 )
 
-// Connections that send nothing must not keep the usual clients out: beyond the bound the oldest of them is
-// closed.
+// Connections that send nothing must not keep regular clients out: beyond the limit the oldest of them is closed.
 func TestSilentConnsAreEvicted(t *testing.T) {
-	server, past := startBoundedServer(t, 2)
+	server, elapsed := startServerWithMaxConns(t, 2)
 	first := server.connect(t)
 	server.awaitState(stateNew, 1)
-	past.Add(int64(newConnPatience))
+	elapsed.Add(int64(newConnTimeout))
 	second := server.connect(t)
 	server.awaitState(stateNew, 2)
-	usual := server.connect(t)
-	usual.requestReady()
+	regular := server.connect(t)
+	regular.requestReady()
 	first.expectClose()
 	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Unread: true}) {
-		t.Errorf("posted %+v", ev)
+		t.Errorf("posted %+v, want ClientConnClosed with Unread", ev)
 	}
 	second.requestReady()
 	if n := server.Conns(); n != 2 {
-		t.Errorf("%d connections open", n)
+		t.Errorf("%d connections open, want 2", n)
 	}
 }
 
-// The connection that has been idle for longest is closed first, and one with a request in progress for no
-// other: then the new connection is rejected, and its client notified once its request comes.
+// The connection that has been idle longest is closed first. A connection with a request in progress is never closed for
+// another: then the new connection is rejected, and its client is notified once its request arrives.
 func TestConnsInUseAreNotEvicted(t *testing.T) {
-	server, past := startBoundedServer(t, 3)
+	server, elapsed := startServerWithMaxConns(t, 3)
 	busy, older, newer := server.connect(t), server.connect(t), server.connect(t)
-	busy.send(good)
+	busy.send(validRequest)
 	id := (<-server.events).(*core.RequestReceived).ID
 	older.requestReady()
 	server.awaitState(stateIdle, 1)
-	past.Add(int64(time.Second))
+	elapsed.Add(int64(time.Second))
 	newer.requestReady()
 	server.awaitState(stateIdle, 2)
-	past.Add(int64(time.Second))
+	elapsed.Add(int64(time.Second))
 	for _, client := range []*testClient{older, newer} {
 		next := server.connect(t)
-		next.send(strings.Replace(good, "9b1f", "0000", 1))
+		next.send(strings.Replace(validRequest, "9b1f", "0000", 1))
 		client.expectClose()
 		if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{}) {
-			t.Errorf("posted %+v", ev)
+			t.Errorf("posted %+v, want ClientConnClosed of an idle connection", ev)
 		}
 		if _, ok := (<-server.events).(*core.RequestReceived); !ok {
 			t.Error("the new connection was not admitted")
 		}
 	}
-	server.connect(t).expectClose() // it sends nothing in its time
+	server.connect(t).expectClose() // sends nothing within the rejection timeout
 	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Unread: true}) {
-		t.Errorf("posted %+v", ev)
+		t.Errorf("posted %+v, want ClientConnClosed with Unread", ev)
 	}
-	server.setPatience(time.Minute)
-	quiet := server.connect(t) // it sends nothing
+	server.setRejectionTimeout(time.Minute)
+	silent := server.connect(t) // sends nothing
 	server.awaitState(stateRejected, 1)
 	late := server.connect(t)
 	server.awaitState(stateRejected, 2)
-	late.send(good)
+	late.send(validRequest)
 	if resp, _ := late.response(); resp.StatusCode != 429 || resp.Header.Get("Retry-After") != "0.500" || !resp.Close {
-		t.Errorf("%+v", resp)
+		t.Errorf("response %+v, want status 429, Retry-After 0.500 and the connection closed", resp)
 	}
 	late.expectClose()
 	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Full: true}) {
-		t.Errorf("posted %+v", ev)
+		t.Errorf("posted %+v, want ClientConnClosed with Full", ev)
 	}
 	var rejected []*testClient
-	for i := range maxRejected + 1 { // beyond maxRejected the oldest is closed
+	for i := range maxRejectedConns + 1 { // beyond maxRejectedConns the oldest one is closed
 		rejected = append(rejected, server.connect(t))
-		server.awaitState(stateRejected, min(i+2, maxRejected))
+		server.awaitState(stateRejected, min(i+2, maxRejectedConns))
 	}
-	for _, client := range []*testClient{quiet, rejected[0]} {
+	for _, client := range []*testClient{silent, rejected[0]} {
 		client.expectClose()
 	}
-	for range 2 { // each is reported once
+	for range 2 { // each connection is reported once
 		if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Unread: true}) {
-			t.Errorf("posted %+v", ev)
+			t.Errorf("posted %+v, want ClientConnClosed with Unread", ev)
 		}
 	}
 	server.reject(id)
 	busy.expectRejected()
 }
 
-// Clients that send one request and keep their connection for good use up descriptors of both sides: beyond a
-// fraction of the bound the idle ones are closed, but not before they have been idle for 2 s, and not below
-// that fraction.
+// Clients that send one request and keep their connection open indefinitely use up file descriptors on both sides.
+// Above a fraction of the limit idle connections are closed, but not before they have been idle for 2 s, and no more
+// than down to that fraction.
 func TestSweep(t *testing.T) {
-	server, past := startBoundedServer(t, 8)
+	server, elapsed := startServerWithMaxConns(t, 8)
 	var idle []*testClient
 	for i := range 3 {
 		client := server.connect(t)
@@ -100,15 +99,15 @@
 		idle = append(idle, client)
 	}
 	conns := server.connSet()
-	past.Store(int64(minIdleTime) - 1)
+	elapsed.Store(int64(minIdleTime) - 1)
 	conns.sweep()
 	if n := conns.count(); n != 3 {
-		t.Errorf("%d left before their time", n)
+		t.Errorf("%d connections left before minIdleTime, want 3", n)
 	}
-	past.Store(int64(minIdleTime))
+	elapsed.Store(int64(minIdleTime))
 	conns.sweep()
 	if n := conns.count(); n != 2 {
-		t.Errorf("%d left, want those for which there is room", n)
+		t.Errorf("%d connections left, want 2, at which the set is not crowded", n)
 	}
 	idle[0].expectClose()
 	idle[1].requestReady()
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -6,12 +6,12 @@
 	"lemongate/internal/core"
 )
 
-// This file serves a request, from its head to its response.
+// This file serves a request, from reading its head to writing its response.
 
 // ServeHTTP serves one request of a client connection.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.draining.Load() {
-		closeAfterwards(w)
+		closeAfterResponse(w)
 	}
 	if r.RequestURI == "/ready" && r.Method == http.MethodGet {
 		if connOf(r).startServing() {
@@ -25,33 +25,32 @@
 		return
 	}
 	if !connOf(r).startServing() {
-		panic(http.ErrAbortHandler) // closed already: net/http must not answer
+		panic(http.ErrAbortHandler) // already closed: net/http must not respond
 	}
 	s.serveRequest(w, r, event)
 }
 
-// closeAfterwards has the connection closed after the response.
-func closeAfterwards(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
+// closeAfterResponse makes net/http close the connection after the response.
+func closeAfterResponse(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// serveRequest posts a request and writes the response to it. If the client disconnects meanwhile it posts
-// that as well. It writes the response even so: a client that has only closed its sending side looks the
-// same.
+// serveRequest posts a request and writes the response to it. If the client disconnects in the meantime it posts that
+// as well. It writes the response even then: a client that has only closed its sending side looks the same.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, event *core.RequestReceived) {
 	disconnected := r.Context().Done()
-	event.Disconnected = r.Context().Err() != nil // it was sent behind others, and its client has gone since
+	event.Disconnected = r.Context().Err() != nil // the request was pipelined, and its client has disconnected since
 	if event.Disconnected {
 		disconnected = nil
 	}
 	responses := make(chan core.Respond, 1)
 	s.mu.Lock()
-	s.waiting[event.ID] = responses
+	s.pendingResponses[event.ID] = responses
 	s.mu.Unlock()
 	s.options.Post(event)
 	for {
 		select {
 		case response := <-responses:
-			if s.draining.Load() { // by now
-				closeAfterwards(w)
+			if s.draining.Load() { // draining may have begun since ServeHTTP
+				closeAfterResponse(w)
 			}
 			writeResponse(w, response)
 			return
@@ -62,29 +61,29 @@
 	}
 }
 
-// serveMalformed answers a malformed request at once, without waiting for its body: the client may never send
-// the rest of it.
-func (s *Server) serveMalformed(w http.ResponseWriter, r *http.Request, fault *malformed) {
+// serveMalformed answers a malformed request immediately, without waiting for its body: the client may never send the
+// rest of it.
+func (s *Server) serveMalformed(w http.ResponseWriter, r *http.Request, fault *requestFault) {
 	s.options.Post(core.RequestMalformed{Cause: fault.cause})
 	conn := connOf(r)
 	if !conn.startServing() {
 		panic(http.ErrAbortHandler)
 	}
 	hasBody := r.ContentLength != 0
-	// The connection ends also after a body that is left unread: in full duplex net/http would begin two
-	// reads at once there, and panic.
+	// The connection also ends after a body that is left unread: in full duplex mode net/http would start two
+	// concurrent reads there, and panic.
 	if fault.closesConn || hasBody {
-		closeAfterwards(w)
+		closeAfterResponse(w)
 	}
 	control := http.NewResponseController(w)
 	if hasBody {
-		_ = conn.SetReadDeadline(conn.requestStartedAt.Add(malformedTimeout)) // fails on a closed connection alone
-		_ = control.EnableFullDuplex()                                        // or net/http reads the body first
+		_ = conn.SetReadDeadline(conn.requestStartedAt.Add(malformedTimeout)) // fails only on a closed connection
+		_ = control.EnableFullDuplex()                                        // otherwise net/http reads the body first
 	}
 	writeText(w, fault.status, fault.text)
 	if hasBody {
-		_ = control.Flush()      // the client may have gone
-		conn.setState(stateIdle) // it is answered, and the rest of its body is not needed
+		_ = control.Flush()      // the client may have disconnected
+		conn.setState(stateIdle) // the request is answered, and the rest of its body is not needed
 	}
 }
 
--- a/internal/httpserver/handover.go
+++ b/internal/httpserver/handover.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file pauses accepting, and hands client connections over to another process, for a hot restart.
+// This file pauses accepting, and hands client connections over to another process for a hot restart.
 
-// pause stops accepting until resume. What comes meanwhile waits in the system's queue.
+// pause stops accepting until resume. Connections that arrive in the meantime stay in the kernel's accept queue.
 func (s *connSet) pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -17,7 +17,7 @@
 	}
 }
 
-// resume goes on accepting, unless Close was called, and ends handing over.
+// resume resumes accepting unless Close was called, and ends the handover of connections.
 func (s *connSet) resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,47 +25,47 @@
 	if s.resumed == nil {
 		return
 	}
-	if !s.isStopped() { // else Accept needs the deadline of Close to end
+	if !s.isStopped() { // after Close, Accept needs the deadline that Close set in order to end
 		s.setAcceptDeadline(time.Time{})
 	}
 	close(s.resumed)
 	s.resumed = nil
 }
 
-// startHandover begins to hand connections between requests over to another process. It interrupts the reads
-// that wait for a next request, and each reader hands its connection over, see tryHandOver.
+// startHandover starts to hand connections that are between requests over to another process. It interrupts the
+// reads that wait for a next request, and each reader then hands its connection over; see tryHandOver.
 func (s *connSet) startHandover(handOver func(syscall.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handOver = handOver
 	for _, c := range s.conns(stateIdle, stateNew) {
-		_ = c.SetReadDeadline(time.Unix(1, 0)) // fails on a closed connection alone
+		_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 	}
 }
 
-// isHandingOver reports whether connections are handed over between startHandover and resume.
+// isHandingOver reports whether startHandover was called, and resume was not called since.
 func (s *connSet) isHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.handOver != nil
 }
 
-// tryHandOver hands the connection over if connections are handed over and nothing of a next request was read,
-// and reports whether it did. It waits for the other process.
+// tryHandOver hands the connection over if a handover is in progress and no byte of a next request was read. It
+// reports whether it handed the connection over, and waits for the other process.
 func (c *clientConn) tryHandOver() bool {
 	c.set.mu.Lock()
 	handOver := c.set.handOver
 	socket, isSocket := c.Conn.(syscall.Conn)
-	between := c.state == stateIdle || c.state == stateNew
-	if handOver == nil || !isSocket || !between {
+	betweenRequests := c.state == stateIdle || c.state == stateNew
+	if handOver == nil || !isSocket || !betweenRequests {
 		c.set.mu.Unlock()
 		return false
 	}
-	c.setStateLocked(stateBusy) // it is not closed for another meanwhile
+	c.setStateLocked(stateBusy) // prevents eviction during the handover
 	c.set.mu.Unlock()
-	if err := handOver(socket); err != nil { // it stays; the caller's reads go on
+	if err := handOver(socket); err != nil { // this process keeps the connection, and the caller continues to read
 		c.setState(stateIdle)
-		_ = c.SetReadDeadline(time.Time{}) // fails on a closed connection alone
+		_ = c.SetReadDeadline(time.Time{}) // fails only on a closed connection
 		return false
 	}
 	c.setState(stateClosed)
--- a/internal/httpserver/handover_test.go
+++ b/internal/httpserver/handover_test.go
@@ -7,34 +7,34 @@
 	"lemongate/internal/testnet"
 )
 
-// An observedListener is a heldListener that shows the test each deadline that was set.
+// An observedListener is a blockingListener that sends each deadline that is set to the test.
 type observedListener struct {
-	heldListener
+	blockingListener
 	deadlines chan time.Time
 }
 
 func (l *observedListener) SetDeadline(deadline time.Time) error {
-	err := l.heldListener.SetDeadline(deadline)
+	err := l.blockingListener.SetDeadline(deadline)
 	l.deadlines <- deadline
 	return err
 }
 
-// Accepting ends after Close also where Resume follows before the accept loop has run again: while Close waits for
-// connections, and once it waits for the accept loop alone.
+// Accepting ends after Close even if Resume is called before the accept loop runs again: both while Close waits for
+// connections, and when it waits only for the accept loop.
 func TestResumeDoesNotUndoClose(t *testing.T) {
-	const patience = 5 * time.Second
+	const closeTimeout = 5 * time.Second
 	for name, c := range map[string]struct {
 		timeout   time.Duration
-		deadlines int // that Close has set when Resume comes
+		deadlines int // number of deadlines that Close has set when Resume is called
 	}{
-		"before the timeout": {2 * patience, 1},
+		"before the timeout": {2 * closeTimeout, 1},
 		"after the timeout":  {time.Millisecond, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := &observedListener{heldListener{testnet.Listen(t), make(chan bool), make(chan bool)}, make(chan time.Time, 16)}
+			l := &observedListener{blockingListener{testnet.Listen(t), make(chan bool), make(chan bool)}, make(chan time.Time, 16)}
 			server := startServerOn(t, l)
 			client := server.connect(t)
-			<-l.accepted // the accept loop does not run until the release
+			<-l.accepted // the accept loop is blocked until the release
 			client.close()
 			server.Pause()
 			<-l.deadlines
@@ -47,9 +47,9 @@
 			l.release <- true
 			select {
 			case <-closed:
-			case <-time.After(patience):
+			case <-time.After(closeTimeout):
 				t.Error("Close still waits for the accept loop")
-				_ = l.Close() // else the end of the test waits for it too
+				_ = l.Close() // otherwise the cleanup of the test waits for the accept loop too
 			}
 		})
 	}
--- a/internal/httpserver/model_test.go
+++ b/internal/httpserver/model_test.go
@@ -20,37 +20,37 @@
 	"lemongate/internal/upstream"
 )
 
-// TestMain fixes the seed, so that the steps are the same every time; how they interleave is not.
+// TestMain fixes the seed, so that every run has the same steps; how they interleave differs.
 func TestMain(m *testing.M) {
 	os.Exit(rapidtest.Main(m, "20261202", map[string]string{"rapid.steps": "40"}))
 }
 
-// A model has clients of a server, and plays the part of the event loop.
+// A model has the clients of a server, and takes the place of the event loop.
 type model struct {
 	t        *rapid.T
 	server   *testServer
 	clients  []*modelClient
-	requests int // sent, at least in part
+	requests int // number of requests sent, at least in part
 
 	mu     sync.Mutex
 	open   map[string]core.RequestID // posted and not answered, by X-Call-Id
 	posted map[string]bool
 }
 
-// A modelClient is a client with its connection, and what it has sent.
+// A modelClient is a client with its connection and the requests that it has sent.
 type modelClient struct {
 	*testClient
-	calls        []string // of its requests, in order
-	rest         string   // of a request of which the other part was sent
-	writeClosed  bool     // it has ended its sending
+	callIDs      []string // X-Call-Ids of its requests, in order
+	unsentPart   string   // rest of a request of which the first part was sent
+	writeClosed  bool     // it has closed its sending side
 	disconnected bool
-	responses    chan []string // all that came, once the connection has ended
+	responses    chan []string // receives all responses once the connection has ended
 }
 
-// maySend reports whether the client may begin a request.
-func (c *modelClient) maySend() bool { return !c.writeClosed && !c.disconnected && c.rest == "" }
+// maySend reports whether the client may start a new request.
+func (c *modelClient) maySend() bool { return !c.writeClosed && !c.disconnected && c.unsentPart == "" }
 
-// handle takes what the server posts: a client that has disconnected is answered.
+// handle handles an event of the server. It rejects the request of a client that has disconnected.
 func (m *model) handle(ev core.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// answer serves an open request, with its X-Call-Id as the body: one that t draws, or without t the first.
+// answer serves an open request with its X-Call-Id as the body: a request drawn from t, or the first one if t is nil.
 func (m *model) answer(t *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,7 +91,7 @@
 	delete(m.open, call)
 }
 
-// readResponses reads all that comes until the connection ends.
+// readResponses reads responses until the connection ends.
 func (c *modelClient) readResponses() {
 	var list []string
 	defer func() { c.responses <- list }()
@@ -108,14 +108,14 @@
 	}
 }
 
-// newRequest returns a request with an X-Call-Id of its own.
+// newRequest returns a request with a unique X-Call-Id.
 func (m *model) newRequest() (call, text string) {
 	call = fmt.Sprint("call", m.requests)
 	m.requests++
-	return call, strings.Replace(good, "9b1f03aa5c7e2d41", call, 1)
+	return call, strings.Replace(validRequest, "9b1f03aa5c7e2d41", call, 1)
 }
 
-// draw returns one of the clients that fit.
+// draw draws one of the clients for which fits returns true.
 func (m *model) draw(t *rapid.T, fits func(*modelClient) bool) *modelClient {
 	var list []*modelClient
 	for _, c := range m.clients {
@@ -133,20 +133,19 @@
 func (m *model) connect(t *rapid.T) {
 	conn, err := net.Dial("tcp", m.server.addr)
 	if len(m.clients) >= 8 || err != nil {
-		t.Skip("no more")
+		t.Skip("maximum number of clients reached, or connect failed")
 	}
 	c := &modelClient{
 		testClient: &testClient{conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)}, responses: make(chan []string, 1),
 	}
 	m.clients = append(m.clients, c)
-	go c.readResponses() // ends with the connection
+	go c.readResponses() // returns when the connection ends
 }
 
-// send sends a request.
 func (m *model) send(t *rapid.T) {
 	c := m.draw(t, (*modelClient).maySend)
 	call, text := m.newRequest()
-	c.calls = append(c.calls, call)
+	c.callIDs = append(c.callIDs, call)
 	c.send(text)
 }
 
@@ -157,38 +156,37 @@
 	for range rapid.IntRange(2, 4).Draw(t, "requests") {
 		call, text := m.newRequest()
 		size := rapid.SampledFrom([]int{5, 3000, 9000}).Draw(t, "size")
-		c.calls = append(c.calls, call)
+		c.callIDs = append(c.callIDs, call)
 		body := fmt.Sprintf("Length: %d\n\n%s", size, strings.Repeat("x", size))
 		requests.WriteString(strings.Replace(text, "Length: 5\n\n12345", body, 1))
 	}
 	c.send(requests.String())
 }
 
-// sendHalf sends a part of a request.
+// sendHalf sends the first part of a request.
 func (m *model) sendHalf(t *rapid.T) {
 	c := m.draw(t, (*modelClient).maySend)
 	call, text := m.newRequest()
 	at := rapid.IntRange(1, len(text)-1).Draw(t, "at")
-	c.rest = text[at:]
-	c.calls = append(c.calls, call)
+	c.unsentPart = text[at:]
+	c.callIDs = append(c.callIDs, call)
 	c.send(text[:at])
 }
 
-// sendRest sends what is missing of a request.
+// sendRest sends the unsent part of a request.
 func (m *model) sendRest(t *rapid.T) {
-	c := m.draw(t, func(c *modelClient) bool { return c.rest != "" && !c.writeClosed && !c.disconnected })
-	c.send(c.rest)
-	c.rest = ""
+	c := m.draw(t, func(c *modelClient) bool { return c.unsentPart != "" && !c.writeClosed && !c.disconnected })
+	c.send(c.unsentPart)
+	c.unsentPart = ""
 }
 
-// endSending has a client end its sending.
+// endSending closes the sending side of a client.
 func (m *model) endSending(t *rapid.T) {
 	c := m.draw(t, func(c *modelClient) bool { return !c.writeClosed && !c.disconnected })
 	c.writeClosed = true
 	_ = c.conn.CloseWrite() // the server may have closed the connection
 }
 
-// disconnect has a client close its connection.
 func (m *model) disconnect(t *rapid.T) {
 	c := m.draw(t, func(c *modelClient) bool { return !c.disconnected })
 	c.disconnected = true
@@ -199,9 +197,9 @@
 	c.close()
 }
 
-// close closes the server, and answers until it is closed.
+// close closes the server, and answers requests until it is closed.
 func (m *model) close() {
-	m.server.finalReadMargin = time.Hour // at once
+	m.server.finalReadMargin = time.Hour // longer than the timeout of Close, so reading stops immediately
 	closed := make(chan bool)
 	go func() {
 		m.server.Close(time.Minute)
@@ -217,9 +215,9 @@
 	}
 }
 
-// Clients send, pipeline, stop half way, end their sending and disconnect, requests are answered, connections
-// are evicted from a full or crowded set, and the server shuts down, in any order. A request gets one response,
-// its own, or its connection ends and the request was never posted.
+// In any order, clients send, pipeline, send half a request, close their sending side and disconnect, requests are
+// answered, connections are evicted from a full or crowded set, and the server shuts down. Each request gets exactly one
+// response, its own, or its connection ends and the request was never posted.
 func TestConnModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := testnet.Open()
@@ -228,9 +226,9 @@
 		}
 		m := &model{t: t, open: map[string]core.RequestID{}, posted: map[string]bool{}}
 		m.server = newTestServer(l, func(o *Options) { o.MaxConns, o.Post = 4, m.handle })
-		go func() { _ = m.server.Serve(l) }() // ends with Close; a client that it does not accept fails the check
+		go func() { _ = m.server.Serve(l) }() // returns after Close; the check fails for a client that is not accepted
 		<-m.server.serving
-		// The names' order decides what a seed draws.
+		// rapid sorts the names, so they determine the steps that a seed draws.
 		t.Repeat(map[string]func(*rapid.T){
 			"answer":         m.answer,
 			"connect":        m.connect,
@@ -245,8 +243,8 @@
 			"sweep":          func(*rapid.T) { m.server.connSet().sweep() },
 		})
 		m.close()
-		if conns, waiting := m.server.Conns(), len(m.server.waiting); conns+waiting > 0 {
-			t.Fatalf("%d connections and %d requests left", conns, waiting)
+		if conns, waiting := m.server.Conns(), len(m.server.pendingResponses); conns+waiting > 0 {
+			t.Fatalf("%d connections and %d requests left after Close, want none", conns, waiting)
 		}
 		for i, c := range m.clients {
 			got := <-c.responses
@@ -258,27 +256,27 @@
 	})
 }
 
-// check compares what a client read with what it sent.
+// check compares the responses that a client read with the requests that it sent.
 func (m *model) check(i int, c *modelClient, got []string) {
-	for _, call := range c.calls {
+	for _, call := range c.callIDs {
 		switch {
 		case len(got) == 0 && m.posted[call]:
-			m.t.Fatalf("client %d: %s was received and has no response", i, call)
+			m.t.Fatalf("client %d: request %s was received and got no response", i, call)
 		case len(got) == 0:
-			return // the connection ended before it was read
+			return // the connection ended before the request was read
 		case got[0] == "429 " && !m.posted[call] && len(got) == 1:
-			return // there was no room for the connection
+			return // the connection was rejected
 		case got[0] != "200 "+call && !c.mayFail(got[0]):
-			m.t.Fatalf("client %d: %s was answered %q", i, call, got[0])
+			m.t.Fatalf("client %d: request %s got response %q, want its own", i, call, got[0])
 		}
 		got = got[1:]
 	}
 	if len(got) > 0 {
-		m.t.Fatalf("client %d: more responses than requests: %q", i, got)
+		m.t.Fatalf("client %d: more responses than requests, surplus: %q", i, got)
 	}
 }
 
-// mayFail reports whether a client that ended its sending may have got a response that is not a backend's.
+// mayFail reports whether a client that closed its sending side may have got a response that is not a backend's.
 func (c *modelClient) mayFail(response string) bool {
-	return c.writeClosed && (strings.HasPrefix(response, "429") || c.rest != "" && strings.HasPrefix(response, "400"))
+	return c.writeClosed && (strings.HasPrefix(response, "429") || c.unsentPart != "" && strings.HasPrefix(response, "400"))
 }
--- a/internal/httpserver/parse.go
+++ b/internal/httpserver/parse.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// This file parses the values of paths and headers.
+// This file parses paths and header values.
 
 const (
-	// maxWordBytes bounds the value of a header that is one word.
+	// maxWordBytes is the maximum length of a header value that is a single word.
 	maxWordBytes = 256
-	// maxNumberBytes bounds a number.
+	// maxNumberBytes is the maximum length of a number.
 	maxNumberBytes = 24
 	// customerDigits is the length of a customer's name, which is hexadecimal.
 	customerDigits = 16
-	// customerLimit is above the numbers of all customers, by the platform's protocol.
+	// customerLimit is greater than all customer numbers, as the platform's protocol defines them.
 	customerLimit = 1 << 33
-	// maxBudget bounds a client's budget.
+	// maxBudget is the maximum of a client's budget.
 	maxBudget = time.Hour
-	// maxQuotaNumber bounds the numbers of a quota.
+	// maxQuotaNumber is the maximum of each number in Quota-Info.
 	maxQuotaNumber = 1 << 20
 )
 
-// singleWord returns the value of a header that occurs once and is one word of printable ASCII.
+// singleWord returns the value of a header that occurs once and is a single word of printable ASCII.
 func singleWord(header http.Header, name string) (value string, ok bool) {
 	values := header[name]
 	if len(values) != 1 || len(values[0]) == 0 || len(values[0]) > maxWordBytes {
@@ -39,8 +39,8 @@
 	return values[0], true
 }
 
-// splitPath returns the class and the customer of a path: its first and its last segment. Upper-case digits
-// are invalid, so that each customer has one name.
+// splitPath returns the class and the customer of a path: its first and its last segment. Upper-case hexadecimal digits
+// are invalid, so that each customer has exactly one name.
 func splitPath(path string) (class, customer string, ok bool) {
 	path, ok = strings.CutPrefix(path, "/")
 	if !ok {
@@ -55,7 +55,7 @@
 	return class, customer, err == nil && number < customerLimit
 }
 
-// parseBudget parses a number with its unit: m for milliseconds, u for microseconds.
+// parseBudget parses a number followed by its unit: m for milliseconds, u for microseconds.
 func parseBudget(text string) (budget time.Duration, ok bool) {
 	if text == "" {
 		return 0, false
@@ -77,7 +77,7 @@
 	return time.Duration(nanoseconds), true
 }
 
-// parseNumber parses a plain decimal number: no sign, exponent, infinity or hexadecimal digits, all of which
+// parseNumber parses a plain decimal number. It accepts no sign, exponent, infinity or hexadecimal digits, all of which
 // strconv would accept.
 func parseNumber(text string) (number float64, ok bool) {
 	if len(text) > maxNumberBytes || strings.Trim(text, "0123456789.") != "" {
@@ -87,14 +87,14 @@
 	return number, err == nil
 }
 
-// A quotaInfo is what a request takes of a quota.
+// A quotaInfo is the content of Quota-Info.
 type quotaInfo struct {
 	units        float64
-	setSize      int // limiters of the customer
-	firstLimiter int // the number of the first one
+	setSize      int // number of limiters in the customer's limiter set
+	firstLimiter int // number of the first limiter of the set
 }
 
-// parseQuota parses "units=2,spread=3,first=1", each once. Other names are ignored.
+// parseQuota parses "units=2,spread=3,first=1", each name exactly once. Other names are ignored.
 func parseQuota(text string) (quota quotaInfo, ok bool) {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -14,49 +14,50 @@
 	"lemongate/internal/upstream"
 )
 
-// This file validates requests. A request that a backend or the rules of admission cannot use is answered
-// here: further on it would cost more, and may be taken for a different one.
+// This file validates requests. A request that a backend or admission control cannot use is answered here: further on
+// it would cost more, and may be taken for a different one.
 
 const (
-	// maxBodyBytes bounds the body of a request.
+	// maxBodyBytes is the maximum length of a request body.
 	maxBodyBytes = 64 << 10
 	// bodyBytesPerSecond is the lowest rate at which a client may send a body and is still served.
 	bodyBytesPerSecond = 64 << 10
-	// bodyTimeoutSlack is how long a body may take beyond that, from the end of the head.
+	// bodyTimeoutSlack is the time a body may take in addition to its length divided by bodyBytesPerSecond, from the
+	// end of the head.
 	bodyTimeoutSlack = time.Second
-	// malformedTimeout is how long a malformed request with a body is read, from its first byte or the start
-	// of the connection: the connection is closed in time.
+	// malformedTimeout is the time for which a malformed request with a body is read, from its first byte or the
+	// connect. It is less than malformedResponseTime, so that the connection is closed in time.
 	malformedTimeout = malformedResponseTime - 500*time.Millisecond
-	// deadlineSlack is by how much a budget may exceed the deadline of the class, as clients may round it.
+	// deadlineSlack is the amount by which a budget may exceed the deadline of its class, as clients may round it.
 	deadlineSlack = 50 * time.Millisecond
 )
 
-// A malformed describes why a request is malformed, and how it is answered. It never causes an attempt.
-type malformed struct {
+// A requestFault describes why a request is malformed, and how it is answered. Such a request never causes an attempt.
+type requestFault struct {
 	cause      core.MalformedCause
 	status     int
 	text       string
-	closesConn bool // where the next request would begin is not known
+	closesConn bool // the start of the next request is not known
 }
 
-// Faults of requests, in the order in which they are looked for.
+// Faults of requests, in the order in which they are checked.
 var (
-	faultEncoding    = &malformed{core.BadFraming, http.StatusLengthRequired, "Content-Length wanted, and nothing beside it", true}
-	faultVersion     = &malformed{core.BadFraming, http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
-	faultBodyTooLong = &malformed{core.BadFraming, http.StatusRequestEntityTooLarge, "body too long", true}
-	faultTarget      = &malformed{core.BadTarget, http.StatusNotFound, "no such class or customer", false}
-	faultMethod      = &malformed{core.BadMethod, http.StatusMethodNotAllowed, "the class has another method", false}
-	faultCallID      = &malformed{core.BadID, http.StatusBadRequest, "bad X-Call-Id", false}
-	faultKey         = &malformed{core.BadID, http.StatusBadRequest, "bad Idempotency-Key", false}
-	faultPlan        = &malformed{core.BadPlan, http.StatusBadRequest, "unknown plan", false}
-	faultBudget      = &malformed{core.BadBudget, http.StatusBadRequest, "bad X-Budget", false}
-	faultQuota       = &malformed{core.BadQuota, http.StatusBadRequest, "bad Quota-Info", false}
-	faultBodyTimeout = &malformed{core.BadFraming, http.StatusRequestTimeout, "body did not come", true}
-	faultBodyCutOff  = &malformed{core.BadFraming, http.StatusBadRequest, "body broken off", true}
+	faultEncoding    = &requestFault{core.BadFraming, http.StatusLengthRequired, "Content-Length wanted, and nothing beside it", true}
+	faultVersion     = &requestFault{core.BadFraming, http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
+	faultBodyTooLong = &requestFault{core.BadFraming, http.StatusRequestEntityTooLarge, "body too long", true}
+	faultTarget      = &requestFault{core.BadTarget, http.StatusNotFound, "no such class or customer", false}
+	faultMethod      = &requestFault{core.BadMethod, http.StatusMethodNotAllowed, "the class has another method", false}
+	faultCallID      = &requestFault{core.BadID, http.StatusBadRequest, "bad X-Call-Id", false}
+	faultKey         = &requestFault{core.BadID, http.StatusBadRequest, "bad Idempotency-Key", false}
+	faultPlan        = &requestFault{core.BadPlan, http.StatusBadRequest, "unknown plan", false}
+	faultBudget      = &requestFault{core.BadBudget, http.StatusBadRequest, "bad X-Budget", false}
+	faultQuota       = &requestFault{core.BadQuota, http.StatusBadRequest, "bad Quota-Info", false}
+	faultBodyTimeout = &requestFault{core.BadFraming, http.StatusRequestTimeout, "body did not come", true}
+	faultBodyCutOff  = &requestFault{core.BadFraming, http.StatusBadRequest, "body broken off", true}
 )
 
-// readRequest validates a request, reads its body, and returns it as an event, or else its fault.
-func (s *Server) readRequest(r *http.Request) (*core.RequestReceived, *malformed) {
+// readRequest validates a request, reads its body, and returns it as an event, or its fault if it is malformed.
+func (s *Server) readRequest(r *http.Request) (*core.RequestReceived, *requestFault) {
 	if fault := checkFraming(r); fault != nil {
 		return nil, fault
 	}
@@ -98,10 +99,10 @@
 	}, nil
 }
 
-// checkFraming rejects requests whose end is ambiguous, as their bodies may hide another request. net/http
-// accepts a chunked body and silently drops a Content-Length beside it, and under HTTP/1.0 it drops
-// Transfer-Encoding. Clients send a length, so a chunked body is not read.
-func checkFraming(r *http.Request) *malformed {
+// checkFraming returns a fault for requests whose end is ambiguous, because their bodies may hide another request.
+// net/http accepts a chunked body and silently drops a Content-Length beside it, and under HTTP/1.0 it drops
+// Transfer-Encoding. Clients send a Content-Length, so chunked bodies are not accepted.
+func checkFraming(r *http.Request) *requestFault {
 	switch {
 	case len(r.TransferEncoding) > 0:
 		return faultEncoding
@@ -114,12 +115,12 @@
 }
 
 // readTarget returns the class and the customer that the path of a request names.
-func (s *Server) readTarget(r *http.Request) (*admission.Class, string, *malformed) {
+func (s *Server) readTarget(r *http.Request) (*admission.Class, string, *requestFault) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	name, customer, ok := splitPath(path)
 	class := s.classes[name]
-	if class == nil { // a path may have characters of the name escaped
-		name, _ = url.PathUnescape(name) // empty with an error, which no class is
+	if class == nil { // characters of the class name may be escaped in the path
+		name, _ = url.PathUnescape(name) // empty after an error, and no class has an empty name
 		class = s.classes[name]
 	}
 	if !ok || class == nil {
@@ -128,7 +129,7 @@
 	return class, customer, nil
 }
 
-// requestFields are the values of a request's header.
+// requestFields are the values of a request's header fields.
 type requestFields struct {
 	callID string
 	key    string // idempotency key, empty for none
@@ -137,8 +138,8 @@
 	quota  quotaInfo
 }
 
-// readFields returns the values of the header of a request of a class.
-func (s *Server) readFields(r *http.Request, class *admission.Class) (fields requestFields, fault *malformed) {
+// readFields returns the header values of a request of the given class.
+func (s *Server) readFields(r *http.Request, class *admission.Class) (fields requestFields, fault *requestFault) {
 	if !methodAllowed(r, class) {
 		return fields, faultMethod
 	}
@@ -161,8 +162,8 @@
 	return fields, nil
 }
 
-// methodAllowed reports whether a request has the method of its class: GET, without a body, for idempotent
-// ones, POST for others.
+// methodAllowed reports whether a request has the method of its class: GET without a body for idempotent classes, POST
+// for other classes.
 func methodAllowed(r *http.Request, class *admission.Class) bool {
 	if class.Idempotency == admission.Idempotent {
 		return r.Method == http.MethodGet && r.ContentLength == 0
@@ -170,14 +171,14 @@
 	return r.Method == http.MethodPost
 }
 
-// readKey returns the idempotency key. It is required where the class goes by it.
+// readKey returns the idempotency key, which is required for classes that are idempotent by key.
 func readKey(header http.Header, class *admission.Class) (key string, ok bool) {
 	key, isWord := singleWord(header, "Idempotency-Key")
 	required := class.Idempotency == admission.IdempotentByKey
 	return key, (isWord || !required) && len(header["Idempotency-Key"]) <= 1
 }
 
-// readPlan returns the plan. Any character may be in its name.
+// readPlan returns the plan, whose name may have any characters.
 func (s *Server) readPlan(header http.Header) (plan string, ok bool) {
 	values := header["Plan"]
 	if len(values) != 1 {
@@ -186,7 +187,6 @@
 	return values[0], s.plans[values[0]]
 }
 
-// readBudget returns how long the client still waits.
 func readBudget(header http.Header, class *admission.Class) (budget time.Duration, ok bool) {
 	text, ok := singleWord(header, "X-Budget")
 	if !ok {
@@ -196,7 +196,7 @@
 	return budget, ok && budget <= class.Deadline+deadlineSlack
 }
 
-// readQuota returns the units of a request, and the customer's limiter set.
+// readQuota returns the units of a request and the customer's limiter set.
 func (s *Server) readQuota(header http.Header) (quota quotaInfo, ok bool) {
 	text, ok := singleWord(header, "Quota-Info")
 	if !ok {
@@ -209,18 +209,18 @@
 	return quota, ok && inTier && unitsAllowed
 }
 
-// readBody reads the complete body, whose length is known and within the bound. It allocates memory as the
-// body is received, not by the announced length.
-func (s *Server) readBody(r *http.Request) ([]byte, *malformed) {
+// readBody reads the complete body, whose length is known and within maxBodyBytes. It allocates memory as the body is
+// received, not by the announced length.
+func (s *Server) readBody(r *http.Request) ([]byte, *requestFault) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	conn := connOf(r)
-	// In proportion to the length: a slow client may take seconds for a long body, and a short one that is
-	// cut off is detected soon.
+	// The timeout is proportional to the length: a slow client may take seconds for a long body, and a short body
+	// that is cut off is detected soon.
 	seconds := float64(r.ContentLength) / bodyBytesPerSecond
 	timeout := bodyTimeoutSlack + time.Duration(seconds*float64(time.Second))
-	_ = conn.SetReadDeadline(s.options.Wall().Add(timeout)) // fails on a closed connection alone
+	_ = conn.SetReadDeadline(s.options.WallClock().Add(timeout)) // fails only on a closed connection
 	body, err := io.ReadAll(r.Body)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil, faultBodyTimeout
@@ -228,8 +228,8 @@
 	if err != nil {
 		return nil, faultBodyCutOff
 	}
-	// net/http goes on reading, to detect that the client disconnects. After an error the deadline stays, as
-	// net/http would wait for the rest before it answers.
+	// net/http continues to read, to detect that the client disconnects. After an error the deadline stays set:
+	// without it net/http would wait for the rest of the body before it responds.
 	_ = conn.SetReadDeadline(time.Time{})
 	return body, nil
 }
--- a/internal/httpserver/request_test.go
+++ b/internal/httpserver/request_test.go
@@ -18,43 +18,43 @@
 	"lemongate/internal/upstream"
 )
 
-// A request is posted as an event, with all that attempts forward.
+// A request is posted as an event with everything that attempts forward.
 func TestRequestReceived(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
-	client.send(good)
+	client.send(validRequest)
 	ev := (<-server.events).(*core.RequestReceived)
 	want := admission.Request{
 		ID: ev.ID, Class: "post", Plan: "team", Customer: "00000000b4d65521", Units: 2,
 		Budget: 480 * time.Millisecond, FirstLimiter: 1, SetSize: 3, IsRetry: true,
 	}
 	if ev.Request != want || ev.ReceivedAt != 42 {
-		t.Errorf("%+v", ev)
+		t.Errorf("posted %+v, want the request of the client, received at 42", ev)
 	}
 	in := *ev.Content.(*upstream.Request)
 	if string(in.Body) != "12345" {
-		t.Errorf("body %q", in.Body)
+		t.Errorf("body %q, want \"12345\"", in.Body)
 	}
 	in.Body = nil
 	if got, want := fmt.Sprint(in), fmt.Sprint(upstream.Request{
 		Method: "POST", URI: "/post/x/00000000b4d65521?q=%41", Host: "backend.local",
 		CallID: "9b1f03aa5c7e2d41", Key: "5c0f", Type: "text/x",
 	}); got != want {
-		t.Errorf("%s", got)
+		t.Errorf("content %s", got)
 	}
 	server.Respond(core.Respond{Request: ev.ID, Kind: core.Served, Response: &upstream.Response{Body: []byte("yes")}})
-	server.Respond(core.Respond{Request: ev.ID, Kind: core.Failed}) // a second one goes nowhere
+	server.Respond(core.Respond{Request: ev.ID, Kind: core.Failed}) // a second response is dropped
 	if resp, body := client.response(); resp.StatusCode != 200 || body != "yes" || resp.Header["Content-Type"] != nil {
-		t.Errorf("%v %q", resp, body)
+		t.Errorf("response %v, body %q, want status 200 without a Content-Type and \"yes\"", resp, body)
 	}
-	client.send(good) // the connection goes on, and the next request has another number
+	client.send(validRequest) // the connection stays open, and the next request has a different number
 	if again := (<-server.events).(*core.RequestReceived); again.ID == ev.ID {
-		t.Error("a number given twice")
+		t.Error("two requests have the same number")
 	}
 }
 
-// Classes and plans are known by their complete names, whatever characters these have: none is taken for
-// another that is like it.
+// Classes and plans are identified by their complete names, whatever characters these have: a name is never taken for a
+// similar one.
 func TestUnusualNames(t *testing.T) {
 	names := []string{"read", "Read", "read-2", "read 2", "ünter", "a%20b", "q?", "x.y~z"}
 	server := startServer(t, func(o *Options) {
@@ -66,27 +66,27 @@
 	})
 	client := server.connect(t)
 	for i, n := range names {
-		client.send(strings.NewReplacer("/post/", "/"+url.PathEscape(n)+"/", "team", names[len(names)-1-i], "480m", fmt.Sprintf("%dm", (i+1)*1000)).Replace(good))
+		client.send(strings.NewReplacer("/post/", "/"+url.PathEscape(n)+"/", "team", names[len(names)-1-i], "480m", fmt.Sprintf("%dm", (i+1)*1000)).Replace(validRequest))
 		ev, ok := (<-server.events).(*core.RequestReceived)
 		if !ok || ev.Class != n || ev.Plan != names[len(names)-1-i] {
-			t.Fatalf("%q: %+v", n, ev)
+			t.Fatalf("class %q: posted %+v, want a request of this class and its plan", n, ev)
 		}
 		server.reject(ev.ID)
 		client.response()
 	}
 	for _, n := range []string{"READ", "rea", "read-", "read%", "", "read-22"} {
-		client.send(strings.Replace(good, "team", n, 1))
+		client.send(strings.Replace(validRequest, "team", n, 1))
 		if resp, _ := client.response(); resp.StatusCode/100 != 4 {
-			t.Errorf("%q: %d", n, resp.StatusCode)
+			t.Errorf("plan %q: status %d, want 4xx", n, resp.StatusCode)
 		}
 		if ev, ok := (<-server.events).(core.RequestMalformed); !ok {
-			t.Errorf("%q: posted %+v", n, ev)
+			t.Errorf("plan %q: posted %+v, want RequestMalformed", n, ev)
 		}
 		client = server.connect(t)
 	}
 }
 
-// A malformed request is answered with 4xx at once, but not as a rejection, counted, and never posted as a
+// A malformed request is answered with 4xx immediately, but not as a reject. It is counted, and never posted as a
 // request.
 func TestMalformed(t *testing.T) {
 	server := startServer(t)
@@ -101,7 +101,7 @@
 		{"/post/x/00000000b4d65521", "/", 404},
 		{"/post/x/00000000b4d65521", "/post", 404},
 		{"00000000b4d65521", "b4d65521", 404},
-		{"00000000b4d65521", "00000002b4d65521", 404}, // not below 2^33
+		{"00000000b4d65521", "00000002b4d65521", 404}, // 2^33 or above
 		{"00000000b4d65521", "0000000xb4d65521", 404},
 		{"480m", "480", 400}, {"480m", "480s", 400}, {"480m", "0m", 400}, {"480m", "-1m", 400}, {"480m", "0x1p8m", 400},
 		{"480m", "NaNm", 400}, {"480m", "1e300m", 400}, {"480m", "Infm", 400}, {"480m", "m", 400}, {"X-Budget: 480m\n", "", 400},
@@ -110,7 +110,7 @@
 		{"units=2", "units=5", 400}, {"units=2,", "", 400}, {"spread=3", "spread=0", 400}, {"spread=3", "spread=4", 400},
 		{"units=2", "units=2,units=2", 400}, {"first=1", "first=0.5", 400}, {"first=1", "first=99999999999999999999", 400},
 		{"first=1", "first=3", 400}, {"first=1", "first=-1", 400}, {"first=1", "first=x", 400},
-		{"00000000b4d65521", "00000000B4D65521", 404}, // one customer, one name
+		{"00000000b4d65521", "00000000B4D65521", 404}, // each customer has exactly one name
 		{"Plan: team\n", "Plan: team\nPlan: team\n", 400}, {"X-Budget: 480m\n", "X-Budget: 480m\nX-Budget: 9m\n", 400},
 		{"X-Call-Id: 9b1f03aa5c7e2d41", "X-Call-Id: a\nX-Call-Id: b", 400}, {"9b1f03aa5c7e2d41", "a b", 400},
 		{"9b1f03aa5c7e2d41", strings.Repeat("a", maxWordBytes+1), 400},
@@ -120,128 +120,128 @@
 		{"HTTP/1.1", "HTTP/1.0", 505},
 		{"Content-Length: 5\n\n12345", "Content-Length: 65537\n\n", 413},
 		{"Content-Length: 5\n\n12345", "Content-Length: 60000000\n\n123", 413},
-		// Half a body, and nothing more: the response does not wait for it.
+		// Only part of the body is sent: the response does not wait for the rest.
 		{"Content-Length: 5\n\n12345", "Content-Length: 99\nPlan: gold\n\n12345", 400},
-		// A length beside chunks may hide another request in what follows.
+		// A Content-Length beside chunked encoding may hide another request in the bytes that follow.
 		{"Content-Length: 5\n", "Content-Length: 5\nTransfer-Encoding: chunked\n", 411},
-		{"Content-Length: 5\n\n12345", "Transfer-Encoding: chunked\nContent-Length: 5\n\n0\n\n" + good, 411},
+		{"Content-Length: 5\n\n12345", "Transfer-Encoding: chunked\nContent-Length: 5\n\n0\n\n" + validRequest, 411},
 		{"Content-Length: 5\n\n12345", "Transfer-Encoding: chunked\n\n5\n12345\n0\n\n", 411},
 		{"POST /post/x/00000000b4d65521?q=%41 HTTP/1.1\n", "POST /post/x/00000000b4d65521 HTTP/1.0\nTransfer-Encoding: chunked\n", 505},
 	} {
 		client := server.connect(t)
-		if !strings.Contains(good, c.old) {
-			t.Fatalf("%q is not in the request", c.old)
+		if !strings.Contains(validRequest, c.old) {
+			t.Fatalf("%q is not in validRequest", c.old)
 		}
-		client.send(strings.Replace(good, c.old, c.new, 1))
+		client.send(strings.Replace(validRequest, c.old, c.new, 1))
 		if resp, _ := client.response(); resp.StatusCode != c.status {
-			t.Errorf("%.40q for %q: %d, want %d", c.new, c.old, resp.StatusCode, c.status)
+			t.Errorf("%.40q for %q: status %d, want %d", c.new, c.old, resp.StatusCode, c.status)
 		}
 		if ev, ok := (<-server.events).(core.RequestMalformed); !ok {
-			t.Errorf("%.40q for %q: posted %+v", c.new, c.old, ev)
+			t.Errorf("%.40q for %q: posted %+v, want RequestMalformed", c.new, c.old, ev)
 		}
 		if len(server.events) > 0 {
-			t.Errorf("%.40q for %q: posted %+v as well", c.new, c.old, <-server.events)
+			t.Errorf("%.40q for %q: also posted %+v, want no further event", c.new, c.old, <-server.events)
 		}
 	}
 }
 
-// A connection ends in order after a malformed request with a body that nobody reads: net/http must not go on
-// to the next request while it still reads that body, as it panics then.
+// A connection is closed in an orderly way after a malformed request with an unread body: net/http must not proceed to
+// the next request while it still reads that body, because it panics then.
 func TestUnreadBodyClosesConn(t *testing.T) {
 	core, logs := observer.New(zap.DebugLevel)
 	server := startServer(t, func(o *Options) { o.Log = zap.New(core) })
 	client := server.connect(t)
-	client.send(strings.Replace(good, "Plan: team", "Plan: gold", 1))
+	client.send(strings.Replace(validRequest, "Plan: team", "Plan: gold", 1))
 	if resp, _ := client.response(); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("status %d, last of its connection: %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, closes the connection: %v; want 400 and true", resp.StatusCode, resp.Close)
 	}
 	<-server.events
 	client.setReadDeadline()
 	if rest, err := io.ReadAll(client.in); len(rest) > 0 || err != nil {
-		t.Errorf("%q, %v after the response", rest, err)
+		t.Errorf("after the response: read %q, error %v, want the end of the stream", rest, err)
 	}
 	if logs.Len() > 0 {
-		t.Errorf("logged: %.200s", logs.All()[0].Message)
+		t.Errorf("logged %.200s, want no log line", logs.All()[0].Message)
 	}
 	client = server.connect(t)
-	client.send(strings.Replace(strings.Replace(good, "POST /post", "GET /read", 1), "Content-Length: 5\n\n12345", "Plan: gold\n\n", 1))
+	client.send(strings.Replace(strings.Replace(validRequest, "POST /post", "GET /read", 1), "Content-Length: 5\n\n12345", "Plan: gold\n\n", 1))
 	if resp, _ := client.response(); resp.StatusCode != 400 || resp.Close {
-		t.Errorf("without a body: status %d, last of its connection: %v", resp.StatusCode, resp.Close)
+		t.Errorf("without a body: status %d, closes the connection: %v; want 400 and false", resp.StatusCode, resp.Close)
 	}
 }
 
-// No request waits for longer than its class allows, and a connection is read from for as long as any waits: a
+// No request waits for longer than its class allows. A connection has no read timeout while a request waits, because a
 // timeout would be taken for a client that disconnected.
 func TestLongestBudget(t *testing.T) {
 	server := startServer(t)
-	server.connect(t).send(strings.Replace(good, "480m", "50050m", 1))
+	server.connect(t).send(strings.Replace(validRequest, "480m", "50050m", 1))
 	if ev := (<-server.events).(*core.RequestReceived); ev.Budget != 50*time.Second || server.server.ReadTimeout != 0 {
-		t.Errorf("waits %v, read from for %v", ev.Budget, server.server.ReadTimeout)
+		t.Errorf("budget %v, read timeout %v, want 50s and none", ev.Budget, server.server.ReadTimeout)
 	}
 }
 
-// What net/http itself cannot read is answered with 4xx or 5xx or closed, never posted as a request, and
-// counted.
+// A request that net/http itself cannot parse is answered with 4xx or 5xx, or its connection is closed. It is never
+// posted as a request, and it is counted.
 func TestUnparsableRequests(t *testing.T) {
 	server := startServer(t)
 	for _, text := range []string{
-		"\x00\xff\n\n", "GET\n\n", strings.Replace(good, ": 5\n", ": -5\n", 1), strings.Replace(good, ": 5\n", ": 5\nContent-Length: 6\n", 1),
-		strings.Replace(good, ": 5\n", ": 99999999999999999999\n", 1), strings.Replace(good, ": 5\n", ": five\n", 1),
-		strings.Replace(good, "Content-Length: 5", "Transfer-Encoding : chunked", 1),
-		strings.Replace(good, "Content-Length: 5", "Transfer-Encoding: gzip, chunked", 1),
-		strings.Replace(good, "Plan", "X: "+strings.Repeat("x", 40<<10)+"\nPlan", 1),
+		"\x00\xff\n\n", "GET\n\n", strings.Replace(validRequest, ": 5\n", ": -5\n", 1), strings.Replace(validRequest, ": 5\n", ": 5\nContent-Length: 6\n", 1),
+		strings.Replace(validRequest, ": 5\n", ": 99999999999999999999\n", 1), strings.Replace(validRequest, ": 5\n", ": five\n", 1),
+		strings.Replace(validRequest, "Content-Length: 5", "Transfer-Encoding : chunked", 1),
+		strings.Replace(validRequest, "Content-Length: 5", "Transfer-Encoding: gzip, chunked", 1),
+		strings.Replace(validRequest, "Plan", "X: "+strings.Repeat("x", 40<<10)+"\nPlan", 1),
 	} {
 		client := server.connect(t)
 		client.send(text)
 		if resp, err := http.ReadResponse(client.in, nil); err == nil && resp.StatusCode < 400 {
-			t.Errorf("%.60q: %d", text, resp.StatusCode)
+			t.Errorf("%.60q: status %d, want 4xx, 5xx or a close", text, resp.StatusCode)
 		}
 		if ev := *(<-server.events).(*core.ClientConnClosed); !ev.Unread {
-			t.Errorf("%.60q: %+v", text, ev)
+			t.Errorf("%.60q: posted %+v, want Unread", text, ev)
 		}
 	}
 }
 
-// The longest body that is allowed is read.
+// A body of the maximum length is read.
 func TestLongestBody(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
-	client.send(goodHead + "Content-Length: 65536\n\n" + strings.Repeat("x", maxBodyBytes))
+	client.send(validHead + "Content-Length: 65536\n\n" + strings.Repeat("x", maxBodyBytes))
 	if ev := (<-server.events).(*core.RequestReceived); len(ev.Content.(*upstream.Request).Body) != maxBodyBytes {
-		t.Errorf("%d bytes", len(ev.Content.(*upstream.Request).Body))
+		t.Errorf("body of %d bytes, want maxBodyBytes", len(ev.Content.(*upstream.Request).Body))
 	}
 }
 
-// Half a request is due a response or a close soon: its body has until shortly after the start of the
+// An incomplete request gets a response or a close soon: its body may take until shortly after the start of the
 // connection, or of the request if it is not the first.
 func TestHalfBody(t *testing.T) {
-	server, past := startBoundedServer(t, 0)
+	server, elapsed := startServerWithMaxConns(t, 0)
 	client := server.connect(t)
-	client.send(good)
+	client.send(validRequest)
 	server.reject((<-server.events).(*core.RequestReceived).ID)
 	client.response()
 	server.awaitState(stateIdle, 1)
-	past.Store(-int64(malformedTimeout)) // so that the time has passed at once
-	client.send(goodHead + "Content-Length: 5\n\n123")
+	elapsed.Store(-int64(malformedTimeout)) // so that the timeout has already passed
+	client.send(validHead + "Content-Length: 5\n\n123")
 	if resp, _ := client.response(); resp.StatusCode != 408 || !resp.Close {
-		t.Errorf("%d, closes %v", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, closes the connection: %v; want 408 and true", resp.StatusCode, resp.Close)
 	}
 	if ev := <-server.events; ev != (core.RequestMalformed{Cause: core.BadFraming}) {
-		t.Errorf("posted %+v", ev)
+		t.Errorf("posted %+v, want RequestMalformed with BadFraming", ev)
 	}
 	if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("%v", err)
+		t.Errorf("read error %v, want EOF", err)
 	}
 }
 
-// A client that spends 2 s on a head and a second on a body of 64 KiB is served. The time for the body counts
-// from the end of the head, by its length.
+// A client that takes 2 s for a head and a second for a body of 64 KiB is served. The time for the body starts at the
+// end of the head, and depends on its length.
 func TestSlowClient(t *testing.T) {
 	t.Parallel()
 	server := startServer(t)
 	client := server.connect(t)
 	const size = 60 << 10
-	head := goodHead + fmt.Sprintf("Content-Length: %d\n\n", size)
+	head := validHead + fmt.Sprintf("Content-Length: %d\n\n", size)
 	piece := len(head)/8 + 1
 	for i := 0; i < len(head); i += piece {
 		client.send(head[i:min(i+piece, len(head))])
@@ -257,7 +257,7 @@
 		t.Fatalf("a slow client was cut off: %+v", first)
 	}
 	if n := len(ev.Content.(*upstream.Request).Body); n != size {
-		t.Errorf("%d bytes", n)
+		t.Errorf("body of %d bytes", n)
 	}
 	server.reject(ev.ID)
 	client.response()
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -9,10 +9,9 @@
 	"lemongate/internal/upstream"
 )
 
-// This file writes responses. A response is complete before its first byte is sent. Errors of writes are
-// ignored: the client has gone, and the connection ends. The texts are those of release 0.8.0.
+// This file writes responses. A response is complete before its first byte is sent. Write errors are ignored: the
+// client has disconnected, and the connection ends. The texts are those of release 0.8.0.
 
-// writeResponse writes the response to a request.
 func writeResponse(w http.ResponseWriter, response core.Respond) {
 	switch response.Kind {
 	case core.Served:
@@ -35,14 +34,14 @@
 	header := w.Header()
 	header["Content-Type"] = []string{served.Type}
 	if served.Type == "" {
-		header["Content-Type"] = nil // or net/http guesses it from the body
+		header["Content-Type"] = nil // otherwise net/http guesses it from the body
 	}
 	header["Content-Length"] = []string{strconv.Itoa(len(served.Body))}
 	w.WriteHeader(http.StatusOK)
 	_, _ = w.Write(served.Body)
 }
 
-// writeText writes a local reply of one line.
+// writeText writes a local reply with one line of text.
 func writeText(w http.ResponseWriter, status int, text string) {
 	header := w.Header()
 	header["Content-Type"] = []string{"text/plain; charset=utf-8"}
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,11 +1,11 @@
-// Package httpserver is the HTTP/1.1 server for clients. It validates requests, posts them as events, and
-// writes the responses that it is given; it decides nothing else. It tracks the state of each client
-// connection, so that none is closed over a request that its client could not repeat.
+// Package httpserver is the HTTP/1.1 server for clients. It validates requests, posts them as events, and writes the
+// responses that it is given; it makes no other decisions. It tracks the state of each client connection, so that no
+// connection is closed over a request that its client could not resend.
 //
-// The server: server.go has the server itself, handler.go a request from its head to its response, request.go
-// validates, parse.go parses, response.go writes. Client connections: connset.go has all of them, accept.go
-// admits new ones, evict.go evicts connections, shutdown.go and handover.go end them, and
-// clientconn.go has a single one.
+// Files: server.go has the server itself, handler.go serves a request from its head to its response, request.go
+// validates, parse.go parses, response.go writes. Client connections: connset.go holds all of them, accept.go accepts
+// and rejects new ones, evict.go evicts connections, shutdown.go and handover.go end them, and clientconn.go has a
+// single one.
 package httpserver
 
 import (
@@ -26,77 +26,76 @@
 )
 
 const (
-	// maxHeaderBytes bounds the head of a request.
+	// maxHeaderBytes is the maximum size of the head of a request.
 	maxHeaderBytes = 16 << 10
-	// allowedHeadTime is how long a client may spend on a head and is still served.
+	// allowedHeadTime is the time a client may take to send a head and still be served.
 	allowedHeadTime = 2 * time.Second
-	// malformedResponseTime is within how long a client that stops in the middle of a request gets an error
-	// response or a close, by the platform's rules.
+	// malformedResponseTime is the time within which a client that stops in the middle of a request gets an error
+	// response or a close, as the platform's rules require.
 	malformedResponseTime = 3 * time.Second
-	// headTimeout is how long a head may take, from its first byte or the start of the connection. It lies
-	// between these two times.
+	// headTimeout is the timeout for receiving a head, from its first byte or the connect. It lies between the two
+	// times above.
 	headTimeout = (allowedHeadTime + malformedResponseTime) / 2
-	// idleTimeout is after how long net/http closes an idle connection, however few are open.
+	// idleTimeout is the time after which net/http closes an idle connection, however few connections are open.
 	idleTimeout = 90 * time.Second
-	// closePollInterval is how often Close looks for connections that are still open.
+	// closePollInterval is the interval at which Close checks for open connections.
 	closePollInterval = 5 * time.Millisecond
-	// defaultFinalReadMargin is how long before the end of Close the reading of requests ends, so that the
-	// last request read has this time to be answered.
+	// defaultFinalReadMargin is the time before the end of Close at which the server stops reading requests, so that
+	// the last request read has this time to be answered.
 	defaultFinalReadMargin = 200 * time.Millisecond
 )
 
-// Options set up a Server.
+// Options are the options of a Server.
 type Options struct {
 	Settings    admission.Settings
-	MaxUnits    float64              // of one request; 0 for no bound
-	MaxConns    int                  // client connections open at once; 0 for no bound
-	LastRequest uint64               // greatest number that an earlier process gave a request
-	Now         func() time.Duration // clock of core.RequestReceived.ReceivedAt
-	Wall        func() time.Time     // overrides the time by which client connections are closed
-	Post        func(core.Event)
+	MaxUnits    float64              // of one request; 0 for no limit
+	MaxConns    int                  // client connections open at once; 0 for no limit
+	LastRequest uint64               // greatest request number that an earlier process assigned
+	Now         func() time.Duration // clock for core.RequestReceived.ReceivedAt
+	WallClock   func() time.Time     // clock for the timeouts of client connections; time.Now if nil
+	Post        func(core.Event)     // is called with each event
 	Log         *zap.Logger
 }
 
-// A Server serves the clients. Its methods may be called from any goroutine.
+// A Server serves clients. Its methods may be called from any goroutine.
 //
-// Serve runs until Close, with a goroutine of net/http for each connection, one that closes idle
-// connections, and one for each new connection that is rejected; all end with their connections or with
-// Close.
+// Serve runs until Close. It uses a net/http goroutine for each connection, one goroutine that closes idle
+// connections, and one for each new connection that is rejected; all end with their connections or with Close.
 type Server struct {
 	options  Options
 	classes  map[string]*admission.Class
 	plans    map[string]bool
 	server   *http.Server
 	ready    atomic.Bool
-	closing  atomic.Bool   // nothing more is accepted
-	draining atomic.Bool   // each response is the last of its connection
-	lastID   atomic.Uint64 // number of the request received last
+	closing  atomic.Bool   // Close was called
+	draining atomic.Bool   // each response is the last on its connection
+	lastID   atomic.Uint64 // number of the last request received
 
-	conns          atomic.Pointer[connSet] // nil until it serves
-	serving        chan struct{}           // closed once it serves
-	acceptingEnded chan struct{}           // closed once no connection will be added to conns by Serve
-	share          float64                 // fraction of MaxConns that may be open; guarded by mu. Kept for Serve, as it may be set before conns exists
+	conns          atomic.Pointer[connSet] // nil until Serve is called
+	serving        chan struct{}           // closed once conns is set
+	acceptingEnded chan struct{}           // closed once Serve adds no more connections to conns
+	resourceShare  float64                 // fraction of MaxConns that may be open; guarded by mu. Kept here because it may be set before conns exists
 
 	finalReadMargin time.Duration
 
-	mu      sync.Mutex
-	waiting map[core.RequestID]chan core.Respond // requests without a response
+	mu               sync.Mutex
+	pendingResponses map[core.RequestID]chan core.Respond // requests without a response
 }
 
 // New returns a Server that does not listen yet.
 func New(options Options) *Server {
-	if options.Wall == nil {
-		options.Wall = time.Now
+	if options.WallClock == nil {
+		options.WallClock = time.Now
 	}
 	s := &Server{
-		options:         options,
-		classes:         map[string]*admission.Class{},
-		plans:           map[string]bool{},
-		waiting:         map[core.RequestID]chan core.Respond{},
-		serving:         make(chan struct{}),
-		acceptingEnded:  make(chan struct{}),
-		share:           1,
-		finalReadMargin: defaultFinalReadMargin,
+		options:          options,
+		classes:          map[string]*admission.Class{},
+		plans:            map[string]bool{},
+		pendingResponses: map[core.RequestID]chan core.Respond{},
+		serving:          make(chan struct{}),
+		acceptingEnded:   make(chan struct{}),
+		resourceShare:    1,
+		finalReadMargin:  defaultFinalReadMargin,
 	}
 	for i, class := range options.Settings.Classes {
 		s.classes[class.Name] = &options.Settings.Classes[i]
@@ -109,13 +108,13 @@
 	return s
 }
 
-// newHTTPServer returns net/http's server. It has no ServeMux, which would redirect unclean paths, and no
-// ReadTimeout, which would run on while a request waits for its response and end in what looks like a client
-// that disconnected.
+// newHTTPServer returns the net/http server. It has no ServeMux, which would redirect unclean paths, and no
+// ReadTimeout, which would keep running while a request waits for its response, and whose end would look like a client
+// that disconnects.
 func (s *Server) newHTTPServer() *http.Server {
 	return &http.Server{
 		Handler:                      s,
-		DisableGeneralOptionsHandler: true, // it would answer 200 to an invalid request
+		DisableGeneralOptionsHandler: true, // the handler would answer an invalid request with 200
 		ReadHeaderTimeout:            headTimeout,
 		IdleTimeout:                  idleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
@@ -131,31 +130,30 @@
 	}
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key under which a request's connection is stored.
 type connKey struct{}
 
-// connOf returns the connection of a request.
 func connOf(r *http.Request) *clientConn { return r.Context().Value(connKey{}).(*clientConn) }
 
-// Serve accepts clients from a listener, which it closes, until Close.
+// Serve accepts clients from a listener until Close, and closes the listener.
 func (s *Server) Serve(listener net.Listener) error {
-	conns := newConnSet(listener, s.options.MaxConns, s.options.Wall)
-	conns.onClosed = func(was connState) {
-		s.options.Post(&core.ClientConnClosed{Unread: was == stateNew || was == stateReading})
+	conns := newConnSet(listener, s.options.MaxConns, s.options.WallClock)
+	conns.onClosed = func(previous connState) {
+		s.options.Post(&core.ClientConnClosed{Unread: previous == stateNew || previous == stateReading})
 	}
 	conns.onRejected = func(notified bool) {
 		s.options.Post(&core.ClientConnClosed{Unread: !notified, Full: notified})
 	}
 	conns.rejection = s.connRejection()
 	s.mu.Lock()
-	conns.setShare(s.share)
+	conns.setResourceShare(s.resourceShare)
 	s.conns.Store(conns)
 	s.mu.Unlock()
 	close(s.serving)
 	go conns.sweepUntilClosed()
 	defer close(s.acceptingEnded)
-	defer func() { _ = listener.Close() }() // it may be closed already
-	defer func() { _ = conns.Close() }()    // nothing is accepted any more
+	defer func() { _ = listener.Close() }() // it may already be closed
+	defer func() { _ = conns.Close() }()    // no more connections are accepted
 	err := s.server.Serve(conns)
 	if errors.Is(err, http.ErrServerClosed) || s.closing.Load() {
 		return nil
@@ -163,7 +161,7 @@
 	return fmt.Errorf("http server: %w", err)
 }
 
-// connRejection is the response to a new connection beyond the bound.
+// connRejection returns the response to a new connection beyond the limit.
 func (s *Server) connRejection() []byte {
 	retryAfter := ""
 	if d := s.options.Settings.MaxRetryAfter; d > 0 {
@@ -172,7 +170,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 429 Too Many Requests\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n", retryAfter)
 }
 
-// AdoptConn serves an idle client connection that another process handed over. It waits for Serve.
+// AdoptConn serves an idle client connection that another process has handed over. It waits for Serve.
 func (s *Server) AdoptConn(adopted net.Conn) {
 	<-s.serving
 	conns := s.conns.Load()
@@ -181,61 +179,60 @@
 		return
 	}
 	listener := &singleConnListener{conn: conn, addr: conns.Addr()}
-	_ = s.server.Serve(listener) // it ends once the connection was taken, or after Close
+	_ = s.server.Serve(listener) // returns once the connection was accepted, or after Close
 	listener.once.Do(func() { _ = conn.Close() })
 }
 
-// A singleConnListener is a listener to which one connection comes.
+// A singleConnListener is a listener that accepts a single connection.
 type singleConnListener struct {
 	conn net.Conn
 	addr net.Addr
-	once sync.Once // of the return or the close of conn
+	once sync.Once // for returning or closing conn
 }
 
-// Accept returns the connection once.
+// Accept returns the connection on its first call, and net.ErrClosed after that.
 func (l *singleConnListener) Accept() (conn net.Conn, err error) {
 	err = net.ErrClosed
 	l.once.Do(func() { conn, err = l.conn, nil })
 	return conn, err
 }
 
-// Close does nothing: the connection goes on.
+// Close does nothing, because the connection stays open.
 func (l *singleConnListener) Close() error { return nil }
 
 // Addr implements net.Listener.
 func (l *singleConnListener) Addr() net.Addr { return l.addr }
 
-// Pause stops accepting until Resume. New connections wait in the system's queue meanwhile.
+// Pause stops accepting until Resume. New connections stay in the kernel's accept queue in the meantime.
 func (s *Server) Pause() {
 	<-s.serving
 	s.conns.Load().pause()
 }
 
-// Resume goes on accepting, unless Close was called, and ends MoveConns.
+// Resume resumes accepting unless Close was called, and ends MoveConns.
 func (s *Server) Resume() {
 	<-s.serving
 	s.conns.Load().resume()
 }
 
-// MoveConns hands idle client connections over to another process, now and as they become idle, until
-// Resume. HandOver returns once the connection may be closed here; if it fails, the connection stays.
+// MoveConns hands idle client connections over to another process, now and as they become idle, until Resume. handOver
+// returns once the connection may be closed in this process; if it fails, this process keeps the connection.
 func (s *Server) MoveConns(handOver func(syscall.Conn) error) {
 	<-s.serving
 	s.conns.Load().startHandover(handOver)
 }
 
-// SetResourceShare sets which fraction of Options.MaxConns may be open, while another process has the
-// rest.
+// SetResourceShare sets the fraction of Options.MaxConns that may be open while another process has the rest.
 func (s *Server) SetResourceShare(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.share = fraction
+	s.resourceShare = fraction
 	if conns := s.conns.Load(); conns != nil {
-		conns.setShare(fraction)
+		conns.setResourceShare(fraction)
 	}
 }
 
-// Conns returns how many client connections are open.
+// Conns returns the number of open client connections.
 func (s *Server) Conns() int {
 	if conns := s.conns.Load(); conns != nil {
 		return conns.count()
@@ -246,8 +243,8 @@
 // SetReady sets whether GET /ready is answered with 200.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// DrainConns closes client connections between requests: idle ones now, the others with their responses.
-// SetKeepAlivesEnabled of net/http would close some over a request; see clientConn.Read.
+// DrainConns closes client connections that are between requests: idle ones immediately, the others after their
+// responses. SetKeepAlivesEnabled of net/http would close some connections over a request; see clientConn.Read.
 func (s *Server) DrainConns() {
 	s.draining.Store(true)
 	if conns := s.conns.Load(); conns != nil {
@@ -255,49 +252,49 @@
 	}
 }
 
-// Close stops accepting, and waits for all connections to be closed or handed over, but no longer than a
-// timeout. Shortly before that it stops reading requests.
+// Close stops accepting, and waits until all connections are closed or handed over, but no longer than the timeout.
+// Shortly before the timeout it stops reading requests.
 func (s *Server) Close(timeout time.Duration) {
 	s.closing.Store(true)
 	if conns := s.conns.Load(); conns != nil {
 		s.closeConns(conns, timeout)
 	}
-	_ = s.server.Close() // all connections are closed, or the time is over
+	_ = s.server.Close() // all connections are closed, or the timeout has passed
 }
 
-// closeConns waits for the connections to end.
+// closeConns waits until all connections are closed or handed over.
 func (s *Server) closeConns(conns *connSet, timeout time.Duration) {
 	timedOut, finalRead := time.After(timeout), time.After(timeout-s.finalReadMargin)
-	_ = conns.Close() // Accept reports an error of the listener
+	_ = conns.Close() // Accept reports errors of the listener
 	acceptingEnded := s.acceptingEnded
 	poll := time.NewTicker(closePollInterval)
 	defer poll.Stop()
-	// Until accepting has ended, a connection may come that is not counted yet.
+	// Until accepting has ended, there may be an accepted connection that is not counted yet.
 	for acceptingEnded != nil || conns.count() > 0 {
 		select {
 		case <-acceptingEnded:
 			acceptingEnded = nil
-			if !conns.isHandingOver() { // the other process gets the idle connections
+			if !conns.isHandingOver() { // otherwise the other process receives the idle connections
 				conns.drain()
 			}
 		case <-poll.C:
 		case <-finalRead:
 			conns.stopReading()
 		case <-timedOut:
-			s.options.Log.Warn("client connections left open", zap.Int("connections", conns.count()))
+			s.options.Log.Warn("server close timed out with client connections still open", zap.Int("connections", conns.count()))
 			return
 		}
 	}
 }
 
-// Respond sets the response to a request, which the request's goroutine writes. It never waits; a second
-// response to a request is dropped.
+// Respond passes the response to a request on to the request's goroutine, which writes it. Respond does not block. It
+// drops a second response to the same request.
 func (s *Server) Respond(response core.Respond) {
 	s.mu.Lock()
-	waiting := s.waiting[response.Request]
-	delete(s.waiting, response.Request)
+	pending := s.pendingResponses[response.Request]
+	delete(s.pendingResponses, response.Request)
 	s.mu.Unlock()
-	if waiting != nil {
-		waiting <- response // has room for one, and there is no second one
+	if pending != nil {
+		pending <- response // does not block: the channel has room for one response, and there is no second one
 	}
 }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/core"
 )
 
-// A local reply says whether the request may have run, and when to come back.
+// A local reply says whether the request may have run, and when to retry.
 func TestLocalReplies(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
@@ -20,32 +20,32 @@
 		{core.Respond{Kind: core.Rejected}, 429, ""},
 		{core.Respond{Kind: core.Failed, RetryAfter: time.Second}, 502, ""},
 	} {
-		client.send(good)
+		client.send(validRequest)
 		c.reply.Request = (<-server.events).(*core.RequestReceived).ID
 		server.Respond(c.reply)
 		if resp, _ := client.response(); resp.StatusCode != c.status || resp.Header.Get("Retry-After") != c.retryAfter {
-			t.Errorf("%+v: %d, Retry-After %q", c.reply, resp.StatusCode, resp.Header.Get("Retry-After"))
+			t.Errorf("%+v: got status %d, Retry-After %q", c.reply, resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
 	}
 }
 
-// A client that disconnects is posted, and its request is forgotten with the response.
+// A client's disconnect is posted, and its request is deleted when the response is set.
 func TestClientDisconnects(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
-	client.send(good)
+	client.send(validRequest)
 	id := (<-server.events).(*core.RequestReceived).ID
 	client.close()
 	if ev, ok := (<-server.events).(*core.ClientDisconnected); !ok || ev.Request != id {
-		t.Errorf("posted %+v", ev)
+		t.Errorf("posted %+v, want the disconnect of the client", ev)
 	}
 	server.Respond(core.Respond{Request: id})
-	if n := len(server.waiting); n != 0 {
-		t.Errorf("%d requests still wait", n)
+	if n := len(server.pendingResponses); n != 0 {
+		t.Errorf("%d requests still have a pending response, want 0", n)
 	}
 }
 
-// GET /ready is answered as SetReady says.
+// GET /ready is answered with the state that SetReady has set.
 func TestReady(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
@@ -53,7 +53,7 @@
 		server.SetReady(want == 200)
 		client.send("GET /ready HTTP/1.1\nHost: x\n\n")
 		if resp, _ := client.response(); resp.StatusCode != want {
-			t.Errorf("%d, want %d", resp.StatusCode, want)
+			t.Errorf("status %d, want %d", resp.StatusCode, want)
 		}
 	}
 }
--- a/internal/httpserver/shutdown.go
+++ b/internal/httpserver/shutdown.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// This file ends accepting, and closes client connections for a shutdown.
+// This file stops accepting, and closes client connections for a shutdown.
 
-// Close ends accepting and sweeping; open connections go on.
+// Close stops accepting and sweeping; open connections stay open.
 func (s *connSet) Close() error {
 	s.stopOnce.Do(func() { close(s.stopped) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if listener, ok := s.Listener.(deadlineListener); ok {
-		return listener.SetDeadline(time.Unix(1, 0)) // Accept closes the listener, once nobody waits there
+		return listener.SetDeadline(time.Unix(1, 0)) // Accept closes the listener once no connection is queued
 	}
 	return s.Listener.Close()
 }
@@ -25,30 +25,30 @@
 	}
 }
 
-// drain closes all connections between requests, now and as they become idle. If the next request waits in
-// a socket, that is answered first.
+// drain closes all connections that are between requests, now and as they become idle. If the socket of a connection
+// already has the next request, that request is answered first.
 func (s *connSet) drain() {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		out := s.evictLongest(stateIdle, 0)
+		evicted := s.evictLongest(stateIdle, 0)
 		s.mu.Unlock()
-		if out.clientConn == nil {
+		if evicted.clientConn == nil {
 			return
 		}
-		_ = out.Conn.Close() // the connection has ended in any case
+		_ = evicted.Conn.Close() // the connection has ended even if this fails
 	}
 }
 
-// stopReading ends reading of requests, and closes the connections on which none is complete.
+// stopReading stops reading requests, and closes the connections that have no complete request.
 func (s *connSet) stopReading() {
 	s.mu.Lock()
-	s.noMoreReads = true
+	s.readsStopped = true
 	var incomplete []*clientConn
 	for _, c := range s.conns(stateNew, stateIdle, stateReading) {
-		if c.state != stateReading || c.readerWaits {
+		if c.state != stateReading || c.readerBlocked {
 			incomplete = append(incomplete, c)
 		}
 	}
@@ -57,6 +57,6 @@
 	}
 	s.mu.Unlock()
 	for _, c := range incomplete {
-		_ = c.Conn.Close() // the connection has ended in any case
+		_ = c.Conn.Close() // the connection has ended even if this fails
 	}
 }
--- a/internal/httpserver/shutdown_test.go
+++ b/internal/httpserver/shutdown_test.go
@@ -13,43 +13,43 @@
 	"lemongate/internal/testnet"
 )
 
-// unexpectedConnTimeout is after how long a connection that a test does not wait for ends the tests.
+// unexpectedConnTimeout is the time after which a connection that a test does not wait for ends the tests.
 const unexpectedConnTimeout = time.Minute
 
-// A heldListener holds each connection that it has accepted until the test releases it.
-type heldListener struct {
+// A blockingListener holds each connection that it has accepted until the test releases it.
+type blockingListener struct {
 	*net.TCPListener
 	accepted, release chan bool
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *blockingListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	select {
 	case l.accepted <- true:
-	case <-time.After(unexpectedConnTimeout): // else the test hangs, and nothing shows who connected
+	case <-time.After(unexpectedConnTimeout): // otherwise the test would hang without showing who connected
 		panic(fmt.Sprintf("the test does not wait for a connection from %v", c.RemoteAddr()))
 	}
 	<-l.release
 	return c, nil
 }
 
-// At a shutdown idle connections end, new ones are still accepted, what was received is answered, and each
-// connection ends with its response.
+// At a shutdown, idle connections are closed, new connections are still accepted, received requests are answered, and
+// each connection is closed after its response.
 func TestDrainAndClose(t *testing.T) {
 	server := startServer(t)
 	busy, idle := server.connect(t), server.connect(t)
 	idle.requestReady()
-	busy.send(good)
+	busy.send(validRequest)
 	first := (<-server.events).(*core.RequestReceived).ID
 	server.DrainConns()
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("idle connection: %v", err)
+		t.Errorf("idle connection: read returned error %v, want EOF", err)
 	}
 	late := server.connect(t)
-	late.send(good)
+	late.send(validRequest)
 	second := (<-server.events).(*core.RequestReceived).ID
 	closed := make(chan bool)
 	go func() {
@@ -59,25 +59,25 @@
 	for id, client := range map[core.RequestID]*testClient{first: busy, second: late} {
 		server.reject(id)
 		if resp, _ := client.response(); !resp.Close {
-			t.Error("a response does not end its connection")
+			t.Error("the connection stays open after a response, want it closed")
 		}
 	}
 	<-closed
 	if c, err := net.Dial("tcp", server.addr); err == nil {
-		_ = c.Close() // it should not be there
-		t.Error("still accepts")
+		_ = c.Close() // the connect should have failed
+		t.Error("server still accepts connections after Close")
 	}
 }
 
-// Clients that have connected as the server closes are accepted, however many wait in the system's queue: a
-// close there would reset them.
+// Clients that are connected when the server closes are accepted, however many wait in the kernel's accept queue:
+// closing the listener with connections in the queue would reset them.
 func TestQueuedConnsAreAcceptedAtClose(t *testing.T) {
-	l := &heldListener{testnet.Listen(t), make(chan bool, 4), make(chan bool)}
+	l := &blockingListener{testnet.Listen(t), make(chan bool, 4), make(chan bool)}
 	server := startServerOn(t, l)
 	var queue []*testClient
-	for range 4 { // the first is accepted and held, the others wait
+	for range 4 { // the first is accepted and held, the others stay in the accept queue
 		client := server.connect(t)
-		client.send(good)
+		client.send(validRequest)
 		queue = append(queue, client)
 	}
 	<-l.accepted
@@ -94,24 +94,24 @@
 	}
 	<-closed
 	if c, err := net.Dial("tcp", server.addr); err == nil {
-		_ = c.Close() // it should not be there
-		t.Error("still accepts")
+		_ = c.Close() // the connect should have failed
+		t.Error("server still accepts connections after Close")
 	}
 }
 
-// A connection that the system has returned as the server closes is one like any other: its request is
-// answered before Close returns.
+// A connection that the kernel has returned when the server closes is treated like any other: its request is answered
+// before Close returns.
 func TestAcceptedDuringClose(t *testing.T) {
-	l := &heldListener{testnet.Listen(t), make(chan bool), make(chan bool)}
+	l := &blockingListener{testnet.Listen(t), make(chan bool), make(chan bool)}
 	server := startServerOn(t, l)
 	client := server.connect(t)
-	client.send(strings.Replace(good, "480m", "400m", 1))
+	client.send(strings.Replace(validRequest, "480m", "400m", 1))
 	<-l.accepted
 	closed := make(chan bool)
 	go func() { server.Close(10 * time.Second); close(closed) }()
 	select {
 	case <-closed:
-		t.Error("closed with a connection not counted")
+		t.Error("Close returned while an accepted connection was not counted yet")
 	case <-time.After(50 * time.Millisecond):
 	}
 	l.release <- true
@@ -121,7 +121,7 @@
 	<-closed
 }
 
-// Accepting ends soon after Close also where clients go on connecting. Those that it accepted are answered.
+// Accepting ends soon after Close even if clients continue to connect. Accepted clients are answered.
 func TestAcceptingEndsWhileClientsConnect(t *testing.T) {
 	server := startServer(t)
 	go func() { // ends with the test program: nobody closes the channel
@@ -140,32 +140,32 @@
 			<-closed
 			return
 		}
-		_, _ = io.WriteString(conn, good) // it may be closed: it came after Close
-		_ = conn.Close()                  // what it is answered is not tested here
+		_, _ = io.WriteString(conn, validRequest) // may fail: the client connected after Close
+		_ = conn.Close()                          // this test does not check the response
 	}
-	t.Error("still accepts")
+	t.Error("server still accepts connections after Close")
 }
 
-// Shortly before its end a server reads no more of any request. What is complete by then is answered, and
-// what comes later was not read: it is not forwarded, and the close shows that to its client.
+// Shortly before the end of Close the server stops reading requests. Requests that are complete by then are answered.
+// Later ones are not read: they are not forwarded, and the close shows that to their clients.
 func TestNoReadsShortlyBeforeClose(t *testing.T) {
 	l := testnet.Listen(t)
 	server := newTestServer(l)
 	server.finalReadMargin, server.server.ReadHeaderTimeout = time.Hour, time.Hour
 	server.run(t, l)
-	busy, between, never, half := server.connect(t), server.connect(t), server.connect(t), server.connect(t)
-	busy.send(good)
+	busy, idle, silent, half := server.connect(t), server.connect(t), server.connect(t), server.connect(t)
+	busy.send(validRequest)
 	id := (<-server.events).(*core.RequestReceived).ID
-	between.requestReady()
-	half.send(goodHead)
+	idle.requestReady()
+	half.send(validHead)
 	server.awaitState(stateIdle, 1)
 	server.awaitState(stateNew, 1)
-	server.awaitReaderWaits()
+	server.awaitReaderBlocked()
 	closed := make(chan bool)
 	go func() { server.Close(time.Minute); close(closed) }()
-	for _, client := range []*testClient{between, never, half} {
+	for _, client := range []*testClient{idle, silent, half} {
 		client.expectClose()
-		client.send(good)
+		client.send(validRequest)
 	}
 	server.reject(id)
 	busy.expectRejected()
@@ -173,7 +173,7 @@
 	<-closed
 	for len(server.events) > 0 {
 		if ev, ok := (<-server.events).(*core.RequestReceived); ok {
-			t.Errorf("read shortly before the end: %+v", ev)
+			t.Errorf("request was read shortly before the end of Close: %+v", ev)
 		}
 	}
 }
--- a/internal/httpserver/testserver_test.go
+++ b/internal/httpserver/testserver_test.go
@@ -17,7 +17,7 @@
 	"lemongate/internal/testnet"
 )
 
-const goodHead = `POST /post/x/00000000b4d65521?q=%41 HTTP/1.1
+const validHead = `POST /post/x/00000000b4d65521?q=%41 HTTP/1.1
 Host: backend.local
 X-Call-Id: 9b1f03aa5c7e2d41
 Plan: team
@@ -28,10 +28,9 @@
 Content-Type: text/x
 `
 
-// good is a valid request.
-const good = goodHead + "Content-Length: 5\n\n12345"
+const validRequest = validHead + "Content-Length: 5\n\n12345"
 
-// A testServer is a server whose events are given to the test.
+// A testServer is a server that sends its events to the test.
 type testServer struct {
 	*Server
 	addr   string
@@ -64,8 +63,8 @@
 
 // run serves until the end of the test.
 func (s *testServer) run(t *testing.T, l net.Listener) {
-	go func() { _ = s.Serve(l) }()             // a client that it does not accept fails its test
-	t.Cleanup(func() { _ = s.server.Close() }) // the test may have closed it
+	go func() { _ = s.Serve(l) }()             // a client that is not accepted fails its test
+	t.Cleanup(func() { _ = s.server.Close() }) // the test may already have closed it
 	<-s.serving
 }
 
@@ -82,20 +81,19 @@
 	return startServerOn(t, testnet.Listen(t), change...)
 }
 
-// startBoundedServer serves with a bound on connections and a clock that only the test moves on.
-func startBoundedServer(t *testing.T, maxConns int) (server *testServer, past *atomic.Int64) {
-	past = new(atomic.Int64)
+// startServerWithMaxConns serves with a limit on connections and a clock that only the test advances.
+func startServerWithMaxConns(t *testing.T, maxConns int) (server *testServer, elapsed *atomic.Int64) {
+	elapsed = new(atomic.Int64)
 	start := time.Now()
 	return startServer(t, func(o *Options) {
 		o.MaxConns = maxConns
-		o.Wall = func() time.Time { return start.Add(time.Duration(past.Load())) }
-	}), past
+		o.WallClock = func() time.Time { return start.Add(time.Duration(elapsed.Load())) }
+	}), elapsed
 }
 
-// connSet returns the connections of the server.
 func (s *testServer) connSet() *connSet { return s.conns.Load() }
 
-// awaitState waits until so many connections are in a state.
+// awaitState waits until n connections are in the given state.
 func (s *testServer) awaitState(state connState, n int) {
 	<-s.serving
 	conns := s.connSet()
@@ -106,25 +104,25 @@
 	}
 }
 
-// awaitReaderWaits waits until net/http waits for more of the request that is half read.
-func (s *testServer) awaitReaderWaits() {
+// awaitReaderBlocked waits until net/http waits at the socket for the rest of a request.
+func (s *testServer) awaitReaderBlocked() {
 	conns := s.connSet()
-	for waits := false; !waits; time.Sleep(time.Millisecond) {
+	for blocked := false; !blocked; time.Sleep(time.Millisecond) {
 		conns.mu.Lock()
 		if e := conns.byState[stateReading].Front(); e != nil {
-			waits = e.Value.(*clientConn).readerWaits
+			blocked = e.Value.(*clientConn).readerBlocked
 		}
 		conns.mu.Unlock()
 	}
 }
 
-// evict closes the connection that a rule selects, if any.
-func (s *testServer) evict(selected func(*connSet) evicted) {
+// evict closes the connection that choose evicts, if any.
+func (s *testServer) evict(choose func(*connSet) evictedConn) {
 	conns := s.connSet()
 	conns.mu.Lock()
-	out := selected(conns)
+	evicted := choose(conns)
 	conns.mu.Unlock()
-	out.finish()
+	evicted.finish()
 }
 
 // reject answers a request with 429.
@@ -132,11 +130,11 @@
 	s.Respond(core.Respond{Request: id, Kind: core.Rejected})
 }
 
-// setPatience sets how long rejected connections are waited for.
-func (s *testServer) setPatience(patience time.Duration) {
+// setRejectionTimeout sets the time to wait for the requests of rejected connections.
+func (s *testServer) setRejectionTimeout(timeout time.Duration) {
 	conns := s.connSet()
 	conns.mu.Lock()
-	conns.patience = patience
+	conns.rejectionTimeout = timeout
 	conns.mu.Unlock()
 }
 
@@ -147,7 +145,6 @@
 	in   *bufio.Reader
 }
 
-// connect opens a connection to the server.
 func (s *testServer) connect(t *testing.T) *testClient {
 	t.Helper()
 	return newTestClient(t, testnet.Dial(t, s.addr))
@@ -157,12 +154,11 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-// send sends a text, with the line ends of HTTP. The server may have closed the connection.
+// send sends a text with the line endings of HTTP. The server may have closed the connection.
 func (c *testClient) send(text string) {
 	_, _ = io.WriteString(c.conn, strings.ReplaceAll(text, "\n", "\r\n"))
 }
 
-// response reads a response.
 func (c *testClient) response() (*http.Response, string) {
 	c.t.Helper()
 	c.setReadDeadline()
@@ -177,17 +173,17 @@
 	return resp, string(body)
 }
 
-// expectRejected reads a response, which has to be 429.
+// expectRejected reads a response, whose status must be 429.
 func (c *testClient) expectRejected() {
 	c.t.Helper()
 	if resp, _ := c.response(); resp.StatusCode != http.StatusTooManyRequests {
-		c.t.Errorf("status %d", resp.StatusCode)
+		c.t.Errorf("status %d, want 429", resp.StatusCode)
 	}
 }
 
-// setReadDeadline bounds the time for reads, so that a test does not hang.
+// setReadDeadline sets a deadline for reads, so that a test does not hang.
 func (c *testClient) setReadDeadline() {
-	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // a read would fail too
+	_ = c.conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // if this fails, the read fails too
 }
 
 // requestReady requests /ready, which leaves the connection idle.
@@ -202,22 +198,21 @@
 	c.t.Helper()
 	c.setReadDeadline()
 	if _, err := c.in.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
-		c.t.Errorf("not closed: %v", err)
+		c.t.Errorf("connection was not closed, read error: %v", err)
 	}
 }
 
-// closeWrite ends the sending of the client.
+// closeWrite closes the sending side of the client.
 func (c *testClient) closeWrite() {
 	if err := c.conn.CloseWrite(); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// close ends the connection.
 func (c *testClient) close() { _ = c.conn.Close() }
 
-// closeWithReset ends the connection by a reset.
+// closeWithReset closes the connection with a reset.
 func (c *testClient) closeWithReset() {
-	_ = c.conn.SetLinger(0) // it may be closed already
+	_ = c.conn.SetLinger(0) // it may already be closed
 	c.close()
 }
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -23,8 +23,8 @@
 
 func addressOf(c *net.UDPConn) netip.AddrPort { return c.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// The sender is known by its address alone. A datagram from an unknown address and one that is too long
-// come without a sender, to be counted and dropped.
+// The sender is identified by its address alone. A datagram from an unknown address and one that is too long are posted
+// without a sender, so that they are counted and dropped.
 func TestTransport(t *testing.T) {
 	known, all, unknown := listenUDP(t), listenUDP(t), listenUDP(t)
 	self := netip.MustParseAddrPort("127.0.0.1:0")
@@ -47,24 +47,24 @@
 			t.Fatal(err)
 		}
 		if ev := (<-events).(*core.PeerMessageReceived); ev.From != c.want || len(ev.Data) != min(c.size, maxDatagramBytes+1) {
-			t.Errorf("%d bytes came as %d from %d, want from %d", c.size, len(ev.Data), ev.From, c.want)
+			t.Errorf("datagram of %d bytes was posted with %d bytes from limiter %d, want from %d", c.size, len(ev.Data), ev.From, c.want)
 		}
 	}
 
 	buf := make([]byte, 300)
-	transport.Send(1, make([]byte, maxDatagramBytes+1)) // longer than the platform allows
-	transport.Send(5, []byte("nobody"))                 // no limiter has this number
+	transport.Send(1, make([]byte, maxDatagramBytes+1)) // longer than the platform allows: dropped
+	transport.Send(5, []byte("nobody"))                 // no limiter has this number: dropped
 	for number, c := range map[int]*net.UDPConn{1: known, -1: all} {
 		transport.Send(number, []byte("hello"))
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != "hello" || from != to {
-			t.Errorf("%d: %q from %v, %v", number, buf[:n], from, err)
+			t.Errorf("datagram to limiter %d: got %q from %v, error %v", number, buf[:n], from, err)
 		}
 	}
 }
 
 func TestListenFails(t *testing.T) {
 	if _, err := Listen(addressOf(listenUDP(t)), nil, netip.AddrPort{}, nil, zap.NewNop()); err == nil {
-		t.Error("two sockets at one address")
+		t.Error("Listen succeeded at an address that another socket uses, want an error")
 	}
 }
--- a/internal/rawread/rawread.go
+++ b/internal/rawread/rawread.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// Nonblocking reads what a socket that does not block has at hand, and repeats a read that a signal has
-// interrupted. Without input the error is syscall.EAGAIN; at the end of the stream n is 0 without an error.
+// Nonblocking reads the available input of a non-blocking socket, and repeats a read that a signal has interrupted.
+// Without input the error is syscall.EAGAIN; at the end of the stream n is 0 and the error is nil.
 func Nonblocking(fd uintptr, p []byte) (n int, err error) {
 	for {
 		n, err = syscall.Read(int(fd), p)
--- a/internal/rawread/rawread_test.go
+++ b/internal/rawread/rawread_test.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/testnet"
 )
 
-// A socket without input says so at once, one with input is read, and the end of the stream is no error.
+// A read without input returns EAGAIN immediately, a read with input returns it, and the end of the stream is no error.
 func TestNonblocking(t *testing.T) {
 	accepted, dialed := testnet.Pair(t)
 	raw, err := accepted.SyscallConn()
@@ -17,30 +17,30 @@
 	}
 	buffer := make([]byte, 8)
 	read := func(until func(n int, err error) bool) (n int, err error) {
-		failed := raw.Read(func(fd uintptr) bool {
+		waitErr := raw.Read(func(fd uintptr) bool {
 			n, err = Nonblocking(fd, buffer)
 			return until(n, err)
 		})
-		if failed != nil {
-			t.Fatal(failed)
+		if waitErr != nil {
+			t.Fatal(waitErr)
 		}
 		return n, err
 	}
 	atOnce := func(int, error) bool { return true }
 	ready := func(_ int, err error) bool { return !errors.Is(err, syscall.EAGAIN) }
 	if n, err := read(atOnce); n != 0 || !errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("without input: %d, %v", n, err)
+		t.Errorf("without input: read %d bytes, error %v, want 0 and EAGAIN", n, err)
 	}
 	if _, err := dialed.Write([]byte("abc")); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := read(ready); n != 3 || err != nil || string(buffer[:n]) != "abc" {
-		t.Errorf("with input: %q, %v", buffer[:n], err)
+		t.Errorf("with input: read %q, error %v, want \"abc\"", buffer[:n], err)
 	}
 	if err := dialed.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := read(ready); n != 0 || err != nil {
-		t.Errorf("at the end: %d, %v", n, err)
+		t.Errorf("at the end of the stream: read %d bytes, error %v, want 0 and nil", n, err)
 	}
 }
--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -1,4 +1,4 @@
-// Package testnet opens listeners and connections on this machine for tests.
+// Package testnet opens listeners and connections on the local machine for tests.
 package testnet
 
 import (
@@ -11,27 +11,27 @@
 	"testing"
 )
 
-// Open returns a TCP listener on a free port of a loopback IP that no other process listens on. On 127.0.0.1 the
-// kernel gives out ports anew, and clients of other processes still connect to the listeners that had them before. It
-// is for tests that have no testing.TB, which close the listener themselves.
+// Open returns a TCP listener on a free port of a loopback IP that no other process listens on. On 127.0.0.1 the kernel
+// reuses ports, and clients of other processes still connect to the listeners that had them before. Open is for tests
+// that have no testing.TB and close the listener themselves.
 func Open() (*net.TCPListener, error) {
-	pid := os.Getpid() // 22 bits at most
+	pid := os.Getpid() // at most 22 bits
 	ip := net.IPv4(127, byte(128+pid>>16&63), byte(pid>>8), byte(pid))
 	return net.ListenTCP("tcp", &net.TCPAddr{IP: ip})
 }
 
-// Listen is Open for a listener that is closed at the end of the test.
+// Listen is like Open, and closes the listener at the end of the test.
 func Listen(t testing.TB) *net.TCPListener {
 	t.Helper()
 	listener, err := Open()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = listener.Close() }) // the test may already have closed it
 	return listener
 }
 
-// Serve returns an HTTP server on a listener of Listen. It is closed at the end of the test.
+// Serve starts an HTTP server on a listener from Listen. The server is closed at the end of the test.
 func Serve(t testing.TB, handler http.HandlerFunc) *httptest.Server {
 	t.Helper()
 	server := &httptest.Server{Listener: Listen(t), Config: &http.Server{Handler: handler}}
@@ -40,14 +40,14 @@
 	return server
 }
 
-// Dial returns a connection to an address, which is closed at the end of the test.
+// Dial returns a connection to an address. The connection is closed at the end of the test.
 func Dial(t testing.TB, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the test may already have closed it
 	return conn.(*net.TCPConn)
 }
 
@@ -60,14 +60,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = accepted.Close() }) // the test may have closed it
-	_ = listener.Close()                       // nobody else comes
+	t.Cleanup(func() { _ = accepted.Close() }) // the test may already have closed it
+	_ = listener.Close()                       // no further connection is accepted
 	return accepted, dialed
 }
 
-// RefusingAddr returns an address on this machine that refuses connections until the end of the test. The
-// port stays bound: one that was merely closed could be another process's listener the moment after, which
-// would then get the connection.
+// RefusingAddr returns a local address that refuses connections until the end of the test. The port stays bound: if it
+// were only closed, another process could listen on it immediately afterwards and would get the connection.
 func RefusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -84,7 +83,7 @@
 	}
 	inet, ok := bound.(*syscall.SockaddrInet4)
 	if !ok {
-		t.Fatalf("bound to %T", bound)
+		t.Fatalf("bound address is %T, want *syscall.SockaddrInet4", bound)
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4(inet.Addr), uint16(inet.Port)).String()
 }
