--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -93,7 +93,7 @@
 func (ctl *Controller) inferStartStateByTime() {
 	first := ctl.customers.firstRequestAt
 	if first > 0 && ctl.now-first > ctl.classes.longestObjective {
-		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now)
+		ctl.customers.ledger.ResolveStartState(quota.TierStarted, ctl.now)
 	}
 }
 
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -194,7 +194,7 @@
 func (ctl *Controller) startLedger() {
 	ctl.customers.ledger = quota.New(ctl.quotaConfig(), ctl.now)
 	if !slices.Contains(ctl.settings.LoadReportFields, utilizationField) {
-		ctl.customers.ledger.Resolve(quota.TierStarted, ctl.now) // no load report can show whether it has restarted
+		ctl.customers.ledger.ResolveStartState(quota.TierStarted, ctl.now) // no load report can show whether it has restarted
 	}
 }
 
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -227,10 +227,10 @@
 func (ctl *Controller) forgetIdleCustomers() {
 	ctl.customers.ledger.Sweep(seconds(forgetObjectives*ctl.classes.longestObjective.Seconds()), ctl.now)
 	ctl.customers.order = slices.DeleteFunc(ctl.customers.order, func(c *customer) bool {
-		if c.account.Forgotten {
+		if c.account.Evicted {
 			delete(ctl.customers.byKey, customerKey{c.name, c.plan.Name})
 		}
-		return c.account.Forgotten
+		return c.account.Evicted
 	})
 }
 
@@ -238,7 +238,7 @@
 // without limits, for requests that name a plan which the settings do not have.
 func (ctl *Controller) quotaConfig() quota.Config {
 	config := quota.Config{
-		Self: ctl.settings.Self, Limiters: ctl.settings.Limiters, Gossips: ctl.gossips(), Epoch: ctl.settings.Epoch,
+		Self: ctl.settings.Self, Limiters: ctl.settings.Limiters, GossipEnabled: ctl.gossips(), Epoch: ctl.settings.Epoch,
 		LongestAttempt: ctl.longestAttempt(),
 	}
 	for _, p := range ctl.settings.Plans {
--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -195,14 +195,14 @@
 	return more
 }
 
-// servingAge is the time since the first request in units of gossip.ServingAgeStep, or gossip.LeavingAge in a
+// servingAge is the time since the first request in units of gossip.ServingAgeStep, or gossip.ShuttingDownAge in a
 // shutdown.
 func (ctl *Controller) servingAge() uint8 {
 	switch {
 	case ctl.customers.leaving:
-		return gossip.LeavingAge
+		return gossip.ShuttingDownAge
 	case ctl.customers.firstRequestAt == 0:
 		return 0
 	}
-	return uint8(min((ctl.now-ctl.customers.firstRequestAt)/gossip.ServingAgeStep, gossip.LeavingAge-1))
+	return uint8(min((ctl.now-ctl.customers.firstRequestAt)/gossip.ServingAgeStep, gossip.ShuttingDownAge-1))
 }
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -268,7 +268,7 @@
 		FirstLimiter: randomUint16(random), SetSize: randomUint16(random), Nonce: randomUint16(random),
 		QuotaWanted: randomUint16(random), CeilingWanted: randomUint16(random), Consumed: randomUint16(random),
 		Demand: randomByte(random), Level: int8(randomByte(random)), Share: randomByte(random),
-		SlotsHeld: randomByte(random), SlotsWanted: randomByte(random), TotalLevel: randomByte(random),
+		SlotsBorrowed: randomByte(random), SlotsWanted: randomByte(random), TotalLevel: randomByte(random),
 	}
 }
 
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -148,6 +148,6 @@
 	if sum > newTierUtilization*float64(len(seen)) {
 		state = quota.TierRestarted
 	}
-	ctl.customers.ledger.Resolve(state, ctl.now)
+	ctl.customers.ledger.ResolveStartState(state, ctl.now)
 	ctl.settleWaiting()
 }
--- a/internal/gossip/decode.go
+++ b/internal/gossip/decode.go
@@ -52,7 +52,7 @@
 		Demand:        d.uint8(),
 		Level:         int8(d.uint8()),
 		Share:         d.uint8(),
-		SlotsHeld:     d.uint8(),
+		SlotsBorrowed: d.uint8(),
 		SlotsWanted:   d.uint8(),
 		TotalLevel:    d.uint8(),
 	}
--- a/internal/gossip/encode.go
+++ b/internal/gossip/encode.go
@@ -43,7 +43,7 @@
 	data = binary.BigEndian.AppendUint32(data, r.Customer)
 	data = append(data, r.Plan)
 	data = appendUint16s(data, r.FirstLimiter, r.SetSize, r.Nonce, r.QuotaWanted, r.CeilingWanted, r.Consumed)
-	return append(data, r.Demand, uint8(r.Level), r.Share, r.SlotsHeld, r.SlotsWanted, r.TotalLevel)
+	return append(data, r.Demand, uint8(r.Level), r.Share, r.SlotsBorrowed, r.SlotsWanted, r.TotalLevel)
 }
 
 func (g Grant) append(data []byte) []byte {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -10,8 +10,8 @@
 
 import "time"
 
-// LeavingAge is the ServingAge of a limiter that is shutting down and forwards no new requests.
-const LeavingAge = 255
+// ShuttingDownAge is the ServingAge of a limiter that is shutting down and forwards no new requests.
+const ShuttingDownAge = 255
 
 // ServingAgeStep is the unit of ServingAge.
 const ServingAgeStep = 250 * time.Millisecond
@@ -66,8 +66,8 @@
 	Demand        uint8  // see above, of the rate
 	Level         int8   // see above, of the burst
 	Share         uint8  // see above
-	SlotsHeld     uint8  // slots lent by the receiver that the sender still uses
-	SlotsWanted   uint8  // slots wanted beyond SlotsHeld
+	SlotsBorrowed uint8  // slots lent by the receiver that the sender still uses
+	SlotsWanted   uint8  // slots wanted beyond SlotsBorrowed
 	TotalLevel    uint8  // see above, in TotalSteps of the burst, or UnknownTotal
 }
 
@@ -106,7 +106,7 @@
 	ReceiverEpoch uint32 // of the receiver as far as the sender knows, else 0
 	Seq           uint32 // grows by one with each message to this receiver, modulo 2^32
 	Pressure      uint8  // upstream pressure at the sender, in 64ths
-	ServingAge    uint8  // for how long client requests have been arriving, in quarters of a second, or LeavingAge
+	ServingAge    uint8  // for how long client requests have been arriving, in quarters of a second, or ShuttingDownAge
 	Requests      []TransferRequest
 	Grants        []Grant
 	Observations  []Observation
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -20,7 +20,7 @@
 	CustomerHash uint32 // hash of the customer's name
 	PlanIndex    int    // in Config.Plans
 	SlotsInUse   int    // attempts in flight and requests queued for one; set by the caller, see Reserve
-	Forgotten    bool   // set by Sweep: the caller has to get a new account from Ledger.Account
+	Evicted      bool   // set by Sweep: the caller has to get a new account from Ledger.Account
 
 	ledger       *Ledger
 	firstLimiter int // the customer's set: setSize consecutive limiters from this one
@@ -117,7 +117,7 @@
 			a.baseFraction = 1 / float64(len(limiters))
 			a.ceilingFraction = a.evenFraction
 			a.baseSlots = evenSlots(a.plan().Slots, len(limiters), i)
-		case l.Gossips:
+		case l.GossipEnabled:
 			a.lenders = append(a.lenders, limiter)
 		}
 	}
--- a/internal/quota/config.go
+++ b/internal/quota/config.go
@@ -67,11 +67,11 @@
 
 // Config is the configuration of a Ledger.
 type Config struct {
-	Self     int    // number of this limiter, from 0
-	Limiters int    // in the tier; less than 1 counts as 1
-	Gossips  bool   // messages to and from the other limiters are possible
-	Plans    []Plan // by index
-	Epoch    uint32 // grows with each start of this limiter
+	Self          int    // number of this limiter, from 0
+	Limiters      int    // in the tier; less than 1 counts as 1
+	GossipEnabled bool   // messages to and from the other limiters are possible
+	Plans         []Plan // by index
+	Epoch         uint32 // grows with each start of this limiter
 	// LongestAttempt is the longest time from a reservation to the end of the attempt that it was made for. 0
 	// means that it is not known: a lent slot is then returned only by a message of the borrower.
 	LongestAttempt time.Duration
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -63,7 +63,7 @@
 func New(c Config, now time.Duration) *Ledger {
 	c.Limiters = max(c.Limiters, 1)
 	l := &Ledger{Config: c, startedAt: now, accounts: map[uint32][]*Account{}, peers: map[int]*peer{}}
-	if !c.Gossips || c.Limiters == 1 {
+	if !c.GossipEnabled || c.Limiters == 1 {
 		l.startState = TierStarted // no message will ever resolve it
 	}
 	return l
@@ -196,7 +196,7 @@
 	if len(remaining) == 0 {
 		delete(l.accounts, a.CustomerHash)
 	}
-	a.Forgotten = true
+	a.Evicted = true
 	l.slotBorrowers = slices.DeleteFunc(l.slotBorrowers, isEvicted)
 	if a.ownerRank == 0 {
 		l.ownedAccounts = slices.DeleteFunc(l.ownedAccounts, isEvicted)
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -9,8 +9,8 @@
 
 // newLedger starts the ledger of limiter 0 of three.
 func newLedger(s StartState) *Ledger {
-	l := New(Config{Limiters: 3, Gossips: true, Plans: []Plan{quotaPlan}}, time.Hour)
-	l.Resolve(s, time.Hour)
+	l := New(Config{Limiters: 3, GossipEnabled: true, Plans: []Plan{quotaPlan}}, time.Hour)
+	l.ResolveStartState(s, time.Hour)
 	return l
 }
 
@@ -104,8 +104,8 @@
 	plan := Plan{Ceiling: Bucket{Rate: 10, Burst: 40}}
 	now, sum := time.Hour, 0.0
 	for self := range 5 {
-		l := New(Config{Self: self, Limiters: 5, Gossips: true, Plans: []Plan{plan}}, now)
-		l.Resolve(TierStarted, now)
+		l := New(Config{Self: self, Limiters: 5, GossipEnabled: true, Plans: []Plan{plan}}, now)
+		l.ResolveStartState(TierStarted, now)
 		for peerID := range 5 {
 			if peerID != self {
 				l.ObservePeer(peerID, 5, true, 9, 9, now)
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -84,11 +84,11 @@
 }
 
 // acknowledgeGrants records that a peer sent a new transfer request: the units of earlier grants have arrived
-// by now or never will, and the peer still uses slotsHeld of the slots lent to it.
-func (lk *link) acknowledgeGrants(slotsHeld int) {
+// by now or never will, and the peer still uses slotsBorrowed of the slots lent to it.
+func (lk *link) acknowledgeGrants(slotsBorrowed int) {
 	for i := range lk.lent {
 		lk.lent[i].quotaUnits, lk.lent[i].ceilingUnits = 0, 0
-		lk.lent[i].slots = min(lk.lent[i].slots, slotsHeld)
+		lk.lent[i].slots = min(lk.lent[i].slots, slotsBorrowed)
 	}
 	lk.lent = slices.DeleteFunc(lk.lent, grantRecord.isEmpty)
 }
--- a/internal/quota/liveness.go
+++ b/internal/quota/liveness.go
@@ -64,7 +64,7 @@
 
 // ObservePeer records that a message of a peer arrived: the epoch of its sender, whether the sender knows
 // this limiter's epoch, and for how long client requests have been arriving there and here, in quarters of a
-// second or gossip.LeavingAge. It returns false if the message is of an earlier epoch and has to be
+// second or gossip.ShuttingDownAge. It returns false if the message is of an earlier epoch and has to be
 // dropped.
 func (l *Ledger) ObservePeer(peerID int, epoch uint32, knowsEpoch bool, peerServingAge, ownServingAge uint8, now time.Duration) bool {
 	p := l.peer(peerID)
@@ -79,7 +79,7 @@
 	l.restartedInService = l.restartedInService || l.servedBeforeStart(peerServingAge, now)
 	p.epoch, p.known, p.lastReceivedAt = epoch, true, now
 	p.silentUntil, p.unresponsive = 0, false
-	p.dead = peerServingAge == gossip.LeavingAge
+	p.dead = peerServingAge == gossip.ShuttingDownAge
 	if p.dead {
 		return true
 	}
@@ -87,7 +87,7 @@
 		p.acked, p.ackedAt = true, now
 	}
 	if int(peerServingAge) >= int(ownServingAge)+olderServingAge {
-		l.Resolve(LimiterRestarted, now)
+		l.ResolveStartState(LimiterRestarted, now)
 	}
 	return true
 }
@@ -95,7 +95,7 @@
 // servedBeforeStart reports whether a peer whose message arrives now received requests before this limiter
 // started.
 func (l *Ledger) servedBeforeStart(peerServingAge uint8, now time.Duration) bool {
-	if peerServingAge >= gossip.LeavingAge-1 { // the longest age that a message can carry
+	if peerServingAge >= gossip.ShuttingDownAge-1 { // the longest age that a message can carry
 		return true
 	}
 	return time.Duration(peerServingAge)*gossip.ServingAgeStep > now-l.startedAt
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -59,7 +59,7 @@
 	n.sent, n.received = map[int]uint32{}, map[int][2]uint32{}
 	n.servesFrom = w.now
 	n.ledger = New(Config{
-		Self: i, Limiters: len(w.limiters), Gossips: true, Plans: []Plan{w.plan}, Epoch: n.epoch, LongestAttempt: w.longestAttempt,
+		Self: i, Limiters: len(w.limiters), GossipEnabled: true, Plans: []Plan{w.plan}, Epoch: n.epoch, LongestAttempt: w.longestAttempt,
 	}, w.clock(n))
 }
 
@@ -68,7 +68,7 @@
 	if !w.servingAges {
 		return 0
 	}
-	return uint8(min((w.now-n.servesFrom)/gossip.ServingAgeStep, gossip.LeavingAge-1))
+	return uint8(min((w.now-n.servesFrom)/gossip.ServingAgeStep, gossip.ShuttingDownAge-1))
 }
 
 func (w *tier) account(n *limiter) *Account {
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -23,8 +23,8 @@
 func newLedgerTier(n int, plan Plan) *ledgerTier {
 	t := &ledgerTier{now: time.Hour, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(5, 6))}
 	for i := range n {
-		l := New(Config{Self: i, Limiters: n, Gossips: true, Plans: []Plan{plan}, Epoch: uint32(i + 1)}, t.now)
-		l.Resolve(TierStarted, t.now)
+		l := New(Config{Self: i, Limiters: n, GossipEnabled: true, Plans: []Plan{plan}, Epoch: uint32(i + 1)}, t.now)
+		l.ResolveStartState(TierStarted, t.now)
 		t.ledgers = append(t.ledgers, l)
 	}
 	return t
@@ -190,8 +190,8 @@
 				case 1:
 					tr.cut = map[int]bool{}
 				case 2: // it restarts with nothing in memory
-					tr.ledgers[k] = New(Config{Self: k, Limiters: n, Gossips: true, Plans: []Plan{plan}, Epoch: uint32(tr.now / time.Millisecond)}, tr.now)
-					tr.ledgers[k].Resolve(LimiterRestarted, tr.now)
+					tr.ledgers[k] = New(Config{Self: k, Limiters: n, GossipEnabled: true, Plans: []Plan{plan}, Epoch: uint32(tr.now / time.Millisecond)}, tr.now)
+					tr.ledgers[k].ResolveStartState(LimiterRestarted, tr.now)
 				}
 			}
 			if i := rng.IntN(n); !tr.cut[i] && tr.request(i) {
@@ -361,8 +361,8 @@
 		from, sum := tr.now, 0
 		const starts = 3
 		for restart := range starts {
-			l := New(Config{Self: owner, Limiters: n, Gossips: true, Plans: []Plan{quotaPlan}, Epoch: uint32(1000 + restart)}, tr.now)
-			l.Resolve(TierRestarted, tr.now)
+			l := New(Config{Self: owner, Limiters: n, GossipEnabled: true, Plans: []Plan{quotaPlan}, Epoch: uint32(1000 + restart)}, tr.now)
+			l.ResolveStartState(TierRestarted, tr.now)
 			tr.ledgers[owner] = l
 			for i := range 200 {
 				if i%n != owner && tr.request(i%n) {
@@ -385,7 +385,7 @@
 		unresponsive bool
 		dead         bool
 	}{{80, false, false}, {80, true, true}, {8, false, true}} {
-		l := New(Config{Limiters: c.limiters, Gossips: true, Plans: []Plan{quotaPlan}, Epoch: 1}, time.Hour)
+		l := New(Config{Limiters: c.limiters, GossipEnabled: true, Plans: []Plan{quotaPlan}, Epoch: 1}, time.Hour)
 		now := time.Hour
 		peers := c.limiters * 3 / 8
 		runRounds := func(rounds, units int, receive bool) {
--- a/internal/quota/owner_transfer.go
+++ b/internal/quota/owner_transfer.go
@@ -155,7 +155,7 @@
 func (l *Ledger) grantAsOwner(a *Account, lk *link, request gossip.TransferRequest, grant *gossip.Grant, now time.Duration) bool {
 	quota, ceiling := decodeUnits(request.QuotaWanted), decodeUnits(request.CeilingWanted)
 	slotsWanted := int(request.SlotsWanted)
-	lk.acknowledgeGrants(int(request.SlotsHeld))
+	lk.acknowledgeGrants(int(request.SlotsBorrowed))
 	granted := (quota == 0 || a.quotaLevel >= quota) && (ceiling == 0 || a.ceilingLevel >= ceiling)
 	granted = granted && (a.plan().Slots <= 0 || a.spareSlots() >= slotsWanted)
 	if !granted {
--- a/internal/quota/sendqueue.go
+++ b/internal/quota/sendqueue.go
@@ -118,7 +118,7 @@
 		Nonce:         lk.nonce,
 		QuotaWanted:   encodeUnits(lk.quotaWanted),
 		CeilingWanted: encodeUnits(lk.ceilingWanted),
-		SlotsHeld:     uint8(min(lk.borrowed.slots, math.MaxUint8)),
+		SlotsBorrowed: uint8(min(lk.borrowed.slots, math.MaxUint8)),
 		SlotsWanted:   uint8(lk.slotsWanted),
 	}
 	if a.inSmallSet() {
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -199,7 +199,7 @@
 // started, and messages of enough peers arrived: in a small set of all, in a large set of newTierMinPeers.
 func (a *Account) earlierSlotLoansEnded() bool {
 	l := a.ledger
-	if a.advancedTo >= l.earlierSlotLoansEndAt() || !l.Gossips {
+	if a.advancedTo >= l.earlierSlotLoansEndAt() || !l.GossipEnabled {
 		return true
 	}
 	if l.restartedInService || l.startState == TierRestarted {
--- a/internal/quota/slots_cases_test.go
+++ b/internal/quota/slots_cases_test.go
@@ -54,7 +54,7 @@
 func TestLimiterOfSetOfOneRestarts(t *testing.T) {
 	const now = time.Hour
 	l := New(Config{
-		Self: 0, Limiters: 3, Gossips: true, Plans: []Plan{{Slots: 6}}, Epoch: 2, LongestAttempt: longestSlotAttempt,
+		Self: 0, Limiters: 3, GossipEnabled: true, Plans: []Plan{{Slots: 6}}, Epoch: 2, LongestAttempt: longestSlotAttempt,
 	}, now)
 	l.ObservePeer(1, 1, false, 40, 0, now) // it has served for ten seconds
 	l.ObservePeer(2, 1, false, 40, 0, now)
@@ -167,9 +167,9 @@
 
 // The longest serving age that a message can carry shows a peer that served before this limiter started.
 func TestLongestServingAgeShowsServiceBefore(t *testing.T) {
-	l := New(Config{Self: 0, Limiters: 2, Gossips: true, Plans: []Plan{{Slots: 6}}, Epoch: 1, LongestAttempt: time.Hour}, 0)
-	now := 2 * time.Duration(gossip.LeavingAge) * gossip.ServingAgeStep
-	l.ObservePeer(1, 1, false, gossip.LeavingAge-1, 0, now)
+	l := New(Config{Self: 0, Limiters: 2, GossipEnabled: true, Plans: []Plan{{Slots: 6}}, Epoch: 1, LongestAttempt: time.Hour}, 0)
+	now := 2 * time.Duration(gossip.ShuttingDownAge) * gossip.ServingAgeStep
+	l.ObservePeer(1, 1, false, gossip.ShuttingDownAge-1, 0, now)
 	a := l.Account(7, 0, 0, 2, now)
 	if decision, _ := l.Reserve(a, 1, true, now); decision == Granted {
 		t.Error("a slot was granted while attempts of the earlier epoch may be in flight")
--- a/internal/quota/slots_random_test.go
+++ b/internal/quota/slots_random_test.go
@@ -117,7 +117,7 @@
 func (r *slotRun) startLimiter(i int, state StartState) {
 	r.start(i)
 	n := r.tier.limiters[i]
-	n.ledger.Resolve(state, r.clock(n))
+	n.ledger.ResolveStartState(state, r.clock(n))
 	r.account(n)
 	r.borrowed[i], r.overLimitReasons[i] = map[int]borrowedLoan{}, map[string]bool{}
 }
@@ -436,7 +436,7 @@
 		return
 	}
 	for _, x := range m.requests {
-		r.logf("  %d to %d: request %d wants %d, holds %d", m.from, m.to, x.Nonce, x.SlotsWanted, x.SlotsHeld)
+		r.logf("  %d to %d: request %d wants %d, holds %d", m.from, m.to, x.Nonce, x.SlotsWanted, x.SlotsBorrowed)
 	}
 	for _, x := range m.grants {
 		r.logf("  %d to %d: grant %d of %d", m.from, m.to, x.Nonce, x.Slots)
--- a/internal/quota/snapshot.go
+++ b/internal/quota/snapshot.go
@@ -73,7 +73,7 @@
 	CustomerHash            uint32         `json:"Hash"`
 	PlanIndex               int            `json:"Plan"`
 	SlotsInUse              int            `json:"Open"`
-	Forgotten               bool           `json:"Gone"`
+	Evicted                 bool           `json:"Gone"`
 	FirstLimiter            int            `json:"first"`
 	SetSize                 int            `json:"size"`
 	BaseFraction            float64        `json:"part"`
@@ -304,7 +304,7 @@
 		CustomerHash:            x.CustomerHash,
 		PlanIndex:               x.PlanIndex,
 		SlotsInUse:              x.SlotsInUse,
-		Forgotten:               x.Forgotten,
+		Evicted:                 x.Evicted,
 		FirstLimiter:            x.firstLimiter,
 		SetSize:                 x.setSize,
 		BaseFraction:            x.baseFraction,
@@ -350,7 +350,7 @@
 		CustomerHash:            s.CustomerHash,
 		PlanIndex:               s.PlanIndex,
 		SlotsInUse:              s.SlotsInUse,
-		Forgotten:               s.Forgotten,
+		Evicted:                 s.Evicted,
 		firstLimiter:            s.FirstLimiter,
 		setSize:                 s.SetSize,
 		baseFraction:            s.BaseFraction,
--- a/internal/quota/snapshot_test.go
+++ b/internal/quota/snapshot_test.go
@@ -56,7 +56,7 @@
 			"accounts.137.0.Hash":                          l.accounts[137][0].CustomerHash,
 			"accounts.137.0.Plan":                          l.accounts[137][0].PlanIndex,
 			"accounts.137.0.Open":                          l.accounts[137][0].SlotsInUse,
-			"accounts.137.0.Gone":                          l.accounts[137][0].Forgotten,
+			"accounts.137.0.Gone":                          l.accounts[137][0].Evicted,
 			"accounts.137.0.first":                         l.accounts[137][0].firstLimiter,
 			"accounts.137.0.size":                          l.accounts[137][0].setSize,
 			"accounts.137.0.part":                          l.accounts[137][0].baseFraction,
--- a/internal/quota/start.go
+++ b/internal/quota/start.go
@@ -34,8 +34,8 @@
 // StartState returns the start state of the limiter.
 func (l *Ledger) StartState() StartState { return l.startState }
 
-// Resolve sets the start state of the limiter. Only the first state other than StartUnknown counts.
-func (l *Ledger) Resolve(s StartState, now time.Duration) {
+// ResolveStartState sets the start state of the limiter. Only the first state other than StartUnknown counts.
+func (l *Ledger) ResolveStartState(s StartState, now time.Duration) {
 	if l.startState != StartUnknown || s == StartUnknown {
 		return
 	}
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -183,7 +183,7 @@
 			return
 		}
 	}
-	lk.acknowledgeGrants(int(request.SlotsHeld))
+	lk.acknowledgeGrants(int(request.SlotsBorrowed))
 	l.queueGrant(peerID, l.lend(a, lk, request, now))
 }
 
