--- a/internal/hotrestart/effect.go
+++ b/internal/hotrestart/effect.go
@@ -1,23 +1,23 @@
 package hotrestart
 
-// Effect is something that the owner of a Machine has to do, in the order given.
+// Effect is an action that the caller of a Machine has to perform, in the order returned.
 type Effect interface{ effect() }
 
 // The effects.
 type (
-	// Send sends a message to the other process, and with Transfer the state and the sockets.
+	// Send sends a message to the other process; with Transfer also the state and the sockets.
 	Send struct{ Kind Kind }
 	// StopAdmitting stops admitting, before Transfer is sent.
 	StopAdmitting struct{}
-	// ResumeAdmitting starts to admit again. NewEpoch means that the other process admitted meanwhile.
+	// ResumeAdmitting starts to admit again. NewEpoch means that the other process has admitted in the meantime.
 	ResumeAdmitting struct{ NewEpoch bool }
 	// ForwardRequests forwards all requests from now on to the successor, which admits.
 	ForwardRequests struct{}
-	// StartAdmitting starts to admit by the state that came with Transfer.
+	// StartAdmitting starts to admit with the state that was received with Transfer.
 	StartAdmitting struct{}
-	// RunAlone reports to the owner that the other process is gone or is finishing.
+	// RunAlone reports that the other process has ended or is finishing.
 	RunAlone struct{}
-	// Finish ends this process once all its open requests have their responses.
+	// Finish ends this process once all its open requests have got their responses.
 	Finish struct{}
 	// StartFresh starts without state from a predecessor. Wait means that a predecessor may still
 	// have the listening address for a while.
--- a/internal/hotrestart/link/conn.go
+++ b/internal/hotrestart/link/conn.go
@@ -1,5 +1,5 @@
-// Package link carries messages, and sockets with them, between the two processes of a hot restart: over
-// a Unix socket in a directory that both share. It decides nothing.
+// Package link carries messages, with sockets, between the two processes of a hot restart: over a Unix
+// socket in a directory that both processes use. It makes no decisions about the hot restart.
 package link
 
 import (
@@ -12,22 +12,22 @@
 )
 
 const (
-	// maxQueued is how many frames may wait to be written. Beyond it Send closes the link, and SendSync
-	// waits for room.
-	maxQueued = 4096
-	// dialTimeout bounds connecting to the other process.
+	// maxQueuedFrames is how many frames may wait to be written. If there are more, Send closes the link, and
+	// SendSync waits for room.
+	maxQueuedFrames = 4096
+	// dialTimeout bounds the time to connect to the other process.
 	dialTimeout = time.Second
-	// flushTimeout bounds writing what is queued when the link is closed.
+	// flushTimeout bounds the time to write the queued frames when the link is closed.
 	flushTimeout = 50 * time.Millisecond
-	// writeTimeout bounds writing one frame. It is far longer than the timeouts of package hotrestart
-	// for a process that hangs, which therefore decide what becomes of that process.
+	// writeTimeout bounds the time to write one frame. It is far longer than the timeouts of package hotrestart
+	// for a process that hangs, so those decide what is done about that process.
 	writeTimeout = 10 * time.Second
 )
 
 // Conn is one end of a link. Send, SendSync, CloseAfterFlush, Close and Kill may be called from any
 // goroutine, Read from one.
 //
-// A Conn owns one goroutine, which writes what is queued and ends when the Conn is closed.
+// A Conn owns one goroutine, which writes the queued frames and ends when the Conn is closed.
 type Conn struct {
 	socket *net.UnixConn
 	pid    int
@@ -39,15 +39,15 @@
 
 // queuedFrame is a frame that waits to be written.
 type queuedFrame struct {
-	kind    uint8
-	body    []byte
-	sockets []syscall.Conn
-	written chan<- error // nil if no caller waits for it
-	last    bool         // not a frame: closes the link after the frames queued before
+	kind        uint8
+	body        []byte
+	sockets     []syscall.Conn
+	written     chan<- error // nil if no caller waits for it
+	closeMarker bool         // not a frame: closes the link after the frames queued before it
 }
 
-// Dial connects to the process that listens at a path. An error is one of net or os, as when nobody
-// listens there, or says that the process at the other end is not known.
+// Dial connects to the process that listens at a path. It returns an error of net or os, for example if no
+// process listens there, or an error if the process at the other end cannot be determined.
 func Dial(path string) (*Conn, error) {
 	short, release, err := shortPath(path)
 	if err != nil {
@@ -61,17 +61,17 @@
 	return newConn(c.(*net.UnixConn))
 }
 
-// newConn returns the Conn of a connected socket, which it closes on an error.
+// newConn returns the Conn of a connected socket, and closes the socket if it returns an error.
 func newConn(socket *net.UnixConn) (*Conn, error) {
 	pid, err := peerPID(socket)
 	if err != nil {
 		_ = socket.Close() // nothing was written
-		return nil, fmt.Errorf("other process: %w", err)
+		return nil, fmt.Errorf("process ID of the other end of the link is unknown: %w", err)
 	}
 	c := &Conn{
 		socket: socket,
 		pid:    pid,
-		queue:  make(chan queuedFrame, maxQueued),
+		queue:  make(chan queuedFrame, maxQueuedFrames),
 		done:   make(chan struct{}),
 		reader: frameReader{socket: socket},
 	}
@@ -101,11 +101,11 @@
 
 // Kill kills the process at the other end, even a stopped one. The end of the link confirms it.
 func (c *Conn) Kill() {
-	_ = syscall.Kill(c.pid, syscall.SIGKILL) // it may have ended already
+	_ = syscall.Kill(c.pid, syscall.SIGKILL) // the process may have ended already
 }
 
-// Send queues a frame, and reports whether it could. It does not wait. If the queue is full, the other
-// process has read nothing for long, and the link is closed: a frame must not be left out unnoticed.
+// Send queues a frame without waiting, and reports whether it was queued. If the queue is full, the other
+// process has not read for long, and the link is closed, because no frame may be dropped silently.
 func (c *Conn) Send(kind uint8, body []byte, sockets ...syscall.Conn) bool {
 	select {
 	case <-c.done:
@@ -135,10 +135,10 @@
 	}
 }
 
-// CloseAfterFlush closes the link after what was sent before, without waiting. If that cannot be written
-// in time, the other process may never read it, and is killed.
+// CloseAfterFlush closes the link after the frames that were sent before, without waiting. If these cannot be
+// written within flushTimeout, the other process may never read them, and is killed.
 //
-// Its goroutine ends when the link is closed, after flushTimeout at the latest.
+// The goroutine that it starts ends when the link is closed, after flushTimeout at the latest.
 func (c *Conn) CloseAfterFlush() {
 	timeout := time.AfterFunc(flushTimeout, func() {
 		c.Kill()
@@ -146,7 +146,7 @@
 	})
 	go func() {
 		select {
-		case c.queue <- queuedFrame{last: true}:
+		case c.queue <- queuedFrame{closeMarker: true}:
 		case <-c.done:
 		}
 		<-c.done
@@ -158,11 +158,11 @@
 func (c *Conn) Close() {
 	c.close.Do(func() {
 		close(c.done)
-		_ = c.socket.Close() // what is queued is lost in any case
+		_ = c.socket.Close() // queued frames are lost in any case
 	})
 }
 
-// writeQueued writes what is queued until the link is closed.
+// writeQueued writes queued frames until the link is closed.
 func (c *Conn) writeQueued() {
 	defer c.Close()
 	for {
@@ -170,7 +170,7 @@
 		case <-c.done:
 			return
 		case f := <-c.queue:
-			if f.last {
+			if f.closeMarker {
 				return
 			}
 			err := c.write(f)
@@ -184,7 +184,7 @@
 	}
 }
 
-// write writes a frame, with its sockets beside the first bytes.
+// write writes a frame. The sockets are sent with the first bytes.
 func (c *Conn) write(f queuedFrame) error {
 	if err := c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -202,7 +202,7 @@
 }
 
 // writeWithSockets writes the first bytes of data, with the descriptors of sockets. It calls itself inside
-// the Control of each socket in turn, which keeps that socket open until the bytes are written.
+// the Control of each socket in turn, which keeps the sockets open until the bytes are written.
 func (c *Conn) writeWithSockets(data []byte, sockets []syscall.Conn, descriptors []int) (n int, err error) {
 	if len(sockets) == 0 {
 		n, _, err = c.socket.WriteMsgUnix(data, syscall.UnixRights(descriptors...), nil)
--- a/internal/hotrestart/link/frame.go
+++ b/internal/hotrestart/link/frame.go
@@ -10,19 +10,19 @@
 	"syscall"
 )
 
-// A frame on the stream: the length of the body in bytes, 4 bytes big-endian, the kind, the number of
-// sockets that come with it, and the body.
+// Layout of a frame on the stream: the length of the body in bytes, 4 bytes big-endian; the kind; the number of
+// sockets that are sent with it; the body.
 const (
 	headerBytes  = 6
 	maxBodyBytes = 256 << 20 // the state of some 100,000 customers
 	maxSockets   = 4         // with one frame
 
 	descriptorBytes = 4        // of a file descriptor in a control message
-	minReadBytes    = 4 << 10  // of the buffer of one read: room for frames that follow
-	maxReadBytes    = 64 << 10 // of the buffer of one read, however large the frame is
+	minReadBytes    = 4 << 10  // of the buffer of one read: has room for the frames that follow
+	maxReadBytes    = 64 << 10 // of the buffer of one read, independent of the size of the frame
 )
 
-var errMissingSockets = errors.New("sockets of a frame are missing")
+var errMissingSockets = errors.New("received fewer sockets than the frame header announces")
 
 // Frame is one message with its sockets, which the receiver has to close.
 type Frame struct {
@@ -31,7 +31,7 @@
 	Sockets []*os.File
 }
 
-// encodeFrame returns a frame as it is on the stream.
+// encodeFrame returns the encoded frame.
 func encodeFrame(kind uint8, sockets int, body []byte) []byte {
 	data := make([]byte, 0, headerBytes+len(body))
 	data = binary.BigEndian.AppendUint32(data, uint32(len(body)))
@@ -42,11 +42,11 @@
 // frameReader reads frames from a socket.
 type frameReader struct {
 	socket      *net.UnixConn
-	data        []byte // read and not yet returned
+	data        []byte // received and not yet returned
 	descriptors []int  // received and not yet returned
 }
 
-// read returns the next frame. With an error, it closes the sockets of a frame that is not complete.
+// read returns the next frame. If it returns an error, it closes the sockets that were received and not returned.
 func (r *frameReader) read() (Frame, error) {
 	f, err := r.next()
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	size, kind, sockets := int(binary.BigEndian.Uint32(r.data)), r.data[4], int(r.data[5])
 	if size > maxBodyBytes || sockets > maxSockets {
-		return Frame{}, fmt.Errorf("frame of %d bytes with %d sockets", size, sockets)
+		return Frame{}, fmt.Errorf("frame header exceeds the limits: body of %d bytes, %d sockets", size, sockets)
 	}
 	if err := r.fill(headerBytes + size); err != nil {
 		return Frame{}, err
@@ -74,7 +74,7 @@
 	}
 	f := Frame{Kind: kind, Body: append([]byte(nil), r.data[headerBytes:headerBytes+size]...)}
 	for _, fd := range r.descriptors[:sockets] {
-		f.Sockets = append(f.Sockets, os.NewFile(uintptr(fd), "handed over"))
+		f.Sockets = append(f.Sockets, os.NewFile(uintptr(fd), "received socket"))
 	}
 	r.data, r.descriptors = r.data[headerBytes+size:], r.descriptors[sockets:]
 	return f, nil
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// readMore does one read, with the sockets beside the bytes; missing is how many bytes are wanted.
+// readMore reads once, including the sockets sent with the bytes. Missing is how many bytes are wanted.
 func (r *frameReader) readMore(missing int) error {
 	buffer := make([]byte, min(max(missing, minReadBytes), maxReadBytes))
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes*maxSockets))
@@ -105,8 +105,8 @@
 	return r.addDescriptors(control[:controlBytes])
 }
 
-// addDescriptors adds the descriptors in control messages. Programs that this process starts do not
-// inherit them.
+// addDescriptors adds the descriptors in control messages, and sets close-on-exec on them, so that programs that
+// this process starts do not inherit them.
 func (r *frameReader) addDescriptors(control []byte) error {
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
--- a/internal/hotrestart/link/link_test.go
+++ b/internal/hotrestart/link/link_test.go
@@ -36,11 +36,11 @@
 	return a, b
 }
 
-// Frames arrive complete and in order, large ones too, and each socket with its own frame.
+// Frames arrive complete and in order, also large ones, and each socket arrives with its own frame.
 func TestFrames(t *testing.T) {
 	a, b := pair(t)
 	if a.PID() != os.Getpid() {
-		t.Errorf("the other end is process %d", a.PID())
+		t.Errorf("the process at the other end is %d, want this process", a.PID())
 	}
 	var listeners []*net.TCPListener
 	for range 3 {
@@ -68,7 +68,7 @@
 	}{{1, 0, nil}, {2, len(large), listeners[:2]}, {3, 1, nil}, {4, 0, listeners[2:]}} {
 		f, err := b.Read()
 		if err != nil || f.Kind != want.kind || len(f.Body) != want.size || len(f.Sockets) != len(want.sockets) {
-			t.Fatalf("%d, %d bytes, %d sockets, %v", f.Kind, len(f.Body), len(f.Sockets), err)
+			t.Fatalf("received kind %d, %d bytes, %d sockets, error %v, want the next frame sent", f.Kind, len(f.Body), len(f.Sockets), err)
 		}
 		for i, s := range f.Sockets {
 			l, err := net.FileListener(s)
@@ -76,7 +76,7 @@
 				t.Fatal(err)
 			}
 			if l.Addr().String() != want.sockets[i].Addr().String() {
-				t.Errorf("socket of %v, want that of %v", l.Addr(), want.sockets[i].Addr())
+				t.Errorf("received the socket of %v, want that of %v", l.Addr(), want.sockets[i].Addr())
 			}
 			if err := errors.Join(l.Close(), s.Close()); err != nil {
 				t.Error(err)
@@ -84,17 +84,17 @@
 		}
 	}
 	if _, err := b.Read(); err == nil {
-		t.Error("the link has not ended")
+		t.Error("read after the end of the link returned no error")
 	}
 	b.Send(1, nil)
-	first, second := b.SendSync(1, nil), b.SendSync(1, nil) // the first one may meet the end
+	first, second := b.SendSync(1, nil), b.SendSync(1, nil) // the first frame may be written before the end is noticed
 	if first == nil && second == nil {
-		t.Error("frames to a process that has closed the link count as written")
+		t.Error("two frames to a process that has closed the link were sent without an error")
 	}
 }
 
-// A process takes over the path from one that lives and from one that left its file, and removes only
-// its own file. Paths longer than a socket's address work as well.
+// A process replaces the socket file of a live process and that of an ended one, and removes only its own file.
+// Paths longer than the address of a socket work as well.
 func TestPath(t *testing.T) {
 	path := Path(filepath.Join(t.TempDir(), strings.Repeat("x", 120)), "../odd/n1")
 	if filepath.Base(path) != "lemongate-n1.sock" {
@@ -137,7 +137,7 @@
 	}
 }
 
-// Whatever is on the stream is read as frames or as its end.
+// Any bytes on the stream are read as frames or end the link.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("\x00\x00\x00\x02\x01\x00{}"))
 	f.Add([]byte("\xff\xff\xff\xff\x01\x00"))
@@ -147,13 +147,13 @@
 		if err := a.socket.SetWriteDeadline(time.Now().Add(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = a.socket.Write(data) // all of it or a part: the reader has to bear both
+		_, _ = a.socket.Write(data) // all of it or a part: the reader has to handle both
 		a.Close()
 		for range len(data) + 1 {
 			if _, err := b.Read(); err != nil {
 				return
 			}
 		}
-		t.Error("more frames than bytes")
+		t.Error("more frames read than bytes sent")
 	})
 }
--- a/internal/hotrestart/link/listener.go
+++ b/internal/hotrestart/link/listener.go
@@ -7,28 +7,28 @@
 	"path/filepath"
 )
 
-// socketMode lets only processes of the same user connect.
+// socketMode allows only processes of the same user to connect.
 const socketMode = 0o600
 
-// maxPathBytes is the longest path that is used as the address of a socket. There can be 107 bytes, of
-// which Listen needs some for a suffix.
+// maxPathBytes is the longest path that is used as the address of a socket. The address has room for 107 bytes,
+// and Listen adds a suffix.
 const maxPathBytes = 90
 
-// Path returns where the limiter of some name is found in a directory.
+// Path returns the path of the socket file, in a directory, of the limiter with the given name.
 func Path(dir, name string) string {
 	return filepath.Join(dir, "lemongate-"+filepath.Base(name)+".sock")
 }
 
-// Listener is where a successor finds this process.
+// Listener accepts connections of successors.
 type Listener struct {
 	listener *net.UnixListener
 	path     string
 	file     os.FileInfo // of the socket; nil if it is not known
 }
 
-// Listen listens at a path, in place of any earlier process: a process that was killed leaves its file
-// behind, and a predecessor still listens. An error is one of net or os, as when the
-// directory does not exist or cannot be written.
+// Listen listens at a path and replaces the file of any earlier process: a process that was killed leaves its
+// file behind, and a predecessor still listens. It returns errors of net or os, for example if the directory
+// does not exist or cannot be written.
 func Listen(path string) (*Listener, error) {
 	short, release, err := shortPath(path)
 	if err != nil {
@@ -44,7 +44,7 @@
 	listener.SetUnlinkOnClose(false)
 	if err := publish(temporary, short); err != nil {
 		_ = listener.Close()     // no process has connected
-		_ = os.Remove(temporary) // the error that counts is that of publish
+		_ = os.Remove(temporary) // the error of publish is returned
 		return nil, err
 	}
 	l := &Listener{listener: listener, path: path}
@@ -52,7 +52,7 @@
 	return l, nil
 }
 
-// publish gives a socket its permissions and its path.
+// publish sets the permissions of a socket file, and moves it to its path.
 func publish(temporary, path string) error {
 	if err := os.Chmod(temporary, socketMode); err != nil {
 		return err
--- a/internal/hotrestart/machine.go
+++ b/internal/hotrestart/machine.go
@@ -1,26 +1,26 @@
-// Package hotrestart is the protocol by which a successor process of a limiter takes over from its
-// predecessor: which of the two admits requests, from which step on, and what each side does when the
-// other is late, hangs or dies. It does no I/O, reads no clock and starts no goroutine.
+// Package hotrestart implements the protocol by which a successor process of a limiter takes over from its
+// predecessor. It decides which of the two processes admits requests in each phase, and what each side does if
+// the other is late, hangs or dies. It does no I/O, reads no clock and starts no goroutine.
 // docs/design/upgrade.md weighs the alternatives.
 //
 // The two processes exchange messages over one link, a stream that keeps their order and that ends when
 // a process ends, as a Unix socket does. At any instant at most one process admits:
 //
-//   - The predecessor stops before it sends Transfer. Once it has sent Commit, it admits again only
+//   - The predecessor stops admitting before it sends Transfer. Once it has sent Commit, it admits again only
 //     after the link has ended: the successor, which may have read Commit, is dead then. During
-//     probation it watches the successor's heartbeats. If they stop, it kills the successor first, as a
-//     stopped process would admit when it continues.
+//     probation it monitors the successor's heartbeats. If they stop, it kills the successor first, because
+//     a suspended process would admit when it continues.
 //   - The successor admits when it has read Commit, or when the link has ended after a complete
 //     Transfer without a Withdraw after it: the predecessor is dead then, as it sends Withdraw before it
 //     closes the link.
-//   - A side that needs the other not to admit, and does not learn that from it in time, kills the
+//   - A side that requires the other not to admit, and does not learn that from it in time, kills the
 //     other process and waits for the end of the link.
 //
 // Commit begins probation, and Final ends it: after ProbationDuration, or when the predecessor is
 // requested to shut down. From Final on the predecessor never admits again.
 //
-// The phases, messages, limits and effects have files of their own. predecessor.go and successor.go
-// have one function for each event that each side meets.
+// The phases, messages, limits and effects are in separate files. predecessor.go and successor.go have one
+// function for each event that the respective side handles.
 package hotrestart
 
 import "time"
@@ -30,21 +30,21 @@
 	limits            Limits
 	phase             Phase
 	deadline          time.Duration // of the phase; 0 for none
-	killing           bool          // the other process is being killed: deadlines no longer count, only the end of the link
+	killing           bool          // the other process is being killed: deadlines are ignored until the link has ended
 	shutdownRequested bool          // of this process
-	effects           []Effect      // of the call that is running
+	effects           []Effect      // of the current call
 
 	successor   successorState
 	predecessor predecessorState
 }
 
-// New returns a Machine of a process that is alone, or of a successor that looks for its predecessor
-// first. The owner of a successor has to connect to the predecessor at once and send Hello; if there is
-// nobody to connect to, it calls LinkClosed. Times are of a clock that both sides need not share.
+// New returns a Machine of a process that runs alone, or of a successor that connects to its predecessor
+// first. The caller has to connect a successor to the predecessor at once and send Hello; if there is no
+// process to connect to, it calls LinkClosed. Times are of a clock that need not be the same on both sides.
 func New(limits Limits, isSuccessor bool, now time.Duration) *Machine {
 	m := &Machine{limits: limits}
 	if isSuccessor {
-		m.greet(now)
+		m.startAttempt(now)
 	}
 	return m
 }
@@ -53,8 +53,8 @@
 func (m *Machine) Phase() Phase { return m.phase }
 
 // LongestSilence returns the longest time between two heartbeats of the successor in the last probation
-// that this process watched as predecessor; 0 if there was none.
-func (m *Machine) LongestSilence() time.Duration { return m.predecessor.longestSilence }
+// of this process as predecessor; 0 if there was none.
+func (m *Machine) LongestSilence() time.Duration { return m.predecessor.longestHeartbeatGap }
 
 // Admits reports whether this process may admit requests.
 func (m *Machine) Admits() bool { return m.phase == Alone || m.phase == Offered || m.phase == Serving }
@@ -74,7 +74,7 @@
 	return deadline, deadline != 0
 }
 
-// earlier returns the earlier of a deadline, 0 for none, and a time.
+// earlier returns the earlier of a deadline, where 0 means none, and a time.
 func earlier(deadline, at time.Duration) time.Duration {
 	if deadline == 0 {
 		return at
@@ -82,8 +82,8 @@
 	return min(deadline, at)
 }
 
-// MessageReceived handles a message of the other process, except Hello, which is handled by
-// PeerConnected. One that does not belong to the phase was sent before a change of phase, and is ignored.
+// MessageReceived handles a message of the other process, except Hello, which SuccessorConnected handles. A
+// message that does not belong to the current phase was sent before a change of phase, and is ignored.
 func (m *Machine) MessageReceived(now time.Duration, kind Kind) []Effect {
 	switch kind {
 	case Prepared:
@@ -114,28 +114,28 @@
 	switch m.phase {
 	case Offered, Transferring, Probation:
 		m.onSuccessorLost()
-	case Greeting, Receiving, Adopting, Serving:
+	case AwaitingOffer, Receiving, Adopting, Serving:
 		m.onPredecessorLost()
 	}
 	return m.takeEffects()
 }
 
 // ShutdownRequested handles a request to end this process. It reports whether the process has to shut
-// down at once as one that is alone; otherwise what is to be done comes as effects, now or later.
+// down at once as one that runs alone; otherwise the actions are returned as effects, now or later.
 func (m *Machine) ShutdownRequested(_ time.Duration) (effects []Effect, alone bool) {
 	m.shutdownRequested = true
 	switch m.phase {
 	case Offered, Transferring, Probation, Finishing:
 		alone = m.shutDownPredecessor()
-	case Greeting, Receiving, Adopting, Abandoned:
-		m.abandon("shut down before it took over")
+	case AwaitingOffer, Receiving, Adopting, Abandoned:
+		m.abandon("shut down before the hot restart was complete")
 	case Alone, Serving:
 		alone = true
 	}
 	return m.takeEffects(), alone
 }
 
-// Tick does what is due.
+// Tick handles deadlines that have passed, and sends and checks heartbeats that are due.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	if m.killing {
 		return nil
@@ -144,18 +144,18 @@
 	switch m.phase {
 	case Offered, Transferring, Probation:
 		m.tickPredecessor(now, due)
-	case Greeting, Adopting, Serving:
+	case AwaitingOffer, Adopting, Serving:
 		m.tickSuccessor(now, due)
 	}
 	return m.takeEffects()
 }
 
-// enter begins a phase with a deadline, 0 for none.
+// enter starts a phase with a deadline; 0 for none.
 func (m *Machine) enter(phase Phase, deadline time.Duration) {
 	m.phase, m.deadline, m.killing = phase, deadline, false
 }
 
-// kill has the other process killed. The phase stays until the end of the link.
+// kill emits the effect that kills the other process. The phase does not change until the link has ended.
 func (m *Machine) kill() {
 	m.killing = true
 	m.emit(KillOtherProcess{})
@@ -163,7 +163,7 @@
 
 func (m *Machine) emit(effects ...Effect) { m.effects = append(m.effects, effects...) }
 
-// takeEffects returns the effects of a call. They are valid until the next call.
+// takeEffects returns and clears the effects of a call. They are valid until the next call.
 func (m *Machine) takeEffects() []Effect {
 	effects := m.effects
 	m.effects = m.effects[:0]
--- a/internal/hotrestart/machine_test.go
+++ b/internal/hotrestart/machine_test.go
@@ -11,41 +11,41 @@
 	"lemongate/internal/rapidtest"
 )
 
-// TestMain fixes the seed, so that the verdict is the same every time.
+// TestMain fixes the seed, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	os.Exit(rapidtest.Main(m, "20261201", map[string]string{"rapid.checks": "3000", "rapid.steps": "60"}))
 }
 
-// side is one process, as the world sees it.
-type side struct {
+// simulatedProcess is one process and its end of the link.
+type simulatedProcess struct {
 	*Machine
-	inbox        []Kind // sent to it and not yet read
-	remoteClosed bool   // the other end of its link is closed, behind what is in inbox
-	closed       bool   // it has closed its own end
+	inbox        []Kind // messages sent to it and not yet read
+	remoteClosed bool   // the other end of its link is closed, after the messages in inbox
+	closed       bool   // it has closed its own end of the link
 	linked       bool
 	dead         bool
 	stopped      bool
-	quit         bool
-	admits       bool // by its effects
+	exited       bool
+	admits       bool // as its effects say
 }
 
-// world is two processes and the link between them.
-type world struct {
+// simulatedPair is two processes and the link between them.
+type simulatedPair struct {
 	t           *rapid.T
 	now         time.Duration
-	predecessor *side
-	successor   *side
+	predecessor *simulatedProcess
+	successor   *simulatedProcess
 }
 
-func (w *world) peer(s *side) *side {
+func (w *simulatedPair) peer(s *simulatedProcess) *simulatedProcess {
 	if s == w.predecessor {
 		return w.successor
 	}
 	return w.predecessor
 }
 
-// carryOut carries out effects of one side, and fails if both admit.
-func (w *world) carryOut(s *side, effects []Effect) {
+// perform performs the effects of one process, and fails if both admit.
+func (w *simulatedPair) perform(s *simulatedProcess, effects []Effect) {
 	for _, e := range append([]Effect(nil), effects...) {
 		peer := w.peer(s)
 		switch e := e.(type) {
@@ -58,11 +58,11 @@
 		case ResumeAdmitting, StartAdmitting:
 			s.admits = true
 		case StartFresh:
-			// A process that lives has the address: it must be free.
-			s.admits = peer.dead || peer.quit
-			s.quit = !s.admits
+			// The listening address is free only if the other process has ended.
+			s.admits = peer.dead || peer.exited
+			s.exited = !s.admits
 		case Finish:
-			s.quit = true
+			s.exited = true
 		case KillOtherProcess:
 			w.kill(peer)
 		case CloseLink:
@@ -70,36 +70,36 @@
 		case ConnectPredecessor:
 			w.connect()
 		case Abort:
-			s.quit = true
+			s.exited = true
 		}
 	}
 	if w.predecessor.admits && w.successor.admits && !w.predecessor.dead && !w.successor.dead {
-		w.t.Fatalf("both admit: predecessor %v, successor %v", w.predecessor.phase, w.successor.phase)
+		w.t.Fatalf("both processes admit: predecessor %v, successor %v", w.predecessor.phase, w.successor.phase)
 	}
 }
 
-// kill ends a process, stopped or not.
-func (w *world) kill(s *side) {
+// kill ends a process, also a stopped one.
+func (w *simulatedPair) kill(s *simulatedProcess) {
 	if !s.dead {
 		s.dead, s.admits, s.stopped = true, false, false
 		w.peer(s).remoteClosed = true
 	}
 }
 
-// connect connects the successor to the predecessor, if that one can be reached.
-func (w *world) connect() {
-	for _, s := range []*side{w.predecessor, w.successor} {
+// connect connects the successor to the predecessor if the predecessor still runs.
+func (w *simulatedPair) connect() {
+	for _, s := range []*simulatedProcess{w.predecessor, w.successor} {
 		s.inbox, s.remoteClosed, s.closed, s.linked = nil, false, false, true
 	}
-	if w.predecessor.dead || w.predecessor.quit {
+	if w.predecessor.dead || w.predecessor.exited {
 		w.successor.remoteClosed = true
 		return
 	}
 	w.predecessor.inbox = append(w.predecessor.inbox, Hello)
 }
 
-// read has a process handle one message, or the end of the link.
-func (w *world) read(s *side) {
+// receive lets a process handle one message, or the end of the link.
+func (w *simulatedPair) receive(s *simulatedProcess) {
 	if s.dead || s.stopped || s.closed || !s.linked {
 		return
 	}
@@ -108,47 +108,46 @@
 		s.inbox = s.inbox[1:]
 		if k == Hello {
 			effects, ok := s.SuccessorConnected(w.now)
-			if w.carryOut(s, effects); !ok {
-				w.carryOut(s, []Effect{Send{Deny}, CloseLink{}})
+			if w.perform(s, effects); !ok {
+				w.perform(s, []Effect{Send{Deny}, CloseLink{}})
 			}
 			return
 		}
-		w.carryOut(s, s.MessageReceived(w.now, k))
+		w.perform(s, s.MessageReceived(w.now, k))
 	} else if s.remoteClosed {
 		s.closed = true
-		w.carryOut(s, s.LinkClosed(w.now))
+		w.perform(s, s.LinkClosed(w.now))
 	}
 }
 
-func (w *world) tick(s *side) {
+func (w *simulatedPair) tick(s *simulatedProcess) {
 	if !s.dead && !s.stopped {
 		if at, ok := s.NextDeadline(); ok && at <= w.now {
-			w.carryOut(s, s.Tick(w.now))
+			w.perform(s, s.Tick(w.now))
 		}
 	}
 }
 
-// Whatever crashes, stops, is late or is requested to shut down, and in whatever order: two processes
-// never admit at once. Once what runs is left to itself one does admit, unless a shutdown was
-// requested or no process is left.
+// In any order of crashes, stops, delays and shutdown requests, the two processes never admit at once. After
+// the last of these one process admits, unless a shutdown was requested or no process is left.
 func TestAtMostOneAdmits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := DefaultLimits()
-		w := &world{t: t, predecessor: &side{Machine: New(limits, false, 0), admits: true}, successor: &side{Machine: New(limits, true, 0)}}
+		w := &simulatedPair{t: t, predecessor: &simulatedProcess{Machine: New(limits, false, 0), admits: true}, successor: &simulatedProcess{Machine: New(limits, true, 0)}}
 		w.connect()
 		shutdownRequested := false
-		pick := func() *side {
+		pick := func() *simulatedProcess {
 			if rapid.Bool().Draw(t, "predecessor") {
 				return w.predecessor
 			}
 			return w.successor
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"read": func(t *rapid.T) { w.read(pick()) },
+			"read": func(t *rapid.T) { w.receive(pick()) },
 			"read all": func(t *rapid.T) {
 				for range 12 {
-					w.read(w.predecessor)
-					w.read(w.successor)
+					w.receive(w.predecessor)
+					w.receive(w.successor)
 				}
 			},
 			"pass time": func(t *rapid.T) {
@@ -159,7 +158,7 @@
 				for range 5 {
 					w.now += 10 * time.Millisecond
 					w.tick(w.successor)
-					w.read(w.predecessor)
+					w.receive(w.predecessor)
 					w.tick(w.predecessor)
 				}
 			},
@@ -174,16 +173,16 @@
 				if s := pick(); !s.dead && !s.stopped && rapid.IntRange(0, 5).Draw(t, "sure") == 0 {
 					shutdownRequested = true
 					effects, _ := s.ShutdownRequested(w.now)
-					w.carryOut(s, effects)
+					w.perform(s, effects)
 				}
 			},
 		})
-		// Left to itself: stopped processes stay stopped, as an operator may leave them.
+		// No further faults are injected. Stopped processes stay stopped, as an operator may leave them.
 		for range 3000 {
 			w.now += 10 * time.Millisecond
-			for _, s := range []*side{w.predecessor, w.successor} {
+			for _, s := range []*simulatedProcess{w.predecessor, w.successor} {
 				for range 5 {
-					w.read(s)
+					w.receive(s)
 				}
 				w.tick(s)
 			}
@@ -191,42 +190,42 @@
 		if shutdownRequested || w.predecessor.admits != w.successor.admits {
 			return
 		}
-		left := func(s *side) bool { return !s.dead && !s.quit && !s.stopped }
-		if left(w.predecessor) || left(w.successor) && w.predecessor.dead {
+		running := func(s *simulatedProcess) bool { return !s.dead && !s.exited && !s.stopped }
+		if running(w.predecessor) || running(w.successor) && w.predecessor.dead {
 			t.Fatalf("no process admits: predecessor %v %+v, successor %v %+v", w.predecessor.phase, w.predecessor, w.successor.phase, w.successor)
 		}
 	})
 }
 
-// With nothing in the way each side goes through its phases, and the successor admits for good.
+// Without faults each side goes through its phases, and the successor admits at the end.
 func TestHotRestart(t *testing.T) {
 	limits := DefaultLimits()
 	predecessor, successor := New(limits, false, 0), New(limits, true, 0)
 	if _, ok := predecessor.SuccessorConnected(0); !ok || !predecessor.Admits() || successor.Admits() {
-		t.Fatal("not offered")
+		t.Fatal("the predecessor did not accept the successor, or not the predecessor alone admits")
 	}
 	if _, again := predecessor.SuccessorConnected(0); again {
-		t.Error("a third process is offered a hot restart as well")
+		t.Error("a third process was accepted as successor")
 	}
 	successor.MessageReceived(0, Offer)
 	if effects := predecessor.MessageReceived(0, Prepared); !slices.Equal(effects, []Effect{StopAdmitting{}, Send{Transfer}}) {
-		t.Errorf("what is admitted after the state is counted by no process: %v", effects)
+		t.Errorf("effects of prepared: %v, want StopAdmitting, then Transfer", effects)
 	}
 	successor.MessageReceived(0, Transfer)
 	if predecessor.Admits() || successor.Admits() {
-		t.Error("a process admits while the state is in transit")
+		t.Error("a process admits while the state is in transit, want none")
 	}
 	if effects := predecessor.MessageReceived(0, Adopted); !slices.Equal(effects, []Effect{Send{Commit}, ForwardRequests{}}) {
-		t.Errorf("requests from now on are decided by no process: %v", effects)
+		t.Errorf("effects of adopted: %v, want Commit, then ForwardRequests", effects)
 	}
 	successor.MessageReceived(0, Commit)
 	if predecessor.Admits() || !successor.Admits() || predecessor.Phase() != Probation || successor.Phase() != Serving {
-		t.Errorf("%v, %v", predecessor.Phase(), successor.Phase())
+		t.Errorf("after commit: predecessor %v, successor %v, want only the successor to admit", predecessor.Phase(), successor.Phase())
 	}
 	if effects, alone := predecessor.ShutdownRequested(0); alone || !slices.Equal(effects, []Effect{Send{Final}, Finish{}}) {
-		t.Errorf("shutdown requested: %v", effects)
+		t.Errorf("effects of a shutdown request: %v, want Final, then Finish", effects)
 	}
 	if effects := successor.MessageReceived(0, Final); !slices.Equal(effects, []Effect{RunAlone{}}) || successor.Phase() != Alone {
-		t.Errorf("%v, %v", effects, successor.Phase())
+		t.Errorf("effects of final: %v, phase %v, want RunAlone and phase alone", effects, successor.Phase())
 	}
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -5,20 +5,20 @@
 
 // The kinds of messages, with their senders.
 const (
-	Hello     Kind = iota // successor: who it is, and which format it understands; see Machine.PeerConnected
+	Hello     Kind = iota // successor: its identity, and the format that it understands; see Machine.SuccessorConnected
 	Offer                 // predecessor: prepare to take over
-	Deny                  // predecessor: no hot restart; the message says why
+	Deny                  // predecessor: no hot restart; the message carries the reason
 	Prepared              // successor: could admit as soon as it has the state
-	Transfer              // predecessor: has stopped; carries the state and the sockets
+	Transfer              // predecessor: has stopped admitting; carries the state and the sockets
 	Adopted               // successor: has the state and the sockets
 	Commit                // predecessor: admit; probation begins
 	Heartbeat             // successor: is alive and admits
-	Withdraw              // predecessor: admits again, or never stopped; start over
+	Withdraw              // predecessor: admits again, or never stopped; start the hot restart again
 	Final                 // predecessor: will never admit again; probation ends
 	NumKinds              // the number of kinds
 )
 
-// String returns the name of a kind, as tests and logs have had it since 0.8.0.
+// String returns the name of a kind. Tests and logs have used these names since 0.8.0.
 func (k Kind) String() string {
 	return [NumKinds]string{
 		Hello:     "hello",
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// predecessorState is what the predecessor remembers of its successor during probation.
+// predecessorState is the state of the predecessor during probation.
 type predecessorState struct {
-	lastHeartbeatAt time.Duration
-	checkedAt       time.Duration // when heartbeats were last looked at
-	longestSilence  time.Duration
+	lastHeartbeatAt     time.Duration
+	checkedAt           time.Duration // when heartbeats were last checked
+	longestHeartbeatGap time.Duration
 }
 
-// SuccessorConnected handles the Hello of a successor. It reports whether that process is the other
-// side from now on; it is not while another hot restart is in progress or this process shuts down.
+// SuccessorConnected handles the Hello of a successor. It reports whether that process is the other side
+// from now on; it is not if another hot restart is in progress or this process shuts down.
 func (m *Machine) SuccessorConnected(now time.Duration) (effects []Effect, ok bool) {
 	if m.phase != Alone || m.shutdownRequested {
 		return nil, false
@@ -29,7 +29,7 @@
 	m.emit(StopAdmitting{}, Send{Transfer})
 }
 
-// onAdopted lets a successor that has the state admit, and begins probation.
+// onAdopted allows a successor that has the state to admit, and starts probation.
 func (m *Machine) onAdopted(now time.Duration) {
 	if m.phase != Transferring {
 		return
@@ -47,11 +47,11 @@
 		return
 	}
 	p := &m.predecessor
-	p.longestSilence = max(p.longestSilence, now-p.lastHeartbeatAt)
+	p.longestHeartbeatGap = max(p.longestHeartbeatGap, now-p.lastHeartbeatAt)
 	p.lastHeartbeatAt = now
 }
 
-// onSuccessorLost admits again after the end of the link.
+// onSuccessorLost admits again once the link has ended.
 func (m *Machine) onSuccessorLost() {
 	switch m.phase {
 	case Transferring:
@@ -62,9 +62,9 @@
 	m.enter(Alone, 0)
 }
 
-// shutDownPredecessor reports whether the process shuts down as one that is alone. During a transfer
-// that is decided later: with Adopted it sends Commit and Final at once; if it admits again instead, the
-// owner has to call ShutdownRequested again.
+// shutDownPredecessor reports whether the process shuts down as one that runs alone. During a transfer that
+// is decided later: after Adopted the process sends Commit and Final at once; if it admits again instead, the
+// caller has to call ShutdownRequested again.
 func (m *Machine) shutDownPredecessor() (alone bool) {
 	switch m.phase {
 	case Offered:
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkHeartbeat kills a successor that is silent for too long, and sends Final after probation. If this
-// process itself did not run for a while, heartbeats may be unread, and the silence counts from now.
+// checkHeartbeat kills a successor that has sent no heartbeat for too long, and sends Final after probation. If
+// this process itself did not run for a while, heartbeats may be unread, and the time counts from now.
 func (m *Machine) checkHeartbeat(now time.Duration, due bool) {
 	p := &m.predecessor
 	if now-p.checkedAt > m.limits.HeartbeatTimeout/2 {
@@ -116,7 +116,7 @@
 	m.emit(Send{Final}, Finish{})
 }
 
-// withdraw ends a hot restart before Commit is sent. The successor reads it before the end of the link,
+// withdraw ends a hot restart before Commit is sent. The successor reads Withdraw before the end of the link,
 // which it would otherwise take for the death of this process.
 func (m *Machine) withdraw() {
 	m.enter(Alone, 0)
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// successorState is what the successor remembers.
+// successorState is the state of the successor.
 type successorState struct {
 	attempts        int           // hot restarts begun
 	nextHeartbeatAt time.Duration // while serving
 }
 
-// greet begins a hot restart: Hello goes with the connection.
-func (m *Machine) greet(now time.Duration) {
+// startAttempt starts an attempt of a hot restart. Hello is sent with the connection.
+func (m *Machine) startAttempt(now time.Duration) {
 	m.successor.attempts++
-	m.enter(Greeting, now+m.limits.HelloTimeout)
+	m.enter(AwaitingOffer, now+m.limits.HelloTimeout)
 }
 
 // onOffer reports that this process is prepared. It sets no deadline for the state: the predecessor does,
 // and a predecessor that hangs may still admit when it continues.
 func (m *Machine) onOffer() {
-	if m.phase != Greeting {
+	if m.phase != AwaitingOffer {
 		return
 	}
 	m.enter(Receiving, 0)
@@ -25,7 +25,7 @@
 }
 
 func (m *Machine) onDeny() {
-	if m.phase != Greeting {
+	if m.phase != AwaitingOffer {
 		return
 	}
 	m.emit(CloseLink{})
@@ -52,17 +52,17 @@
 	m.sendHeartbeat(now)
 }
 
-// onWithdraw begins the hot restart again, up to a number of attempts.
+// onWithdraw starts the hot restart again, up to MaxAttempts attempts.
 func (m *Machine) onWithdraw(now time.Duration) {
 	if m.phase != Receiving && m.phase != Adopting {
 		return
 	}
 	if m.successor.attempts >= m.limits.MaxAttempts {
-		m.abandon("the predecessor withdrew each time, see its log")
+		m.abandon("the predecessor withdrew from every hot restart attempt, see its log")
 		return
 	}
 	m.emit(CloseLink{}, ConnectPredecessor{})
-	m.greet(now)
+	m.startAttempt(now)
 }
 
 func (m *Machine) onFinal() {
@@ -73,11 +73,11 @@
 	m.emit(RunAlone{})
 }
 
-// onPredecessorLost goes on without the predecessor after the end of the link: with its state if that
-// arrived completely, else fresh.
+// onPredecessorLost continues without the predecessor after the end of the link: with its state if that was
+// received completely, else without state.
 func (m *Machine) onPredecessorLost() {
 	switch m.phase {
-	case Greeting, Receiving:
+	case AwaitingOffer, Receiving:
 		m.startFresh()
 		return
 	case Adopting:
@@ -90,7 +90,7 @@
 
 func (m *Machine) tickSuccessor(now time.Duration, due bool) {
 	switch m.phase {
-	case Greeting:
+	case AwaitingOffer:
 		if due {
 			m.emit(CloseLink{})
 			m.startFresh()
@@ -113,7 +113,7 @@
 	m.emit(Send{Heartbeat})
 }
 
-// startFresh starts without a predecessor's state. A predecessor that lives still has the listening
+// startFresh starts without a predecessor's state. A predecessor that is alive still has the listening
 // address, and one that dies may have it for a while, as its sockets are closed one after the other.
 func (m *Machine) startFresh() {
 	m.enter(Alone, 0)
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Times of an acceptor that starts, in lease durations. It starts empty, as it has no disk.
+// Times of an acceptor after its start, in lease durations. An acceptor has no disk, so it starts without state.
 const (
-	// recoveryQueryAfter is how long after its start an acceptor waits before it sends queries. An Accept
-	// of its earlier incarnation may still reach a proposer and complete a quorum there. A query that
-	// another acceptor answers before that could miss the token of this new lease. After this wait the
-	// attempt is over: it is more than probeTimeout and attemptTimeout together.
+	// recoveryQueryAfter is the time that an acceptor waits after its start before it sends recovery queries.
+	// An Accept of its earlier incarnation may still be in transit and complete a quorum at a proposer. A
+	// reply that another acceptor sends before that may not include the token of this new lease. The wait is
+	// longer than probeTimeout and attemptTimeout together, so the attempt has ended by then.
 	recoveryQueryAfter = 0.2
-	// recoveryTimeout is after how long a quorum of replies is enough, as other acceptors may be gone
-	// for good.
+	// recoveryTimeout is the time after the start from which a quorum of replies is enough, because other
+	// acceptors may be gone permanently.
 	recoveryTimeout = 3
 )
 
-// Counts of an acceptor that starts.
+// Limits of recovery queries.
 const (
 	// recoveryQueriesPerDuration is how many times per lease duration queries are sent, and
-	// recoveryQueriesAtOnce how many at a time.
+	// recoveryQueriesAtOnce is the maximum number of queries sent at a time.
 	recoveryQueriesPerDuration = 8
 	recoveryQueriesAtOnce      = 2
 )
@@ -47,13 +47,13 @@
 	until  time.Duration // 0 for none, and once it was released
 }
 
-// isValid reports whether the lease still counts.
+// isValid reports whether the lease has neither expired nor been released.
 func (l acceptedLease) isValid(now time.Duration) bool { return l.until > now }
 
 // isOf reports whether the lease and a ballot have the same proposer in the same incarnation.
 func (l acceptedLease) isOf(b Ballot) bool { return l.ballot.By == b.By && l.ballot.Epoch == b.Epoch }
 
-// NewAcceptor returns an acceptor that starts now, empty; it is not active yet.
+// NewAcceptor returns an acceptor that starts now, without state; see Active for when it begins to vote.
 func NewAcceptor(c Config, now time.Duration) Acceptor {
 	const longAgo = time.Hour
 	return Acceptor{Config: c, startedAt: now, queriedAt: now - longAgo, highestToken: c.MinToken}
@@ -61,12 +61,12 @@
 
 // Active reports whether the acceptor votes.
 //
-// It does not vote within a lease duration of its start: after that, every lease that its earlier
-// incarnation accepted has ended. Nor does it before it knows the greatest token that its earlier
-// incarnation accepted: either so many active acceptors have replied that any quorum without this acceptor
-// has one of them, or all others have replied. If neither happens because acceptors are gone for good, a
-// quorum, this acceptor and those that replied, is enough after recoveryTimeout; then only the wall clocks
-// (MinToken) make tokens grow.
+// It does not vote during the first lease duration after its start: after that, every lease that its earlier
+// incarnation accepted has expired. It also has to know the greatest token that its earlier incarnation
+// accepted. It does once so many active acceptors have replied that any quorum without this acceptor includes
+// one of them, or once all other acceptors have replied. If neither happens because acceptors are gone
+// permanently, a quorum (this acceptor and those that replied) is enough after recoveryTimeout; in that case
+// only the wall clocks (MinToken) ensure that tokens grow.
 func (a *Acceptor) Active(now time.Duration) bool {
 	if now < a.startedAt+a.Duration {
 		return false
@@ -83,7 +83,7 @@
 	return len(a.repliedAcceptors) >= count-a.Quorum()+1 || len(a.replied) >= count-1
 }
 
-// Tick sends the recovery queries that are due, and returns when it has to be called again; 0 for never.
+// Tick returns the recovery queries that are due, and when it has to be called again; 0 for never.
 func (a *Acceptor) Tick(now time.Duration) (out []Envelope, due time.Duration) {
 	if a.hasRecovered() {
 		return nil, 0
@@ -99,8 +99,9 @@
 	return out, a.queriedAt + interval
 }
 
-// recoveryQueries returns queries to the next acceptors whose replies are missing. Within a lease
-// duration of a start of the complete tier no acceptor is active, and one reply of each is enough.
+// recoveryQueries returns queries to the next acceptors whose replies are missing. During the first lease
+// duration after the start one reply of each acceptor is enough, active or not: if the complete tier has
+// started at once, no acceptor is active yet.
 func (a *Acceptor) recoveryQueries(now time.Duration) (out []Envelope) {
 	done := a.replied
 	if now >= a.startedAt+a.Duration {
@@ -140,16 +141,16 @@
 	return Message{}, false
 }
 
-// reply returns a message about the ballot of another one.
+// reply returns a message of the given kind with the ballot of the message that it replies to.
 func (a *Acceptor) reply(kind Kind, to Message) Message {
 	return Message{Kind: kind, Task: a.Task, Ballot: to.Ballot, HighestToken: a.highestToken}
 }
 
-// onPrepare promises a ballot, unless a greater one is promised or another's lease is valid.
+// onPrepare promises a ballot, unless a greater one is promised or another proposer's lease is valid.
 //
-// Another's lease comes first, before the rounds are compared. A promise would have this acceptor
-// reject the holder's renewal that is on its way; and a proposer whose rounds are behind, as those of a
-// holder grow with each renewal, would be rejected again and again and never learn who the holder is.
+// Another proposer's lease is checked before the rounds are compared, for two reasons. A promise would make
+// this acceptor reject a renewal of the holder that is in transit. And a proposer whose rounds are lower,
+// as those of a holder grow with each renewal, would be rejected repeatedly and never learn who the holder is.
 func (a *Acceptor) onPrepare(now time.Duration, m Message) Message {
 	if a.accepted.isValid(now) && !a.accepted.isOf(m.Ballot) {
 		return a.withLease(a.reply(Promise, m))
@@ -174,7 +175,7 @@
 	return reply
 }
 
-// onPropose accepts a ballot and its lease, unless a greater one is promised.
+// onPropose accepts a ballot and its lease, unless a greater ballot is promised.
 func (a *Acceptor) onPropose(now time.Duration, m Message) Message {
 	if m.Ballot.Compare(a.promised) < 0 {
 		return a.reject()
@@ -185,7 +186,7 @@
 	return a.reply(Accept, m)
 }
 
-// reject returns a rejection with the ballot that is promised.
+// reject returns a rejection that carries the promised ballot.
 func (a *Acceptor) reject() Message {
 	return a.reply(Reject, Message{Ballot: a.promised})
 }
@@ -202,7 +203,7 @@
 	return reply
 }
 
-// onRecoveryReply handles a reply; one to a query of an earlier incarnation does not count.
+// onRecoveryReply handles a recovery reply. A reply to a query of an earlier incarnation is not counted.
 func (a *Acceptor) onRecoveryReply(from Limiter, m Message) {
 	if m.Ballot.Epoch != a.Epoch {
 		return
@@ -219,14 +220,14 @@
 	}
 }
 
-// AcceptorState is what an acceptor remembers, for another process of the same limiter. Times are of
-// the clock that both processes go by. The tags are a format that processes of other releases read.
+// AcceptorState is the state of an acceptor, for another process of the same limiter. Times are those of a
+// clock that both processes use. Processes of other releases read the JSON tags.
 type AcceptorState struct {
 	Task             uint32        `json:"Task"`
 	StartedAt        time.Duration `json:"Born"`
 	Promised         Ballot        `json:"Promised"`
-	Accepted         Ballot        `json:"Under"` // of the lease that is accepted until Until
-	Incarnation      uint32        `json:"Life"`  // the epoch of Accepted; restore takes it from there
+	Accepted         Ballot        `json:"Under"` // of the accepted lease, which ends at Until
+	Incarnation      uint32        `json:"Life"`  // Accepted.Epoch; restore reads it from Accepted
 	Token            uint64        `json:"Token"`
 	Until            time.Duration `json:"Until"`
 	HighestToken     uint64        `json:"Known"`
@@ -235,7 +236,7 @@
 	RepliedAcceptors []Limiter     `json:"Sure"`
 }
 
-// state returns what the acceptor remembers.
+// state returns the acceptor's state for another process.
 func (a *Acceptor) state() AcceptorState {
 	return AcceptorState{
 		Task:             a.Task,
@@ -252,7 +253,7 @@
 	}
 }
 
-// restore replaces the state by that of an acceptor in another process of this limiter.
+// restore replaces the state with that of an acceptor in another process of this limiter.
 func (a *Acceptor) restore(s AcceptorState) {
 	a.startedAt, a.promised = s.StartedAt, s.Promised
 	a.accepted = acceptedLease{ballot: s.Accepted, token: s.Token, until: s.Until}
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -10,7 +10,7 @@
 	Tasks         []string
 	AcceptorCount int           // acceptors per task, at most as many as there are limiters
 	Duration      time.Duration // of a lease
-	// ClockDrift is the most by which the rate of any one clock is off from true time, as a fraction.
+	// ClockDrift is the maximum deviation of any clock's rate from true time, as a fraction.
 	ClockDrift float64
 
 	Self, Limiters int    // this limiter, and how many there are
@@ -18,8 +18,9 @@
 	MinToken       uint64 // the wall clock at the start, in ms
 }
 
-// Agent takes part for one limiter in the agreement on all tasks, as acceptor and as proposer. It is not
-// safe for concurrent use. The parameter chance of its methods returns a random number from 0 to 1.
+// Agent is one limiter's participant in the agreement on all tasks: the proposer of each task, and the
+// acceptor of those tasks that have this limiter as an acceptor. It is not safe for concurrent use. The
+// parameter chance of its methods returns a random number from 0 to 1.
 type Agent struct {
 	self  Limiter
 	tasks []*task
@@ -31,7 +32,7 @@
 	config       Config
 	acceptor     *Acceptor // nil if this limiter is no acceptor of the task
 	proposer     Proposer
-	countedUntil time.Duration // end of the lease as last counted; 0 for none
+	countedUntil time.Duration // end of the lease that counts last included; 0 for none
 	counts       Counts
 }
 
@@ -64,7 +65,7 @@
 	return t
 }
 
-// task returns a task by its name, nil for none.
+// task returns the task with the given name, or nil.
 func (a *Agent) task(name string) *task {
 	for _, t := range a.tasks {
 		if t.name == name {
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// taskByID returns a task by its ID in messages, nil for none.
+// taskByID returns the task with the given ID, as used in messages, or nil.
 func (a *Agent) taskByID(id uint32) *task {
 	for _, t := range a.tasks {
 		if t.config.Task == id {
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// SetWanted sets whether a task's lease is wanted; a lease that is held is released once it is not. It
-// returns what is to be sent.
+// SetWanted sets whether a task's lease is wanted; a lease that is held is released once it is not wanted. It
+// returns the messages to send.
 func (a *Agent) SetWanted(now time.Duration, name string, wanted bool, chance func() float64) []Envelope {
 	t := a.task(name)
 	if t == nil {
@@ -98,8 +99,8 @@
 	return a.deliverLocal(now, t.proposer.SetWanted(now, wanted, chance()), chance)
 }
 
-// Holds reports whether this limiter holds a task's lease, with its fencing token and the time from
-// which on nothing may be begun under it. Token and until have no meaning if ok is false.
+// Holds reports whether this limiter holds a task's lease, with its fencing token and the time from which no
+// action may be started under it. Token and until have no meaning if ok is false.
 func (a *Agent) Holds(now time.Duration, name string) (token uint64, until time.Duration, ok bool) {
 	if t := a.task(name); t != nil {
 		return t.proposer.Holds(now)
@@ -130,14 +131,14 @@
 	return t != nil && t.proposer.SetPayload(now, payload)
 }
 
-// RecordLateAction counts an action that was not begun as the lease had ended.
+// RecordLateAction counts an action that was not started because the lease had ended.
 func (a *Agent) RecordLateAction(name string) {
 	if t := a.task(name); t != nil {
 		t.counts.LateActions++
 	}
 }
 
-// HandleMessage handles a message of another limiter, and returns what is to be sent.
+// HandleMessage handles a message of another limiter, and returns the messages to send.
 func (a *Agent) HandleMessage(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
 	t := a.taskByID(m.Task)
 	if t == nil {
@@ -146,7 +147,8 @@
 	return a.deliverLocal(now, t.deliver(now, from, m, chance), chance)
 }
 
-// Tick does what is due, and returns what is to be sent and when it has to be called again; 0 for never.
+// Tick performs the due work of all tasks. It returns the messages to send, and when it has to be called
+// again; 0 for never.
 func (a *Agent) Tick(now time.Duration, chance func() float64) (out []Envelope, due time.Duration) {
 	for _, t := range a.tasks {
 		sent, next := t.tick(now, chance)
@@ -156,7 +158,7 @@
 	return out, due
 }
 
-// earliest returns the earlier of two times, of which 0 is never.
+// earliest returns the earlier of two times, where 0 means never.
 func earliest(a, b time.Duration) time.Duration {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -180,7 +182,7 @@
 	return others
 }
 
-// deliver hands a message to the proposer and to the acceptor. A proposal with the ballot of another
+// deliver passes a message to the proposer and to the acceptor. A proposal with the ballot of another
 // limiter, or from a limiter with another list of acceptors, is ignored.
 func (t *task) deliver(now time.Duration, from Limiter, m Message, chance func() float64) []Envelope {
 	isProposal := m.Kind == Prepare || m.Kind == Propose
@@ -198,13 +200,13 @@
 			t.counts.Waited++
 		}
 	}
-	t.recordChange(now)
+	t.updateCounts(now)
 	return out
 }
 
 func (t *task) tick(now time.Duration, chance func() float64) (out []Envelope, due time.Duration) {
 	out, due = t.proposer.Tick(now, chance())
-	t.recordChange(now)
+	t.updateCounts(now)
 	if t.acceptor == nil {
 		return out, due
 	}
@@ -212,8 +214,8 @@
 	return append(out, queries...), earliest(due, next)
 }
 
-// recordChange counts what has become of the lease.
-func (t *task) recordChange(now time.Duration) {
+// updateCounts counts the lease as won, renewed or lost if it has changed since the last call.
+func (t *task) updateCounts(now time.Duration) {
 	_, until, held := t.proposer.Holds(now)
 	switch {
 	case !held && t.countedUntil > 0:
@@ -228,8 +230,8 @@
 	}
 }
 
-// State returns what this limiter's acceptors remember, for another process of this limiter. The agent
-// must not be used afterwards: the acceptors vote in the other process.
+// State returns the state of this limiter's acceptors, for another process of this limiter. The agent
+// must not be used afterwards, because the acceptors vote in the other process.
 func (a *Agent) State() (list []AcceptorState) {
 	for _, t := range a.tasks {
 		if t.acceptor != nil {
@@ -239,8 +241,8 @@
 	return list
 }
 
-// Restore replaces the state of the acceptors by that of another process of this limiter. If that process
-// ever votes again, it has to start with empty acceptors.
+// Restore replaces the state of the acceptors with that of another process of this limiter. If that process
+// ever votes again, it has to start with acceptors without state.
 func (a *Agent) Restore(list []AcceptorState) {
 	for _, s := range list {
 		if t := a.taskByID(s.Task); t != nil && t.acceptor != nil {
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -1,6 +1,6 @@
-// Package lease has the limiters of a tier agree on one lease holder per task, without any disk. Each
-// task has a few acceptors among the limiters; whoever has the votes of a quorum of them holds the
-// task's lease for a while. The package does no I/O, reads no clock, draws no random number of its own
+// Package lease lets the limiters of a tier agree on one lease holder per task, without any disk. Each
+// task has a few acceptors among the limiters; a limiter with the votes of a quorum of them holds the
+// task's lease for a limited time. The package does no I/O, reads no clock, draws no random numbers itself
 // and starts no goroutine.
 //
 // The agreement is by ballots, as in PaxosLease. A proposer has a quorum of acceptors promise its
@@ -8,7 +8,7 @@
 // proposers, and promises them nothing, until the lease duration has passed by its own clock; the lease
 // holder stops earlier by its own clock, by as much as the two clocks may drift apart. Each new lease
 // has a fencing token greater than those of all leases before it, and may carry a number, the payload,
-// on to later holders.
+// which later holders learn.
 //
 // docs/design/leases.md argues why it is safe, assumption by assumption.
 package lease
@@ -32,23 +32,22 @@
 	Self       Limiter       // this limiter
 	Epoch      uint32        // of this limiter's start, see Ballot.Epoch
 	Acceptors  []Limiter     // of the task, see AcceptorsOf
-	Candidates int           // how many limiters may want the lease; 0 counts as at most fewCandidates
+	Candidates int           // how many limiters may want the lease; 0 is the same as unscaledCandidates or fewer
 	Duration   time.Duration // of a lease, by an acceptor's clock
 	ClockDrift float64       // see Settings.ClockDrift
 	MinToken   uint64        // every token is greater than this: the wall clock at the start, in ms
 }
 
-// Quorum is how many acceptors have to agree: any two quorums have one in common.
+// Quorum returns how many acceptors have to agree: any two quorums have one in common.
 func (c *Config) Quorum() int { return len(c.Acceptors)/2 + 1 }
 
-// HoldDuration is how long a lease holder may act, by its own clock, from before it sent Prepare. It
-// ends before Duration does at any acceptor as long as no clock is off by more than ClockDrift: two clocks
-// then differ by up to twice that.
+// HoldDuration returns how long a lease holder may act, by its own clock, from the start of the attempt,
+// before it sent Prepare. It ends before Duration does at any acceptor as long as no clock drifts by more than
+// ClockDrift: two clocks then differ by up to twice that.
 func (c *Config) HoldDuration() time.Duration {
 	return c.durationFraction(1 - 2*c.ClockDrift)
 }
 
-// durationFraction returns a fraction of the lease duration.
 func (c *Config) durationFraction(fraction float64) time.Duration {
 	return time.Duration(float64(c.Duration) * fraction)
 }
@@ -60,8 +59,8 @@
 	return hash.Sum32()
 }
 
-// AcceptorsOf returns the acceptors of a task in a tier of some size, by rendezvous hashing: all
-// limiters find the same ones, and different ones for different tasks. At most count are returned.
+// AcceptorsOf returns the acceptors of a task in a tier with the given number of limiters, by rendezvous
+// hashing: all limiters compute the same acceptors, and those of different tasks differ. At most count are returned.
 func AcceptorsOf(task uint32, limiters, count int) []Limiter {
 	all := make([]Limiter, limiters)
 	for i := range all {
--- a/internal/lease/format_test.go
+++ b/internal/lease/format_test.go
@@ -11,8 +11,8 @@
 	"lemongate/internal/golden"
 )
 
-// Messages of each kind that 0.8.0 packed are read as what they were packed from, and packed to the
-// same bytes.
+// Messages of each kind that 0.8.0 encoded are decoded to the original values, which are encoded to the same
+// bytes.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var b strings.Builder
 	var sent []Message
@@ -31,12 +31,12 @@
 			t.Fatal(err)
 		}
 		if got, ok := Parse(data); !ok || got != sent[i] {
-			t.Errorf("read as %+v, want %+v", got, sent[i])
+			t.Errorf("decoded %+v, want %+v", got, sent[i])
 		}
 	}
 }
 
-// viewCodec writes views as internal/admin does.
+// viewCodec encodes views as internal/admin does.
 var viewCodec = jsoniter.ConfigDefault
 
 // The view of a lease has the fields that scripts read.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,12 +11,12 @@
 	"lemongate/internal/rapidtest"
 )
 
-// TestMain fixes the seed, so that the verdict is the same every time.
+// TestMain fixes the seed, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	os.Exit(rapidtest.Main(m, "20261201", map[string]string{"rapid.checks": "400", "rapid.steps": "120"}))
 }
 
-// Random kills, starts, stalls, clock rates, cut links, losses, duplicates and delays: at most one
+// With random kills, starts, stalls, clock rates, cut links, losses, duplicates and delays, at most one
 // limiter holds the lease at any instant, and tokens only grow.
 func TestAtMostOneHolder(t *testing.T) {
 	wins := 0
@@ -24,49 +24,49 @@
 		acceptors := rapid.SampledFrom([]int{1, 3, 5}).Draw(t, "acceptors")
 		tier := newTier(t.Fatalf, rapid.Uint64().Draw(t, "seed"), acceptors+rapid.IntRange(0, 2).Draw(t, "more"), acceptors)
 		for i := range tier.limiters {
-			tier.want(i, true)
+			tier.setWanted(i, true)
 		}
-		tier.pass(1500 * time.Millisecond)
-		any := func() int { return rapid.IntRange(0, len(tier.limiters)-1).Draw(t, "limiter") }
-		pass := func(t *rapid.T) { tier.pass(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond) }
+		tier.run(1500 * time.Millisecond)
+		anyLimiter := func() int { return rapid.IntRange(0, len(tier.limiters)-1).Draw(t, "limiter") }
+		run := func(t *rapid.T) { tier.run(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond) }
 		t.Repeat(map[string]func(*rapid.T){
-			"pass": pass, "pass 2": pass, "pass 3": pass, "pass 4": pass, "pass 5": pass, "pass 6": pass,
-			"stall":   func(t *rapid.T) { tier.limiters[any()].stalled = true },
-			"wake up": func(t *rapid.T) { tier.resume(any()) },
-			"kill":    func(t *rapid.T) { tier.limiters[any()].dead = true },
+			"pass": run, "pass 2": run, "pass 3": run, "pass 4": run, "pass 5": run, "pass 6": run,
+			"stall":   func(t *rapid.T) { tier.limiters[anyLimiter()].stalled = true },
+			"wake up": func(t *rapid.T) { tier.resume(anyLimiter()) },
+			"kill":    func(t *rapid.T) { tier.limiters[anyLimiter()].dead = true },
 			"boot": func(t *rapid.T) {
-				i := any()
+				i := anyLimiter()
 				tier.start(i)
-				tier.want(i, true)
+				tier.setWanted(i, true)
 			},
 			"clock": func(t *rapid.T) {
-				tier.setRate(tier.limiters[any()], rapid.SampledFrom([]float64{0.99, 1, 1.01}).Draw(t, "rate"))
+				tier.setRate(tier.limiters[anyLimiter()], rapid.SampledFrom([]float64{0.99, 1, 1.01}).Draw(t, "rate"))
 			},
-			"opt in or out": func(t *rapid.T) { tier.want(any(), rapid.Bool().Draw(t, "wanted")) },
-			"cut":           func(t *rapid.T) { tier.cut[[2]int{any(), any()}] = rapid.Bool().Draw(t, "is") },
+			"opt in or out": func(t *rapid.T) { tier.setWanted(anyLimiter(), rapid.Bool().Draw(t, "wanted")) },
+			"cut":           func(t *rapid.T) { tier.cutLinks[[2]int{anyLimiter(), anyLimiter()}] = rapid.Bool().Draw(t, "is") },
 			"net": func(t *rapid.T) {
 				tier.loss = rapid.SampledFrom([]float64{0, 0.08, 0.4}).Draw(t, "loss")
 				tier.duplication = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")
 				tier.maxDelay = rapid.SampledFrom([]time.Duration{5, 50, 900, 5000}).Draw(t, "late") * time.Millisecond
 			},
-			"": func(t *rapid.T) { tier.pass(2 * time.Millisecond) },
+			"": func(t *rapid.T) { tier.run(2 * time.Millisecond) },
 		})
 		wins += tier.wins
 	})
 	if wins < 400 {
-		t.Errorf("the lease was won only %d times", wins)
+		t.Errorf("the lease was won %d times, want at least 400", wins)
 	}
 	t.Logf("won %d times", wins)
 }
 
-// playFaults plays a tier with a fault every now and then, half of them at the lease holder. Clocks
-// drift by as much as is assumed.
-func playFaults(tier *simulatedTier, leaseDurations float64) {
+// injectFaults runs a tier for a number of lease durations and injects faults at random intervals, half of them
+// at the lease holder. Clock rates are off by at most the drift that is assumed.
+func injectFaults(tier *simulatedTier, leaseDurations float64) {
 	for i := range tier.limiters {
-		tier.want(i, true)
+		tier.setWanted(i, true)
 	}
 	for end := tier.now + time.Duration(leaseDurations*float64(leaseDuration)); tier.now < end; {
-		tier.pass(time.Duration(tier.random.Int64N(int64(leaseDuration) / 2)))
+		tier.run(time.Duration(tier.random.Int64N(int64(leaseDuration) / 2)))
 		target := tier.random.IntN(len(tier.limiters))
 		if tier.holder >= 0 && tier.random.IntN(2) == 0 {
 			target = tier.holder
@@ -74,7 +74,7 @@
 		switch n := tier.limiters[target]; tier.random.IntN(9) {
 		case 0:
 			tier.start(target)
-			tier.want(target, true)
+			tier.setWanted(target, true)
 		case 1:
 			n.stalled = true
 		case 2:
@@ -83,29 +83,29 @@
 					tier.resume(i)
 				}
 			}
-		case 3: // it receives nothing, and all receive what it sends
+		case 3: // links to the target are cut; those from it are not
 			for i := range tier.limiters {
-				tier.cut[[2]int{i, target}] = true
+				tier.cutLinks[[2]int{i, target}] = true
 			}
-		case 4: // nobody receives what it sends
+		case 4: // links from the target are cut
 			for i := range tier.limiters {
-				tier.cut[[2]int{target, i}] = true
+				tier.cutLinks[[2]int{target, i}] = true
 			}
 		case 5, 6:
-			clear(tier.cut)
+			clear(tier.cutLinks)
 		case 7:
 			tier.setRate(n, 1+tier.drift*float64(tier.random.IntN(3)-1))
 		case 8:
 			tier.loss = []float64{0, 0.08, 0.3}[tier.random.IntN(3)]
 			tier.duplication = []float64{0, 0.3}[tier.random.IntN(2)]
 			tier.maxDelay = []time.Duration{5, 60, 250, 1200}[tier.random.IntN(4)] * time.Millisecond
-			tier.want(target, false)
-			tier.want(target, true)
+			tier.setWanted(target, false)
+			tier.setWanted(target, true)
 		}
 	}
 }
 
-// Long runs with faults aimed at the lease holder, and with clocks that drift by a tenth.
+// Long runs with faults aimed at the lease holder, and with clocks that drift by up to a tenth.
 func TestFaultsAimedAtHolder(t *testing.T) {
 	wins := 0
 	for seed := range map[bool]uint64{false: 500, true: 1200}[os.Getenv("LEMONGATE_LONG") != ""] {
@@ -115,19 +115,19 @@
 		for i := range tier.limiters {
 			tier.start(i)
 		}
-		playFaults(tier, 25)
+		injectFaults(tier, 25)
 		if wins += tier.wins; t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("failed with seed %d", seed)
 		}
 	}
 	if wins < 2000 {
-		t.Errorf("the lease was won only %d times", wins)
+		t.Errorf("the lease was won %d times, want at least 2000", wins)
 	}
 	t.Logf("won %d times", wins)
 }
 
-// Tokens grow without any help of wall clocks, and each lease holder knows the payloads of those before,
-// as long as no two acceptors are empty at once.
+// Tokens grow without the help of wall clocks, and each lease holder knows the payloads of earlier holders,
+// as long as no two acceptors are without state at once.
 func TestTokensGrow(t *testing.T) {
 	wins, payloads := 0, uint64(0)
 	for seed := range map[bool]uint64{false: 300, true: 4000}[os.Getenv("LEMONGATE_LONG") != ""] {
@@ -135,44 +135,44 @@
 		tier.minToken, tier.setsPayloads = 1, true
 		for i := range tier.limiters {
 			tier.start(i)
-			tier.want(i, true)
+			tier.setWanted(i, true)
 		}
-		tier.pass(4 * leaseDuration)
+		tier.run(4 * leaseDuration)
 		for range 12 {
 			tier.loss = []float64{0, 0.3, 0.6}[tier.random.IntN(3)]
 			tier.maxDelay = []time.Duration{5, 100, 2500}[tier.random.IntN(3)] * time.Millisecond
-			clear(tier.cut)
-			isolated := tier.random.IntN(len(tier.acceptors)) // few acceptors may know of a lease
+			clear(tier.cutLinks)
+			isolated := tier.random.IntN(len(tier.acceptors)) // so that few acceptors may know of a lease
 			for i := range tier.limiters {
 				if tier.random.IntN(2) == 0 {
-					tier.cut[[2]int{i, isolated}] = true
+					tier.cutLinks[[2]int{i, isolated}] = true
 				}
 			}
 			if tier.holder >= 0 {
-				tier.want(tier.holder, false)
-				tier.want(tier.holder, true)
+				tier.setWanted(tier.holder, false)
+				tier.setWanted(tier.holder, true)
 			}
-			tier.pass(time.Duration(tier.random.Int64N(int64(2 * leaseDuration))))
+			tier.run(time.Duration(tier.random.Int64N(int64(2 * leaseDuration))))
 			if empty := tier.random.IntN(len(tier.acceptors)); tier.allActive() {
 				tier.start(empty)
-				tier.want(empty, true)
+				tier.setWanted(empty, true)
 			}
-			tier.pass(time.Duration(tier.random.Int64N(int64(3 * leaseDuration))))
+			tier.run(time.Duration(tier.random.Int64N(int64(3 * leaseDuration))))
 		}
 		payloads += tier.payload
 		if wins += tier.wins; t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("failed with seed %d", seed)
 		}
 	}
 	if payloads < 1000 {
-		t.Errorf("only %d payloads were set", payloads)
+		t.Errorf("%d payloads were set, want at least 1000", payloads)
 	}
 	t.Logf("won %d times, %d payloads set", wins, payloads)
 }
 
-// With nothing but some loss a task keeps its lease holder. It has one soon after all have started, and a
-// new one soon after the holder died, stopped or released the lease: within so many lease durations at
-// the median, for 99 of 100 and at the worst. LEMONGATE_LONG=1 plays 1,000 seeds.
+// A task with only some message loss keeps its lease holder. After the limiters start, and after the holder
+// dies, stalls or releases the lease, there is a holder within the given number of lease durations: at the
+// median, for 99 of 100 seeds and at the worst. LEMONGATE_LONG=1 runs 1,000 seeds.
 func TestTimesWithoutHolder(t *testing.T) {
 	seeds := uint64(60)
 	if os.Getenv("LEMONGATE_LONG") != "" {
@@ -188,44 +188,44 @@
 			tier := newTier(t.Fatalf, seed, 7, 5)
 			tier.loss = 0.078
 			for i := range tier.limiters {
-				tier.want(i, true)
+				tier.setWanted(i, true)
 			}
-			tier.pass(5 * leaseDuration)
+			tier.run(5 * leaseDuration)
 			if tier.holder < 0 {
-				t.Fatalf("seed %d: no holder", seed)
+				t.Fatalf("seed %d: no lease holder after 5 lease durations", seed)
 			}
 			if c.event == "start" {
-				times = append(times, tier.longestFree.Seconds()/leaseDuration.Seconds())
+				times = append(times, tier.longestWithoutHolder.Seconds()/leaseDuration.Seconds())
 				wins := tier.wins
-				tier.pass(10 * leaseDuration)
+				tier.run(10 * leaseDuration)
 				changes += tier.wins - wins
 				continue
 			}
-			tier.longestFree = 0
+			tier.longestWithoutHolder = 0
 			switch c.event {
 			case "death":
 				tier.limiters[tier.holder].dead = true
 			case "stall":
 				tier.limiters[tier.holder].stalled = true
 			case "release":
-				tier.want(tier.holder, false)
+				tier.setWanted(tier.holder, false)
 			}
-			tier.pass(6 * leaseDuration)
-			times = append(times, tier.longestFree.Seconds()/leaseDuration.Seconds())
+			tier.run(6 * leaseDuration)
+			times = append(times, tier.longestWithoutHolder.Seconds()/leaseDuration.Seconds())
 		}
 		if changes > int(seeds)/200 {
-			t.Errorf("the holder changed %d times in %d lease durations with nothing but loss", changes, 10*seeds)
+			t.Errorf("the holder changed %d times in %d lease durations with only message loss", changes, 10*seeds)
 		}
 		slices.Sort(times)
 		median, p99, worst := times[len(times)/2], times[len(times)*99/100], times[len(times)-1]
 		t.Logf("%s, %d seeds: without a holder for %.2f lease durations at the median, %.2f at p99, %.2f at the worst", c.event, seeds, median, p99, worst)
 		if median > c.median || p99 > c.p99 || worst > c.most {
-			t.Errorf("%s: want %.1f, %.1f and %.1f", c.event, c.median, c.p99, c.most)
+			t.Errorf("%s: want at most %.1f lease durations at the median, %.1f at p99, %.1f at the worst", c.event, c.median, c.p99, c.most)
 		}
 	}
 }
 
-// All limiters restart, one after another and at once: there is a lease holder again, with a greater
+// After all limiters restart, one after another or at once, there is a lease holder again, with a greater
 // token.
 func TestRestarts(t *testing.T) {
 	for seed := range uint64(20) {
@@ -233,98 +233,99 @@
 		tier.loss = 0.05
 		restart := func(i int) {
 			tier.start(i)
-			tier.want(i, true)
+			tier.setWanted(i, true)
 		}
 		for i := range tier.limiters {
 			restart(i)
 		}
-		tier.pass(4 * leaseDuration)
+		tier.run(4 * leaseDuration)
 		for round := range 3 {
 			before := tier.token
 			for i := range tier.limiters {
 				restart(i)
-				tier.pass([]time.Duration{0, 300 * time.Millisecond, 1200 * time.Millisecond}[round])
+				tier.run([]time.Duration{0, 300 * time.Millisecond, 1200 * time.Millisecond}[round])
 			}
-			tier.longestFree, tier.heldAt = 0, tier.now
-			tier.pass(6 * leaseDuration)
-			if tier.token <= before || tier.longestFree > 4*leaseDuration {
-				t.Errorf("seed %d, round %d: token %d after %d, none for %v", seed, round, tier.token, before, tier.longestFree)
+			tier.longestWithoutHolder, tier.lastHeldAt = 0, tier.now
+			tier.run(6 * leaseDuration)
+			if tier.token <= before || tier.longestWithoutHolder > 4*leaseDuration {
+				t.Errorf("seed %d, round %d: token %d after token %d, no lease holder for %v", seed, round, tier.token, before, tier.longestWithoutHolder)
 			}
 		}
 	}
 }
 
-// 300 limiters want the same lease at once: it has a holder soon.
+// A lease that 300 limiters want at once has a holder within three lease durations.
 func TestManyCandidates(t *testing.T) {
 	tier := newTier(t.Fatalf, 3, 300, 5)
 	tier.loss = 0.05
 	for i := range tier.limiters {
-		tier.want(i, true)
+		tier.setWanted(i, true)
 	}
-	tier.pass(3 * leaseDuration)
+	tier.run(3 * leaseDuration)
 	if tier.holder < 0 {
-		t.Fatal("no holder")
+		t.Fatal("no lease holder after three lease durations")
 	}
 	sentFirst, wins := tier.messagesSent, tier.wins
-	tier.pass(3 * leaseDuration)
+	tier.run(3 * leaseDuration)
 	if tier.wins != wins {
-		t.Errorf("it changed hands %d times", tier.wins-wins)
+		t.Errorf("the lease was won %d more times, want 0", tier.wins-wins)
 	}
-	t.Logf("%d messages in the first three lease durations, %d in the next, longest time without a holder %v", sentFirst, tier.messagesSent-sentFirst, tier.longestFree)
+	t.Logf("%d messages in the first three lease durations, %d in the next, longest time without a holder %v", sentFirst, tier.messagesSent-sentFirst, tier.longestWithoutHolder)
 }
 
-// A clock that drifts by more than is assumed lets two limiters hold the lease, and the check detects it.
+// A clock that drifts by more than is assumed lets two limiters hold the lease, and tier.check detects it.
 func TestCheckDetectsClockDrift(t *testing.T) {
 	failures := 0
 	for seed := range uint64(60) {
 		tier := newTier(func(string, ...any) { failures++ }, seed, 3, 3)
 		tier.loss = 0.2
 		for i := range tier.limiters {
-			tier.want(i, true)
+			tier.setWanted(i, true)
 		}
-		tier.pass(3 * leaseDuration)
+		tier.run(3 * leaseDuration)
 		if tier.holder < 0 {
 			continue
 		}
-		tier.setRate(tier.limiters[tier.holder], 0.6) // its lease seems to last longer
-		tier.cut[[2]int{tier.holder, (tier.holder + 1) % 3}], tier.cut[[2]int{tier.holder, (tier.holder + 2) % 3}] = true, true
-		tier.pass(3 * leaseDuration)
+		tier.setRate(tier.limiters[tier.holder], 0.6) // the holder stops later than the acceptors assume
+		tier.cutLinks[[2]int{tier.holder, (tier.holder + 1) % 3}], tier.cutLinks[[2]int{tier.holder, (tier.holder + 2) % 3}] = true, true
+		tier.run(3 * leaseDuration)
 	}
 	if failures == 0 {
-		t.Error("a clock of rate 0.6 never made the check fail")
+		t.Error("with a clock of rate 0.6 at the lease holder the check never failed")
 	}
 }
 
-// An acceptor that starts empty votes only once it knows every token that it may have accepted: here
-// only one acceptor that knows of none can be reached.
+// An acceptor that starts without state votes only once it knows every token that its earlier incarnation may
+// have accepted. Here it can reach only one acceptor, which knows no token.
 func TestEmptyAcceptorDoesNotVote(t *testing.T) {
 	tier := newTier(t.Fatalf, 1, 3, 3)
 	tier.minToken = 1
 	for i := range tier.limiters {
 		tier.start(i)
 	}
-	tier.pass(1200 * time.Millisecond)
+	tier.run(1200 * time.Millisecond)
 	for i := range tier.limiters {
-		tier.cut[[2]int{i, 2}] = true // it misses what comes now
+		tier.cutLinks[[2]int{i, 2}] = true // limiter 2 does not learn of the lease
 	}
-	tier.want(1, true)
-	tier.pass(300 * time.Millisecond)
+	tier.setWanted(1, true)
+	tier.run(300 * time.Millisecond)
 	if tier.holder != 1 {
-		t.Fatal("not won")
+		t.Fatal("limiter 1 does not hold the lease")
 	}
-	clear(tier.cut)
+	clear(tier.cutLinks)
 	tier.limiters[1].dead = true
 	tier.inTransit = nil
 	tier.start(0)
-	tier.want(0, true)
-	tier.want(2, true)
-	tier.pass(2500 * time.Millisecond) // the check looks at tokens
+	tier.setWanted(0, true)
+	tier.setWanted(2, true)
+	tier.run(2500 * time.Millisecond) // fails if a token does not grow
 	if tier.holder != 1 {
-		t.Errorf("limiter %d holds the lease by the vote of an acceptor that knows no token", tier.holder)
+		t.Errorf("limiter %d holds the lease by the vote of an acceptor that knows no token, want limiter 1", tier.holder)
 	}
 }
 
-// A lease of an earlier incarnation is another's: two processes of one limiter may run at once.
+// A lease of an earlier incarnation counts as another limiter's, because two processes of one limiter may run
+// at once.
 func TestEarlierIncarnation(t *testing.T) {
 	p := NewProposer(Config{Self: 4, Epoch: 9, Acceptors: []Limiter{0}, Duration: leaseDuration})
 	p.SetWanted(0, true, 0)
@@ -334,7 +335,7 @@
 		promise := Message{Kind: Promise, Ballot: p.ballot, HasLease: true, Holder: 4, Incarnation: incarnation, Token: 3}
 		out := attempt.HandleMessage(0, 0, promise, 0)
 		if (len(out) > 0) != (incarnation == 9) {
-			t.Errorf("a lease of incarnation %d: %v", incarnation, out)
+			t.Errorf("with a lease of incarnation %d, messages sent: %v", incarnation, out)
 		}
 	}
 }
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -7,11 +7,11 @@
 	"lemongate/internal/checksum"
 )
 
-// Ballot names one attempt to get or renew a lease. No two attempts have the same one.
+// Ballot identifies one attempt to get or renew a lease. No two attempts have the same ballot.
 type Ballot struct {
 	Round uint32 `json:"Round"`
-	// Epoch is of the limiter's start, in ms of the wall clock modulo 2^32, which wraps every 49.7 days.
-	// All that is needed is that the epochs of two incarnations of a limiter differ.
+	// Epoch is the epoch of the limiter's start, in ms of the wall clock modulo 2^32, which wraps every 49.7
+	// days. The only requirement is that the epochs of two incarnations of a limiter differ.
 	Epoch uint32  `json:"Epoch"`
 	By    Limiter `json:"By"` // the proposer
 }
@@ -28,17 +28,17 @@
 // The kinds of messages, with their senders.
 const (
 	Prepare       Kind = iota // proposer: promise this ballot
-	Promise                   // acceptor: promised, unless it reports another proposer's lease
-	Reject                    // acceptor: a greater ballot, this one, is promised
+	Promise                   // acceptor: promised, unless the message reports another proposer's lease
+	Reject                    // acceptor: has promised the ballot of this message, which is greater
 	Propose                   // proposer: accept this ballot, and with it the lease
 	Accept                    // acceptor: accepted
 	Release                   // lease holder: the lease is released
 	RecoveryQuery             // acceptor that has started: which tokens and payloads are known?
-	RecoveryReply             // limiter: the token and payload known to it
+	RecoveryReply             // acceptor: the greatest token known to it, and the greatest payload
 	NumKinds                  // the number of kinds
 )
 
-// String returns the name of a kind, as tests and logs have had it since 0.8.0.
+// String returns the name of a kind. Tests and logs have used these names since 0.8.0.
 func (k Kind) String() string {
 	return [NumKinds]string{
 		Prepare:       "prepare",
@@ -52,15 +52,15 @@
 	}[k]
 }
 
-// Message goes from one limiter to another. It may be lost, late, repeated and overtaken.
+// Message is sent from one limiter to another. It may be lost, delayed, duplicated and reordered.
 type Message struct {
 	Kind         Kind
 	Task         uint32  // see TaskID
 	Ballot       Ballot  // RecoveryQuery and RecoveryReply: only Epoch, that of the acceptor's start
 	Holder       Limiter // Promise: the holder of the lease, if HasLease
 	Incarnation  uint32  // Promise: the epoch of the holder's start, if HasLease
-	HasLease     bool    // Promise: the acceptor has accepted a lease that is valid. RecoveryReply, which has no lease: the sender is an active acceptor
-	Token        uint64  // Propose: of the lease; Promise: of the lease reported
+	HasLease     bool    // Promise: the acceptor has accepted a valid lease. RecoveryReply: the acceptor is active; there is no lease
+	Token        uint64  // Propose: of the lease; Promise: of the reported lease
 	HighestToken uint64  // the greatest token known to the sender
 	Payload      uint64  // Propose: of the lease; Promise and RecoveryReply: the greatest accepted
 }
@@ -71,7 +71,7 @@
 	Message Message
 }
 
-// A datagram, big-endian. Its first byte differs from every version number of the limiters' other
+// Layout of a datagram, big-endian. The first byte differs from every version number of the limiters' other
 // messages, so that a limiter of another version ignores it.
 //
 //	 0  magic         17  Holder, 2 bytes
@@ -109,7 +109,7 @@
 	return checksum.Append(data)
 }
 
-// Parse reads a datagram, and reports whether it is a message of this package.
+// Parse decodes a datagram, and reports whether it is a message of this package.
 func Parse(data []byte) (m Message, ok bool) {
 	if len(data) != datagramSize || !IsMessage(data) || data[1] >= byte(NumKinds) || data[2] > 1 {
 		return m, false
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -7,20 +7,20 @@
 
 // Times of a proposer, in lease durations.
 const (
-	renewAfter      = 0.4  // from the start of the attempt that got or renewed the lease; leaves time for several more
+	renewAfter      = 0.4  // from the start of the attempt that got or renewed the lease; leaves time for several more attempts
 	attemptTimeout  = 0.1  // of an attempt at all acceptors
-	probeTimeout    = 0.05 // of Prepare at one acceptor, before the others are sent it
-	payloadInterval = 0.02 // from the start of an attempt to the earliest one with a new payload
+	probeTimeout    = 0.05 // of Prepare at one acceptor, before it is sent to the others
+	payloadInterval = 0.02 // from the start of an attempt to the earliest start of the next one, with a new payload
 	minBackoff      = 0.05 // after a failed attempt; doubled with each further one
 	maxBackoff      = 0.5
 )
 
-// maxDoublings is how many times minBackoff is doubled: enough to pass maxBackoff.
+// maxDoublings is how many times minBackoff is doubled: enough to exceed maxBackoff.
 const maxDoublings = 4
 
-// fewCandidates is up to how many candidates there are for backoffs to be as above. With more candidates
-// each one waits longer in proportion, so that all together send about as much as fewCandidates.
-const fewCandidates = 8
+// unscaledCandidates is the number of candidates up to which the backoffs above apply unchanged. With more
+// candidates each one waits longer in proportion, so that all together send about as much as unscaledCandidates would.
+const unscaledCandidates = 8
 
 // Phase is a stage of a proposer.
 type Phase uint8
@@ -28,13 +28,13 @@
 // The phases.
 const (
 	Idle      Phase = iota // the lease is not wanted
-	Waiting                // until the next attempt
+	Waiting                // waits until the next attempt is due
 	Preparing              // waits for promises
 	Proposing              // waits for accepts
 	numPhases
 )
 
-// String returns the name of a phase, as operators have seen it since 0.8.0.
+// String returns the name of a phase. Operators have seen these names since 0.8.0.
 func (p Phase) String() string {
 	return [numPhases]string{Idle: "idle", Waiting: "waiting", Preparing: "preparing", Proposing: "proposing"}[p]
 }
@@ -45,21 +45,21 @@
 	Config
 	phase    Phase
 	wanted   bool
-	nextAt   time.Duration // of the next attempt, or of the timeout of the current one
-	failures int           // attempts in a row that failed
+	nextAt   time.Duration // when the next attempt starts, or when the current one times out
+	failures int           // failed attempts in a row
 
 	// The current attempt.
 	ballot          Ballot
 	startedAt       time.Duration
 	votes           []Limiter // acceptors that promised, or accepted, the ballot
 	rejections      []Limiter // acceptors that did not vote for the ballot
-	probing         bool      // Prepare went to one acceptor only so far
-	probeUnanswered bool      // the last probe had no reply
+	probing         bool      // Prepare has been sent to one acceptor only so far
+	probeUnanswered bool      // the last probe got no reply
 	proposedToken   uint64
 	proposedPayload uint64
 
-	// What is known of the tier.
-	round        uint32  // the greatest of any ballot
+	// What is known about the tier.
+	round        uint32  // the greatest of any ballot seen
 	highestToken uint64  // of all leases
 	payload      uint64  // the greatest of all leases
 	holder       Limiter // as last learned, if holderKnown
@@ -67,7 +67,7 @@
 
 	// The lease of this limiter.
 	token           uint64 // 0 for none
-	acceptedBallot  Ballot // that got or renewed it last
+	acceptedBallot  Ballot // of the attempt that got or renewed the lease last
 	acceptedPayload uint64 // the greatest that a quorum has accepted from this proposer
 	until           time.Duration
 }
@@ -79,7 +79,7 @@
 func (p *Proposer) Phase() Phase { return p.phase }
 
 // Holds reports whether this limiter holds the lease, with the fencing token of the lease and the time
-// from which on nothing may be begun under it. Token and until have no meaning if ok is false.
+// from which no action may be started under it. Token and until have no meaning if ok is false.
 func (p *Proposer) Holds(now time.Duration) (token uint64, until time.Duration, ok bool) {
 	return p.token, p.until, p.token > 0 && now < p.until
 }
@@ -105,7 +105,7 @@
 	return false
 }
 
-// SetWanted sets whether the lease is wanted. A lease that is held is released once it is not. Chance,
+// SetWanted sets whether the lease is wanted. A lease that is held is released once it is not wanted. Chance,
 // 0 to 1, spreads the first attempts of many candidates in time.
 func (p *Proposer) SetWanted(now time.Duration, wanted bool, chance float64) []Envelope {
 	if p.wanted == wanted {
@@ -116,7 +116,7 @@
 		return p.release(now)
 	}
 	p.phase, p.failures = Waiting, 0
-	p.nextAt = now + p.durationFraction((p.crowding()-1)*maxBackoff*chance)
+	p.nextAt = now + p.durationFraction((p.backoffFactor()-1)*maxBackoff*chance)
 	return nil
 }
 
@@ -128,8 +128,8 @@
 	return out
 }
 
-// Tick does what is due, and returns when it has to be called again; 0 for never. Chance, 0 to 1,
-// spreads the attempts of many candidates.
+// Tick performs the due work. It returns the messages to send, and when it has to be called again; 0 for
+// never. Chance, 0 to 1, spreads the attempts of many candidates in time.
 func (p *Proposer) Tick(now time.Duration, chance float64) (out []Envelope, due time.Duration) {
 	if p.token > 0 && now >= p.until {
 		p.token, p.until = 0, 0
@@ -147,7 +147,7 @@
 	return out, due
 }
 
-// advance begins an attempt, or ends what has timed out.
+// advance starts an attempt that is due, or handles the timeout of a probe or of an attempt.
 func (p *Proposer) advance(now time.Duration, chance float64) []Envelope {
 	switch {
 	case p.phase == Waiting:
@@ -160,9 +160,9 @@
 	return nil
 }
 
-// startAttempt begins an attempt with a new ballot. A proposer without a lease probes one acceptor
-// first, its own if there is one: mostly another limiter holds the lease, and all acceptors would
-// report just that.
+// startAttempt starts an attempt with a new ballot. A proposer without a lease probes one acceptor
+// first, its own if there is one: usually another limiter holds the lease, and all acceptors would
+// report the same.
 func (p *Proposer) startAttempt(now time.Duration) []Envelope {
 	p.round++
 	p.ballot = Ballot{Round: p.round, Epoch: p.Epoch, By: p.Self}
@@ -176,7 +176,7 @@
 	return []Envelope{{p.probedAcceptor(), p.message(Message{Kind: Prepare, Ballot: p.ballot})}}
 }
 
-// probedAcceptor is the acceptor that this attempt probes: this limiter's own, else another one each time.
+// probedAcceptor returns the acceptor that this attempt probes: this limiter's own, else one that depends on the round.
 func (p *Proposer) probedAcceptor() Limiter {
 	if slices.Contains(p.Acceptors, p.Self) {
 		return p.Self
@@ -192,7 +192,7 @@
 	return slices.DeleteFunc(out, func(e Envelope) bool { return slices.Contains(p.votes, e.To) })
 }
 
-// message completes a message with what all messages have.
+// message sets the fields that all messages have.
 func (p *Proposer) message(m Message) Message {
 	m.Task, m.HighestToken = p.Task, p.highestToken
 	return m
@@ -206,10 +206,10 @@
 	return out
 }
 
-// backOff ends an attempt that failed, and puts off the next one. A lease holder attempts again soon.
+// backOff ends a failed attempt, and schedules the next one. A lease holder attempts again after about minBackoff.
 func (p *Proposer) backOff(now time.Duration, chance float64) {
 	doublings := min(p.failures, maxDoublings)
-	wait := min(minBackoff*float64(int(1)<<doublings), maxBackoff) * p.crowding()
+	wait := min(minBackoff*float64(int(1)<<doublings), maxBackoff) * p.backoffFactor()
 	if p.token > 0 {
 		wait = minBackoff
 	}
@@ -218,12 +218,12 @@
 	p.nextAt = now + p.durationFraction(wait*(0.5+chance))
 }
 
-// crowding is the factor by which each candidate waits longer, so that all together attempt no more
-// often than a few.
-func (p *Proposer) crowding() float64 { return max(float64(p.Candidates)/fewCandidates, 1) }
+// backoffFactor returns the factor by which the waits of each candidate are longer, so that all candidates
+// together make no more attempts than unscaledCandidates of them would.
+func (p *Proposer) backoffFactor() float64 { return max(float64(p.Candidates)/unscaledCandidates, 1) }
 
-// HandleMessage handles the reply of an acceptor, and returns what is to be sent. Chance, 0 to 1,
-// spreads the attempts of many candidates.
+// HandleMessage handles the reply of an acceptor, and returns the messages to send. Chance, 0 to 1,
+// spreads the attempts of many candidates in time.
 func (p *Proposer) HandleMessage(now time.Duration, from Limiter, m Message, chance float64) []Envelope {
 	p.highestToken = max(p.highestToken, m.HighestToken, m.Token)
 	p.round = max(p.round, m.Ballot.Round)
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// isAttempting reports whether replies count. They do not after the timeout, even if this process stalled
-// and could not end the attempt: acceptors that start rely on it, see recoveryQueryAfter.
+// isAttempting reports whether replies are handled. They are not handled after the timeout, even if this process
+// stalled and could not end the attempt: acceptors that start rely on this, see recoveryQueryAfter.
 func (p *Proposer) isAttempting(now time.Duration) bool {
 	return (p.phase == Preparing || p.phase == Proposing) && now < p.nextAt
 }
@@ -261,9 +261,10 @@
 	}
 }
 
-// recordRejection records an acceptor that did not vote for the ballot, and reports whether too few are
-// left. One alone does not end an attempt: the lease that it reports may never have had a quorum, or
-// may have been released.
+// recordRejection records an acceptor that did not vote for the ballot, and reports whether the attempt has
+// failed: a probe fails at once, others when too few acceptors are left for a quorum. One rejection does not
+// end an attempt at all acceptors, because the lease that it reports may never have had a quorum or may have
+// been released.
 func (p *Proposer) recordRejection(from Limiter) bool {
 	if !slices.Contains(p.rejections, from) {
 		p.rejections = append(p.rejections, from)
@@ -271,7 +272,7 @@
 	return p.probing || len(p.Acceptors)-len(p.rejections) < p.Quorum()
 }
 
-// onPromise counts a promise, and proposes once a quorum has promised.
+// onPromise counts a promise, and sends Propose once a quorum has promised.
 func (p *Proposer) onPromise(now time.Duration, from Limiter, m Message, chance float64) []Envelope {
 	p.payload = max(p.payload, m.Payload)
 	if p.reportsOtherLease(m) {
@@ -290,21 +291,21 @@
 	return nil
 }
 
-// reportsOtherLease reports whether a Promise reports a valid lease of another limiter, or of an earlier
-// incarnation of this one. Such a message promises nothing.
+// reportsOtherLease reports whether a Promise reports a valid lease of another limiter, or of another
+// incarnation of this one. Such a message is not counted as a promise.
 func (p *Proposer) reportsOtherLease(m Message) bool {
 	return m.HasLease && (m.Holder != p.Self || m.Incarnation != p.Epoch)
 }
 
-// waitForHolder ends an attempt because another limiter holds the lease.
+// waitForHolder ends an attempt because another limiter holds the lease, and schedules the next one.
 func (p *Proposer) waitForHolder(now time.Duration, holder Limiter, chance float64) {
 	p.holder, p.holderKnown = holder, true
 	p.phase, p.failures = Waiting, 0
-	p.nextAt = now + p.durationFraction(maxBackoff*p.crowding()*(0.5+chance))
+	p.nextAt = now + p.durationFraction(maxBackoff*p.backoffFactor()*(0.5+chance))
 }
 
-// propose sends all acceptors the ballot to accept: to renew, with the token of the lease that is held, else
-// with a token greater than every token that the quorum knows.
+// propose sends the ballot to all acceptors for acceptance. A renewal keeps the token of the held lease; a new
+// lease gets a token greater than every token that the quorum knows.
 func (p *Proposer) propose(now time.Duration) []Envelope {
 	p.phase, p.votes, p.rejections = Proposing, nil, nil
 	p.proposedToken = p.highestToken + 1
@@ -315,7 +316,8 @@
 	return p.broadcast(Message{Kind: Propose, Ballot: p.ballot, Token: p.proposedToken, Payload: p.proposedPayload})
 }
 
-// onAccept counts an accept. With a quorum the lease is held, for HoldDuration from the start of the attempt.
+// onAccept counts an accept. With a quorum this limiter holds the lease, for HoldDuration from the start of
+// the attempt.
 func (p *Proposer) onAccept(now time.Duration, from Limiter, chance float64) {
 	p.votes = append(p.votes, from)
 	if len(p.votes) < p.Quorum() {
--- a/internal/lease/states_test.go
+++ b/internal/lease/states_test.go
@@ -39,9 +39,9 @@
 	return &c
 }
 
-// All states that can be reached within bounds: messages arrive in every order, are late or lost, time
-// passes and an acceptor starts empty. At most one proposer holds the lease in any of them, and tokens
-// grow with each lease. LEMONGATE_LONG=1 explores the larger ones.
+// TestReachableStates explores all states that can be reached within bounds: messages arrive in every order, are
+// late or lost, time passes and an acceptor restarts without state. At most one proposer holds the lease in any
+// of them, and tokens grow with each lease. LEMONGATE_LONG=1 explores the larger ones.
 func TestReachableStates(t *testing.T) {
 	for _, b := range []bounds{
 		{acceptors: 3, steps: 2, inTransit: 3},
@@ -57,9 +57,9 @@
 		}
 		e := newExplorer(t, b)
 		e.explore()
-		t.Logf("%+v: %d states, complete: %v, the lease held in %d steps", b, len(e.seen), e.complete, e.held)
+		t.Logf("%+v: %d states, complete: %v, the lease held after %d steps", b, len(e.seen), e.complete, e.held)
 		if e.held < 50 || e.complete != (b.limit == 0) {
-			t.Errorf("%+v: the lease was held in only %d states, complete: %v", b, e.held, e.complete)
+			t.Errorf("%+v: the lease was held after %d steps, want at least 50; complete: %v", b, e.held, e.complete)
 		}
 	}
 }
@@ -68,10 +68,10 @@
 type bounds struct {
 	acceptors int
 	steps     int // of time, of timeStep each
-	inTransit int // messages at once; those beyond it are lost
+	inTransit int // messages in transit at once; further ones are lost
 	late      int // messages that stay in transit when time passes
-	restarts  int // of acceptors, empty
-	limit     int // of states, the deepest first; 0 for none
+	restarts  int // of acceptors, which lose their state
+	limit     int // of states explored, depth first; 0 for none
 
 	long bool // only with LEMONGATE_LONG
 }
@@ -85,7 +85,7 @@
 type explorer struct {
 	t      *testing.T
 	bounds bounds
-	others []Limiter // acceptors that have replied to an acceptor, as far as its quorum needs them
+	others []Limiter // acceptors that have replied to an acceptor, as many as hasRecovered requires
 
 	seen     map[uint64]bool // by hash
 	queue    []*state
@@ -126,11 +126,11 @@
 	for len(e.queue) > 0 {
 		s := e.queue[len(e.queue)-1]
 		e.queue = e.queue[:len(e.queue)-1]
-		for i := range s.inTransit { // one that never arrives is late until the end
+		for i := range s.inTransit { // a message that is never delivered stays in transit or is lost
 			e.deliver(s.clone(), i)
 		}
 		if s.now < time.Duration(e.bounds.steps)*timeStep {
-			e.passTime(s.clone())
+			e.advanceTime(s.clone())
 		}
 		if s.restarts < e.bounds.restarts {
 			for i := range s.acceptors {
@@ -151,11 +151,11 @@
 	} else {
 		e.send(s, m.to, s.proposers[m.to-firstProposer].HandleMessage(s.now, m.from, m.message, 0.5))
 	}
-	e.push(s)
+	e.enqueue(s)
 }
 
-// passTime lets a step of time pass: messages are lost, and both proposers do what is due.
-func (e *explorer) passTime(s *state) {
+// advanceTime advances time by a step: messages beyond bounds.late are lost, and both proposers do what is due.
+func (e *explorer) advanceTime(s *state) {
 	s.now += timeStep
 	if lost := len(s.inTransit) - e.bounds.late; lost > 0 {
 		s.inTransit = s.inTransit[lost:]
@@ -164,16 +164,16 @@
 		out, _ := s.proposers[i].Tick(s.now, 0.5)
 		e.send(s, Limiter(firstProposer+i), out)
 	}
-	e.push(s)
+	e.enqueue(s)
 }
 
-// restart starts an acceptor, empty but for the greatest token: it learns that at once.
+// restart starts an acceptor without state except the greatest token, which it learns at once.
 func (e *explorer) restart(s *state, index int) {
 	s.restarts++
 	a := NewAcceptor(e.config(Limiter(index), 2), s.now)
 	a.highestToken, a.repliedAcceptors = s.acceptors[index].highestToken, e.others
 	s.acceptors[index] = a
-	e.push(s)
+	e.enqueue(s)
 }
 
 func (e *explorer) send(s *state, from Limiter, out []Envelope) {
@@ -184,8 +184,8 @@
 	}
 }
 
-// push checks a state, and queues it if it is new.
-func (e *explorer) push(s *state) {
+// enqueue checks a state, and queues it if it is new.
+func (e *explorer) enqueue(s *state) {
 	slices.SortFunc(s.inTransit, func(a, b stateMessage) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 	s.inTransit = slices.Compact(s.inTransit)
 	e.check(s)
@@ -211,11 +211,11 @@
 			continue
 		}
 		if holder >= 0 {
-			e.t.Fatalf("both hold the lease: %+v", *s)
+			e.t.Fatalf("both proposers hold the lease: %+v", *s)
 		}
 		holder = i
 		if token < s.token || token == s.token && s.holder != i {
-			e.t.Fatalf("token %d of %d after %d of %d: %+v", token, i, s.token, s.holder, *s)
+			e.t.Fatalf("token %d of proposer %d after token %d of proposer %d: %+v", token, i, s.token, s.holder, *s)
 		}
 		s.token, s.holder = token, i
 		e.held++
--- a/internal/lease/tier_test.go
+++ b/internal/lease/tier_test.go
@@ -12,13 +12,13 @@
 // simulatedLimiter is a limiter of a simulated tier.
 type simulatedLimiter struct {
 	config      Config
-	acceptor    *Acceptor // nil if it is none
+	acceptor    *Acceptor // nil if this limiter is no acceptor
 	proposer    Proposer
 	dead        bool
 	stalled     bool
 	clockRate   float64
 	clockOffset time.Duration
-	inbox       []receivedMessage // while it is stalled
+	inbox       []receivedMessage // messages that arrived while the limiter is stalled
 }
 
 type receivedMessage struct {
@@ -26,7 +26,7 @@
 	message Message
 }
 
-// simulatedTier has limiters, clocks and a network, and checks from outside who holds the lease.
+// simulatedTier simulates limiters, clocks and a network, and checks which limiters hold the lease.
 type simulatedTier struct {
 	fail      func(format string, args ...any)
 	random    *rand.Rand
@@ -35,23 +35,23 @@
 	inTransit []sentMessage
 	acceptors []Limiter
 	epoch     uint32
-	drift     float64 // that clocks are assumed to have
-	minToken  uint64  // in place of the wall clock; 0 for that
+	drift     float64 // the maximum clock drift that is assumed
+	minToken  uint64  // replaces the wall clock; 0 to use the wall clock
 
 	loss, duplication float64 // fractions of messages
 	maxDelay          time.Duration
-	cut               map[[2]int]bool // links from one limiter to another
+	cutLinks          map[[2]int]bool // by sender and receiver
 
-	holder       int // the last lease holder; -1 for none so far
-	token        uint64
-	wins         int
-	heldAt       time.Duration // when the lease was held last
-	longestFree  time.Duration // without a lease holder
-	messagesSent int
+	holder               int // the last lease holder; -1 for none so far
+	token                uint64
+	wins                 int
+	lastHeldAt           time.Duration
+	longestWithoutHolder time.Duration
+	messagesSent         int
 
-	setsPayloads     bool   // lease holders do
+	setsPayloads     bool   // lease holders set payloads
 	payload          uint64 // the greatest that a quorum has accepted
-	timeoutRecovered bool   // see recoversByTimeout
+	timeoutRecovered bool   // recoversByTimeout has been true
 }
 
 type sentMessage struct {
@@ -63,7 +63,7 @@
 func newTier(fail func(string, ...any), seed uint64, limiters, acceptors int) *simulatedTier {
 	tier := &simulatedTier{
 		fail: fail, random: rand.New(rand.NewPCG(seed, 7)), now: time.Hour, epoch: 100, drift: 0.01, holder: -1,
-		cut: map[[2]int]bool{}, maxDelay: 20 * time.Millisecond, heldAt: time.Hour,
+		cutLinks: map[[2]int]bool{}, maxDelay: 20 * time.Millisecond, lastHeldAt: time.Hour,
 	}
 	for i := range acceptors {
 		tier.acceptors = append(tier.acceptors, Limiter(i))
@@ -77,7 +77,7 @@
 	return tier
 }
 
-// start starts a limiter, empty.
+// start starts a limiter without state.
 func (tier *simulatedTier) start(i int) {
 	tier.epoch++
 	n := tier.limiters[i]
@@ -114,7 +114,7 @@
 		if tier.random.Float64() < tier.duplication {
 			copies = 2
 		}
-		if from != int(e.To) && (tier.random.Float64() < tier.loss || tier.cut[[2]int{from, int(e.To)}]) {
+		if from != int(e.To) && (tier.random.Float64() < tier.loss || tier.cutLinks[[2]int{from, int(e.To)}]) {
 			copies = 0
 		}
 		for range copies {
@@ -168,8 +168,8 @@
 	}
 }
 
-// pass lets time pass in steps, and checks after each who holds the lease.
-func (tier *simulatedTier) pass(d time.Duration) {
+// run advances time in steps, and checks after each step which limiter holds the lease.
+func (tier *simulatedTier) run(d time.Duration) {
 	for end := tier.now + d; tier.now < end; {
 		tier.now += 2 * time.Millisecond
 		slices.SortStableFunc(tier.inTransit, func(a, b sentMessage) int { return int(a.at - b.at) })
@@ -185,7 +185,7 @@
 	}
 }
 
-// check looks at each limiter, at stalled ones too, by its own clock: at most one may hold the lease,
+// check evaluates each limiter, also a stalled one, by its own clock: at most one may hold the lease,
 // tokens grow, and each holder knows every payload that was set.
 func (tier *simulatedTier) check() {
 	holder := -1
@@ -207,8 +207,8 @@
 	}
 	if holder >= 0 {
 		tier.holder = holder
-		tier.longestFree = max(tier.longestFree, tier.now-tier.heldAt)
-		tier.heldAt = tier.now
+		tier.longestWithoutHolder = max(tier.longestWithoutHolder, tier.now-tier.lastHeldAt)
+		tier.lastHeldAt = tier.now
 	}
 }
 
@@ -222,28 +222,28 @@
 	}
 }
 
-// checkPayload checks what a lease holder knows, and sets the next payload.
+// checkPayload checks that a lease holder knows the greatest payload, and sets the next one.
 func (tier *simulatedTier) checkPayload(holder int) {
 	n := tier.limiters[holder]
 	if !tier.setsPayloads || n.stalled || tier.recoversByTimeout() {
 		return
 	}
 	if payload := n.proposer.Payload(); payload < tier.payload {
-		tier.fail("%v: limiter %d holds the lease and knows payload %d, where %d was set", tier.now-time.Hour, holder, payload, tier.payload)
+		tier.fail("%v: limiter %d holds the lease and knows payload %d, want at least %d", tier.now-time.Hour, holder, payload, tier.payload)
 	}
 	if n.proposer.SetPayload(tier.clock(n), tier.payload+1) {
 		tier.payload++
 	}
 }
 
-func (tier *simulatedTier) want(i int, is bool) {
+func (tier *simulatedTier) setWanted(i int, wanted bool) {
 	if n := tier.limiters[i]; !n.dead && !n.stalled {
-		tier.send(i, n.proposer.SetWanted(tier.clock(n), is, tier.random.Float64()))
+		tier.send(i, n.proposer.SetWanted(tier.clock(n), wanted, tier.random.Float64()))
 	}
 }
 
-// recoversByTimeout reports whether an acceptor is, or has been, active by recoveryTimeout alone: then
-// tokens and payloads may be lost, and wall clocks are all there is.
+// recoversByTimeout reports whether any acceptor is, or has been, active because of recoveryTimeout alone: then
+// tokens and payloads may be lost, and only the wall clocks make tokens grow.
 func (tier *simulatedTier) recoversByTimeout() bool {
 	for _, i := range tier.acceptors {
 		n := tier.limiters[i]
@@ -254,7 +254,7 @@
 	return tier.timeoutRecovered
 }
 
-// allActive reports whether no acceptor is empty.
+// allActive reports whether all acceptors are active.
 func (tier *simulatedTier) allActive() bool {
 	for _, i := range tier.acceptors {
 		if n := tier.limiters[i]; !n.acceptor.Active(tier.clock(n)) {
--- a/internal/lease/view.go
+++ b/internal/lease/view.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// The tags that differ from the names of their fields are read by operators' scripts.
+// Operators' scripts read the JSON tags, which therefore differ from the names of some fields.
 
-// Counts count what has become of a task's lease at this limiter.
+// Counts are counters of the events of a task's lease at this limiter.
 type Counts struct {
 	Won             uint64 `json:"won"`
 	Renewed         uint64 `json:"renewed"`
-	Lost            uint64 `json:"lost"` // it expired
+	Lost            uint64 `json:"lost"` // leases that expired
 	Released        uint64 `json:"given"`
-	LateActions     uint64 `json:"refused"` // actions not begun, as the lease had ended
-	InvalidMessages uint64 `json:"bad"`     // proposals that were ignored
-	Waited          uint64 `json:"waited"`  // proposals that got no vote here, as this acceptor was not active yet
+	LateActions     uint64 `json:"refused"` // actions that were not started because the lease had ended
+	InvalidMessages uint64 `json:"bad"`     // proposals that were ignored as invalid
+	Waited          uint64 `json:"waited"`  // proposals that got no vote because this acceptor was not active yet
 }
 
 // View is the state of a task as operators see it.
@@ -24,7 +24,7 @@
 	Holder         int           `json:"holder"` // as last learned here; -1 for none
 	Holds          bool          `json:"holds"`  // this limiter holds the lease
 	Token          uint64        `json:"token"`  // of this limiter's lease
-	ValidFor       time.Duration `json:"for"`    // how much longer this limiter may act under it; in ns in JSON
+	ValidFor       time.Duration `json:"for"`    // how much longer this limiter may act under the lease; in ns in JSON
 	HighestToken   uint64        `json:"known"`  // the greatest token known here
 	Payload        uint64        `json:"mark"`   // the greatest payload known here
 	Counts         Counts        `json:"counts"`
--- a/internal/rollingrestart/coordinator.go
+++ b/internal/rollingrestart/coordinator.go
@@ -1,10 +1,10 @@
-// Package rollingrestart permits planned restarts: only so many limiters restart at once, and never all
-// that serve a customer. It does no I/O, reads no clock and starts no goroutine.
+// Package rollingrestart coordinates planned restarts: at most a set number of limiters restart at once, and
+// never all that hold a customer's quota. It does no I/O, reads no clock and starts no goroutine.
 //
 // A limiter that is to restart needs two things from the coordinator, the holder of the task's lease:
 //
-//   - A slot is a place in the payload of that lease, so that every later coordinator knows of it. It is
-//     freed when the limiter replies that it serves and has no grant, or by a SlotRelease, never by time.
+//   - A restart slot is a field in the payload of that lease, so that every later coordinator knows of it. It
+//     is freed when the limiter replies that it serves and has no grant, or by a SlotRelease, never by time.
 //   - A grant permits the limiter to begin its restart, and expires. It is sent only once a quorum has
 //     accepted the payload with the limiter's slot.
 //
@@ -20,21 +20,21 @@
 	// requestInterval is the time between two requests of a requester, and between two queries of a
 	// coordinator.
 	requestInterval = 500 * time.Millisecond
-	// requestTimeout is how long a request counts if it is not repeated, as some of its datagrams may be lost.
+	// requestTimeout is how long a request stays valid without being repeated, as some of its datagrams may be lost.
 	requestTimeout = 4 * requestInterval
 )
 
-// Coordinator is the side of the lease holder. Each lease has a new one. It is not safe for concurrent
+// Coordinator is the lease holder's side. A new one is created for each lease. It is not safe for concurrent
 // use; see NewCoordinator.
 type Coordinator struct {
 	token         uint64
 	maxConcurrent int
 	grantDuration time.Duration
 
-	grantsFrom time.Duration    // no slot is assigned before, and so nothing granted
-	payload    uint64           // that a quorum has to accept
-	restarting []Limiter        // that have a slot
-	slots      map[Limiter]slot // by limiter; none for a slot that an earlier coordinator assigned, before the first query
+	grantsFrom time.Duration    // no slot is assigned before this time, so nothing is granted
+	payload    uint64           // the payload that a quorum has to accept
+	restarting []Limiter        // limiters that have a slot
+	slots      map[Limiter]slot // by limiter; no entry for a slot that an earlier coordinator assigned, until the first query
 	waiting    []waitingRequest // in order of arrival
 	queryNonce uint32           // of the last query to any limiter
 	queriedAt  time.Duration
@@ -45,22 +45,22 @@
 	granted      bool // by this coordinator, to requestNonce
 	requestNonce uint32
 	queried      bool
-	queryNonce   uint32        // of the last query; replies to earlier ones do not count
-	queryAfter   time.Duration // no query before: a grant may be in transit
+	queryNonce   uint32        // of the last query; replies to earlier ones are ignored
+	queryAfter   time.Duration // no query is sent before this time, because a grant may be in transit
 }
 
 type waitingRequest struct {
 	limiter    Limiter
 	nonce      uint32
-	receivedAt time.Duration // last
+	receivedAt time.Duration // when the request was last received
 }
 
-// NewCoordinator returns a coordinator that begins with a payload, under a lease with the given token.
+// NewCoordinator returns a coordinator that starts with a payload, under a lease with the given token.
 // A grant is valid for grantDuration, and at most maxConcurrent limiters have a slot.
 //
-// Payload 0 means that there is none, as all acceptors are new or have lost their memory. Then nothing is
+// Payload 0 means that there is none, because all acceptors are new or have lost their state. Then nothing is
 // granted until all grants of earlier coordinators have expired. A grant is valid for grantDuration from
-// the last request before it arrived, and may arrive late: this waits twice that long.
+// the last request before it arrived, and may arrive late, so the wait is twice grantDuration.
 func NewCoordinator(token, payload uint64, maxConcurrent int, grantDuration, now time.Duration) *Coordinator {
 	c := &Coordinator{
 		token:         token,
@@ -70,7 +70,7 @@
 		payload:       payload,
 		restarting:    DecodePayload(payload),
 		slots:         map[Limiter]slot{},
-		// Beyond the queries of earlier coordinators of this process, to which replies may still come.
+		// Greater than the nonces of earlier coordinators of this process, to which replies may still arrive.
 		queryNonce: uint32(now / time.Millisecond),
 	}
 	if payload == 0 {
@@ -96,8 +96,8 @@
 	c.waiting = append(c.waiting, waitingRequest{from, nonce, now})
 }
 
-// HandleReply handles the reply to a query. A limiter that serves and has no grant is back, or has never
-// left. A reply to an earlier query does not count: the limiter may have got a grant since.
+// HandleReply handles the reply to a query. A limiter that serves and has no grant has restarted, or has not
+// stopped. A reply to an earlier query is ignored, because the limiter may have got a grant since.
 func (c *Coordinator) HandleReply(from Limiter, m Message) {
 	s := c.slots[from]
 	if s.queried && s.queryNonce == m.Nonce && !m.HasGrant && m.Serving {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Release frees the slot of a limiter, which is back or will not come back.
+// Release frees the slot of a limiter that has restarted or will not come back.
 func (c *Coordinator) Release(n Limiter) {
 	i := slices.Index(c.restarting, n)
 	if i < 0 {
@@ -116,7 +116,7 @@
 	delete(c.slots, n)
 }
 
-// Tick returns what is to be sent, and when it has to be called again. PayloadAccepted reports that a
+// Tick returns the messages to send, and when it has to be called again. PayloadAccepted reports that a
 // quorum has accepted the payload; until then nothing is granted or queried.
 func (c *Coordinator) Tick(now time.Duration, payloadAccepted bool) (out []Envelope, due time.Duration) {
 	c.waiting = slices.DeleteFunc(c.waiting, func(w waitingRequest) bool { return now > w.receivedAt+requestTimeout })
@@ -154,7 +154,7 @@
 }
 
 // grants returns the grants to limiters that have a slot and have requested it. A grant is sent again with
-// each repeated request, as it may be lost.
+// each repeated request, because it may have been lost.
 func (c *Coordinator) grants(now time.Duration) (out []Envelope) {
 	for _, w := range c.waiting {
 		s := c.slots[w.limiter]
@@ -171,7 +171,7 @@
 	return out
 }
 
-// assignSlot gives a free slot to the first request. The grant follows once the payload is accepted.
+// assignSlot assigns a free slot to the first request. The grant is sent once the payload is accepted.
 func (c *Coordinator) assignSlot(now time.Duration) {
 	if len(c.waiting) == 0 || len(c.restarting) >= c.maxConcurrent {
 		return
--- a/internal/rollingrestart/format_test.go
+++ b/internal/rollingrestart/format_test.go
@@ -11,8 +11,8 @@
 	"lemongate/internal/golden"
 )
 
-// Messages of each kind that 0.8.0 packed are read as what they were packed from, and packed to the
-// same bytes.
+// Messages of each kind that 0.8.0 encoded are decoded to the original values, which are encoded to the same
+// bytes.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var b strings.Builder
 	var sent []Message
@@ -31,12 +31,12 @@
 			t.Fatal(err)
 		}
 		if got, ok := Parse(data); !ok || !reflect.DeepEqual(got, sent[i]) {
-			t.Errorf("read as %+v, want %+v", got, sent[i])
+			t.Errorf("decoded %+v, want %+v", got, sent[i])
 		}
 	}
 	slots := []Limiter{3, 511 - 2, 0}
 	golden.Equal(t, "mark.txt", fmt.Appendf(nil, "%d\n", nextPayload(nextPayload(0, nil), slots)))
 	if got := DecodePayload(nextPayload(0, slots)); !reflect.DeepEqual(got, slots) {
-		t.Errorf("slots %v, want %v", got, slots)
+		t.Errorf("limiters with a slot %v, want %v", got, slots)
 	}
 }
--- a/internal/rollingrestart/message.go
+++ b/internal/rollingrestart/message.go
@@ -15,15 +15,15 @@
 
 // The kinds of messages, with their senders.
 const (
-	SlotRequest Kind = iota // requester: may it restart?
-	SlotGrant               // coordinator: it may, within ValidFor, while those in Restarting are restarting too
+	SlotRequest Kind = iota // requester: requests a slot and its grant
+	SlotGrant               // coordinator: permits a restart within ValidFor, while those in Restarting restart too
 	StatusQuery             // coordinator, to a limiter that has a slot: does it still have its grant, and does it serve?
 	StatusReply             // requester: the reply to a StatusQuery
-	SlotRelease             // any limiter, to the coordinator: free the slot of Released, which will not come back
+	SlotRelease             // any limiter, to the coordinator: frees the slot of Released, which will not come back
 	numKinds
 )
 
-// Message goes from one limiter to another. It may be lost, late, repeated and overtaken.
+// Message is sent from one limiter to another. It may be lost, delayed, duplicated and reordered.
 type Message struct {
 	Kind       Kind
 	Nonce      uint32        // SlotRequest, SlotGrant: of the request; StatusQuery, StatusReply: of the query
@@ -31,7 +31,7 @@
 	ValidFor   time.Duration // SlotGrant: how long the grant is valid; whole milliseconds on the wire
 	HasGrant   bool          // StatusReply: the limiter has a grant
 	Serving    bool          // StatusReply: the limiter serves
-	Released   Limiter       // SlotRelease
+	Released   Limiter       // SlotRelease: the limiter whose slot is freed
 	Restarting []Limiter     // SlotGrant: the others that are restarting
 }
 
@@ -41,7 +41,7 @@
 	Message Message
 }
 
-// A datagram, big-endian. Its first byte differs from every version number of the limiters' other
+// Layout of a datagram, big-endian. The first byte differs from every version number of the limiters' other
 // messages.
 //
 //	0  magic    14  ValidFor in ms, 4 bytes
@@ -53,9 +53,9 @@
 	magic      = 'W'
 	headerSize = 22
 
-	flagHasSlot = 1 << 0
-	flagServing = 1 << 1
-	allFlags    = flagHasSlot | flagServing
+	flagHasGrant = 1 << 0
+	flagServing  = 1 << 1
+	allFlags     = flagHasGrant | flagServing
 )
 
 // IsMessage reports whether a datagram is a message of this package.
@@ -65,7 +65,7 @@
 func (m Message) Append(data []byte) []byte {
 	flags := byte(0)
 	if m.HasGrant {
-		flags |= flagHasSlot
+		flags |= flagHasGrant
 	}
 	if m.Serving {
 		flags |= flagServing
@@ -84,7 +84,7 @@
 	return checksum.Append(data)
 }
 
-// Parse reads a datagram, and reports whether it is a message of this package.
+// Parse decodes a datagram, and reports whether it is a message of this package.
 func Parse(data []byte) (m Message, ok bool) {
 	data, ok = checksum.Verify(data)
 	if !ok || len(data) < headerSize || !IsMessage(data) {
@@ -100,7 +100,7 @@
 		Nonce:    order.Uint32(data[2:]),
 		Token:    order.Uint64(data[6:]),
 		ValidFor: time.Duration(order.Uint32(data[14:])) * time.Millisecond,
-		HasGrant: flags&flagHasSlot != 0,
+		HasGrant: flags&flagHasGrant != 0,
 		Serving:  flags&flagServing != 0,
 		Released: order.Uint16(data[19:]),
 	}
--- a/internal/rollingrestart/payload.go
+++ b/internal/rollingrestart/payload.go
@@ -3,9 +3,9 @@
 // The payload of the lease, 64 bits: a field for each slot, and above them a sequence number, so that
 // payloads only grow. A field is zero for a free slot, else the number of the limiter plus one.
 const (
-	// MaxSlots is how many slots there can be.
+	// MaxSlots is the maximum number of slots.
 	MaxSlots = 4
-	// MaxLimiters is how many limiters a tier can have, so that their numbers fit into a slot's field.
+	// MaxLimiters is the maximum number of limiters in a tier, so that their numbers fit into a slot's field.
 	MaxLimiters = slotMask - 1
 
 	slotBits      = 9
@@ -24,7 +24,7 @@
 	return restarting
 }
 
-// nextPayload returns the payload that follows one, with other limiters restarting.
+// nextPayload returns the payload that follows the given one, with the given limiters restarting.
 func nextPayload(payload uint64, restarting []Limiter) uint64 {
 	sequence := payload>>sequenceShift + 1
 	next := sequence << sequenceShift
--- a/internal/rollingrestart/requester.go
+++ b/internal/rollingrestart/requester.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Why a Requester lost a grant or did not accept it, as operators have seen it since 0.8.0.
+// Reasons why a Requester lost a grant or did not accept it. Operators have seen these texts since 0.8.0.
 const (
 	reasonExpired   = "its turn has ended"
 	reasonLastOfSet = "the others that hold some customer are out"
@@ -12,19 +12,19 @@
 // NewRequester.
 type Requester struct {
 	wanted      bool
-	nonce       uint32 // of the request that may be granted; counted up, so that earlier ones may not
+	nonce       uint32 // of the request that may be granted; incremented so that earlier requests may not be
 	requestedAt time.Duration
 	granted     bool
 	until       time.Duration // of the grant
 	reason      string        // why a grant was lost, or not accepted
 }
 
-// NewRequester returns a requester that does not want to restart. Its requests have nonces that count up
-// from the given one: the epoch of the limiter's start, in ms modulo 2^32. They only have to differ from
-// those of earlier incarnations, so that grants to these do not count.
+// NewRequester returns a requester that does not want to restart. The nonces of its requests count up
+// from the given one: the epoch of the limiter's start, in ms modulo 2^32. The only requirement is that they
+// differ from those of earlier incarnations, so that grants to those are ignored.
 func NewRequester(nonce uint32) Requester { return Requester{nonce: nonce} }
 
-// SetWanted sets whether a restart is wanted. A grant that is no longer wanted is given up.
+// SetWanted sets whether a restart is wanted. A grant is discarded once no restart is wanted.
 func (r *Requester) SetWanted(wanted bool) {
 	r.wanted = wanted
 	if !wanted {
@@ -41,7 +41,7 @@
 	return r.until, r.granted, r.wanted, r.reason
 }
 
-// expire gives up a grant that is no longer valid.
+// expire discards a grant that is no longer valid.
 func (r *Requester) expire(now time.Duration) {
 	if r.granted && now >= r.until {
 		r.SetWanted(false)
@@ -66,12 +66,12 @@
 	return Message{Kind: SlotRequest, Nonce: r.nonce}, true, now + requestInterval
 }
 
-// HandleGrant accepts a grant to the last request. It does not if isLast reports that this limiter is the
-// only one left for some customer while the others restart; then it sends a new request.
+// HandleGrant accepts a grant to the last request. It does not accept the grant if isLast reports that this
+// limiter is the only one left for some customer while the others restart; then a new request is sent.
 //
-// The grant is valid from the request on, for less than ValidFor by this clock. ClockDrift is the most by
-// which the rate of any one clock is off from true time, as a fraction, so that the coordinator's clock
-// and this one differ by up to twice that.
+// The grant is valid from the request on, for less than ValidFor by this clock. ClockDrift is the maximum
+// deviation of any clock's rate from true time, as a fraction, so that the coordinator's clock and this one
+// differ by up to twice that.
 func (r *Requester) HandleGrant(now time.Duration, m Message, clockDrift float64, isLast func(restarting []Limiter) bool) {
 	if !r.wanted || r.granted || m.Nonce != r.nonce {
 		return
@@ -86,8 +86,8 @@
 	r.expire(now)
 }
 
-// HandleQuery returns the reply to a coordinator's query. A limiter that reports no grant accepts none
-// that was sent before: its slot may be another limiter's by now.
+// HandleQuery returns the reply to a coordinator's query. A limiter that reports no grant ignores grants to
+// earlier requests, because its slot may belong to another limiter by now.
 func (r *Requester) HandleQuery(now time.Duration, m Message, serving bool) Message {
 	r.expire(now)
 	if !r.granted {
--- a/internal/rollingrestart/rollingrestart_test.go
+++ b/internal/rollingrestart/rollingrestart_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// A message comes through unchanged, and noise is not taken for one.
+// A message is unchanged after it is encoded and decoded, and a datagram with a wrong byte is rejected.
 func FuzzParse(f *testing.F) {
 	m := Message{Kind: SlotGrant, Nonce: 1 << 31, Token: 1 << 60, ValidFor: 30 * time.Second, HasGrant: true, Released: 299, Restarting: []Limiter{0, 298}}
 	datagram := m.Append(nil)
 	if got, ok := Parse(datagram); !ok || !reflect.DeepEqual(got, m) {
-		f.Fatalf("%+v, %v", got, ok)
+		f.Fatalf("decoded %+v, %v", got, ok)
 	}
 	for i := range datagram {
 		changed := slices.Clone(datagram)
 		if changed[i]++; IsMessage(changed) {
 			if _, ok := Parse(changed); ok {
-				f.Errorf("a wrong byte %d is not noticed", i)
+				f.Errorf("datagram with a wrong byte %d decoded", i)
 			}
 		}
 	}
@@ -27,43 +27,43 @@
 	f.Add(Message{Kind: SlotRequest}.Append(nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if m, ok := Parse(data); ok && !slices.Equal(m.Append(nil), data) {
-			t.Error("two datagrams of one message")
+			t.Error("decoded message is encoded to another datagram")
 		}
 	})
 }
 
-// The limiters that are restarting come through a payload, and payloads only grow.
+// A payload is decoded to the limiters that were encoded in it, and payloads only grow.
 func TestPayload(t *testing.T) {
 	payload := uint64(0)
 	for _, restarting := range [][]Limiter{{5}, {5, 0, 510}, {1, 2, 3, 4}, nil, {MaxLimiters}} {
 		before := payload
 		payload = nextPayload(payload, restarting)
 		if payload <= before || !slices.Equal(DecodePayload(payload), restarting) {
-			t.Errorf("%v: payload %x after %x, %v", restarting, payload, before, DecodePayload(payload))
+			t.Errorf("limiters %v: payload %x after %x is decoded to %v", restarting, payload, before, DecodePayload(payload))
 		}
 	}
 }
 
-// A simulated tier of 60 s: coordinators change and go on from the payload, messages are lost, late and
-// duplicated, limiters restart or die while they have a slot.
+// A simulated tier runs for 60 s: coordinators change and continue from the payload, messages are lost, delayed
+// and duplicated, limiters restart or die while they have a slot.
 const (
-	simulatedLimiters  = 6
-	simulatedSlots     = 2
-	simulatedSlotTime  = 3 * time.Second
-	coordinatorAddress = 9
+	simulatedLimiters      = 6
+	simulatedSlots         = 2
+	simulatedGrantDuration = 3 * time.Second
+	coordinatorAddress     = 9
 )
 
 type simulation struct {
-	random      *rand.Rand
-	now         time.Duration
-	inTransit   []sentMessage
-	requesters  []Requester
-	downUntil   []time.Duration // by limiter; 0 for up
-	epoch       uint32
-	coordinator *Coordinator
-	token       uint64
-	payload     uint64 // that a quorum has accepted
-	granted     int    // steps of limiters that had a slot or were down
+	random       *rand.Rand
+	now          time.Duration
+	inTransit    []sentMessage
+	requesters   []Requester
+	downUntil    []time.Duration // by limiter; 0 for up
+	epoch        uint32
+	coordinator  *Coordinator
+	token        uint64
+	payload      uint64 // the payload that a quorum has accepted
+	grantedSteps int    // steps of limiters that had a slot or were down
 }
 
 type sentMessage struct {
@@ -75,7 +75,7 @@
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, epoch: 100, token: 1,
-		payload:    uint64(1) << sequenceShift, // not the first coordinator
+		payload:    uint64(1) << sequenceShift, // as after an earlier coordinator
 		requesters: make([]Requester, simulatedLimiters), downUntil: make([]time.Duration, simulatedLimiters),
 	}
 	for i := range s.requesters {
@@ -86,7 +86,7 @@
 }
 
 func (s *simulation) newCoordinator() {
-	s.coordinator = NewCoordinator(s.token, s.payload, simulatedSlots, simulatedSlotTime, s.now)
+	s.coordinator = NewCoordinator(s.token, s.payload, simulatedSlots, simulatedGrantDuration, s.now)
 }
 
 func (s *simulation) send(from, to Limiter, m Message) {
@@ -96,7 +96,7 @@
 		}
 		delay := time.Duration(s.random.Int64N(int64(60 * time.Millisecond)))
 		if s.random.IntN(10) == 0 {
-			delay = time.Duration(s.random.Int64N(int64(simulatedSlotTime)))
+			delay = time.Duration(s.random.Int64N(int64(simulatedGrantDuration)))
 		}
 		s.inTransit = append(s.inTransit, sentMessage{s.now + delay, from, to, m})
 	}
@@ -144,13 +144,13 @@
 	}
 }
 
-// tickLimiter plays one limiter, and reports whether it has a slot or is down.
+// tickLimiter runs a step of one limiter, and reports whether it has a grant or is down.
 func (s *simulation) tickLimiter(i int) bool {
 	if s.downUntil[i] > 0 {
 		if s.now < s.downUntil[i] {
 			return true
 		}
-		s.epoch++ // it is back, with nothing
+		s.epoch++ // it has restarted without state
 		s.requesters[i], s.downUntil[i] = NewRequester(s.epoch<<8), 0
 		return false
 	}
@@ -158,7 +158,7 @@
 	_, granted, wanted, _ := r.Grant(s.now)
 	switch {
 	case granted && s.random.IntN(40) == 0:
-		s.downUntil[i] = s.now + time.Duration(s.random.Int64N(int64(2*simulatedSlotTime)))
+		s.downUntil[i] = s.now + time.Duration(s.random.Int64N(int64(2*simulatedGrantDuration)))
 	case granted && s.random.IntN(100) == 0:
 		r.SetWanted(false)
 	case !wanted && s.random.IntN(30) == 0:
@@ -169,15 +169,15 @@
 	}
 	_, granted, _, _ = r.Grant(s.now)
 	if granted || s.downUntil[i] > 0 {
-		s.granted++
+		s.grantedSteps++
 		return true
 	}
 	return false
 }
 
-// Never more limiters than there are slots have one or are down by one.
+// At no time do more limiters than there are slots have a grant or restart under one.
 func TestNeverMoreThanMaxConcurrent(t *testing.T) {
-	granted := 0
+	grantedSteps := 0
 	for seed := range uint64(300) {
 		s := newSimulation(seed)
 		for end := s.now + 60*time.Second; s.now < end; s.now += 20 * time.Millisecond {
@@ -190,13 +190,13 @@
 				}
 			}
 			if restarting > simulatedSlots {
-				t.Fatalf("seed %d, %v: %d limiters have a slot or are down", seed, s.now-time.Hour, restarting)
+				t.Fatalf("seed %d, %v: %d limiters have a grant or are down, more than there are slots", seed, s.now-time.Hour, restarting)
 			}
 		}
-		granted += s.granted
+		grantedSteps += s.grantedSteps
 	}
-	if granted < 100_000 {
-		t.Errorf("slots were seen only %d times", granted)
+	if grantedSteps < 100_000 {
+		t.Errorf("limiters had a grant or were down in %d steps, want at least 100000", grantedSteps)
 	}
-	t.Logf("slots seen %d times", granted)
+	t.Logf("limiters had a grant or were down in %d steps", grantedSteps)
 }
