--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -34,8 +34,8 @@
 		if server.connSet().admit(accepted, stateNew) != nil {
 			t.Error("admitted a connection beyond the limit")
 		}
-		if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Full: true}) {
-			t.Errorf("posted %+v, want ClientConnClosed with Full", ev)
+		if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{OverLimit: true}) {
+			t.Errorf("posted %+v, want ClientConnClosed with OverLimit", ev)
 		}
 		if resp, _ := late.response(); resp.StatusCode != 429 || !resp.Close {
 			t.Errorf("response %+v, want status 429 and the connection closed", resp)
--- a/internal/httpserver/evict_test.go
+++ b/internal/httpserver/evict_test.go
@@ -66,8 +66,8 @@
 		t.Errorf("response %+v, want status 429, Retry-After 0.500 and the connection closed", resp)
 	}
 	late.expectClose()
-	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{Full: true}) {
-		t.Errorf("posted %+v, want ClientConnClosed with Full", ev)
+	if ev := <-server.events; *ev.(*core.ClientConnClosed) != (core.ClientConnClosed{OverLimit: true}) {
+		t.Errorf("posted %+v, want ClientConnClosed with OverLimit", ev)
 	}
 	var rejected []*testClient
 	for i := range maxRejectedConns + 1 { // beyond maxRejectedConns the oldest one is closed
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -142,7 +142,7 @@
 		s.options.Post(&core.ClientConnClosed{Unread: previous == stateNew || previous == stateReading})
 	}
 	conns.onRejected = func(notified bool) {
-		s.options.Post(&core.ClientConnClosed{Unread: !notified, Full: notified})
+		s.options.Post(&core.ClientConnClosed{Unread: !notified, OverLimit: notified})
 	}
 	conns.rejection = s.connRejection()
 	s.mu.Lock()
