--- a/cmd/lemongate/leases.go
+++ b/cmd/lemongate/leases.go
@@ -71,5 +71,5 @@
 	c := v.Counts
 	return fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%v\t%d\t%d\t%d\t%d\t%d\t%d",
 		v.Task, holder, held, token, validFor, v.Phase, acceptors, v.ActiveAcceptor,
-		c.Won, c.Renewed, c.Lost, c.Released, c.LateActions, c.Waited)
+		c.Won, c.Renewed, c.Lost, c.Released, c.LateActions, c.UnansweredProposals)
 }
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -181,7 +181,7 @@
 
 // finishHotRestart ends this process after the successor has passed its probation.
 func (m *Machine) finishHotRestart() {
-	silence := m.hotRestart.protocol.LongestSilence().Round(time.Millisecond)
+	silence := m.hotRestart.protocol.LongestHeartbeatGap().Round(time.Millisecond)
 	m.logf("successor committed, longest time between two of its heartbeats: %v", silence)
 	if m.phase < Closing {
 		m.enterPhase(Closing)
--- a/internal/hotrestart/machine.go
+++ b/internal/hotrestart/machine.go
@@ -52,9 +52,9 @@
 // Phase returns the current phase.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// LongestSilence returns the longest time between two heartbeats of the successor in the last probation
+// LongestHeartbeatGap returns the longest time between two heartbeats of the successor in the last probation
 // of this process as predecessor; 0 if there was none.
-func (m *Machine) LongestSilence() time.Duration { return m.predecessor.longestHeartbeatGap }
+func (m *Machine) LongestHeartbeatGap() time.Duration { return m.predecessor.longestHeartbeatGap }
 
 // Admits reports whether this process may admit requests.
 func (m *Machine) Admits() bool { return m.phase == Alone || m.phase == Offered || m.phase == Serving }
--- a/internal/lease/agent.go
+++ b/internal/lease/agent.go
@@ -197,7 +197,7 @@
 		case ok:
 			out = append(out, Envelope{from, reply})
 		case isProposal:
-			t.counts.Waited++
+			t.counts.UnansweredProposals++
 		}
 	}
 	t.updateCounts(now)
--- a/internal/lease/view.go
+++ b/internal/lease/view.go
@@ -6,13 +6,13 @@
 
 // Counts are counters of the events of a task's lease at this limiter.
 type Counts struct {
-	Won             uint64 `json:"won"`
-	Renewed         uint64 `json:"renewed"`
-	Lost            uint64 `json:"lost"` // leases that expired
-	Released        uint64 `json:"given"`
-	LateActions     uint64 `json:"refused"` // actions that were not started because the lease had ended
-	InvalidMessages uint64 `json:"bad"`     // proposals that were ignored as invalid
-	Waited          uint64 `json:"waited"`  // proposals that got no vote because this acceptor was not active yet
+	Won                 uint64 `json:"won"`
+	Renewed             uint64 `json:"renewed"`
+	Lost                uint64 `json:"lost"` // leases that expired
+	Released            uint64 `json:"given"`
+	LateActions         uint64 `json:"refused"` // actions that were not started because the lease had ended
+	InvalidMessages     uint64 `json:"bad"`     // proposals that were ignored as invalid
+	UnansweredProposals uint64 `json:"waited"`  // proposals that got no vote because this acceptor was not active yet
 }
 
 // View is the state of a task as operators see it.
