--- a/internal/admin/collector.go
+++ b/internal/admin/collector.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/core"
 )
 
-// This file has the metrics. Their names and labels are read by scripts.
+// This file contains the metrics. Scripts read their names and labels.
 
 // Descriptions of the metrics.
 var (
@@ -23,15 +23,14 @@
 
 func desc(name, help string) *prometheus.Desc { return prometheus.NewDesc(name, help, nil, nil) }
 
-// classDesc describes a metric with a value per request class.
+// classDesc describes a metric with one value per request class.
 func classDesc(name, help string) *prometheus.Desc {
 	return prometheus.NewDesc(name, help, []string{"lane"}, nil)
 }
 
-// A collector collects the metrics of the snapshot that was published last, and the live count of attempts
-// written.
+// A collector collects the metrics that were published last, and the current number of attempts written.
 type collector struct {
-	snapshot        *atomic.Pointer[core.Metrics]
+	published       *atomic.Pointer[core.Metrics]
 	attemptsWritten func() uint64
 }
 
@@ -46,16 +45,16 @@
 
 // Collect implements prometheus.Collector.
 func (c *collector) Collect(metrics chan<- prometheus.Metric) {
-	snapshot := c.snapshot.Load()
-	for _, class := range snapshot.Classes {
+	published := c.published.Load()
+	for _, class := range published.Classes {
 		metrics <- counter(completedDesc, class.Completed, class.Class)
 		metrics <- counter(rejectedDesc, class.Rejected, class.Class)
 		metrics <- counter(failedDesc, class.Failed, class.Class)
 	}
 	metrics <- counter(attemptsDesc, c.attemptsWritten())
-	metrics <- gauge(pendingDesc, snapshot.Pending)
-	metrics <- gauge(backendsDesc, snapshot.ListedBackends)
-	metrics <- gauge(unavailableDesc, snapshot.Unavailable)
+	metrics <- gauge(pendingDesc, published.Pending)
+	metrics <- gauge(backendsDesc, published.ListedBackends)
+	metrics <- gauge(unavailableDesc, published.Unavailable)
 }
 
 func counter(d *prometheus.Desc, value uint64, labels ...string) prometheus.Metric {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,20 +6,20 @@
 	"sync"
 )
 
-// A boundedListener accepts connections up to maxConns, each with a slot. At the bound a new connection
-// takes the slot of the oldest, which is closed, so that callers that hang do not keep others out.
+// A boundedListener keeps at most maxConns connections open. At that limit it closes the oldest connection to accept
+// a new one, so that callers that hang do not keep others out.
 type boundedListener struct {
 	net.Listener
 
 	mu    sync.Mutex
-	slots list.List // of *slotConn, the oldest first
+	conns list.List // of *boundedConn, oldest first
 }
 
-// A slotConn is a connection with a slot.
-type slotConn struct {
+// A boundedConn is a connection that counts towards the limit of its listener.
+type boundedConn struct {
 	net.Conn
 	listener *boundedListener
-	slot     *list.Element // nil once it is released; listener.mu guards it
+	element  *list.Element // in listener.conns; nil once removed; guarded by listener.mu
 }
 
 // Accept waits for the next connection.
@@ -28,35 +28,35 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &slotConn{Conn: accepted, listener: l}
+	conn := &boundedConn{Conn: accepted, listener: l}
 	if displaced := l.add(conn); displaced != nil {
-		_ = displaced.Conn.Close() // its handler closes it too
+		_ = displaced.Conn.Close() // its HTTP handler closes it too
 	}
 	return conn, nil
 }
 
-// add gives a connection a slot, and returns the one that lost it for that, if any.
-func (l *boundedListener) add(conn *slotConn) (displaced *slotConn) {
+// add adds a connection to the list. It returns the oldest connection if that was removed to make room.
+func (l *boundedListener) add(conn *boundedConn) (displaced *boundedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.slots.Len() >= maxConns {
-		displaced = l.slots.Front().Value.(*slotConn)
+	if l.conns.Len() >= maxConns {
+		displaced = l.conns.Front().Value.(*boundedConn)
 		displaced.release()
 	}
-	conn.slot = l.slots.PushBack(conn)
+	conn.element = l.conns.PushBack(conn)
 	return displaced
 }
 
-// release gives the slot back. The caller holds listener.mu.
-func (c *slotConn) release() {
-	if c.slot != nil {
-		c.listener.slots.Remove(c.slot)
-		c.slot = nil
+// release removes the connection from the list. The caller holds listener.mu.
+func (c *boundedConn) release() {
+	if c.element != nil {
+		c.listener.conns.Remove(c.element)
+		c.element = nil
 	}
 }
 
-// Close releases the slot and closes the connection.
-func (c *slotConn) Close() error {
+// Close removes the connection from the list and closes it.
+func (c *boundedConn) Close() error {
 	c.listener.mu.Lock()
 	c.release()
 	c.listener.mu.Unlock()
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -12,13 +12,12 @@
 	"lemongate/internal/lease"
 )
 
-// This file answers the calls. Paths, statuses and bodies are read by scripts: they keep the words of
-// release 0.8.0.
+// This file answers the calls. Scripts read the paths, statuses and bodies, which keep the wording of release 0.8.0.
 
 // routes returns the handler of all calls.
 func (s *Server) routes(attemptsWritten func() uint64) http.Handler {
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(&collector{snapshot: &s.snapshot, attemptsWritten: attemptsWritten})
+	registry.MustRegister(&collector{published: &s.published, attemptsWritten: attemptsWritten})
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", s.handleHealth)
 	mux.Handle("GET /stats", promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}))
@@ -35,28 +34,28 @@
 		http.Error(w, "takes no clients", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = w.Write([]byte("takes clients\n")) // a caller that left has no use for it
+	_, _ = w.Write([]byte("takes clients\n")) // a failed write means that the caller has disconnected
 }
 
-// handleLeases shows the leases as this limiter sees them.
+// handleLeases returns the leases as known to this limiter.
 func (s *Server) handleLeases(w http.ResponseWriter, _ *http.Request) {
-	views := s.snapshot.Load().Leases
+	views := s.published.Load().Leases
 	if views == nil {
 		views = []lease.View{}
 	}
 	writeJSON(w, http.StatusOK, views)
 }
 
-// handleRestartSlot shows the restart slots as this limiter sees them, and posts an operator's request:
-// POST requests a slot for this limiter, or with forget=N releases the slot of limiter N, which will not
-// come back; DELETE releases that of this limiter or withdraws its request.
+// handleRestartSlot returns the restart slots as known to this limiter, and posts an operator's request. POST
+// requests a slot for this limiter; with forget=N it releases the slot of limiter N, which will not come back.
+// DELETE releases the slot of this limiter or withdraws its request.
 func (s *Server) handleRestartSlot(w http.ResponseWriter, r *http.Request) {
-	view := s.snapshot.Load().RestartSlots
+	view := s.published.Load().RestartSlots
 	if !view.Enabled {
 		http.Error(w, "no turns at restarts are set", http.StatusNotFound)
 		return
 	}
-	if r.Method == http.MethodGet || r.Method == http.MethodHead { // the mux gives HEAD to the handler of GET
+	if r.Method == http.MethodGet || r.Method == http.MethodHead { // the mux routes HEAD to the handler of GET
 		writeJSON(w, http.StatusOK, view)
 		return
 	}
@@ -69,7 +68,7 @@
 	writeJSON(w, http.StatusAccepted, view)
 }
 
-// restartSlotEvent returns the event that a call about restart slots requests, and whether the call is valid.
+// restartSlotEvent returns the event that a call about restart slots asks for, and whether the call is valid.
 func restartSlotEvent(r *http.Request) (event core.Event, valid bool) {
 	text := r.URL.Query().Get("forget")
 	if text == "" {
@@ -85,5 +84,5 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = jsoniter.NewEncoder(w).Encode(value) // a caller that left has no use for it
+	_ = jsoniter.NewEncoder(w).Encode(value) // a failed write means that the caller has disconnected
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,9 +1,10 @@
-// Package admin is the administration server, which reports whether this process accepts clients, its
-// metrics, its leases and its restart slots. It decides nothing. Calls are answered from the snapshot that
-// was published last, so no caller can delay a request of a client.
+// Package admin is the administration server. It reports whether this process accepts clients, and shows the
+// process's metrics, its leases and its restart slots. It makes no decisions. A call is an HTTP request to this
+// server. Calls are answered from the core.Metrics that were published last, so no caller can delay a client's
+// request.
 //
-// server.go has the server itself, routes.go its calls, collector.go the metrics, listener.go the
-// bound on connections. docs/operators/console.md describes the calls for operators.
+// server.go contains the server, routes.go its calls, collector.go the metrics, and listener.go the bound on
+// connections. docs/operators/console.md describes the calls for operators.
 package admin
 
 import (
@@ -20,35 +21,35 @@
 )
 
 const (
-	// callTimeout bounds how long a caller may take to send a call, and to read the response.
+	// callTimeout bounds the time in which a caller must send a call, and the time in which it must read the response.
 	callTimeout = time.Second
-	// maxConns is how many callers may be connected at once; see boundedListener.
+	// maxConns is the number of callers that may be connected at once; see boundedListener.
 	maxConns = 32
-	// maxHeaderBytes bounds the head of a call.
+	// maxHeaderBytes bounds the header of a call.
 	maxHeaderBytes = 4 << 10
-	// listenRetryInterval is the pause before an address that could not be listened on is tried again.
+	// listenRetryInterval is the time to wait before listening again after a failure.
 	listenRetryInterval = time.Second
 )
 
 // A Server answers calls at one address. Its methods may be called from any goroutine.
 type Server struct {
-	log      *zap.Logger
-	server   *http.Server
-	ready    atomic.Bool
-	snapshot atomic.Pointer[core.Metrics] // of metrics, leases and restart slots, as published last
-	post     func(core.Event)
-	done     context.Context // ends with Close
-	end      context.CancelFunc
+	log       *zap.Logger
+	server    *http.Server
+	ready     atomic.Bool
+	published atomic.Pointer[core.Metrics] // metrics, leases and restart slots that were published last
+	post      func(core.Event)
+	ctx       context.Context // canceled by Close
+	cancel    context.CancelFunc
 }
 
-// New returns a Server that does not listen yet. AttemptsWritten returns how many attempts were written
-// to backends completely; it is called for each scrape, so this one metric is not from the snapshot, and
-// must not wait. Post is called with the events of operators' calls; it may wait for the event loop, which
-// delays only that call.
+// New returns a Server that does not listen yet. AttemptsWritten returns the number of attempts whose requests were
+// written to backends completely. It is called for each scrape, so this metric alone does not come from Publish, and
+// it must not block. Post is called with the events of operators' calls. It may wait for the event loop, which delays
+// only that call.
 func New(attemptsWritten func() uint64, post func(core.Event), log *zap.Logger) *Server {
 	s := &Server{log: log, post: post}
-	s.done, s.end = context.WithCancel(context.Background())
-	s.snapshot.Store(&core.Metrics{})
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.published.Store(&core.Metrics{})
 	s.server = &http.Server{
 		Handler:        s.routes(attemptsWritten),
 		ReadTimeout:    callTimeout,
@@ -60,30 +61,30 @@
 	return s
 }
 
-// ListenAndServe answers calls at an address, host:port, until Close. An address that cannot be listened on is
-// tried again: a limiter that serves its clients does not end for its administration server.
+// ListenAndServe answers calls at an address, host:port, until Close. It retries if it cannot listen on the address:
+// a limiter that serves its clients does not exit because its administration server failed.
 func (s *Server) ListenAndServe(address string) {
-	for s.done.Err() == nil {
-		if err := s.listenAndServe(address); err != nil && s.done.Err() == nil {
-			s.log.Error("administration server cannot listen", zap.String("at", address), zap.Error(err))
+	for s.ctx.Err() == nil {
+		if err := s.listenAndServe(address); err != nil && s.ctx.Err() == nil {
+			s.log.Error("administration server failed to listen or serve", zap.String("at", address), zap.Error(err))
 		}
 		select {
-		case <-s.done.Done():
+		case <-s.ctx.Done():
 		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
 func (s *Server) listenAndServe(address string) error {
-	listener, err := (&net.ListenConfig{}).Listen(s.done, "tcp", address)
+	listener, err := (&net.ListenConfig{}).Listen(s.ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
 	return s.Serve(listener)
 }
 
-// Serve answers calls that come to a listener, which it closes, until Close. It returns nil then, and
-// else the error of the listener.
+// Serve answers the calls on a listener until Close, and closes the listener. It returns nil after Close, and
+// otherwise the error of the listener.
 func (s *Server) Serve(listener net.Listener) error {
 	err := s.server.Serve(&boundedListener{Listener: listener})
 	if errors.Is(err, http.ErrServerClosed) {
@@ -94,13 +95,13 @@
 
 // Close ends ListenAndServe, Serve and all calls.
 func (s *Server) Close() {
-	s.end()
-	_ = s.server.Close() // nothing is left to do for a listener that does not close
+	s.cancel()
+	_ = s.server.Close() // a listener that cannot be closed needs no further handling
 }
 
 // SetReady sets whether this process accepts clients.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Publish sets the snapshot that is shown from now on. Its counts are those of this process alone, not of an
-// earlier one of the limiter. Package core publishes at most every 100 ms.
-func (s *Server) Publish(snapshot core.Metrics) { s.snapshot.Store(&snapshot) }
+// Publish sets the metrics that are shown from now on. They count what this process did, not what earlier processes
+// of the limiter did. Package core publishes at most every 100 ms.
+func (s *Server) Publish(metrics core.Metrics) { s.published.Store(&metrics) }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	s = New(func() uint64 { return 7 }, func(core.Event) {}, zap.NewNop())
-	go func() { _ = s.Serve(l) }() // ends with Close; calls show whether it serves
+	go func() { _ = s.Serve(l) }() // ends with Close; the calls show whether it serves
 	t.Cleanup(s.Close)
 	return s, l.Addr().String()
 }
@@ -42,11 +42,11 @@
 	return resp.StatusCode, string(text)
 }
 
-// Metrics have the operators' names, and health follows whether clients are accepted.
+// Metrics have the names that operators use, and /healthcheck reports whether clients are accepted.
 func TestCalls(t *testing.T) {
 	s, address := serve(t)
 	if status, _ := call(t, address, "/healthcheck"); status != 503 {
-		t.Errorf("before clients are accepted: %d", status)
+		t.Errorf("/healthcheck before clients are accepted: status %d, want 503", status)
 	}
 	s.SetReady(true)
 	s.Publish(core.Metrics{
@@ -54,7 +54,7 @@
 		Pending: 14, ListedBackends: 9, Unavailable: 4,
 	})
 	if status, _ := call(t, address, "/healthcheck"); status != 200 {
-		t.Errorf("once they are: %d", status)
+		t.Errorf("/healthcheck once clients are accepted: status %d, want 200", status)
 	}
 	_, text := call(t, address, "/stats")
 	for _, line := range []string{
@@ -63,17 +63,17 @@
 		`router_members 9`, `router_members_unavailable 4`,
 	} {
 		if !strings.Contains("\n"+text, "\n"+line+"\n") {
-			t.Errorf("%s is missing in\n%s", line, text)
+			t.Errorf("metric %s is missing in\n%s", line, text)
 		}
 	}
 	for _, path := range []string{"/", "/stats/x"} {
 		if status, _ := call(t, address, path); status != 404 {
-			t.Errorf("%s: %d", path, status)
+			t.Errorf("%s: status %d, want 404", path, status)
 		}
 	}
 }
 
-// Callers that keep connections open, send nothing or half a call keep nobody else from a response.
+// Callers that keep connections open and send nothing or part of a call do not keep other callers from a response.
 func TestHangingCallers(t *testing.T) {
 	s, address := serve(t)
 	s.SetReady(true)
@@ -84,15 +84,15 @@
 		}
 		defer func() { _ = conn.Close() }()
 		if i%2 == 1 {
-			_, _ = fmt.Fprint(conn, "GET /stats HT") // it may be closed for others already
+			_, _ = fmt.Fprint(conn, "GET /stats HT") // fails if the connection was closed to make room
 		}
 	}
 	for range 3 {
 		if status, _ := call(t, address, "/healthcheck"); status != 200 {
-			t.Errorf("among many callers: %d", status)
+			t.Errorf("/healthcheck among many callers: status %d, want 200", status)
 		}
 	}
-	// A silent caller is closed by itself.
+	// The server closes a connection on which nothing is sent.
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -102,11 +102,12 @@
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("a silent caller kept its connection: %v", err)
+		t.Errorf("the connection of a silent caller was not closed: %v", err)
 	}
 }
 
-// HEAD on the restart slots is a read, as a monitor sends it: it withdrew the limiter's request for a slot.
+// A monitor may send HEAD for the restart slots, which must change nothing. HEAD used to withdraw the limiter's
+// request for a slot.
 func TestHeadOfRestartSlotsChangesNothing(t *testing.T) {
 	s, address := serve(t)
 	posted := make(chan core.Event, 10)
@@ -116,11 +117,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = response.Body.Close() // HEAD has none
+	_ = response.Body.Close() // a response to HEAD has no body
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("status %d, want that of GET", response.StatusCode)
+		t.Errorf("status %d, want 200 as for GET", response.StatusCode)
 	}
 	if len(posted) > 0 {
-		t.Errorf("posted %+v", <-posted)
+		t.Errorf("posted %+v, want no event", <-posted)
 	}
 }
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// This file decides on the pause before a watch that ended is opened again.
+// This file decides how long to wait before a watch that ended is opened again.
 //
-// A change counts as known to the limiter while no watch is open too, see the package comment, so a watch
-// is opened again well within the drain grace. But where discovery rejects watches, there are too many of
-// them: one service serves those of all limiters in turn, and limiters that retry soon keep its queue full.
-// So pauses after rejections grow with the tier.
+// A change counts as known to the limiter even while no watch is open, see the package comment, so a watch must be
+// opened again well within the drain grace. If discovery rejects watches, however, there are too many of them: one
+// service answers the watches of all limiters one after another, and limiters that retry soon keep its queue full.
+// Therefore pauses after rejections grow with the size of the tier.
 
 const (
 	// minBackoff is the first pause.
 	minBackoff = 10 * time.Millisecond
-	// maxBackoff is the mean of the longest pauses after a watch that was not rejected. When discovery
-	// returns, its list has to be received within the drain grace.
+	// maxBackoff bounds the mean of the pauses after a watch that was not rejected. When discovery is available
+	// again, its list must be received within the drain grace.
 	maxBackoff = 100 * time.Millisecond
-	// rejectionSpread is the time, for each other limiter of the tier, over which the first retries
-	// after a rejection are spread.
+	// rejectionSpread is the time, per other limiter of the tier, over which the first retries after a rejection
+	// are spread.
 	rejectionSpread = 50 * time.Millisecond
-	// watchInterval is how often all limiters together retry after further rejections, at most.
-	watchInterval = 100 * time.Millisecond
+	// tierRetryInterval is the time, per limiter of the tier, to which the mean pause after further rejections grows.
+	// All limiters together then retry at most once per tierRetryInterval on average.
+	tierRetryInterval = 100 * time.Millisecond
 	// maxRejectionBackoff bounds the mean of the pauses after rejections.
 	maxRejectionBackoff = maxKnownDelay
 )
 
-// backoff is the state of the pauses. They double from each watch without a message to the next.
+// backoff is the state from which pauses are computed. The mean pause doubles with each failed watch until reset.
 type backoff struct {
 	random      func() float64 // in [0, 1)
 	spread      time.Duration  // of the first pause after a rejection
-	maxRejected time.Duration  // longest pause after rejections
+	maxRejected time.Duration  // bound on the mean of the pauses after rejections
 	next        time.Duration  // mean of the next pause
 	rejected    bool           // a watch was rejected since the last reset
 }
 
-// newBackoff returns the state at the start, in a tier of so many limiters.
+// newBackoff returns the initial state for a tier with the given number of limiters.
 func newBackoff(limiters int, random func() float64) *backoff {
 	others := max(limiters-1, 0)
 	return &backoff{
 		random:      random,
 		spread:      min(time.Duration(others)*rejectionSpread, maxRejectionBackoff),
-		maxRejected: max(maxBackoff, min(time.Duration(limiters)*watchInterval, maxRejectionBackoff)),
+		maxRejected: max(maxBackoff, min(time.Duration(limiters)*tierRetryInterval, maxRejectionBackoff)),
 		next:        minBackoff,
 	}
 }
 
-// reset begins again with the first pause.
+// reset returns to the first pause.
 func (b *backoff) reset() { b.next, b.rejected = minBackoff, false }
 
 // afterRejection returns the pause after a watch that discovery rejected.
@@ -54,16 +55,15 @@
 		b.next = max(b.next, b.spread)
 		return minBackoff + time.Duration(b.random()*float64(b.spread))
 	}
-	return b.doubled(b.maxRejected)
+	return b.nextPause(b.maxRejected)
 }
 
-// afterFailure returns the pause after a watch that failed in another way, which puts no load on discovery.
-func (b *backoff) afterFailure() time.Duration { return b.doubled(maxBackoff) }
+// afterFailure returns the pause after a watch that failed in any other way. Such a watch puts no load on discovery.
+func (b *backoff) afterFailure() time.Duration { return b.nextPause(maxBackoff) }
 
-// doubled returns a pause between half and one and a half times the next mean, and doubles the mean, which is
-// longest at most.
-func (b *backoff) doubled(longest time.Duration) time.Duration {
-	pause := time.Duration((0.5 + b.random()) * float64(min(b.next, longest)))
-	b.next = min(2*b.next, longest)
+// nextPause returns a random pause between 0.5 and 1.5 times the mean, and doubles the mean, up to maxMean.
+func (b *backoff) nextPause(maxMean time.Duration) time.Duration {
+	pause := time.Duration((0.5 + b.random()) * float64(min(b.next, maxMean)))
+	b.next = min(2*b.next, maxMean)
 	return pause
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -13,9 +13,9 @@
 	"lemongate/internal/core"
 )
 
-// This file decodes endpoint lists. The JSON has the platform's names.
+// This file decodes endpoint lists. The JSON names are defined by the platform.
 
-// A message is a complete endpoint list or a change of it.
+// A message is a complete endpoint list or a change to it.
 type message struct {
 	Generation int64      `json:"generation"`
 	Complete   bool       `json:"reset"`
@@ -29,17 +29,17 @@
 	Cell        int     `json:"cell"`
 	Lifecycle   string  `json:"lifecycle"`
 	Weight      float64 `json:"weight"`
-	StartedAtMS int64   `json:"startedAtMs"` // Unix time in ms; 0 for long ago
+	StartedAtMS int64   `json:"startedAtMs"` // Unix time in ms; 0 if the backend started long ago
 }
 
 var (
-	errNoInstances  = errors.New("list of backends: a complete list without instances")
-	errNoInstanceID = errors.New("list of backends: an instance without instanceId")
+	errNoInstances  = errors.New("endpoint list: complete list without instances")
+	errNoInstanceID = errors.New("endpoint list: instance without instanceId")
 )
 
-// Decode decodes one message, and returns the generation of the list as well. Origin is the Unix time at
-// which the program's clock was at zero. It fails for malformed JSON, a complete list without instances, an
-// instance without an ID, and one that is up and whose address is not host:port. The error has one line.
+// Decode decodes one message, and also returns the generation of the list. Origin is the Unix time at which the
+// program's clock was at zero. Decode fails on malformed JSON, on a complete list without instances, on an instance
+// without an ID, and on an instance that is up and whose address is not host:port. The error text has one line.
 func Decode(data []byte, origin time.Time) (list *core.EndpointsUpdated, generation int64, err error) {
 	var m message
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &m); err != nil {
@@ -49,12 +49,12 @@
 	return list, m.Generation, err
 }
 
-// jsonError returns an error of the JSON decoder as an error of one line.
+// jsonError converts an error of the JSON decoder to an error whose text has one line.
 func jsonError(err error) error {
-	return fmt.Errorf("list of backends: bad JSON: %s", strings.ReplaceAll(err.Error(), "\n", " "))
+	return fmt.Errorf("endpoint list: bad JSON: %s", strings.ReplaceAll(err.Error(), "\n", " "))
 }
 
-// endpoints returns the message as an event.
+// endpoints converts the message to an event.
 func (m *message) endpoints(origin time.Time) (*core.EndpointsUpdated, error) {
 	if m.Complete && m.Instances == nil {
 		return nil, errNoInstances
@@ -79,7 +79,7 @@
 	}
 	state := x.state()
 	if _, _, err := net.SplitHostPort(x.Addr); err != nil && state == admission.Live {
-		return core.Endpoint{}, fmt.Errorf("list of backends: instance %q: %w", x.ID, err)
+		return core.Endpoint{}, fmt.Errorf("endpoint list: instance %q: %w", x.ID, err)
 	}
 	endpoint := core.Endpoint{Addr: x.Addr, Backend: admission.Backend{
 		ID: x.ID, Zone: x.Zone, Cell: x.Cell, State: state, RelativeCapacity: x.Weight,
@@ -90,8 +90,8 @@
 	return endpoint, nil
 }
 
-// state returns the state of the backend. An unknown one counts as draining: a value of a later version must
-// not invalidate the list, and that backend gets no new requests.
+// state returns the state of the backend. An unknown lifecycle counts as draining: a value that a later version adds
+// must not invalidate the list, and a draining backend gets no new requests.
 func (x *instance) state() admission.BackendState {
 	switch x.Lifecycle {
 	case "up":
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// maxMessageBytes bounds a message; it is far more than any list has.
+	// maxMessageBytes bounds a message; it is far larger than any list.
 	maxMessageBytes = 4 << 20
-	// stallTimeout is after how long without a byte a message that has begun counts as cut off.
+	// stallTimeout is the time without a byte after which a message that has begun counts as cut off.
 	stallTimeout = 100 * time.Millisecond
 )
 
 var errMessageTooLong = errors.New("message too long")
 
-// A stream reads the messages of a watch one by one, each on one line or indented over several, and sets
-// the timer that ends a watch which has fallen silent.
+// A stream reads the messages of a watch. A message may stand on one line or be indented over several. The stream
+// also sets the timer that ends a watch on which nothing is received.
 //
-// Between two messages any byte shows that discovery is there. A message that has begun is complete soon:
-// discovery is on this machine and has all of it. The change in it counts as known already, see the package
-// comment, so a message that was cut off has to be detected within the drain grace, whatever follows it.
+// Between two messages, any byte shows that discovery is alive. A message that has begun is complete soon, because
+// discovery runs on this machine and has all of it. The change in that message already counts as known, see the
+// package comment, so a message that was cut off must be detected within the drain grace, whatever data follows it.
 type stream struct {
-	body    io.Reader
-	timeout time.Duration // between messages without a byte, and of a message from its first byte to its last
-	silence *time.Timer   // ends the watch
+	body         io.Reader
+	timeout      time.Duration // between messages, time without a byte; within a message, time from first to last byte
+	silenceTimer *time.Timer   // ends the watch
 
 	decoder   *jsoniter.Decoder
 	inMessage bool      // a message has begun
-	deadline  time.Time // by which the message has to be complete
-	remaining int       // bytes that the message may still have
+	deadline  time.Time // by which the current message must be complete
+	remaining int       // number of bytes that the current message may still have
 	err       error     // of the last Read
 }
 
-func newStream(body io.Reader, timeout time.Duration, silence *time.Timer) *stream {
-	s := &stream{body: body, timeout: timeout, silence: silence, remaining: maxMessageBytes}
+func newStream(body io.Reader, timeout time.Duration, silenceTimer *time.Timer) *stream {
+	s := &stream{body: body, timeout: timeout, silenceTimer: silenceTimer, remaining: maxMessageBytes}
 	s.decoder = jsoniter.ConfigCompatibleWithStandardLibrary.NewDecoder(s)
 	return s
 }
 
-// next waits for a message and decodes it. The error is errInvalidMessage for one that was cut off or is
+// next waits for a message and decodes it. The error wraps errInvalidMessage if the message was cut off or is
 // invalid.
 func (s *stream) next(origin time.Time) (*core.EndpointsUpdated, error) {
 	s.inMessage, s.remaining = false, maxMessageBytes
-	s.silence.Reset(s.timeout)
+	s.silenceTimer.Reset(s.timeout)
 	if !s.decoder.More() && s.err != nil {
 		return nil, fmt.Errorf("watch: %w", s.err)
 	}
 	s.inMessage, s.deadline = true, time.Now().Add(s.timeout)
-	s.silence.Reset(min(stallTimeout, s.timeout))
+	s.silenceTimer.Reset(min(stallTimeout, s.timeout))
 	var m message
 	if err := s.decoder.Decode(&m); err != nil {
 		return nil, fmt.Errorf("%w: %w", errInvalidMessage, jsonError(err))
@@ -65,7 +65,7 @@
 	return list, nil
 }
 
-// Read implements io.Reader for the decoder, and resets the timer with each read.
+// Read implements io.Reader for the decoder. It resets the timer after each read that returns data.
 func (s *stream) Read(p []byte) (n int, err error) {
 	if s.remaining == 0 {
 		s.err = errMessageTooLong
@@ -75,9 +75,9 @@
 	switch {
 	case n > 0 && s.inMessage:
 		s.remaining -= n
-		s.silence.Reset(min(stallTimeout, time.Until(s.deadline)))
+		s.silenceTimer.Reset(min(stallTimeout, time.Until(s.deadline)))
 	case n > 0:
-		s.silence.Reset(s.timeout)
+		s.silenceTimer.Reset(s.timeout)
 	}
 	return n, s.err
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -26,7 +26,7 @@
 	return out.String() + "\n"
 }
 
-// A list may come indented over several lines, by any printer, and the watch goes on behind it.
+// A list may be indented over several lines in any style, and the watch continues after it.
 func TestIndentedLists(t *testing.T) {
 	oneLine := strings.ReplaceAll(listText, "\n", "") + "\n"
 	for name, text := range map[string]string{
@@ -41,51 +41,51 @@
 			w := <-fake.watches
 			w.lines <- text + "\n" + indented(t, strings.Replace(change, "%", "99", 1), "  ")
 			if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
-				t.Errorf("%+v", ev)
+				t.Errorf("got %+v, want a complete list of 3 endpoints", ev)
 			}
 			if ev := (<-events).(*core.EndpointsUpdated); ev.Generation != 99 {
-				t.Errorf("%+v", ev)
+				t.Errorf("got %+v, want generation 99", ev)
 			}
 		})
 	}
 }
 
-// A message may be cut off after any byte, with the next one behind it. The list is requested again soon,
-// and nothing of half a message is posted.
+// A message may be cut off after any byte and be followed by the next message. The complete list is requested soon,
+// and no part of the message is posted.
 func TestCutOffAtAnyByte(t *testing.T) {
 	complete := strings.TrimSpace(strings.Replace(change, "%", "43", 1))
 	next := strings.Replace(change, "%", "44", 1)
-	for _, behind := range []string{"\n", "\n" + next, "\n\n", next} {
+	for _, trailing := range []string{"\n", "\n" + next, "\n\n", next} {
 		for i := 1; i < len(complete); i++ {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				fake := newFakeDiscovery(t)
 				events := fake.watcher(t, func(w *Watcher) { w.silenceTimeout = time.Hour })
-				(<-fake.watches).lines <- complete[:i] + behind
+				(<-fake.watches).lines <- complete[:i] + trailing
 				if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
-					t.Errorf("cut off at %q: requested %s", complete[:i], again.query)
+					t.Errorf("cut off at %q: requested %s, want index 0", complete[:i], again.query)
 				}
 				if len(events) > 0 {
-					t.Errorf("cut off at %q: posted %+v", complete[:i], <-events)
+					t.Errorf("cut off at %q: posted %+v, want nothing", complete[:i], <-events)
 				}
 			})
 		}
 	}
 }
 
-// What is not a list ends the watch, and removes nothing.
+// A message that is not a list ends the watch. No list is posted, so no backend is removed.
 func TestNotAList(t *testing.T) {
 	for _, text := range []string{"]", "}", "7", `"up"`, "[]", `{"generation":43,"reset":true}`, `{"generation":43,"reset":true,"instances":null}`, "\x00"} {
 		fake := newFakeDiscovery(t)
 		events := fake.watcher(t, nil)
 		(<-fake.watches).lines <- text + "\n"
 		if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" || len(events) > 0 {
-			t.Errorf("%q: requested %s, %d events", text, again.query, len(events))
+			t.Errorf("%q: requested %s, %d events; want index 0 and no events", text, again.query, len(events))
 		}
 	}
 }
 
-// A message that grows without end is given up at a bound.
+// The watch ends when a message exceeds maxMessageBytes.
 func TestEndlessMessage(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	fake.watcher(t, nil)
@@ -95,7 +95,7 @@
 		for piece := strings.Repeat(" ", 64<<10); ; {
 			select {
 			case w.lines <- piece:
-			case <-w.gone:
+			case <-w.closed:
 				return
 			}
 		}
@@ -103,29 +103,29 @@
 	<-fake.watches
 }
 
-// A watch may fall silent at any point: at the connect, after the head, in the middle of an object or of a
-// line, or between two objects. Each is given up and opened anew, and the newest list comes then.
+// Discovery may stop sending at any point: after the connect, after the header, in the middle of an object or a line,
+// or between two objects. The watch is then ended and opened again, and it receives the newest list.
 func TestSilentAtAnyPoint(t *testing.T) {
-	const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
+	const header = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
 	complete := strings.Replace(change, "%", "43", 1)
 	for name, sent := range map[string]string{
-		"connect": "", "half a head": head[:20], "head": head, "line": head + complete[:40],
-		"object": head + "{\n \"generation\": 43,\n", "bytes inside an object": head + "{\n", "list": head + complete,
+		"connect": "", "half a header": header[:20], "head": header, "line": header + complete[:40],
+		"object": header + "{\n \"generation\": 43,\n", "bytes inside an object": header + "{\n", "list": header + complete,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := testnet.Listen(t) // until the watcher has ended
+			l := testnet.Listen(t) // closed after the watcher has ended
 			fake := &fakeDiscovery{}
-			silent, done := make(chan net.Conn, 1), make(chan bool)
+			silentConn, done := make(chan net.Conn, 1), make(chan bool)
 			go func() {
 				c, err := l.Accept()
 				if err != nil {
 					return
 				}
-				silent <- c
-				_, _ = http.ReadRequest(bufio.NewReader(c)) // the second watch shows whether it came
+				silentConn <- c
+				_, _ = http.ReadRequest(bufio.NewReader(c)) // the second watch shows whether it was received
 				_, _ = io.WriteString(c, sent)
-				if strings.HasPrefix(name, "bytes") { // parts of an object do not make a message
+				if strings.HasPrefix(name, "bytes") { // parts of an object, which make no message
 					for range 2000 {
 						if _, err := io.WriteString(c, " \"x\": 1,\n"); err != nil {
 							break
@@ -137,8 +137,8 @@
 				if err != nil {
 					return
 				}
-				_, _ = http.ReadRequest(bufio.NewReader(second)) // the list shows whether it came
-				_, _ = fmt.Fprint(second, head, strings.Replace(change, "%", "44", 1))
+				_, _ = http.ReadRequest(bufio.NewReader(second)) // the list shows whether it was received
+				_, _ = fmt.Fprint(second, header, strings.Replace(change, "%", "44", 1))
 				<-done
 				_ = second.Close()
 			}()
@@ -149,11 +149,11 @@
 				select {
 				case ev := <-events:
 					if ev.(*core.EndpointsUpdated).Generation == 44 {
-						_ = (<-silent).Close()
+						_ = (<-silentConn).Close()
 						return
 					}
 				case <-time.After(10 * time.Second):
-					t.Fatal("the newest list did not come")
+					t.Fatal("the list of generation 44 was not received within 10 s")
 				}
 			}
 		})
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,17 +1,17 @@
-// Package discovery watches the endpoint list of the backends. It keeps a stream open, resumes it where
-// it broke, and posts what it reads; it decides nothing.
+// Package discovery watches the endpoint list of the backends. It keeps a stream open, resumes it after the last
+// message received when it breaks, and posts the messages; it makes no decisions.
 //
-// The platform judges a limiter by when a change of the list counts as known to it:
+// The platform judges a limiter by the time at which a change of the list counts as known to it:
 //
-//   - once discovery on the limiter's machine has the change, whether or not a watch is open;
-//   - at the latest maxKnownDelay after the watch fell silent, or after discovery had the change and could be
-//     reached, whether or not the change arrived.
+//   - as soon as discovery on the limiter's machine has the change, whether or not a watch is open;
+//   - at the latest maxKnownDelay after data stopped arriving on the watch, or after discovery had the change and
+//     was reachable, whether or not the change was received.
 //
-// From then on the limiter has the drain grace of the settings, 250 ms as a rule, until it may begin no
-// further attempt at a backend that drains or was removed. The timeouts of this package follow from that.
+// From then on the limiter has the drain grace of the settings, usually 250 ms, after which it may start no further
+// attempt at a backend that is draining or was removed. The timeouts of this package follow from that.
 //
-// watcher.go has the watch, stream.go reads its messages, decode.go decodes them, and backoff.go decides
-// when a watch that ended is opened again.
+// watcher.go contains the watch, stream.go reads its messages, decode.go decodes them, and backoff.go decides when a
+// watch that ended is opened again.
 package discovery
 
 import (
@@ -32,70 +32,70 @@
 )
 
 const (
-	// maxKnownDelay is after how long a change counts as known to the limiter, whether or not it arrived.
+	// maxKnownDelay is the time after which a change counts as known to the limiter, whether or not it was received.
 	maxKnownDelay = 6 * time.Second
-	// defaultSilenceTimeout is after how long without a byte a watch is given up. It is above the 2 s
-	// between the empty lines of discovery, and well below maxKnownDelay.
+	// defaultSilenceTimeout is the time without a byte after which a watch is canceled. It is longer than the 2 s
+	// between the empty lines that discovery sends, and much shorter than maxKnownDelay.
 	defaultSilenceTimeout = 3 * time.Second
-	// dialTimeout bounds the connect to discovery, which is on this machine.
+	// dialTimeout bounds the connect to discovery, which runs on this machine.
 	dialTimeout = time.Second
 )
 
 var (
-	// errInvalidMessage ends a watch with a message that was cut off or could not be decoded.
+	// errInvalidMessage ends a watch on which a message was cut off or could not be decoded.
 	errInvalidMessage = errors.New("watch: invalid message")
 	// errRejected ends a watch that discovery answered with an error status.
 	errRejected = errors.New("watch: rejected")
-	// errSilent is the cause for which a silent watch is canceled.
-	errSilent = errors.New("discovery is silent")
+	// errSilent is the cause with which a watch without data is canceled.
+	errSilent = errors.New("no data from discovery within the silence timeout")
 )
 
-// A Watcher keeps a watch open. Its owner sets the fields and runs Run in a goroutine, which ends with
-// the context.
+// A Watcher keeps a watch open. The caller sets the exported fields and calls Run in a goroutine, which returns when
+// its context ends.
 type Watcher struct {
 	Addr           string           // host:port of discovery; Run changes it after Move
 	Origin         time.Time        // see Decode
-	Generation     int64            // of the message read last; 0 requests the complete list
+	Generation     int64            // of the last message received; 0 requests the complete list
 	Post           func(core.Event) // called with a core.EndpointsUpdated for each message
 	Log            *zap.Logger
-	Limiters       int                   // that watch the same discovery
-	random         func() float64        // overrides the source of chance, in [0, 1)
-	silenceTimeout time.Duration         // overrides after how long a silent watch is given up
+	Limiters       int                   // number of limiters that watch the same discovery
+	random         func() float64        // overrides the random source, in [0, 1)
+	silenceTimeout time.Duration         // overrides defaultSilenceTimeout
 	sleepOverride  func(d time.Duration) // overrides how a pause is spent
 
-	mu       sync.Mutex
-	nextAddr string             // of the last Move; empty once Run watches there
-	leave    context.CancelFunc // ends the watch that is open, or the pause after it
+	mu          sync.Mutex
+	nextAddr    string             // address of the last Move; empty once Run has switched to it
+	cancelWatch context.CancelFunc // ends the open watch, or the pause after it
 }
 
-// Move ends the watch, and has Run open one at another address.
+// Move ends the watch and makes Run open one at another address.
 func (w *Watcher) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.nextAddr = addr
-	if w.leave != nil {
-		w.leave()
+	if w.cancelWatch != nil {
+		w.cancelWatch()
 	}
 }
 
-// begin returns a context for one watch and the pause after it, which the next Move cancels, and whether
-// Move was called since the last begin. After a Move the complete list is requested, as the generations of
-// one discovery mean nothing at another.
-func (w *Watcher) begin(ctx context.Context) (watchCtx context.Context, moved bool) {
+// startWatch returns a context for one watch and the pause after it, which the next Move cancels. It also reports
+// whether Move was called since the last startWatch. After a Move the complete list is requested, because the
+// generations of one discovery mean nothing at another.
+func (w *Watcher) startWatch(ctx context.Context) (watchCtx context.Context, moved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	moved = w.nextAddr != ""
 	if moved {
 		w.Addr, w.Generation, w.nextAddr = w.nextAddr, 0, ""
 	}
-	if w.leave != nil {
-		w.leave()
+	if w.cancelWatch != nil {
+		w.cancelWatch()
 	}
-	watchCtx, w.leave = context.WithCancel(ctx)
+	watchCtx, w.cancelWatch = context.WithCancel(ctx)
 	return watchCtx, moved
 }
 
-// Run watches until ctx ends. While no watch is open the list posted last holds.
+// Run keeps a watch open until ctx ends. While no watch is open, the list that was posted last stays in effect.
 func (w *Watcher) Run(ctx context.Context) {
 	transport := &http.Transport{
 		DisableCompression: true,
@@ -108,7 +108,7 @@
 	}
 	pauses := newBackoff(w.Limiters, w.random)
 	for ctx.Err() == nil {
-		watchCtx, moved := w.begin(ctx)
+		watchCtx, moved := w.startWatch(ctx)
 		if moved {
 			pauses.reset()
 		}
@@ -116,7 +116,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if watchCtx.Err() != nil { // by Move
+		if watchCtx.Err() != nil { // canceled by Move
 			continue
 		}
 		w.Log.Warn("endpoint watch ended", zap.Int("messages", messages), zap.Error(err))
@@ -127,7 +127,7 @@
 	}
 }
 
-// pause waits before the next watch, after one that ended with an error.
+// pause waits before the next watch, after the previous one ended with an error.
 func (w *Watcher) pause(ctx context.Context, pauses *backoff, err error) {
 	pause := pauses.afterFailure
 	if errors.Is(err, errRejected) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// watch opens a watch, reads it to its end, and returns the number of messages read. The error is never nil.
+// watch opens a watch, reads it until it ends, and returns the number of messages read. The error is never nil.
 func (w *Watcher) watch(ctx context.Context, transport *http.Transport) (messages int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -155,20 +155,20 @@
 	if timeout == 0 {
 		timeout = defaultSilenceTimeout
 	}
-	// TCP does not notice when discovery is cut off.
-	silence := time.AfterFunc(timeout, func() { cancel(errSilent) })
-	defer silence.Stop()
+	// TCP does not detect that discovery has become unreachable.
+	silenceTimer := time.AfterFunc(timeout, func() { cancel(errSilent) })
+	defer silenceTimer.Stop()
 
 	response, err := w.open(ctx, transport)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = response.Body.Close() }() // the stream has ended
-	stream := newStream(response.Body, timeout, silence)
+	stream := newStream(response.Body, timeout, silenceTimer)
 	for {
 		list, err := stream.next(w.Origin)
 		if errors.Is(err, errInvalidMessage) {
-			w.Generation = 0 // what changed is unknown, so the complete list is requested next
+			w.Generation = 0 // the change is unknown, so the complete list is requested next
 		}
 		if err != nil {
 			return messages, err
@@ -182,7 +182,7 @@
 	}
 }
 
-// open requests the messages after the generation held.
+// open requests all messages after w.Generation.
 func (w *Watcher) open(ctx context.Context, transport *http.Transport) (*http.Response, error) {
 	url := "http://" + w.Addr + "/v1/endpoints?stream=1&index=" + strconv.FormatInt(w.Generation, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -194,7 +194,7 @@
 		return nil, fmt.Errorf("watch: %w", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // its text is of no use
+		_ = response.Body.Close() // the body is not needed
 		return nil, fmt.Errorf("%w with status %d", errRejected, response.StatusCode)
 	}
 	return response, nil
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -24,7 +24,7 @@
 	{"instanceId":"s-2","hostPort":"127.0.0.1:8444","zone":"b","cell":4,"lifecycle":"draining","weight":1,"startedAtMs":1000500},
 	{"instanceId":"s-3","lifecycle":"removed","startedAtMs":7}]}`
 
-// Unix milliseconds become times of the program's clock; a start before its zero is long ago.
+// Unix milliseconds are converted to times of the program's clock. A start before its zero counts as long ago.
 func TestDecode(t *testing.T) {
 	list, generation, err := Decode([]byte(listText), time.UnixMilli(1_000_000))
 	want := &core.EndpointsUpdated{Kind: admission.ListComplete, Generation: 41, Endpoints: []core.Endpoint{
@@ -35,15 +35,15 @@
 		{Backend: admission.Backend{ID: "s-3", State: admission.Removed}},
 	}}
 	if err != nil || generation != 41 || !reflect.DeepEqual(list, want) {
-		t.Errorf("%+v, %d, %v", list, generation, err)
+		t.Errorf("got %+v, generation %d, error %v", list, generation, err)
 	}
 }
 
-// An entry in an unknown state counts as draining, and the others count all the same.
+// An instance in an unknown state counts as draining, and the other instances of the list count as usual.
 func TestUnknownLifecycle(t *testing.T) {
 	list, _, err := Decode([]byte(strings.Replace(listText, `"removed"`, `"parked"`, 1)), time.Time{})
 	if err != nil || len(list.Endpoints) != 3 || list.Endpoints[2].State != admission.Draining {
-		t.Errorf("%+v, %v", list, err)
+		t.Errorf("got %+v, error %v; want 3 endpoints with the last one draining", list, err)
 	}
 }
 
@@ -55,23 +55,23 @@
 	} {
 		_, _, err := Decode([]byte(text), time.Time{})
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: error %v, want one line with %q", text, err, want)
 		}
 	}
 }
 
-// A fakeDiscovery hands each watch to the test. It listens apart from other processes: limiters of theirs that had
-// lost a discovery on 127.0.0.1 watched this one in its place.
+// A fakeDiscovery passes each watch to the test. It listens on an address that other processes do not use: limiters
+// of other processes that had lost a discovery on 127.0.0.1 opened their watches here instead.
 type fakeDiscovery struct {
 	watches chan watch
 	server  *httptest.Server
 }
 
-// A watch was requested by a Watcher. It ends when its lines are closed.
+// A watch is a request of a Watcher that is being answered. It ends when its lines are closed.
 type watch struct {
-	query string
-	lines chan string
-	gone  <-chan struct{}
+	query  string
+	lines  chan string
+	closed <-chan struct{}
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -80,7 +80,7 @@
 		lines := make(chan string)
 		select {
 		case d.watches <- watch{r.URL.RequestURI(), lines, r.Context().Done()}:
-		case <-r.Context().Done(): // one more than the test looks at
+		case <-r.Context().Done(): // the test does not look at this watch
 			return
 		}
 		for {
@@ -126,8 +126,8 @@
 	return w, events
 }
 
-// A limiter of another process retries its watch on 127.0.0.1, on a port that the kernel may have given out anew. Its
-// watch is not handed to a test: TestCutOffAtAnyByte took one from generation 1 for its own.
+// A limiter of another process retries its watch on 127.0.0.1, on a port that the kernel may have assigned again. That
+// watch must not be passed to a test: TestCutOffAtAnyByte once took a watch from generation 1 for its own.
 func TestWatchOfOtherProcessIsNotTaken(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	_, port, err := net.SplitHostPort(fake.server.Listener.Addr().String())
@@ -147,47 +147,47 @@
 	})
 	select {
 	case taken := <-fake.watches:
-		t.Errorf("took the watch %s", taken.query)
+		t.Errorf("the watch of another process was passed to the test: %s", taken.query)
 	case <-ended:
 	}
 }
 
-// A move ends the watch before it at once, and requests the complete list at the new address: the
-// generations of one discovery mean nothing at another. Until that has come nothing is posted, so the old
-// list holds. The last of several moves counts.
+// Move ends the open watch at once and requests the complete list at the new address, because the generations of one
+// discovery mean nothing at another. Nothing is posted until that list is received, so the old list stays in effect.
+// The last of several moves counts.
 func TestMove(t *testing.T) {
 	fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
 	w, events := fake.start(t, nil)
 	first := <-fake.watches
 	w.Move(other.server.Listener.Addr().String())
-	<-first.gone
+	<-first.closed
 	moved := <-other.watches
 	if moved.query != "/v1/endpoints?stream=1&index=0" || len(events) != 0 {
-		t.Errorf("requested %s, %d events", moved.query, len(events))
+		t.Errorf("requested %s, %d events; want index 0 and no events", moved.query, len(events))
 	}
 	moved.lines <- strings.ReplaceAll(listText, "\n", "") + "\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
-		t.Errorf("%+v", ev)
+		t.Errorf("got %+v, want a complete list of 3 endpoints", ev)
 	}
 	w.Move("127.0.0.1:0") // nobody listens there
-	<-moved.gone
-	w.Move(fake.server.Listener.Addr().String()) // also out of a pause
+	<-moved.closed
+	w.Move(fake.server.Listener.Addr().String()) // also ends a pause
 	if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
-		t.Errorf("requested %s", again.query)
+		t.Errorf("requested %s, want index 0", again.query)
 	}
 }
 
 const change = `{"generation":%,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]}` + "\n"
 
-// A watch resumes after the last generation it brought, skips empty lines, and requests the complete list
-// after an invalid line.
+// A watch resumes after the last generation received, skips empty lines, and requests the complete list after an
+// invalid line.
 func TestResume(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	events := fake.watcher(t, nil)
 	first := <-fake.watches
 	first.lines <- "\n" + strings.Replace(change, "%", "43", 1) + "\n\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListDelta || len(ev.Endpoints) != 1 {
-		t.Errorf("%+v", ev)
+		t.Errorf("got %+v, want a change with 1 endpoint", ev)
 	}
 	close(first.lines)
 	second := <-fake.watches
@@ -195,7 +195,7 @@
 	third := <-fake.watches
 	third.lines <- strings.ReplaceAll(listText, "\n", "") + "\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete {
-		t.Errorf("%+v", ev)
+		t.Errorf("got %+v, want a complete list", ev)
 	}
 	for i, c := range []struct{ got, index string }{{first.query, "7"}, {second.query, "43"}, {third.query, "0"}} {
 		if want := "/v1/endpoints?stream=1&index=" + c.index; c.got != want {
@@ -204,40 +204,40 @@
 	}
 }
 
-// A stream on which not even empty lines come is given up: TCP does not notice that a machine has been cut
-// off.
+// A watch on which not even empty lines are received is ended: TCP does not detect that a machine has become
+// unreachable.
 func TestSilence(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	fake.watcher(t, func(w *Watcher) { w.silenceTimeout = 20 * time.Millisecond })
 	first := <-fake.watches
-	<-first.gone
+	<-first.closed
 	<-fake.watches
 }
 
-// A change in an invalid line counts as known with that line, and new attempts must end 250 ms later: even
-// after three such lines in a row the list is requested again in time.
+// A change in an invalid line counts as known as of that line, and 250 ms later no new attempts may start. The list
+// is requested in time even after three such lines in a row.
 func TestInvalidLines(t *testing.T) {
 	fake := newFakeDiscovery(t)
-	var spent time.Duration
-	events := fake.watcher(t, func(w *Watcher) { w.sleepOverride = func(d time.Duration) { spent += d } })
+	var slept time.Duration
+	events := fake.watcher(t, func(w *Watcher) { w.sleepOverride = func(d time.Duration) { slept += d } })
 	for range 3 {
 		(<-fake.watches).lines <- "{\"generation\x00:7}\n"
 	}
 	(<-fake.watches).lines <- strings.Replace(change, "%", "8", 1)
-	if <-events; spent > 100*time.Millisecond {
-		t.Errorf("requested again after %v", spent)
+	if <-events; slept > 100*time.Millisecond {
+		t.Errorf("requested the list after pauses of %v, want 100 ms at most", slept)
 	}
 }
 
-// Pauses between failed watches grow up to a bound, well within the 250 ms for which a change may be
-// missed, and start again from the shortest once a watch has brought something.
+// Pauses between failed watches grow up to a bound that is well within the 250 ms for which a change may be missed,
+// and start again from the shortest pause after a watch that received a message.
 func TestBackoff(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	pauses := make(chan time.Duration, 1)
 	fake.watcher(t, func(w *Watcher) {
 		w.sleepOverride, w.random = func(d time.Duration) { pauses <- d }, func() float64 { return 0.5 }
 	})
-	for _, want := range []int{10, 20, 40, 80, 100, 100} { // and no longer ones: a failed watch puts no load on discovery
+	for _, want := range []int{10, 20, 40, 80, 100, 100} { // no longer pauses: a failed watch puts no load on discovery
 		close((<-fake.watches).lines)
 		if got := <-pauses; got != time.Duration(want)*time.Millisecond {
 			t.Errorf("pause %v, want %d ms", got, want)
@@ -247,22 +247,22 @@
 	good.lines <- strings.Replace(change, "%", "8", 1)
 	close(good.lines)
 	if got := <-pauses; got != minBackoff {
-		t.Errorf("pause %v after a good watch", got)
+		t.Errorf("pause %v after a watch that received a message, want minBackoff", got)
 	}
 }
 
-// rejectionPauses returns the pauses after watches that discovery rejects, all of them.
-func rejectionPauses(tier, calls int, random func() float64) (pauses []time.Duration) {
-	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+// rejectionPauses returns the first count pauses of a watcher whose watches are all rejected.
+func rejectionPauses(limiters, count int, random func() float64) (pauses []time.Duration) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	defer full.Close()
+	defer server.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w := &Watcher{
-		Addr: full.Listener.Addr().String(), Limiters: tier, random: random, Log: zap.NewNop(), Post: func(core.Event) {},
+		Addr: server.Listener.Addr().String(), Limiters: limiters, random: random, Log: zap.NewNop(), Post: func(core.Event) {},
 		sleepOverride: func(d time.Duration) {
-			if pauses = append(pauses, d); len(pauses) == calls {
+			if pauses = append(pauses, d); len(pauses) == count {
 				cancel()
 			}
 		},
@@ -271,45 +271,45 @@
 	return pauses
 }
 
-// Limiters whose watches are rejected together do not retry in step, nor so often that discovery's queue
-// never empties, nor later than a change counts as known to them.
+// Limiters whose watches are rejected together do not retry in step, nor so often that discovery's queue never
+// empties, nor so late that a change counts as known to them before.
 func TestTierDoesNotOverloadDiscovery(t *testing.T) {
 	for _, c := range []struct {
-		tier         int
-		first, least time.Duration // most of the first pauses, and the least mean of late ones
+		limiters          int
+		maxFirst, minMean time.Duration // bound on the first pauses, and lower bound on the mean of later pauses
 	}{
 		{3, 110 * time.Millisecond, 0}, {20, time.Second, 1500 * time.Millisecond},
 		{80, 4 * time.Second, 4 * time.Second}, {300, 6100 * time.Millisecond, 4 * time.Second},
 	} {
-		chance := rand.New(rand.NewPCG(1, uint64(c.tier)))
+		rng := rand.New(rand.NewPCG(1, uint64(c.limiters)))
 		var sum time.Duration
-		for _, d := range rejectionPauses(c.tier, 31, chance.Float64)[11:] {
+		for _, d := range rejectionPauses(c.limiters, 31, rng.Float64)[11:] {
 			if sum += d / 20; d > maxRejectionBackoff*3/2 {
-				t.Errorf("%d limiters: a pause of %v", c.tier, d)
+				t.Errorf("%d limiters: pause of %v, want 1.5 times maxRejectionBackoff at most", c.limiters, d)
 			}
 		}
-		if sum < c.least {
-			t.Errorf("%d limiters: a watch each %v, want %v at least", c.tier, sum, c.least)
+		if sum < c.minMean {
+			t.Errorf("%d limiters: mean pause %v, want %v at least", c.limiters, sum, c.minMean)
 		}
 		var earliest, latest time.Duration = time.Hour, 0
 		for range 20 {
-			d := rejectionPauses(c.tier, 1, chance.Float64)[0]
+			d := rejectionPauses(c.limiters, 1, rng.Float64)[0]
 			earliest, latest = min(earliest, d), max(latest, d)
 		}
-		if latest > c.first || latest < c.first/2 || earliest > c.first/3 {
-			t.Errorf("%d limiters: retries %v to %v after a rejection, want it spread over %v", c.tier, earliest, latest, c.first)
+		if latest > c.maxFirst || latest < c.maxFirst/2 || earliest > c.maxFirst/3 {
+			t.Errorf("%d limiters: first pauses from %v to %v after a rejection, want them spread over %v", c.limiters, earliest, latest, c.maxFirst)
 		}
 	}
 }
 
-// A change that discovery has counts as known, so in a tier of any size the first watch is opened at the
-// start, and a new one at a move and once a watch breaks, with no pause that the rule on draining backends
-// (250 ms) has no room for.
+// A change that discovery has counts as known. Therefore, in a tier of any size, the first watch is opened at the start
+// and a new watch is opened after a move or when a watch breaks, without a pause that exceeds the 250 ms allowed for
+// draining backends.
 func TestWatchesAtOnceInAnyTier(t *testing.T) {
-	for _, tier := range []int{3, 80, 300} {
+	for _, limiters := range []int{3, 80, 300} {
 		fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
-		var spent time.Duration
-		w, events := fake.start(t, func(w *Watcher) { w.Limiters, w.sleepOverride = tier, func(d time.Duration) { spent += d } })
+		var slept time.Duration
+		w, events := fake.start(t, func(w *Watcher) { w.Limiters, w.sleepOverride = limiters, func(d time.Duration) { slept += d } })
 		first := <-fake.watches
 		first.lines <- strings.Replace(change, "%", "8", 1)
 		<-events
@@ -317,8 +317,8 @@
 		<-fake.watches
 		w.Move(other.server.Listener.Addr().String())
 		<-other.watches
-		if spent > 50*time.Millisecond {
-			t.Errorf("%d limiters: three watches after pauses of %v", tier, spent)
+		if slept > 50*time.Millisecond {
+			t.Errorf("%d limiters: pauses of %v in three watches, want 50 ms at most", limiters, slept)
 		}
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	// maxStaleConns is after how many stale connections an attempt ends with admission.NotSent.
+	// maxStaleConns is the number of stale connections after which an attempt ends with admission.NotSent.
 	maxStaleConns = 8
-	// noResponseTimeout is what the timer for a response is set to before the first byte: the event loop
-	// decides how long that may take.
+	// noResponseTimeout is the initial value of the response timer, which applies until the first byte of the
+	// response. The event loop decides how long an attempt may wait for that byte.
 	noResponseTimeout = time.Hour
 )
 
-// An attempt is one attempt of a request at a backend, from StartAttempt to its outcome. Beside a response
-// or an error of the connection, these end it:
+// An attempt is one attempt of a request at a backend, from StartAttempt to its outcome. It ends with a
+// response, with an error of the connection, or by one of these functions:
 //
-//	by                 called for           its context            its connection  outcome
-//	abort              CancelAttempt        canceled               closed          not posted
-//	withdraw           WithdrawAttempt      canceled if unwritten  not written to  NotSent if unwritten
-//	cancelUnlessBegun  CloseBackendConns    canceled if unwritten  not written to  NotSent if unwritten
-//	expired            the first write      kept                   not written to  NotSent
-//	closeCarrier       the response timer   kept                   closed          by what was written
+//	function           called by              context                connection      outcome
+//	abort              CancelAttempt          canceled               closed          not posted
+//	withdraw           WithdrawAttempt        canceled if unwritten  not written to  NotSent if unwritten
+//	cancelIfUnwritten  CloseBackendConns      canceled if unwritten  not written to  NotSent if unwritten
+//	expired            the first write        unchanged              not written to  NotSent
+//	closeConn          the response timer     unchanged              closed          depends on what was written
 //
-// "If unwritten" is: if no byte of it was written; otherwise the attempt goes on.
+// "If unwritten" means that no byte of the request was written; otherwise the attempt continues.
 type attempt struct {
 	backend       *backend
 	cancelContext context.CancelFunc
 	now           func() time.Duration
-	startBefore   time.Duration // no first byte may be written from then on; 0 for no bound
+	startBefore   time.Duration // the first byte must be written before this clock time; 0 for no bound
 
-	startExpired    atomic.Bool // startBefore had passed before the first byte
-	withdrawn       atomic.Bool // no first byte may be written any longer
+	startExpired    atomic.Bool // startBefore passed before the first byte was written
+	withdrawn       atomic.Bool // the first byte may no longer be written
 	responseStarted atomic.Bool // the first byte of a response was received
-	staleConns      int         // connections that were stale before a byte was written
+	staleConns      int         // connections that turned out to be stale before a byte was written
 
-	// Which connection carries the attempt and whether it was aborted are one decision: http.Transport
-	// may hand over a connection, and write to it, after its context has ended.
+	// mu guards both the current connection and the aborted flag, because they must change together:
+	// http.Transport may assign a connection, and write to it, after the attempt's context has ended.
 	mu      sync.Mutex
-	conn    *backendConn // the one that carries it; nil for none
-	aborted bool         // no connection may carry it any longer
+	conn    *backendConn // current connection; nil for none
+	aborted bool         // no connection may be used for the attempt any longer
 }
 
-// An outcome is how an attempt or a probe ended.
+// An outcome is the result of an attempt or a probe.
 type outcome struct {
 	result   admission.Result
 	report   []float64    // load report, in the order and units of the settings' fields; nil for none
-	response core.Content // *Response of a request that was served, nil otherwise
+	response core.Content // *Response if the backend served the request, nil otherwise
 }
 
-// attach makes a connection the one that carries the attempt. If the attempt was aborted, the connection is
-// closed before a byte is written.
+// attach assigns a connection to the attempt. If the attempt was aborted, attach closes the connection before
+// a byte is written.
 func (a *attempt) attach(conn *backendConn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,31 +70,31 @@
 	a.conn = conn
 }
 
-// detach gives up a connection on which no byte was written.
+// detach clears the current connection, on which no byte was written.
 func (a *attempt) detach() {
 	a.mu.Lock()
 	a.conn = nil
 	a.mu.Unlock()
 }
 
-// carrier returns the connection that carries the attempt, nil if none does.
-func (a *attempt) carrier() *backendConn {
+// currentConn returns the connection that is assigned to the attempt, or nil.
+func (a *attempt) currentConn() *backendConn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.conn
 }
 
-// begun reports whether a byte of the attempt was written.
-func (a *attempt) begun() bool {
-	conn := a.carrier()
+// writeStarted reports whether a byte of the request was written.
+func (a *attempt) writeStarted() bool {
+	conn := a.currentConn()
 	if conn == nil {
 		return false
 	}
-	begun, _ := conn.progress(a)
-	return begun
+	started, _ := conn.progress(a)
+	return started
 }
 
-// abort ends the attempt for good. No byte of it is written once abort has returned.
+// abort ends the attempt without an outcome. No byte of the request is written after abort has returned.
 func (a *attempt) abort() {
 	a.mu.Lock()
 	a.aborted = true
@@ -106,21 +106,21 @@
 	}
 }
 
-// withdraw ends the attempt unless a byte of it was written.
+// withdraw ends the attempt unless a byte of the request was written.
 func (a *attempt) withdraw() {
 	a.withdrawn.Store(true)
-	a.cancelUnlessBegun()
+	a.cancelIfUnwritten()
 }
 
-// cancelUnlessBegun cancels the context unless a byte of the attempt was written.
-func (a *attempt) cancelUnlessBegun() {
-	if !a.begun() {
+// cancelIfUnwritten cancels the context unless a byte of the request was written.
+func (a *attempt) cancelIfUnwritten() {
+	if !a.writeStarted() {
 		a.cancelContext()
 	}
 }
 
-// expired reports whether the time in which the attempt may begin has ended. The program may have been
-// suspended since the attempt was started, or waited for a connection.
+// expired reports whether startBefore has passed. The process may have been suspended since the attempt was
+// started, or the attempt may have waited for a connection.
 func (a *attempt) expired() bool {
 	if a.startBefore <= 0 || a.now() < a.startBefore {
 		return false
@@ -129,24 +129,24 @@
 	return true
 }
 
-// closeCarrier closes the connection that carries the attempt, if one does.
-func (a *attempt) closeCarrier() {
-	if conn := a.carrier(); conn != nil {
+// closeConn closes the connection that is assigned to the attempt, if any.
+func (a *attempt) closeConn() {
+	if conn := a.currentConn(); conn != nil {
 		conn.abort(a)
 	}
 }
 
-// run is the goroutine of an attempt: it makes the attempt and posts the outcome, unless the attempt was
-// canceled meanwhile.
+// run makes an attempt and posts its outcome, unless CancelAttempt was called in the meantime. It runs in a
+// goroutine of its own.
 func (c *Client) run(ctx context.Context, a *attempt, e core.StartAttempt) {
 	defer a.backend.closeIdleIfClosed()
 	defer a.cancelContext()
 	out := c.perform(ctx, a, e)
 	c.mu.Lock()
-	wanted := c.attempts[e.Attempt] == a
+	active := c.attempts[e.Attempt] == a
 	delete(c.attempts, e.Attempt)
 	c.mu.Unlock()
-	if !wanted {
+	if !active {
 		return
 	}
 	c.options.Post(&core.AttemptFinished{
@@ -160,21 +160,21 @@
 	})
 }
 
-// perform makes an attempt, with another connection each time that one turns out to be stale before a byte of
-// the request was written.
+// perform makes an attempt. It switches to another connection each time that one turns out to be stale before
+// a byte of the request was written.
 func (c *Client) perform(ctx context.Context, a *attempt, e core.StartAttempt) outcome {
 	for {
-		out := c.try(ctx, a, e)
+		out := c.roundTrip(ctx, a, e)
 		if out.result != admission.Unreachable && out.result != admission.ConnectFailed {
 			return out
 		}
-		if a.begun() {
+		if a.writeStarted() {
 			return out
 		}
-		if a.backend.closed.Load() || a.withdrawn.Load() { // no failure of the backend
+		if a.backend.closed.Load() || a.withdrawn.Load() { // not a failure of the backend
 			return outcome{result: admission.NotSent}
 		}
-		if a.carrier() == nil || ctx.Err() != nil {
+		if a.currentConn() == nil || ctx.Err() != nil {
 			return out
 		}
 		a.staleConns++
@@ -185,11 +185,11 @@
 	}
 }
 
-// try makes an attempt on the connection that http.Transport has for it.
-func (c *Client) try(ctx context.Context, a *attempt, e core.StartAttempt) outcome {
-	// A response that has begun is complete soon. Otherwise its head does not end or its length is wrong,
-	// and the connection would stay open.
-	responseTimer := time.AfterFunc(noResponseTimeout, a.closeCarrier)
+// roundTrip makes an attempt on the connection that http.Transport selects.
+func (c *Client) roundTrip(ctx context.Context, a *attempt, e core.StartAttempt) outcome {
+	// A valid response is complete shortly after its first byte. The timer closes the connection of a response
+	// whose header never ends or whose length is wrong, which would otherwise stay open.
+	responseTimer := time.AfterFunc(noResponseTimeout, a.closeConn)
 	defer responseTimer.Stop()
 	ctx = httptrace.WithClientTrace(ctx, c.trace(a, e.Attempt, responseTimer))
 	content := e.Content.(*Request)
@@ -204,24 +204,24 @@
 	return c.receive(a, body, response)
 }
 
-// trace returns callbacks that tie a connection of http.Transport to an attempt, and start the timer for
-// the response with its first byte.
+// trace returns callbacks that assign the connection which http.Transport selects to the attempt, and that set
+// the response timer when the first byte of a response is received.
 func (c *Client) trace(a *attempt, id core.AttemptID, responseTimer *time.Timer) *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if conn, ok := info.Conn.(*backendConn); ok {
-				c.hooks.connected(id)
+				c.hooks.onConnected(id)
 				a.attach(conn)
 			}
 		},
 		GotFirstResponseByte: func() {
-			if conn := a.carrier(); conn != nil {
+			if conn := a.currentConn(); conn != nil {
 				conn.responseBuffered()
 			}
 			a.responseStarted.Store(true)
 			responseTimer.Reset(c.options.ResponseTimeout)
 		},
-		// An informational response is skipped, and the response may be long in coming.
+		// The final response may come long after an informational one, so the timer is stopped.
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
 			responseTimer.Stop()
 			return nil
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// idleFraction is the fraction of Options.IdleClose for which a connection is kept idle. A request
-	// that crosses the backend's close may be lost.
+	// idleFraction is the fraction of Options.IdleClose for which an idle connection is kept. If the backend
+	// closes the connection while a request is being sent on it, the request may be lost.
 	idleFraction = 2.0 / 3
-	// maxResponseHeaderBytes bounds the head of a response.
+	// maxResponseHeaderBytes bounds the header of a response.
 	maxResponseHeaderBytes = 16 << 10
 )
 
 var (
-	// errTooManyConns is the client's own bound, and not a failure of the backend.
-	errTooManyConns = errors.New("too many connections")
-	// errBackendClosed ends an attempt that would begin on a connection to a backend that is draining, was
-	// removed or has started anew.
+	// errTooManyConns means that the client's own limit on connections was reached. It is not a failure of
+	// the backend.
+	errTooManyConns = errors.New("too many open connections to backends")
+	// errBackendClosed ends an attempt that would be sent on a connection to a backend that is draining, was
+	// removed or has restarted.
 	errBackendClosed = errors.New("connections to the backend are closed")
 )
 
-// A backend has the connections to one backend at one address, from the first attempt or probe until
+// A backend holds the connections to one backend at one address, from the first attempt or probe until
 // CloseBackendConns.
 type backend struct {
 	transport *http.Transport
-	closed    atomic.Bool // by CloseBackendConns
+	closed    atomic.Bool // set by CloseBackendConns
 }
 
-// backend returns the backend of an id, which it creates if there is none. The caller holds c.mu.
+// backend returns the backend with the given ID, and creates it if there is none. The caller holds c.mu.
 func (c *Client) backend(id, addr string) *backend {
 	if b := c.backends[id]; b != nil {
 		return b
@@ -52,15 +53,15 @@
 	return b
 }
 
-// closeIdleIfClosed closes the connections that an attempt or probe left idle at a backend that was closed
-// meanwhile: http.Transport keeps idle connections again after its next request.
+// closeIdleIfClosed closes the idle connections of a backend that was closed during an attempt or a probe.
+// Closing them once is not enough: http.Transport keeps idle connections again after its next request.
 func (b *backend) closeIdleIfClosed() {
 	if b.closed.Load() {
 		b.transport.CloseIdleConnections()
 	}
 }
 
-// dial opens a connection to a backend.
+// dial opens a connection to a backend, unless the backend is closed or there are too many connections.
 func (c *Client) dial(ctx context.Context, dialer *net.Dialer, b *backend, network, addr string) (net.Conn, error) {
 	if b.closed.Load() {
 		return nil, errBackendClosed
@@ -74,17 +75,17 @@
 		release()
 		return nil, err
 	}
-	conn, err := newBackendConn(dialed.(*net.TCPConn), b, release, c.hooks.written)
+	conn, err := newBackendConn(dialed.(*net.TCPConn), b, release, c.hooks.onWritten)
 	if err != nil {
 		release()
-		_ = dialed.Close() // nothing was sent on it
+		_ = dialed.Close() // nothing was sent on it, so the error does not matter
 		return nil, err
 	}
 	return conn, nil
 }
 
-// reserveConn counts a connection that is to be opened, and reports whether it may be. At the bound the
-// idle connections are closed for it, as an attempt cannot wait.
+// reserveConn counts a connection that is to be opened, and reports whether it may be opened. At the limit it
+// closes all idle connections to make room, because an attempt cannot wait.
 func (c *Client) reserveConn() bool {
 	maxConns := c.maxConns.Load()
 	open := c.conns.Add(1)
--- a/internal/upstream/backendconn.go
+++ b/internal/upstream/backendconn.go
@@ -11,87 +11,87 @@
 )
 
 var (
-	// errStale ends an attempt that would begin on a kept connection that has ended or on which something
-	// unexpected came. No byte of the attempt was written.
+	// errStale ends an attempt on a kept connection that was closed, or on which unexpected data was received,
+	// before a byte of the request was written.
 	errStale = errors.New("stale connection")
-	// errStartExpired ends an attempt whose time to begin had ended before its first byte.
-	errStartExpired = errors.New("too late to begin")
-	// errWithdrawn ends an attempt that was withdrawn before its first byte.
+	// errStartExpired ends an attempt whose startBefore passed before its first byte was written.
+	errStartExpired = errors.New("start deadline passed before the first byte was written")
+	// errWithdrawn ends an attempt that was withdrawn before its first byte was written.
 	errWithdrawn = errors.New("withdrawn")
 )
 
-// A backendConn is a connection to a backend. It knows which attempt it carries and how far that was
-// written: http.Transport reports neither for sure, as its callbacks fire when a request is in a buffer
-// and not when it is on the socket.
+// A backendConn is a connection to a backend. It records which attempt is using it and how much of the request
+// was written to the socket. The callbacks of http.Transport cannot tell that: they are called when a request
+// is in a buffer, not when it is on the socket.
 //
-// It also ensures that no byte read before the first write of an attempt can be part of the response to
-// it. http.Transport puts a connection back into its pool before it looks for what may have come behind
-// the response (a copy of it, noise), and the next attempt that takes the connection would get that as
-// its response. So the first byte of a request is written only while the transport's reader waits at the
-// socket with an empty buffer, and the socket is empty as well; a first byte of a response that the
-// transport has in its buffer before that ends the connection.
+// It also ensures that no byte received before the first write of an attempt is taken for part of the response
+// to it. http.Transport returns a connection to its pool before it checks for data after the response (such as
+// a copy of the response, or noise), and the next attempt on the connection would get that data as its response.
+// Therefore the first byte of a request is written only while the transport's reader is blocked on the socket
+// with an empty buffer, and the socket is empty as well. If the transport has the first byte of a response in
+// its buffer before that, the connection is closed.
 type backendConn struct {
 	net.Conn
 	raw     syscall.RawConn
 	backend *backend
-	release func()      // called once, when the connection is closed
-	written func(n int) // called after n bytes were written to the socket
-
-	mu          sync.Mutex
-	changed     sync.Cond // readerWaits or ended became true
-	carried     *attempt  // nil for a probe
-	begun       bool      // a byte of the carried request was written: what is read is the response
-	writeFailed bool      // a write of it failed or was refused
-	ended       bool      // nothing more may be written or read
-	readerWaits bool      // at the socket; its buffer is empty unless a response is half read
-	closeOnce   sync.Once
+	onClose func()      // called once, when the connection is closed
+	onWrite func(n int) // called after n bytes were written to the socket
+
+	mu            sync.Mutex
+	changed       sync.Cond // signaled when readerBlocked or ended becomes true
+	attempt       *attempt  // that uses the connection; nil for a probe
+	writeStarted  bool      // a byte of the current request was written, so data read belongs to its response
+	writeFailed   bool      // a write of the current request failed or was refused
+	ended         bool      // nothing more may be written or read
+	readerBlocked bool      // on the socket; its buffer is empty unless it holds part of a response
+	closeOnce     sync.Once
 }
 
-// newBackendConn wraps a connection. Release is called once it is closed, written after each write.
-func newBackendConn(tcp *net.TCPConn, b *backend, release func(), written func(int)) (*backendConn, error) {
+// newBackendConn wraps a connection. OnClose is called once it is closed, and onWrite after each write.
+func newBackendConn(tcp *net.TCPConn, b *backend, onClose func(), onWrite func(int)) (*backendConn, error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	c := &backendConn{Conn: tcp, raw: raw, backend: b, release: release, written: written}
+	c := &backendConn{Conn: tcp, raw: raw, backend: b, onClose: onClose, onWrite: onWrite}
 	c.changed.L = &c.mu
 	return c, nil
 }
 
-// assign makes the connection carry an attempt, or a probe if a is nil.
+// assign sets the attempt that uses the connection; nil stands for a probe.
 func (c *backendConn) assign(a *attempt) {
 	c.mu.Lock()
-	c.carried, c.begun, c.writeFailed = a, false, false
+	c.attempt, c.writeStarted, c.writeFailed = a, false, false
 	c.mu.Unlock()
 }
 
-// responseBuffered is called when http.Transport has the first byte of a response in its buffer. If no
-// byte of the request was written yet, that byte is left over from before: the connection is closed at
-// once, and nothing of it is served.
+// responseBuffered is called when http.Transport has the first byte of a response in its buffer. If no byte of
+// the request was written yet, that byte is left over from before it: responseBuffered closes the connection at
+// once, so that no part of that data is served.
 func (c *backendConn) responseBuffered() {
 	c.mu.Lock()
-	leftOver := !c.begun
+	unrequested := !c.writeStarted
 	c.mu.Unlock()
-	if leftOver {
-		_ = c.Close() // the attempt fails by that
+	if unrequested {
+		_ = c.Close() // which makes the attempt fail
 	}
 }
 
-// Read implements net.Conn. The read and what it means are one step, so that a write cannot begin between
-// the two.
+// Read implements net.Conn. It reads from the socket and evaluates what was read in one critical section, so that
+// no write can start in between.
 func (c *backendConn) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	waitErr := c.raw.Read(func(fd uintptr) (done bool) {
-		n, err = c.receive(fd, p)
+		n, err = c.readSocket(fd, p)
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	switch {
 	case waitErr != nil:
 		return 0, waitErr
 	case err != nil:
-		_ = c.Close() // here, as a close waits for the reader to let go of the socket
+		_ = c.Close() // after raw.Read has returned, because Close waits until the reader has released the socket
 		return 0, err
 	case n == 0:
 		return 0, io.EOF
@@ -99,16 +99,16 @@
 	return n, nil
 }
 
-// receive reads what is in the socket; it fails with syscall.EAGAIN if that is nothing.
-func (c *backendConn) receive(fd uintptr, p []byte) (n int, err error) {
+// readSocket reads the data that is available on the socket. It fails with syscall.EAGAIN if there is none.
+func (c *backendConn) readSocket(fd uintptr, p []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, err = rawread.Nonblocking(fd, p)
-	c.readerWaits = errors.Is(err, syscall.EAGAIN)
+	c.readerBlocked = errors.Is(err, syscall.EAGAIN)
 	switch {
-	case c.readerWaits:
+	case c.readerBlocked:
 		c.changed.Broadcast()
-	case err == nil && !c.begun: // nothing was requested
+	case err == nil && !c.writeStarted: // the data answers no request
 		c.ended = true
 		c.changed.Broadcast()
 		return 0, errStale
@@ -116,14 +116,14 @@
 	return n, err
 }
 
-// Write implements net.Conn. The first byte of a request goes to no backend that was closed, however long
-// its attempt was dialing or queued, and to no stale connection.
+// Write implements net.Conn. It does not write the first byte of a request to a backend that was closed, however
+// long the attempt was dialing or queued, nor to a stale connection.
 func (c *backendConn) Write(data []byte) (int, error) {
-	if err := c.begin(); err != nil {
+	if err := c.startWrite(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(data)
-	c.written(n)
+	c.onWrite(n)
 	if err != nil {
 		c.mu.Lock()
 		c.writeFailed = true
@@ -132,80 +132,80 @@
 	return n, err
 }
 
-// begin decides whether a request may begin on the connection, or go on if it has begun.
-func (c *backendConn) begin() error {
+// startWrite returns nil if a request may start on the connection, or continue if it has started.
+func (c *backendConn) startWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.begun && !c.ended {
+	if c.writeStarted && !c.ended {
 		return nil
 	}
-	for !c.ended && !c.readerWaits {
-		c.changed.Wait() // the reader is on its way to the socket
+	for !c.ended && !c.readerBlocked {
+		c.changed.Wait() // until the reader is blocked on the socket
 	}
-	if err := c.mayBegin(); err != nil {
+	if err := c.startError(); err != nil {
 		c.writeFailed = true
 		return err
 	}
-	c.begun = true
+	c.writeStarted = true
 	return nil
 }
 
-// mayBegin returns why a request must not begin on the connection, nil if it may. The caller holds c.mu.
-func (c *backendConn) mayBegin() error {
+// startError returns the reason why a request must not start on the connection, or nil. The caller holds c.mu.
+func (c *backendConn) startError() error {
 	switch {
-	case c.ended || !c.isEmpty():
-		c.ended = true // the transport closes it
+	case c.ended || !c.socketEmpty():
+		c.ended = true // http.Transport closes the connection after the error
 		return errStale
 	case c.backend.closed.Load():
 		return errBackendClosed
-	case c.carried == nil:
+	case c.attempt == nil:
 		return nil
-	case c.carried.withdrawn.Load():
+	case c.attempt.withdrawn.Load():
 		return errWithdrawn
-	case c.carried.expired():
+	case c.attempt.expired():
 		return errStartExpired
 	}
 	return nil
 }
 
-// isEmpty reports whether nothing waits at the socket, not even its end. The caller holds c.mu.
-func (c *backendConn) isEmpty() bool {
-	var one [1]byte
+// socketEmpty reports whether the socket has neither data nor an end of stream to read. The caller holds c.mu.
+func (c *backendConn) socketEmpty() bool {
+	var buf [1]byte
 	var readErr error
-	err := c.raw.Control(func(fd uintptr) { _, readErr = rawread.Nonblocking(fd, one[:]) })
+	err := c.raw.Control(func(fd uintptr) { _, readErr = rawread.Nonblocking(fd, buf[:]) })
 	return err == nil && errors.Is(readErr, syscall.EAGAIN)
 }
 
-// Close implements net.Conn, and releases the connection.
+// Close implements net.Conn. The first call also calls onClose.
 func (c *backendConn) Close() error {
 	c.mu.Lock()
 	c.ended = true
 	c.changed.Broadcast()
 	c.mu.Unlock()
-	c.closeOnce.Do(c.release)
-	return c.Conn.Close() // without c.mu: it waits for the reader, which may want that
+	c.closeOnce.Do(c.onClose)
+	return c.Conn.Close() // without holding c.mu: Close waits for the reader, which may need c.mu
 }
 
-// abort closes the connection if it still carries an attempt.
+// abort closes the connection if the given attempt still uses it.
 func (c *backendConn) abort(a *attempt) {
 	c.mu.Lock()
-	carries := c.carried == a
-	if carries {
-		c.ended = true // no other attempt begins on it from now on
+	current := c.attempt == a
+	if current {
+		c.ended = true // so that no other attempt starts on the connection
 	}
 	c.mu.Unlock()
-	if carries {
-		_ = c.Close() // nothing more is sent on it
+	if current {
+		_ = c.Close() // nothing more is sent on it, so the error does not matter
 	}
 }
 
-// progress reports whether any byte of the request of an attempt was written on the connection, and
-// whether all of it may have been.
-func (c *backendConn) progress(a *attempt) (begun, complete bool) {
+// progress reports whether any byte of an attempt's request was written on the connection, and whether all of
+// it may have been written.
+func (c *backendConn) progress(a *attempt) (started, complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.carried != a {
-		return true, true // it has carried another one since
+	if c.attempt != a {
+		return true, true // another attempt has used the connection since
 	}
-	return c.begun, c.begun && !c.writeFailed
+	return c.writeStarted, c.writeStarted && !c.writeFailed
 }
--- a/internal/upstream/backendconn_test.go
+++ b/internal/upstream/backendconn_test.go
@@ -11,36 +11,35 @@
 	"lemongate/internal/testnet"
 )
 
-// Canceling an attempt whose connection carries another one by now must not end that one.
-func TestCancelSparesNextAttempt(t *testing.T) {
-	c, far := connPair(t)
-	old, next := &attempt{}, &attempt{}
-	c.assign(old)
+// Canceling an attempt must not close its former connection while the next attempt is using that.
+func TestCancelDoesNotCloseNextAttempt(t *testing.T) {
+	c, remote := connPair(t)
+	previous, next := &attempt{}, &attempt{}
+	c.assign(previous)
 	c.assign(next)
-	c.abort(old)
+	c.abort(previous)
 	go readByte(c)
-	go func() { _, _ = c.Write([]byte("x")) }() // the other end shows whether it came
-	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
-		t.Errorf("the next attempt was cut off: %v", err)
+	go func() { _, _ = c.Write([]byte("x")) }() // the read below shows whether the byte arrived
+	if _, err := io.ReadFull(remote, make([]byte, 1)); err != nil {
+		t.Errorf("canceling the previous attempt stopped the next one: %v", err)
 	}
 }
 
-// connPair returns a connection as a Client has it, and its other end.
+// connPair returns a connection as a Client uses it, and the backend's end of it.
 func connPair(t *testing.T) (*backendConn, *net.TCPConn) {
 	t.Helper()
-	far, near := testnet.Pair(t)
-	c, err := newBackendConn(near, &backend{}, func() {}, func(int) {})
+	remote, local := testnet.Pair(t)
+	c, err := newBackendConn(local, &backend{}, func() {}, func(int) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return c, far
+	return c, remote
 }
 
-// readByte reads from a connection, as http.Transport does all the time.
+// readByte blocks in Read, as the reader of http.Transport does.
 func readByte(c net.Conn) { _, _ = c.Read(make([]byte, 1)) }
 
-// write writes a text to a connection.
 func write(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -48,8 +47,8 @@
 	}
 }
 
-// An attempt that is still dialing or queued when the connections to its backend are closed writes no byte,
-// and counts as one that never ran.
+// The connections to a backend are closed while an attempt is still dialing or queued. The attempt writes no byte,
+// and its result says that it never ran.
 func TestCloseBackendConnsBeforeFirstByte(t *testing.T) {
 	c, _ := connPair(t)
 	a := &attempt{}
@@ -57,74 +56,74 @@
 	c.backend.closed.Store(true)
 	go readByte(c)
 	if n, err := c.Write([]byte("GET")); n != 0 || !errors.Is(err, errBackendClosed) {
-		t.Errorf("wrote %d bytes, %v", n, err)
+		t.Errorf("wrote %d bytes, error %v; want 0 and errBackendClosed", n, err)
 	}
 	if got := resultWithoutResponse(a, newRequestBody(nil), errBackendClosed); got != admission.ConnectFailed {
-		t.Errorf("result %v", got)
+		t.Errorf("result %v, want admission.ConnectFailed", got)
 	}
 }
 
-// A connection lost before the last byte proves that the request never ran, though http.Transport reports
-// it as written once it is in the buffer.
+// A connection that breaks before the last byte of a request is written proves that the request never ran, although
+// http.Transport reports the request as written once it is in the buffer.
 func TestConnectionLostWhileWriting(t *testing.T) {
-	c, far := connPair(t)
+	c, remote := connPair(t)
 	a := &attempt{}
 	a.attach(c)
 	go readByte(c)
 	if _, err := c.Write([]byte("G")); err != nil {
 		t.Fatal(err)
 	}
-	if err := far.SetLinger(0); err != nil { // the close is a reset
+	if err := remote.SetLinger(0); err != nil { // so that Close sends a reset
 		t.Fatal(err)
 	}
-	_ = far.Close()
-	for { // until the reset has come
+	_ = remote.Close()
+	for { // until the reset is received
 		if _, err := c.Write([]byte("ET")); err != nil {
 			break
 		}
 	}
 	if got := resultWithoutResponse(a, newRequestBody(nil), io.EOF); got != admission.ConnectFailed {
-		t.Errorf("result %v", got)
+		t.Errorf("result %v, want admission.ConnectFailed", got)
 	}
 }
 
-// The same, step by step: what the reader brings before the first byte of a request was written ends the
-// connection, whichever comes first.
+// Data that is received before the first byte of a request was written makes the connection stale. The test covers
+// data that Read returns, data in the transport's buffer, and data still on the socket; see TestNoLeftOverResponse.
 func TestReadBeforeWrite(t *testing.T) {
-	c, far := connPair(t)
+	c, remote := connPair(t)
 	c.assign(&attempt{})
-	write(t, far, "HTTP/1.1 200 OK\r\n")
+	write(t, remote, "HTTP/1.1 200 OK\r\n")
 	if n, err := c.Read(make([]byte, 99)); n != 0 || !errors.Is(err, errStale) {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("read %d bytes, error %v; want 0 and errStale", n, err)
 	}
 	if n, err := c.Write([]byte("GET")); n != 0 || !errors.Is(err, errStale) {
-		t.Errorf("wrote %d bytes, %v", n, err)
+		t.Errorf("wrote %d bytes, error %v; want 0 and errStale", n, err)
 	}
 
-	c, far = connPair(t)
+	c, remote = connPair(t)
 	c.assign(&attempt{})
-	wrote := make(chan error)
+	writeErr := make(chan error)
 	go func() {
 		_, err := c.Write([]byte("GET"))
-		wrote <- err
+		writeErr <- err
 	}()
-	c.responseBuffered() // found in the transport's buffer; no reader ever waits
-	if err := <-wrote; !errors.Is(err, errStale) {
-		t.Errorf("wrote, %v", err)
+	c.responseBuffered() // as if the data were in the transport's buffer; no reader ever blocks on the socket
+	if err := <-writeErr; !errors.Is(err, errStale) {
+		t.Errorf("write error %v, want errStale", err)
 	}
-	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("%v", err)
+	if _, err := remote.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("read at the backend's end: error %v, want EOF", err)
 	}
 
-	c, far = connPair(t)
+	c, remote = connPair(t)
 	c.assign(&attempt{})
-	c.readerWaits = true // as if the reader had not seen yet what is at the socket
-	write(t, far, "x")
+	c.readerBlocked = true // as if the reader had not yet seen the data on the socket
+	write(t, remote, "x")
 	for start := time.Now(); time.Since(start) < 10*time.Second; {
-		if err := c.begin(); errors.Is(err, errStale) {
+		if err := c.startWrite(); errors.Is(err, errStale) {
 			return
 		}
-		c.begun = false // the byte is still on its way
+		c.writeStarted = false // the byte has not arrived yet
 	}
-	t.Error("a request began on a connection with bytes left over")
+	t.Error("a request started on a connection with unread data")
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,10 +1,10 @@
-// Package upstream is the HTTP client of the backends. It sends requests with http.Transport and posts the
-// outcomes. It makes exactly the attempts that it is given: it repeats none by itself, and does not
-// compress, follow redirects or use a proxy.
+// Package upstream is the HTTP client for the backends. It sends requests with http.Transport and posts the
+// outcomes. It makes exactly the attempts that it is told to make: it never retries a request by itself, and
+// does not compress, follow redirects or use a proxy.
 //
-// client.go has the client, attempt.go an attempt from its start to its outcome, request.go and
-// response.go what is sent and received, backend.go the connections to a backend, backendconn.go one of
-// them, probe.go the probes, and loadreport.go the load reports in responses.
+// client.go contains the client, attempt.go an attempt from its start to its outcome, request.go and
+// response.go what is sent and received, backend.go the connections to a backend, backendconn.go a single
+// connection, probe.go the probes, and loadreport.go the load reports in responses.
 package upstream
 
 import (
@@ -18,17 +18,17 @@
 )
 
 const (
-	// defaultConnectTimeout bounds a connect where the settings have no bound.
+	// defaultConnectTimeout applies if the settings have no connect timeout.
 	defaultConnectTimeout = time.Second
-	// defaultResponseTimeout is how long a response may take to be complete, from its first byte. It ends
-	// one whose length is wrong or whose head never ends.
+	// defaultResponseTimeout is the time from the first byte of a response to its last. It ends a response
+	// whose length is wrong or whose header never ends.
 	defaultResponseTimeout = 300 * time.Millisecond
 )
 
 // A Request is the part of a client's request that is forwarded.
 type Request struct {
 	Method string
-	URI    string // path and query as they came
+	URI    string // path and query as received from the client
 	Host   string
 	CallID string
 	Key    string // Idempotency-Key, empty for none
@@ -36,34 +36,34 @@
 	Body   []byte
 }
 
-// A Response is a backend's response to a request that it served.
+// A Response is a backend's response to a request that the backend served.
 type Response struct {
 	Type string // Content-Type, empty for none
 	Body []byte
 }
 
-// Options set up a Client.
+// Options configure a Client.
 type Options struct {
-	ConnectTimeout    time.Duration        // of a connection; 0 for defaultConnectTimeout
-	IdleClose         time.Duration        // after which backends close idle connections; 0 for never
+	ConnectTimeout    time.Duration        // for a new connection; 0 for defaultConnectTimeout
+	IdleClose         time.Duration        // idle time after which backends close a connection; 0 for never
 	LoadReportFields  []string             // of a load report, in the order of the settings
-	MaxIdlePerBackend int                  // idle connections kept; 1 is kept where it is less
-	MaxConns          int                  // to all backends together; 0 for no bound
-	ResponseTimeout   time.Duration        // of a response from its first byte; 0 for defaultResponseTimeout
-	Post              func(core.Event)     // called with a core.AttemptFinished or core.ProbeFinished each
-	Now               func() time.Duration // clock of core.StartAttempt.StartBefore
+	MaxIdlePerBackend int                  // idle connections kept per backend; values below 1 count as 1
+	MaxConns          int                  // open connections to all backends together; 0 for no bound
+	ResponseTimeout   time.Duration        // from the first byte of a response; 0 for defaultResponseTimeout
+	Post              func(core.Event)     // called with each core.AttemptFinished and core.ProbeFinished
+	Now               func() time.Duration // the clock of core.StartAttempt.StartBefore
 }
 
-// A Client carries out all attempts and probes of a limiter. Its methods may be called from any
-// goroutine; none waits for a backend.
+// A Client makes all attempts and probes of a limiter. Its methods may be called from any goroutine; none of
+// them waits for a backend.
 //
-// Each attempt and probe has a goroutine of its own. That of an attempt ends with its outcome, which
-// CancelAttempt brings about at once; that of a probe with its timeout at the latest.
+// Each attempt and each probe has a goroutine of its own. The goroutine of an attempt ends with the attempt,
+// and CancelAttempt makes it end at once; the goroutine of a probe ends at the probe's timeout at the latest.
 type Client struct {
 	options         Options
-	conns           atomic.Int64  // open now
-	maxConns        atomic.Int64  // open at once; 0 for no bound
-	attemptsWritten atomic.Uint64 // completely
+	conns           atomic.Int64  // open connections
+	maxConns        atomic.Int64  // bound on open connections; 0 for none
+	attemptsWritten atomic.Uint64 // attempts whose requests were written completely
 
 	mu       sync.Mutex
 	backends map[string]*backend
@@ -72,10 +72,10 @@
 	hooks hooks
 }
 
-// hooks let tests act in the moments at which events may cross.
+// hooks let tests intervene at the moments at which events may race.
 type hooks struct {
-	connected func(core.AttemptID) // called when an attempt has a connection, before its first byte
-	written   func(n int)          // called after n bytes were written to a socket
+	onConnected func(core.AttemptID) // called when an attempt has a connection, before its first byte is written
+	onWritten   func(n int)          // called after n bytes were written to a socket
 }
 
 // New returns a Client without connections.
@@ -87,25 +87,25 @@
 		options.ResponseTimeout = defaultResponseTimeout
 	}
 	c := &Client{options: options, backends: map[string]*backend{}, attempts: map[core.AttemptID]*attempt{}}
-	c.hooks = hooks{connected: func(core.AttemptID) {}, written: func(int) {}}
+	c.hooks = hooks{onConnected: func(core.AttemptID) {}, onWritten: func(int) {}}
 	c.SetResourceShare(1)
 	return c
 }
 
-// SetResourceShare sets which fraction of Options.MaxConns may be open, while another process has the
-// rest. Connections that are open stay.
+// SetResourceShare sets the fraction of Options.MaxConns that this process may have open while another process
+// has the rest. Connections that are already open stay open.
 func (c *Client) SetResourceShare(fraction float64) {
 	c.maxConns.Store(int64(math.Ceil(float64(c.options.MaxConns) * fraction)))
 }
 
-// Conns returns how many connections to backends are open.
+// Conns returns the number of open connections to backends.
 func (c *Client) Conns() int { return int(c.conns.Load()) }
 
-// AttemptsWritten returns how many attempts were written to backends completely.
+// AttemptsWritten returns the number of attempts whose requests were written to backends completely.
 func (c *Client) AttemptsWritten() uint64 { return c.attemptsWritten.Load() }
 
-// StartAttempt starts an attempt. Its outcome is posted as a core.AttemptFinished, unless CancelAttempt
-// comes first.
+// StartAttempt starts an attempt. Its outcome is posted as a core.AttemptFinished, unless CancelAttempt is called
+// first.
 func (c *Client) StartAttempt(e core.StartAttempt) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.mu.Lock()
@@ -117,8 +117,8 @@
 	go c.run(ctx, a, e)
 }
 
-// CancelAttempt ends an attempt without an outcome. Its connection is closed before CancelAttempt
-// returns, so that no later attempt of the request runs beside it.
+// CancelAttempt ends an attempt without posting an outcome. It closes the attempt's connection before it returns,
+// so that a later attempt of the same request does not run concurrently with this one.
 func (c *Client) CancelAttempt(id core.AttemptID) {
 	c.mu.Lock()
 	a := c.attempts[id]
@@ -129,8 +129,8 @@
 	}
 }
 
-// WithdrawAttempt ends an attempt of which no byte was written; its outcome is admission.NotSent. One
-// that has begun goes on.
+// WithdrawAttempt ends an attempt with the result admission.NotSent if no byte of the request was written.
+// Otherwise the attempt continues.
 func (c *Client) WithdrawAttempt(id core.AttemptID) {
 	c.mu.Lock()
 	a := c.attempts[id]
@@ -140,9 +140,8 @@
 	}
 }
 
-// CloseBackendConns ends new attempts at a backend: idle connections are closed, and attempts of which no
-// byte is written end with admission.NotSent. Attempts that have begun go on. A later attempt at a
-// backend of this name gets new connections.
+// CloseBackendConns closes the idle connections to a backend, and ends attempts of which no byte was written with
+// admission.NotSent. Other attempts continue. A later attempt at a backend with this ID opens new connections.
 func (c *Client) CloseBackendConns(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,7 +153,7 @@
 	b.closed.Store(true)
 	for _, a := range c.attempts {
 		if a.backend == b {
-			a.cancelUnlessBegun()
+			a.cancelIfUnwritten()
 		}
 	}
 	b.transport.CloseIdleConnections()
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -18,50 +18,50 @@
 	client := newTestClient(testnet.RefusingAddr(t))
 	defer client.Close()
 	if got := client.attempt(get); got.Result != admission.Unreachable {
-		t.Errorf("result %v", got.Result)
+		t.Errorf("result %v, want admission.Unreachable", got.Result)
 	}
 }
 
-// A canceled attempt closes its connection: the backend sees that, and one that has gone silent gets no
-// further request on it.
+// Canceling an attempt closes its connection, so that the backend notices, and no further request is sent on the
+// connection of a backend that does not respond.
 func TestCancelClosesConnection(t *testing.T) {
-	backend := startBackend(t, silentInstead, response("200 OK", "", ""))
+	backend := startBackend(t, sendNothing, response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
 	id := client.start(get)
 	<-backend.requests
 	client.CancelAttempt(id)
-	if conn := <-backend.ended; conn != 0 {
-		t.Errorf("connection %d ended", conn)
+	if conn := <-backend.closedConns; conn != 0 {
+		t.Errorf("connection %d ended, want 0", conn)
 	}
 	if got := client.attempt(get); got.Result != admission.Succeeded || got.Attempt == id {
-		t.Errorf("next outcome %+v", got)
+		t.Errorf("next outcome %+v, want admission.Succeeded", got)
 	}
 	if conn := (<-backend.requests).conn; conn != 1 {
-		t.Errorf("the canceled connection was used again")
+		t.Errorf("the connection of the canceled attempt was used again")
 	}
 }
 
-// A backend whose connections are closed keeps no idle one, and gets new ones later.
+// CloseBackendConns closes the idle connections to a backend. A later attempt opens a new one.
 func TestCloseBackendConnsClosesIdle(t *testing.T) {
 	backend := startBackend(t, response("200 OK", "", ""), response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
 	client.attempt(get)
 	client.CloseBackendConns("b")
-	if conn := <-backend.ended; conn != 0 {
-		t.Errorf("connection %d ended", conn)
+	if conn := <-backend.closedConns; conn != 0 {
+		t.Errorf("connection %d ended, want 0", conn)
 	}
 	client.attempt(get)
 	if <-backend.requests; (<-backend.requests).conn != 1 {
-		t.Error("sent on a connection of before the close")
+		t.Error("the attempt after the close was not sent on a new connection")
 	}
 }
 
-// An attempt that has begun goes on as the connections to its backend are closed, and its connection is
-// closed afterwards.
+// An attempt whose request was written continues when the connections to its backend are closed. Its connection is
+// closed after the response.
 func TestCloseBackendConnsLetsFinish(t *testing.T) {
-	hold, l := make(chan bool), testnet.Listen(t)
+	step, l := make(chan bool), testnet.Listen(t)
 	ended := make(chan error, 1)
 	go func() {
 		c, err := l.Accept()
@@ -70,48 +70,48 @@
 			return
 		}
 		in := bufio.NewReader(c)
-		_, _ = http.ReadRequest(in) // the result shows whether it came
-		hold <- true
-		<-hold
-		_, _ = io.WriteString(c, response("200 OK", "", "")) // the result shows whether it came
+		_, _ = http.ReadRequest(in) // the result below shows whether it was received
+		step <- true
+		<-step
+		_, _ = io.WriteString(c, response("200 OK", "", "")) // the result below shows whether it was received
 		_, err = in.ReadByte()
 		ended <- err
 	}()
 	client := newTestClient(l.Addr().String())
 	client.start(get)
-	<-hold
+	<-step
 	client.CloseBackendConns("b")
-	hold <- true
+	step <- true
 	if got := (<-client.events).(*core.AttemptFinished); got.Result != admission.Succeeded {
-		t.Errorf("result %v", got.Result)
+		t.Errorf("result %v, want admission.Succeeded", got.Result)
 	}
 	if err := <-ended; !errors.Is(err, io.EOF) {
-		t.Errorf("connection ended with %v", err)
+		t.Errorf("read at the backend: error %v, want EOF", err)
 	}
 }
 
-// Connections stay within the bound, and are not counted any more once they end.
+// Connections stay within MaxConns, and no longer count once they are closed.
 func TestMaxConns(t *testing.T) {
-	backend := startBackend(t, silentInstead, response("200 OK", "", ""))
+	backend := startBackend(t, sendNothing, response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String(), func(o *Options) { o.MaxConns = 1 })
 	defer client.Close()
 	id := client.start(get)
 	<-backend.requests
-	if got := client.attempt(get); got.Result != admission.NotSent || client.Conns() != 1 { // not the backend's failure
-		t.Errorf("result %v with %d connections", got.Result, client.Conns())
+	if got := client.attempt(get); got.Result != admission.NotSent || client.Conns() != 1 { // not a failure of the backend
+		t.Errorf("result %v with %d connections, want admission.NotSent with 1", got.Result, client.Conns())
 	}
 	client.CancelAttempt(id)
 	if got := client.attempt(get); got.Result != admission.Succeeded {
-		t.Errorf("result %v", got.Result)
+		t.Errorf("result %v after the cancel, want admission.Succeeded", got.Result)
 	}
 }
 
-// Idle connections are few, and closed before the backend does it: a request that crosses that close would
-// be lost.
+// The number of idle connections is bounded, and they are closed before the backend closes them: a request that is
+// sent while the backend closes its connection would be lost.
 func TestIdleConns(t *testing.T) {
 	client := newTestClient("", func(o *Options) { o.IdleClose = 15 * time.Second })
 	b := client.backend("b", "h:1")
 	if got := b.transport; got.IdleConnTimeout != 10*time.Second || got.MaxIdleConnsPerHost != 4 {
-		t.Errorf("kept for %v, %d of them", got.IdleConnTimeout, got.MaxIdleConnsPerHost)
+		t.Errorf("idle timeout %v, %d idle connections; want 10s and 4", got.IdleConnTimeout, got.MaxIdleConnsPerHost)
 	}
 }
--- a/internal/upstream/fakebackend_test.go
+++ b/internal/upstream/fakebackend_test.go
@@ -14,33 +14,33 @@
 	"lemongate/internal/testnet"
 )
 
-// A fakeBackend answers each request by a script, and records which requests came completely and on which
-// connection.
+// A fakeBackend answers requests from a list of responses. It records each request that was received completely and
+// the connection on which it was received.
 type fakeBackend struct {
-	listener net.Listener
-	requests chan received
-	ended    chan int // connections that the client closed
+	listener    net.Listener
+	requests    chan receivedRequest
+	closedConns chan int // connections that the client closed
 }
 
-// A received request came completely.
-type received struct {
-	conn    int // its number, in the order of accepting
+// A receivedRequest is a request that was received completely.
+type receivedRequest struct {
+	conn    int // number of the connection, in the order of accepting
 	request *http.Request
 	body    string
 }
 
 const (
-	closeInstead  = ""       // in place of a response: the connection is closed
-	silentInstead = "silent" // nothing is sent
-	cutOff        = "cut off"
+	closeWithoutResponse = ""        // no response is sent, and the connection is closed
+	sendNothing          = "silent"  // no response is sent, and the connection stays open
+	cutOff               = "cut off" // at the end of a response: the connection is closed after it
 )
 
-// startBackend starts a backend that answers the nth request with the nth text, or as closeInstead and
-// silentInstead say. After a text that ends in cutOff it closes the connection.
+// startBackend starts a backend that answers the nth request with the nth text. For closeWithoutResponse and
+// sendNothing it sends no response. After a text that ends in cutOff it closes the connection.
 func startBackend(t *testing.T, responses ...string) *fakeBackend {
 	t.Helper()
 	l := testnet.Listen(t)
-	b := &fakeBackend{listener: l, requests: make(chan received, 16), ended: make(chan int, 16)}
+	b := &fakeBackend{listener: l, requests: make(chan receivedRequest, 16), closedConns: make(chan int, 16)}
 	next := make(chan string, len(responses))
 	for _, text := range responses {
 		next <- text
@@ -57,33 +57,33 @@
 	return b
 }
 
-// serve answers the requests of a connection, until it ends.
+// serve answers the requests on a connection until the connection ends.
 func (b *fakeBackend) serve(c net.Conn, n int, next chan string) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			b.ended <- n
+			b.closedConns <- n
 			return
 		}
-		body, _ := io.ReadAll(r.Body) // tests compare it
-		// The response is taken before the test learns of the request: it may send the next one at once, on
-		// another connection, which must not get this response.
+		body, _ := io.ReadAll(r.Body) // tests compare the body, so the error does not matter
+		// The response is selected before the test is notified of the request: the test may send the next request
+		// at once on another connection, and that request must not get this response.
 		text, taken := "", false
 		select {
 		case text = <-next:
 			taken = true
 		default: // no response is left
 		}
-		b.requests <- received{n, r, string(body)}
+		b.requests <- receivedRequest{n, r, string(body)}
 		if !taken {
 			text = <-next
 		}
 		switch text {
-		case closeInstead:
+		case closeWithoutResponse:
 			return
-		case silentInstead:
+		case sendNothing:
 			continue
 		}
 		_, _ = io.WriteString(c, text) // the client may have canceled the attempt
@@ -101,9 +101,9 @@
 // A testClient makes attempts at one backend.
 type testClient struct {
 	*Client
-	events  chan core.Event
-	addr    string
-	started core.RequestID // the number of the last attempt
+	events      chan core.Event
+	addr        string
+	lastRequest core.RequestID // request number of the last attempt
 }
 
 func newTestClient(addr string, change ...func(*Options)) *testClient {
@@ -118,10 +118,9 @@
 	return &testClient{Client: New(options), events: events, addr: addr}
 }
 
-// start starts an attempt.
 func (c *testClient) start(in *Request) core.AttemptID {
-	c.started++
-	id := core.AttemptID{Request: c.started}
+	c.lastRequest++
+	id := core.AttemptID{Request: c.lastRequest}
 	c.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: c.addr, Timeout: 1234 * time.Millisecond, Content: in})
 	return id
 }
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// loadReportFormat is the prefix of the one format of load reports that is read.
+	// loadReportFormat is the prefix of the only supported format of load reports.
 	loadReportFormat = "TEXT "
 	// utilizationField is the field for the fraction of a backend's cores in use.
 	utilizationField = "util"
-	// maxUtilization bounds that field, with room for noise.
+	// maxUtilization bounds the utilization field; the margin above 1 allows for noise.
 	maxUtilization = 2
-	// maxReportValue bounds all other fields, which are numbers of requests and latencies in ms: no backend
-	// is that loaded or slow.
+	// maxReportValue bounds all other fields, which are numbers of requests and latencies in ms. No backend
+	// reaches such a value.
 	maxReportValue = 1e6
 )
 
-// parseLoadReport parses "TEXT name=value, ..." into the order of the fields, and keeps their units. It
-// returns nil unless there is exactly one report that has each field once, with a value that a backend can
-// have. A response without a valid report is valid.
+// parseLoadReport parses "TEXT name=value, ..." and returns the values in the order of fields, in the units of the
+// report. It returns nil unless there is exactly one report, in which each field stands exactly once and has a
+// plausible value. A response without a valid load report is still valid.
 func parseLoadReport(texts []string, fields []string) []float64 {
 	if len(texts) != 1 || len(fields) == 0 {
 		return nil
@@ -32,7 +32,7 @@
 	}
 	values := make([]float64, len(fields))
 	for i := range values {
-		values[i] = math.NaN() // for missing
+		values[i] = math.NaN() // marks a missing field
 	}
 	for part := range strings.SplitSeq(text, ",") {
 		name, valueText, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -41,7 +41,7 @@
 			continue
 		}
 		value, valid := parseReportValue(name, valueText)
-		if !valid || !math.IsNaN(values[i]) { // or a duplicate
+		if !valid || !math.IsNaN(values[i]) { // invalid or a duplicate
 			return nil
 		}
 		values[i] = value
@@ -58,5 +58,5 @@
 	if name == utilizationField {
 		limit = maxUtilization
 	}
-	return value, err == nil && value >= 0 && value <= limit // NaN is neither
+	return value, err == nil && value >= 0 && value <= limit // false for NaN
 }
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -20,22 +20,22 @@
 	"lemongate/internal/testnet"
 )
 
-// TestMain fixes the seed, so that the steps are the same every time; how they interleave is not.
+// TestMain fixes the seed, so that each run takes the same steps; their interleaving varies.
 func TestMain(m *testing.M) {
 	os.Exit(rapidtest.Main(m, "20261202", map[string]string{"rapid.steps": "40"}))
 }
 
-// A modelBackend responds only when the model says so, and counts the requests that came completely.
+// A modelBackend responds only when the model tells it to, and counts the requests that were received completely.
 type modelBackend struct {
 	net.Listener
 	mu       sync.Mutex
-	complete map[string]int // requests, by their X-Call-Id
+	complete map[string]int // number of complete requests by X-Call-Id
 	conns    []*modelConn
 }
 
 type modelConn struct {
 	net.Conn
-	calls chan string // requests that came completely on it, to be answered
+	callIDs chan string // of complete requests on this connection that are not answered yet
 }
 
 // serve accepts connections until the listener is closed.
@@ -62,24 +62,24 @@
 			_, err = io.Copy(io.Discard, r.Body)
 		}
 		if err != nil {
-			close(c.calls)
+			close(c.callIDs)
 			return
 		}
-		call := r.Header.Get("X-Call-Id")
+		callID := r.Header.Get("X-Call-Id")
 		b.mu.Lock()
-		b.complete[call]++
+		b.complete[callID]++
 		b.mu.Unlock()
-		c.calls <- call
+		c.callIDs <- callID
 	}
 }
 
-// send writes to the connection, which the client may have closed.
+// send writes to the connection. It ignores errors, because the client may have closed the connection.
 func (c *modelConn) send(text string) { _, _ = io.WriteString(c, text) }
 
-// Attempts are started, canceled, withdrawn and have their backend's connections closed, and the backend
-// responds, sends invalid responses, closes and resets, in any order. Each attempt has one outcome or was
-// canceled; it came to the backend once at most; where the outcome says that it never ran it did not come
-// completely; and the response that serves it is its own.
+// Attempts are started, canceled, withdrawn and disconnected, and the backend responds, sends invalid responses,
+// closes connections and resets them, in any order. Each attempt that was not canceled has exactly one outcome; the
+// backend receives each request at most once; it does not receive a request completely if the outcome says that the
+// attempt never ran; and an attempt that succeeded got its own response.
 func TestAttemptModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := testnet.Open()
@@ -90,22 +90,22 @@
 		go backend.serve()
 		defer func() { _ = l.Close() }()
 		var mu sync.Mutex
-		ended := map[core.AttemptID]*core.AttemptFinished{}
+		outcomes := map[core.AttemptID]*core.AttemptFinished{}
 		client := New(Options{ConnectTimeout: time.Second, IdleClose: time.Minute, MaxIdlePerBackend: 2, ResponseTimeout: 20 * time.Millisecond, Post: func(ev core.Event) {
 			e := ev.(*core.AttemptFinished)
 			mu.Lock()
 			defer mu.Unlock()
-			if ended[e.Attempt] != nil {
-				panic("two outcomes")
+			if outcomes[e.Attempt] != nil {
+				panic("two outcomes for one attempt")
 			}
-			ended[e.Attempt] = e
+			outcomes[e.Attempt] = e
 		}})
 		var started []core.AttemptID
 		canceled := map[core.AttemptID]bool{}
-		call := func(id core.AttemptID) string { return fmt.Sprint("call", id.Request) }
+		callID := func(id core.AttemptID) string { return fmt.Sprint("call", id.Request) }
 		recent := func(t *rapid.T) core.AttemptID {
 			if len(started) == 0 {
-				t.Skip("none")
+				t.Skip("no attempt started yet")
 			}
 			return rapid.SampledFrom(started[max(0, len(started)-4):]).Draw(t, "attempt")
 		}
@@ -113,7 +113,7 @@
 			backend.mu.Lock()
 			defer backend.mu.Unlock()
 			if len(backend.conns) == 0 {
-				t.Skip("none")
+				t.Skip("no connection accepted yet")
 			}
 			return backend.conns[len(backend.conns)-1-rapid.IntRange(0, min(len(backend.conns), 3)-1).Draw(t, "connection")]
 		}
@@ -121,7 +121,7 @@
 			"start": func(t *rapid.T) {
 				id := core.AttemptID{Request: core.RequestID(len(started) + 1)}
 				started = append(started, id)
-				in := &Request{Method: "POST", URI: "/x", Host: "x", CallID: call(id), Body: make([]byte, rapid.SampledFrom([]int{0, 10, 20 << 10}).Draw(t, "size"))}
+				in := &Request{Method: "POST", URI: "/x", Host: "x", CallID: callID(id), Body: make([]byte, rapid.SampledFrom([]int{0, 10, 20 << 10}).Draw(t, "size"))}
 				client.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: l.Addr().String(), Timeout: time.Second, Content: in})
 			},
 			"stop": func(t *rapid.T) {
@@ -134,7 +134,7 @@
 			"answer": func(t *rapid.T) {
 				c := conn(t)
 				select {
-				case body, more := <-c.calls:
+				case body, more := <-c.callIDs:
 					if !more {
 						return
 					}
@@ -157,14 +157,14 @@
 		client.Close()
 		_ = l.Close()
 		for _, id := range started {
-			for over := false; !over; time.Sleep(100 * time.Microsecond) {
+			for done := false; !done; time.Sleep(100 * time.Microsecond) {
 				backend.mu.Lock()
-				for _, c := range backend.conns { // also those that were accepted just now
+				for _, c := range backend.conns { // including those accepted since the last pass
 					_ = c.Close()
 				}
 				backend.mu.Unlock()
 				mu.Lock()
-				over = ended[id] != nil || canceled[id]
+				done = outcomes[id] != nil || canceled[id]
 				mu.Unlock()
 			}
 		}
@@ -173,21 +173,21 @@
 		backend.mu.Lock()
 		defer backend.mu.Unlock()
 		for _, id := range started {
-			e, came := ended[id], backend.complete[call(id)]
-			if came > 1 {
-				t.Fatalf("%s came %d times", call(id), came)
+			e, received := outcomes[id], backend.complete[callID(id)]
+			if received > 1 {
+				t.Fatalf("%s was received %d times, want at most once", callID(id), received)
 			}
 			if e == nil {
 				continue
 			}
-			if never := e.Result != admission.Rejected && e.Result.NeverRan(); never && came > 0 {
-				t.Fatalf("%s came completely, and its outcome is %v", call(id), e.Result)
+			if neverRan := e.Result != admission.Rejected && e.Result.NeverRan(); neverRan && received > 0 {
+				t.Fatalf("%s was received completely, but its result %v says that it never ran", callID(id), e.Result)
 			}
-			if e.Result == admission.Succeeded && string(e.Response.(*Response).Body) != call(id) {
-				t.Fatalf("%s was served %q", call(id), e.Response.(*Response).Body)
+			if e.Result == admission.Succeeded && string(e.Response.(*Response).Body) != callID(id) {
+				t.Fatalf("%s got the response of another request: %q", callID(id), e.Response.(*Response).Body)
 			}
 			if !slices.Contains([]admission.Result{admission.Succeeded, admission.Errored, admission.Rejected, admission.Unreachable, admission.ConnectionLost, admission.NotSent, admission.ConnectFailed}, e.Result) {
-				t.Fatalf("%s ended as %v", call(id), e.Result)
+				t.Fatalf("%s ended with unexpected result %v", callID(id), e.Result)
 			}
 		}
 	})
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -13,11 +13,11 @@
 	"lemongate/internal/core"
 )
 
-// probeTimeoutFactor is the timeout of a probe, as a multiple of that of a connect.
+// probeTimeoutFactor is the timeout of a probe as a multiple of the connect timeout.
 const probeTimeoutFactor = 2
 
-// Probe requests the load report of a backend, and posts the outcome as a core.ProbeFinished. Its
-// goroutine ends with the timeout at the latest.
+// Probe requests the load report of a backend and posts the outcome as a core.ProbeFinished. Its goroutine ends
+// at the probe's timeout at the latest.
 func (c *Client) Probe(e core.ProbeBackend) {
 	c.mu.Lock()
 	b := c.backend(e.Backend, e.Addr)
@@ -56,13 +56,13 @@
 		}
 		return outcome{result: admission.Unreachable}
 	}
-	defer func() { _ = response.Body.Close() }() // it was read to its end, or its connection is closed
+	defer func() { _ = response.Body.Close() }() // the body was read to its end, or the connection is closed
 	return c.receiveProbe(conn, response)
 }
 
-// receiveProbe reads the response to a probe whose head has come.
+// receiveProbe reads the response to a probe, whose header was received.
 func (c *Client) receiveProbe(conn *backendConn, response *http.Response) outcome {
-	if begun, _ := conn.progress(nil); !begun { // see receive
+	if started, _ := conn.progress(nil); !started { // see Client.receive
 		_ = conn.Close()
 		return outcome{result: admission.Unreachable}
 	}
@@ -72,7 +72,7 @@
 		body, err = readBody(response)
 	}
 	if err != nil {
-		_ = conn.Close() // where the next response begins on it is not known
+		_ = conn.Close() // the start of the next response on it is unknown
 		return outcome{result: admission.ConnectionLost}
 	}
 	if response.StatusCode != http.StatusOK {
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/race_test.go
@@ -16,7 +16,7 @@
 	"lemongate/internal/testnet"
 )
 
-// receiveAll accepts a connection and returns all that comes on it until it ends.
+// receiveAll accepts a connection and returns all data received on it until it ends.
 func receiveAll(l net.Listener) <-chan string {
 	all := make(chan string, 1)
 	go func() { // ends with the connection
@@ -25,58 +25,58 @@
 			return
 		}
 		defer func() { _ = c.Close() }()
-		data, _ := io.ReadAll(c) // a reset is an end too
+		data, _ := io.ReadAll(c) // a reset also ends the data
 		all <- string(data)
 	}()
 	return all
 }
 
-// An attempt that is canceled at the moment in which its connection is there sends nothing: the transport
-// goes on with a connection that it has got, whatever became of the context.
+// An attempt that is canceled at the moment its connection is established sends nothing. The transport uses a
+// connection that it has obtained even if the context has ended.
 func TestCancelAsConnectionComes(t *testing.T) {
 	l := testnet.Listen(t)
-	came := receiveAll(l)
+	received := receiveAll(l)
 	client := newTestClient(l.Addr().String())
 	defer client.Close()
-	client.hooks.connected = func(id core.AttemptID) { client.CancelAttempt(id) }
+	client.hooks.onConnected = func(id core.AttemptID) { client.CancelAttempt(id) }
 	client.start(get)
-	if data := <-came; data != "" {
+	if data := <-received; data != "" {
 		t.Errorf("sent after the cancel: %q", data)
 	}
 	select {
 	case ev := <-client.events:
-		t.Errorf("posted %+v", ev)
+		t.Errorf("posted %+v, want no outcome", ev)
 	default:
 	}
 }
 
-// Whatever the transport does with a connection that came too late, not a byte is written there.
+// No byte is written to a connection that is established after the cancel, whatever the transport does with it.
 func TestNothingWrittenAfterCancel(t *testing.T) {
-	c, far := connPair(t)
+	c, remote := connPair(t)
 	a := &attempt{cancelContext: func() {}, backend: c.backend}
 	a.abort()
 	a.attach(c)
 	go readByte(c)
 	if n, err := c.Write([]byte("GET")); n != 0 || err == nil {
-		t.Errorf("wrote %d bytes, %v", n, err)
+		t.Errorf("wrote %d bytes, error %v; want 0 and an error", n, err)
 	}
 	_ = c.Close()
-	if data, _ := io.ReadAll(far); len(data) > 0 {
+	if data, _ := io.ReadAll(remote); len(data) > 0 {
 		t.Errorf("sent after the cancel: %q", data)
 	}
 }
 
-// The same on a connection that was kept: nothing is sent, and it is kept no longer.
+// If the attempt is canceled when it gets a kept connection, nothing is sent and the connection is closed.
 func TestCancelAsKeptConnectionComes(t *testing.T) {
 	backend := startBackend(t, response("200 OK", "", ""), response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
 	client.attempt(get)
 	<-backend.requests
-	client.hooks.connected = func(id core.AttemptID) { client.CancelAttempt(id) }
+	client.hooks.onConnected = func(id core.AttemptID) { client.CancelAttempt(id) }
 	client.start(get)
-	if conn := <-backend.ended; conn != 0 {
-		t.Errorf("connection %d ended", conn)
+	if conn := <-backend.closedConns; conn != 0 {
+		t.Errorf("connection %d ended, want 0", conn)
 	}
 	select {
 	case r := <-backend.requests:
@@ -85,46 +85,46 @@
 	}
 }
 
-// A retry whose connection comes up only after the time in which it may begin is not sent.
+// A retry whose connection is established only when StartBefore has passed is not sent.
 func TestStartExpiredAsConnectionComes(t *testing.T) {
 	l := testnet.Listen(t)
-	came := receiveAll(l)
+	received := receiveAll(l)
 	var now atomic.Int64
 	client := newTestClient(l.Addr().String(), func(o *Options) { o.Now = func() time.Duration { return time.Duration(now.Load()) } })
-	client.hooks.connected = func(core.AttemptID) { now.Store(int64(time.Second)) }
+	client.hooks.onConnected = func(core.AttemptID) { now.Store(int64(time.Second)) }
 	client.StartAttempt(core.StartAttempt{Attempt: core.AttemptID{Request: 1, Number: 1}, Backend: "b", Addr: client.addr, Timeout: time.Minute, Content: get, StartBefore: time.Second})
 	select {
 	case ev := <-client.events:
 		if got := ev.(*core.AttemptFinished); got.Result != admission.NotSent || !got.StartExpired {
-			t.Errorf("%+v", got)
+			t.Errorf("outcome %+v, want admission.NotSent with StartExpired", got)
 		}
-	case <-time.After(time.Second): // it was sent, and nobody answers
+	case <-time.After(time.Second): // the request was sent, and no response comes; checked below
 	}
 	client.CancelAttempt(core.AttemptID{Request: 1, Number: 1})
 	client.Close()
-	if data := <-came; data != "" {
-		t.Errorf("sent too late: %q", data)
+	if data := <-received; data != "" {
+		t.Errorf("sent after StartBefore: %q", data)
 	}
 }
 
-// A backend that starts anew at the moment in which a connection to its earlier process is there is sent
-// nothing on it, and the attempt counts as not sent.
+// A backend restarts at the moment a connection to its earlier process is established. Nothing is sent on that
+// connection, and the result of the attempt is NotSent.
 func TestCloseBackendConnsAsConnectionComes(t *testing.T) {
 	l := testnet.Listen(t)
-	came := receiveAll(l)
+	received := receiveAll(l)
 	client := newTestClient(l.Addr().String())
 	defer client.Close()
-	client.hooks.connected = func(core.AttemptID) { client.CloseBackendConns("b") }
+	client.hooks.onConnected = func(core.AttemptID) { client.CloseBackendConns("b") }
 	if got := client.attempt(get); got.Result != admission.NotSent {
-		t.Errorf("result %v", got.Result)
+		t.Errorf("result %v, want admission.NotSent", got.Result)
 	}
-	if data := <-came; data != "" {
+	if data := <-received; data != "" {
 		t.Errorf("sent after the close: %q", data)
 	}
 }
 
-// The last byte of a request goes to the socket before the transport reports that it was written. A response
-// that breaks off in between is no proof that the request never ran, whatever its length.
+// The last byte of a request is on the socket before the transport reports that the request was written. A response
+// that is cut off in between does not prove that the request never ran, whatever the size of its body.
 func TestCutOffAfterLastByte(t *testing.T) {
 	for _, size := range []int{0, 10, 48 << 10} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
@@ -137,51 +137,51 @@
 				defer func() { _ = c.Close() }()
 				r, err := http.ReadRequest(bufio.NewReader(c))
 				if err != nil {
-					t.Errorf("no request: %v", err)
+					t.Errorf("no request received: %v", err)
 					return
 				}
 				if _, err := io.Copy(io.Discard, r.Body); err != nil {
-					t.Errorf("body: %v", err)
+					t.Errorf("reading the body: %v", err)
 				}
 				write(t, c, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\ncut off")
 			}()
 			client := newTestClient(l.Addr().String())
 			defer client.Close()
-			head, sent, ended := 0, 0, make(chan bool)
-			client.hooks.written = func(n int) {
-				if head == 0 {
-					head = n // which goes alone
+			headerBytes, sent, ended := 0, 0, make(chan bool)
+			client.hooks.onWritten = func(n int) {
+				if headerBytes == 0 {
+					headerBytes = n // the header is written separately
 				}
-				if sent += n; sent == head+size {
-					<-ended // so the transport reports it only after the attempt has ended
+				if sent += n; sent == headerBytes+size {
+					<-ended // so that the transport reports the write only after the attempt has ended
 				}
 			}
 			client.start(&Request{Method: "POST", URI: "/x", Host: "x", CallID: "1", Body: []byte(strings.Repeat("x", size))})
 			got := (<-client.events).(*core.AttemptFinished)
 			close(ended)
 			if got.Result != admission.ConnectionLost || !got.ResponseInvalid {
-				t.Errorf("result %v, response invalid %v of a request that came completely, want one that may have run", got.Result, got.ResponseInvalid)
+				t.Errorf("result %v, response invalid %v for a request that was received completely; want admission.ConnectionLost and true", got.Result, got.ResponseInvalid)
 			}
 		})
 	}
 }
 
-// An attempt that is withdrawn as its connection comes is not sent, and that is no failure of its backend.
+// An attempt that is withdrawn when its connection is established is not sent, and counts as no backend failure.
 func TestWithdrawAsConnectionComes(t *testing.T) {
 	l := testnet.Listen(t)
-	came := receiveAll(l)
+	received := receiveAll(l)
 	client := newTestClient(l.Addr().String())
 	defer client.Close()
-	client.hooks.connected = func(id core.AttemptID) { client.WithdrawAttempt(id) }
+	client.hooks.onConnected = func(id core.AttemptID) { client.WithdrawAttempt(id) }
 	if got := client.attempt(get); got.Result != admission.NotSent {
-		t.Errorf("result %v", got.Result)
+		t.Errorf("result %v, want admission.NotSent", got.Result)
 	}
-	if data := <-came; data != "" {
+	if data := <-received; data != "" {
 		t.Errorf("sent after the withdrawal: %q", data)
 	}
 }
 
-// Likewise before there is a connection: a backend that does not answer a dial keeps nothing of it.
+// An attempt that is withdrawn before it has a connection stops dialing, and sends nothing on a later connection.
 func TestWithdrawBeforeConnection(t *testing.T) {
 	l := testnet.Listen(t)
 	client := newTestClient(l.Addr().String())
@@ -190,45 +190,45 @@
 	a := &attempt{backend: &backend{}, now: client.options.Now, cancelContext: func() { canceled = true }}
 	a.withdraw()
 	if !canceled {
-		t.Error("goes on to dial")
+		t.Error("the context was not canceled, so the dial continues")
 	}
-	c, far := connPair(t)
+	c, remote := connPair(t)
 	a.attach(c)
 	go readByte(c)
 	if n, err := c.Write([]byte("GET")); n != 0 || err == nil {
-		t.Errorf("wrote %d bytes, %v", n, err)
+		t.Errorf("wrote %d bytes, error %v; want 0 and an error", n, err)
 	}
 	_ = c.Close()
-	if data, _ := io.ReadAll(far); len(data) > 0 {
+	if data, _ := io.ReadAll(remote); len(data) > 0 {
 		t.Errorf("sent after the withdrawal: %q", data)
 	}
 }
 
-// One that has begun goes on to its response.
+// An attempt that is withdrawn after its first byte was written continues until its response.
 func TestWithdrawOnceBegun(t *testing.T) {
 	backend := startBackend(t, response("200 OK", "", "yes"))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
 	id := core.AttemptID{}
-	client.hooks.connected = func(i core.AttemptID) { id = i }
-	client.hooks.written = func(int) { client.WithdrawAttempt(id) }
+	client.hooks.onConnected = func(i core.AttemptID) { id = i }
+	client.hooks.onWritten = func(int) { client.WithdrawAttempt(id) }
 	if got := client.attempt(get); got.Result != admission.Succeeded {
-		t.Errorf("result %v", got.Result)
+		t.Errorf("result %v, want admission.Succeeded", got.Result)
 	}
 }
 
-// A connect that times out says less of a backend than one that is refused: some take long while others to
-// the same backend do not.
+// A connect timeout is weaker evidence against a backend than a refused connect: some connects take long while
+// others to the same backend do not.
 func TestLateConnectionIsNotRefused(t *testing.T) {
 	l := testnet.Listen(t)
 	client := newTestClient(l.Addr().String(), func(o *Options) { o.ConnectTimeout = time.Nanosecond })
 	defer client.Close()
 	if got := client.attempt(get); got.Result != admission.ConnectFailed {
-		t.Errorf("late: %v", got.Result)
+		t.Errorf("connect timeout: result %v, want admission.ConnectFailed", got.Result)
 	}
 	client = newTestClient(testnet.RefusingAddr(t))
 	defer client.Close()
 	if got := client.attempt(get); got.Result != admission.Unreachable {
-		t.Errorf("refused: %v", got.Result)
+		t.Errorf("refused connect: result %v, want admission.Unreachable", got.Result)
 	}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -11,18 +11,19 @@
 	"lemongate/internal/core"
 )
 
-// A requestBody is the body of a request in one try, as http.Transport reads it. Once nothing of it is
-// left, the last byte of the request may be on the socket, unless a write failed. http.Transport reports
-// that later, when the response may have come already; and that of a try which is over, during the next.
+// A requestBody is the body of a request for one round trip of http.Transport. Once it was read to its end, the
+// last byte of the request may be on the socket, unless a write failed. The callback WroteRequest cannot tell that:
+// it may be called after the response was received, and that of a round trip which has ended may be called during
+// the next one.
 type requestBody struct {
 	bytes.Reader
-	spent atomic.Bool // nothing is left to be read
+	fullyRead atomic.Bool
 }
 
 func newRequestBody(content []byte) *requestBody {
 	b := new(requestBody)
 	b.Reset(content)
-	b.spent.Store(len(content) == 0) // the head is all there is
+	b.fullyRead.Store(len(content) == 0) // without content, the header is the whole request
 	return b
 }
 
@@ -30,7 +31,7 @@
 func (b *requestBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if b.Len() == 0 {
-		b.spent.Store(true)
+		b.fullyRead.Store(true)
 	}
 	return n, err
 }
@@ -38,20 +39,20 @@
 // Close implements io.Closer.
 func (b *requestBody) Close() error { return nil }
 
-// newRequest returns the HTTP request of an attempt. Its Body is never nil and it has no GetBody:
-// otherwise http.Transport would repeat a GET, or anything with Idempotency-Key, by itself when a kept
-// connection turns out to be closed.
+// newRequest returns the HTTP request of an attempt. Its Body is never nil and it has no GetBody. Otherwise
+// http.Transport would by itself retry a GET, or any request with an Idempotency-Key, when a kept connection turns
+// out to be closed.
 func newRequest(ctx context.Context, body *requestBody, content *Request, e core.StartAttempt) *http.Request {
 	r := &http.Request{
 		Method: content.Method, Host: content.Host, Header: requestHeader(content, e),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL:           &url.URL{Scheme: "http", Host: e.Addr, Opaque: content.URI}, // Opaque is sent as it is
+		URL:           &url.URL{Scheme: "http", Host: e.Addr, Opaque: content.URI}, // Opaque is sent unchanged
 		Body:          body,
 		ContentLength: int64(len(content.Body)),
 	}
 	if len(content.Body) == 0 {
-		// No framing: http.Transport takes a Body of length 0 for one of unknown length, and would look
-		// into it with a goroutine and a timer or send it chunked.
+		// Send no framing. http.Transport treats a Body with ContentLength 0 as one of unknown length: it would
+		// read ahead with a goroutine and a timer, or send the body chunked.
 		r.TransferEncoding = []string{"identity"}
 	}
 	return r.WithContext(ctx)
@@ -61,7 +62,7 @@
 	header := http.Header{
 		"X-Call-Id":  {content.CallID},
 		"X-Budget":   {strconv.FormatInt(max(e.Timeout.Milliseconds(), 1), 10) + "m"},
-		"User-Agent": nil, // none, rather than Go's own
+		"User-Agent": nil, // suppresses Go's default
 	}
 	if e.Token > 0 {
 		header["X-Lease-Token"] = []string{strconv.FormatUint(e.Token, 10)}
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/admission"
 )
 
-// http.Transport repeats a GET, and whatever has Idempotency-Key, by itself when a kept connection breaks:
-// an attempt that nobody decided on.
+// By itself, http.Transport retries a GET, and any request with an Idempotency-Key, when a kept connection breaks.
+// That must not happen: the limiter has not decided on such an attempt.
 func TestNotRepeated(t *testing.T) {
 	for name, in := range map[string]*Request{
 		"GET":   get,
@@ -22,20 +22,20 @@
 			defer client.Close()
 			client.attempt(in)
 			if got := client.attempt(in); got.Result != admission.ConnectionLost {
-				t.Errorf("result %v, want connection lost", got.Result)
+				t.Errorf("result %v, want admission.ConnectionLost", got.Result)
 			}
 			first, second := <-backend.requests, <-backend.requests
 			if first.conn != second.conn {
-				t.Fatal("the connection was not kept, so nothing is shown")
+				t.Fatal("the second request used a new connection, so the test proves nothing")
 			}
 			if len(backend.requests) != 0 {
-				t.Errorf("repeated: %v", <-backend.requests)
+				t.Errorf("request was sent again: %v", <-backend.requests)
 			}
 		})
 	}
 }
 
-// What identifies a request is forwarded as it came, and nothing is added that would change the response.
+// Whatever identifies a request is forwarded unchanged, and no header is added that would change the response.
 func TestRequestForwardedUnchanged(t *testing.T) {
 	backend := startBackend(t, response("200 OK", "Content-Type: a/b\r\n", "x"))
 	client := newTestClient(backend.listener.Addr().String())
@@ -45,7 +45,7 @@
 		CallID: "9b1f03aa5c7e2d41", Key: "5c0f", Type: "text/x", Body: []byte("12345"),
 	}
 	if served := client.attempt(in).Response.(*Response); served.Type != "a/b" {
-		t.Errorf("type %q", served.Type)
+		t.Errorf("content type %q, want a/b", served.Type)
 	}
 	got := <-backend.requests
 	want := http.Header{
@@ -54,11 +54,11 @@
 	}
 	if got.request.Method != in.Method || got.request.RequestURI != in.URI || got.request.Host != in.Host ||
 		got.body != "12345" || !reflect.DeepEqual(got.request.Header, want) {
-		t.Errorf("%s %s %s %q %v", got.request.Method, got.request.RequestURI, got.request.Host, got.body, got.request.Header)
+		t.Errorf("request was changed: %s %s %s %q %v", got.request.Method, got.request.RequestURI, got.request.Host, got.body, got.request.Header)
 	}
 }
 
-// A request without a body is sent without one, in no framing of any kind.
+// A request without a body is sent without a body and without Content-Length or Transfer-Encoding.
 func TestNoBody(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		backend := startBackend(t, response("200 OK", "", ""))
@@ -67,7 +67,7 @@
 		got := <-backend.requests
 		want := http.Header{"X-Call-Id": {"id4"}, "X-Budget": {"1234m"}}
 		if !reflect.DeepEqual(got.request.Header, want) || got.request.TransferEncoding != nil || got.body != "" {
-			t.Errorf("%s: %v, encoding %v, body %q", method, got.request.Header, got.request.TransferEncoding, got.body)
+			t.Errorf("%s: headers %v, transfer encoding %v, body %q; want no body and no framing", method, got.request.Header, got.request.TransferEncoding, got.body)
 		}
 		client.Close()
 	}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -13,24 +13,24 @@
 const maxBodyBytes = 64 << 10
 
 var (
-	errResponseTooLong  = errors.New("response too long")
-	errResponseUnframed = errors.New("response does not say where it ends")
+	errResponseTooLong  = errors.New("response body too long")
+	errResponseUnframed = errors.New("response has no length, or is no final HTTP/1 response")
 )
 
-// receive reads the response to an attempt whose head has come, and returns the outcome.
+// receive reads the response to an attempt, whose header was received, and returns the outcome.
 func (c *Client) receive(a *attempt, body *requestBody, response *http.Response) outcome {
-	// What came before a byte was written is the response to another attempt. The connection is closed by
-	// then, but http.Transport may have the response in its buffer, and return it before it sees that.
-	if conn := a.carrier(); conn != nil && !a.begun() {
-		closeUnused(conn, response)
+	// A response that was received before a byte of the request was written answers another attempt. Its
+	// connection is already closed, but http.Transport may return a buffered response before it notices that.
+	if conn := a.currentConn(); conn != nil && !a.writeStarted() {
+		closeUnrequested(conn, response)
 		return outcome{result: admission.ConnectFailed}
 	}
 	if !isFramed(response) {
-		result := resultWithoutResponse(a, body, errResponseUnframed) // before Close, which would read on
-		_ = response.Body.Close()                                     // the connection is closed already
+		result := resultWithoutResponse(a, body, errResponseUnframed) // before Body.Close, which would read further
+		_ = response.Body.Close()                                     // the connection is already closed
 		return outcome{result: result}
 	}
-	defer func() { _ = response.Body.Close() }() // it was read to its end, or its connection is closed
+	defer func() { _ = response.Body.Close() }() // the body was read to its end, or the connection is closed
 	report := parseLoadReport(response.Header["X-Load-Report"], c.options.LoadReportFields)
 	content, err := readBody(response)
 	switch {
@@ -45,32 +45,32 @@
 	return outcome{result: admission.Errored, report: report}
 }
 
-// closeUnused closes a connection on which a response came that nothing was sent for.
-func closeUnused(conn *backendConn, response *http.Response) {
+// closeUnrequested closes a connection on which a response was received before a request was sent.
+func closeUnrequested(conn *backendConn, response *http.Response) {
 	_ = conn.Close()
-	_ = response.Body.Close() // of a connection that is closed
+	_ = response.Body.Close() // the connection is already closed
 }
 
-// isFramed reports whether a response says where it ends. One that ends with its connection looks
-// like one cut off, and 101 is no response to a request.
+// isFramed reports whether a response states where it ends. A response that ends with its connection cannot be
+// told from a truncated one, and 101 is not a response to a request.
 func isFramed(response *http.Response) bool {
 	chunked := len(response.TransferEncoding) == 1 && response.TransferEncoding[0] == "chunked"
 	return response.ProtoMajor == 1 && response.StatusCode >= 200 && (response.ContentLength >= 0 || chunked)
 }
 
-// isRejection reports whether a backend rejected a request, which did not run then.
+// isRejection reports whether a backend rejected a request without running it.
 func isRejection(response *http.Response) bool {
 	status := response.StatusCode
 	return (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
 		response.Header.Get("X-Rejected") == "1"
 }
 
-// resultWithoutResponse returns what an attempt without a complete response proves: it never ran if its
-// last byte was not written, and may have run otherwise. A connect that times out or a connection that
-// breaks says less of a backend than a connect that is refused. No byte of the attempt is written once it
-// has returned.
+// resultWithoutResponse returns the result of an attempt that has no complete response: the attempt never ran if
+// the last byte of its request was not written, and may have run otherwise. A connect timeout or a broken
+// connection is weaker evidence against a backend than a refused connect. No byte of the attempt is written after
+// resultWithoutResponse has returned.
 func resultWithoutResponse(a *attempt, body *requestBody, err error) admission.Result {
-	conn := a.carrier()
+	conn := a.currentConn()
 	if conn == nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
@@ -80,13 +80,13 @@
 	}
 	conn.abort(a)
 	_, complete := conn.progress(a)
-	if complete && body.spent.Load() {
+	if complete && body.fullyRead.Load() {
 		return admission.ConnectionLost
 	}
 	return admission.ConnectFailed
 }
 
-// readBody reads the body of a response to its end, which frees the connection.
+// readBody reads the body of a response to its end, so that http.Transport can reuse the connection.
 func readBody(response *http.Response) ([]byte, error) {
 	length := response.ContentLength
 	if length > maxBodyBytes {
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -10,7 +10,7 @@
 	"lemongate/internal/admission"
 )
 
-// What came back, or did not, has the result that it proves.
+// Each response, or lack of one, yields the result that it proves.
 func TestOutcomes(t *testing.T) {
 	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, c := range map[string]struct {
@@ -50,7 +50,7 @@
 			client := newTestClient(startBackend(t, c.response).listener.Addr().String(), func(o *Options) { o.ResponseTimeout = 20 * time.Millisecond })
 			defer client.Close()
 			got := client.attempt(get)
-			invalid := c.want == admission.ConnectionLost && c.response != closeInstead
+			invalid := c.want == admission.ConnectionLost && c.response != closeWithoutResponse
 			if got.ResponseInvalid != invalid {
 				t.Errorf("response invalid %v, want %v", got.ResponseInvalid, invalid)
 			}
@@ -64,24 +64,24 @@
 	}
 }
 
-// A body of known length is read to its end, so that its connection is kept.
+// The body of a response with a known length is read to its end, so that the connection is kept.
 func TestReadBodyKeepsConnection(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), maxBodyBytes)
 	backend := startBackend(t, response("200 OK", "", string(body)), response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
 	if got := client.attempt(get).Response.(*Response); !bytes.Equal(got.Body, body) {
-		t.Errorf("%d bytes", len(got.Body))
+		t.Errorf("got a body of %d bytes, which differs from the one sent", len(got.Body))
 	}
 	client.attempt(get)
 	if a, b := <-backend.requests, <-backend.requests; a.conn != b.conn {
-		t.Error("a new connection was made")
+		t.Error("the second request used a new connection, want the kept one")
 	}
 }
 
-// A copy of a response, noise, or half a head that came behind a response is never the response to the next
-// attempt on that connection, also where http.Transport has it in its buffer already; that attempt goes to
-// another connection instead, and nothing of it is written to the first.
+// Data received after a response (a copy of it, noise, or part of a header) is never the response to the next
+// attempt on that connection, even if http.Transport already has the data in its buffer. The next attempt uses
+// another connection, and none of its request is written to the first.
 func TestNoLeftOverResponse(t *testing.T) {
 	old := response("200 OK", "", "old")
 	for name, extra := range map[string]string{
@@ -89,21 +89,21 @@
 		"head": "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", "1xx": "HTTP/1.1 102 Processing\r\n\r\n", "a byte": "H",
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, first := range []string{"old", ""} { // without a body the connection is free before the response is returned
+			for _, first := range []string{"old", ""} { // without a body, the connection is idle before the response is returned
 				backend := startBackend(t, response("200 OK", "", first)+extra, response("200 OK", "", "new"), response("200 OK", "", "new"))
 				client := newTestClient(backend.listener.Addr().String())
-				for range 2 { // at once, so that it races with the transport's own check
+				for range 2 { // without a pause, so that the second attempt races with the transport's own check
 					got := client.attempt(get)
 					if got.Result != admission.Succeeded {
-						t.Fatalf("result %v", got.Result)
+						t.Fatalf("result %v, want admission.Succeeded", got.Result)
 					}
 					if body := string(got.Response.(*Response).Body); body != first {
-						t.Fatalf("response %q", body)
+						t.Fatalf("got the body %q of another response", body)
 					}
 					first = "new"
 				}
 				if a, b := <-backend.requests, <-backend.requests; a.conn == b.conn {
-					t.Error("the connection was used again")
+					t.Error("the connection with unread data was used again")
 				}
 				client.Close()
 			}
