--- a/internal/quota/snapshot_test.go
+++ b/internal/quota/snapshot_test.go
@@ -10,8 +10,8 @@
 	"lemongate/internal/golden"
 )
 
-// Each field of a ledger that release 0.8.0 stored is decoded into the live field that it was
-// written from, and encoded again to the same bytes.
+// Each field of a ledger that release 0.8.0 stored is decoded into the live field from which it was written,
+// and encoded again to the same bytes.
 func TestLedgerOfEarlierRelease(t *testing.T) {
 	codec := jsoniter.Config{SortMapKeys: true, CaseSensitive: true}.Froze()
 	for pattern := range golden.Patterns {
@@ -56,7 +56,7 @@
 			"accounts.137.0.Hash":                          l.accounts[137][0].CustomerHash,
 			"accounts.137.0.Plan":                          l.accounts[137][0].PlanIndex,
 			"accounts.137.0.Open":                          l.accounts[137][0].SlotsInUse,
-			"accounts.137.0.Gone":                          l.accounts[137][0].Forgotten,
+			"accounts.137.0.Gone":                          l.accounts[137][0].Evicted,
 			"accounts.137.0.first":                         l.accounts[137][0].firstLimiter,
 			"accounts.137.0.size":                          l.accounts[137][0].setSize,
 			"accounts.137.0.part":                          l.accounts[137][0].baseFraction,
