--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -53,7 +53,7 @@
 // A Watcher keeps a watch open. The caller sets the exported fields and calls Run in a goroutine, which returns when
 // its context ends.
 type Watcher struct {
-	Addr           string           // host:port of discovery; Run changes it after Move
+	Addr           string           // host:port of discovery; Run changes it after SetAddr
 	Origin         time.Time        // see Decode
 	Generation     int64            // of the last message received; 0 requests the complete list
 	Post           func(core.Event) // called with a core.EndpointsUpdated for each message
@@ -64,12 +64,12 @@
 	sleepOverride  func(d time.Duration) // overrides how a pause is spent
 
 	mu          sync.Mutex
-	nextAddr    string             // address of the last Move; empty once Run has switched to it
+	nextAddr    string             // address of the last SetAddr; empty once Run has switched to it
 	cancelWatch context.CancelFunc // ends the open watch, or the pause after it
 }
 
-// Move ends the watch and makes Run open one at another address.
-func (w *Watcher) Move(addr string) {
+// SetAddr ends the watch and makes Run open one at another address.
+func (w *Watcher) SetAddr(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.nextAddr = addr
@@ -78,8 +78,8 @@
 	}
 }
 
-// startWatch returns a context for one watch and the pause after it, which the next Move cancels. It also reports
-// whether Move was called since the last startWatch. After a Move the complete list is requested, because the
+// startWatch returns a context for one watch and the pause after it, which the next SetAddr cancels. It also reports
+// whether SetAddr was called since the last startWatch. After SetAddr the complete list is requested, because the
 // generations of one discovery mean nothing at another.
 func (w *Watcher) startWatch(ctx context.Context) (watchCtx context.Context, moved bool) {
 	w.mu.Lock()
@@ -116,7 +116,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if watchCtx.Err() != nil { // canceled by Move
+		if watchCtx.Err() != nil { // canceled by SetAddr
 			continue
 		}
 		w.Log.Warn("endpoint watch ended", zap.Int("messages", messages), zap.Error(err))
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -152,14 +152,14 @@
 	}
 }
 
-// Move ends the open watch at once and requests the complete list at the new address, because the generations of one
+// SetAddr ends the open watch at once and requests the complete list at the new address, because the generations of one
 // discovery mean nothing at another. Nothing is posted until that list is received, so the old list stays in effect.
-// The last of several moves counts.
+// The last of several calls counts.
 func TestMove(t *testing.T) {
 	fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
 	w, events := fake.start(t, nil)
 	first := <-fake.watches
-	w.Move(other.server.Listener.Addr().String())
+	w.SetAddr(other.server.Listener.Addr().String())
 	<-first.closed
 	moved := <-other.watches
 	if moved.query != "/v1/endpoints?stream=1&index=0" || len(events) != 0 {
@@ -169,9 +169,9 @@
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
 		t.Errorf("got %+v, want a complete list of 3 endpoints", ev)
 	}
-	w.Move("127.0.0.1:0") // nobody listens there
+	w.SetAddr("127.0.0.1:0") // nobody listens there
 	<-moved.closed
-	w.Move(fake.server.Listener.Addr().String()) // also ends a pause
+	w.SetAddr(fake.server.Listener.Addr().String()) // also ends a pause
 	if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
 		t.Errorf("requested %s, want index 0", again.query)
 	}
@@ -315,7 +315,7 @@
 		<-events
 		close(first.lines)
 		<-fake.watches
-		w.Move(other.server.Listener.Addr().String())
+		w.SetAddr(other.server.Listener.Addr().String())
 		<-other.watches
 		if slept > 50*time.Millisecond {
 			t.Errorf("%d limiters: pauses of %v in three watches, want 50 ms at most", limiters, slept)
--- a/internal/eventloop/edges.go
+++ b/internal/eventloop/edges.go
@@ -211,6 +211,6 @@
 
 func (l *Loop) watchEndpoints(addr string) {
 	if l.watcher != nil {
-		l.watcher.Move(addr)
+		l.watcher.SetAddr(addr)
 	}
 }
--- a/internal/eventloop/frames.go
+++ b/internal/eventloop/frames.go
@@ -251,8 +251,8 @@
 		URI:    r.URI,
 		Host:   r.Host,
 		CallID: r.CallID,
-		Key:    r.Key,
-		Type:   r.Type,
+		Key:    r.IdempotencyKey,
+		Type:   r.ContentType,
 		Body:   r.Body,
 	}
 }
@@ -263,20 +263,20 @@
 		return nil
 	}
 	return &upstream.Request{
-		Method: f.Method,
-		URI:    f.URI,
-		Host:   f.Host,
-		CallID: f.CallID,
-		Key:    f.Key,
-		Type:   f.Type,
-		Body:   f.Body,
+		Method:         f.Method,
+		URI:            f.URI,
+		Host:           f.Host,
+		CallID:         f.CallID,
+		IdempotencyKey: f.Key,
+		ContentType:    f.Type,
+		Body:           f.Body,
 	}
 }
 
 func newForwardedResponseFrame(r core.Respond) forwardedResponseFrame {
 	f := forwardedResponseFrame{Request: r.Request, Kind: r.Kind, RetryAfter: r.RetryAfter}
 	if content, ok := r.Response.(*upstream.Response); ok && content != nil {
-		f.Content = &responseContentFrame{Type: content.Type, Body: content.Body}
+		f.Content = &responseContentFrame{Type: content.ContentType, Body: content.Body}
 	}
 	return f
 }
@@ -295,7 +295,7 @@
 	if f == nil {
 		return nil
 	}
-	return &upstream.Response{Type: f.Type, Body: f.Body}
+	return &upstream.Response{ContentType: f.Type, Body: f.Body}
 }
 
 func newEndpointFrame(e core.Endpoint) endpointFrame {
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -88,13 +88,13 @@
 			IsRetry:      r.Header.Get("X-Again") == "1",
 		},
 		Content: &upstream.Request{
-			Method: r.Method,
-			URI:    r.RequestURI,
-			Host:   r.Host,
-			CallID: fields.callID,
-			Key:    fields.key,
-			Type:   r.Header.Get("Content-Type"),
-			Body:   body,
+			Method:         r.Method,
+			URI:            r.RequestURI,
+			Host:           r.Host,
+			CallID:         fields.callID,
+			IdempotencyKey: fields.key,
+			ContentType:    r.Header.Get("Content-Type"),
+			Body:           body,
 		},
 	}, nil
 }
--- a/internal/httpserver/request_test.go
+++ b/internal/httpserver/request_test.go
@@ -38,7 +38,7 @@
 	in.Body = nil
 	if got, want := fmt.Sprint(in), fmt.Sprint(upstream.Request{
 		Method: "POST", URI: "/post/x/00000000b4d65521?q=%41", Host: "backend.local",
-		CallID: "9b1f03aa5c7e2d41", Key: "5c0f", Type: "text/x",
+		CallID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f", ContentType: "text/x",
 	}); got != want {
 		t.Errorf("content %s", got)
 	}
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -32,8 +32,8 @@
 // writeServed writes the response of a backend.
 func writeServed(w http.ResponseWriter, served *upstream.Response) {
 	header := w.Header()
-	header["Content-Type"] = []string{served.Type}
-	if served.Type == "" {
+	header["Content-Type"] = []string{served.ContentType}
+	if served.ContentType == "" {
 		header["Content-Type"] = nil // otherwise net/http guesses it from the body
 	}
 	header["Content-Length"] = []string{strconv.Itoa(len(served.Body))}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -27,19 +27,19 @@
 
 // A Request is the part of a client's request that is forwarded.
 type Request struct {
-	Method string
-	URI    string // path and query as received from the client
-	Host   string
-	CallID string
-	Key    string // Idempotency-Key, empty for none
-	Type   string // Content-Type, empty for none
-	Body   []byte
+	Method         string
+	URI            string // path and query as received from the client
+	Host           string
+	CallID         string
+	IdempotencyKey string // Idempotency-Key, empty for none
+	ContentType    string // Content-Type, empty for none
+	Body           []byte
 }
 
 // A Response is a backend's response to a request that the backend served.
 type Response struct {
-	Type string // Content-Type, empty for none
-	Body []byte
+	ContentType string // Content-Type, empty for none
+	Body        []byte
 }
 
 // Options configure a Client.
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -67,11 +67,11 @@
 	if e.Token > 0 {
 		header["X-Lease-Token"] = []string{strconv.FormatUint(e.Token, 10)}
 	}
-	if content.Key != "" {
-		header["Idempotency-Key"] = []string{content.Key}
+	if content.IdempotencyKey != "" {
+		header["Idempotency-Key"] = []string{content.IdempotencyKey}
 	}
-	if content.Type != "" {
-		header["Content-Type"] = []string{content.Type}
+	if content.ContentType != "" {
+		header["Content-Type"] = []string{content.ContentType}
 	}
 	return header
 }
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -13,8 +13,8 @@
 func TestNotRepeated(t *testing.T) {
 	for name, in := range map[string]*Request{
 		"GET":   get,
-		"keyed": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id2", Key: "k", Body: []byte("x")},
-		"empty": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id3", Key: "k"},
+		"keyed": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id2", IdempotencyKey: "k", Body: []byte("x")},
+		"empty": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id3", IdempotencyKey: "k"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			backend := startBackend(t, response("200 OK", "", ""), "", response("200 OK", "", ""))
@@ -42,14 +42,14 @@
 	defer client.Close()
 	in := &Request{
 		Method: "POST", URI: "/post//a%2Fb/../00000000b4d65521?q=%41&&;x", Host: "backend.local",
-		CallID: "9b1f03aa5c7e2d41", Key: "5c0f", Type: "text/x", Body: []byte("12345"),
+		CallID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f", ContentType: "text/x", Body: []byte("12345"),
 	}
-	if served := client.attempt(in).Response.(*Response); served.Type != "a/b" {
-		t.Errorf("content type %q, want a/b", served.Type)
+	if served := client.attempt(in).Response.(*Response); served.ContentType != "a/b" {
+		t.Errorf("content type %q, want a/b", served.ContentType)
 	}
 	got := <-backend.requests
 	want := http.Header{
-		"X-Call-Id": {in.CallID}, "Idempotency-Key": {in.Key}, "Content-Type": {in.Type},
+		"X-Call-Id": {in.CallID}, "Idempotency-Key": {in.IdempotencyKey}, "Content-Type": {in.ContentType},
 		"X-Budget": {"1234m"}, "Content-Length": {"5"},
 	}
 	if got.request.Method != in.Method || got.request.RequestURI != in.URI || got.request.Host != in.Host ||
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -37,7 +37,7 @@
 	case err != nil:
 		return outcome{result: resultWithoutResponse(a, body, err), report: report}
 	case response.StatusCode == http.StatusOK:
-		served := &Response{Type: response.Header.Get("Content-Type"), Body: content}
+		served := &Response{ContentType: response.Header.Get("Content-Type"), Body: content}
 		return outcome{result: admission.Succeeded, report: report, response: served}
 	case isRejection(response):
 		return outcome{result: admission.Rejected, report: report}
