--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -195,14 +195,14 @@
 	return more
 }
 
-// servingAge returns the time since the first request in units of gossip.ServingAgeStep, or gossip.LeavingAge during
+// servingAge returns the time since the first request in units of gossip.ServingAgeStep, or gossip.ShuttingDownAge during
 // shutdown.
 func (ctl *Controller) servingAge() uint8 {
 	switch {
 	case ctl.customers.shuttingDown:
-		return gossip.LeavingAge
+		return gossip.ShuttingDownAge
 	case ctl.customers.firstRequestAt == 0:
 		return 0
 	}
-	return uint8(min((ctl.now-ctl.customers.firstRequestAt)/gossip.ServingAgeStep, gossip.LeavingAge-1))
+	return uint8(min((ctl.now-ctl.customers.firstRequestAt)/gossip.ServingAgeStep, gossip.ShuttingDownAge-1))
 }
