--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -76,7 +76,7 @@
 	if err := checkNumbers("backends", f.Backends, sc.Backends.Count); err != nil {
 		return err
 	}
-	if err := checkNumbers("ways", slices.Concat(f.LostWays...), sc.Limiters); err != nil {
+	if err := checkNumbers("ways", slices.Concat(f.LostDirections...), sc.Limiters); err != nil {
 		return err
 	}
 	if f.Role != "" && sc.Leases == nil {
--- a/internal/experiment/usage_test.go
+++ b/internal/experiment/usage_test.go
@@ -30,7 +30,7 @@
 	scenario.Leases.UsagePeriod = 8000
 	for _, at := range []float64{14, 15, 16, 17, 18, 19, 20, 21} {
 		scenario.Faults = []simulation.Fault{{
-			Kind: simulation.FaultHotRestart, At: at, Limiters: []int{0, 1, 2, 3, 4}, Dies: simulation.Successor, Down: 3,
+			Kind: simulation.FaultHotRestart, At: at, Limiters: []int{0, 1, 2, 3, 4}, KilledProcess: simulation.Successor, Down: 3,
 		}}
 		r := simulation.Run(scenario, seed)
 		if r.UsageOver > maxDuplicateUnits || r.UsageDuplicates > 0 {
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -17,8 +17,8 @@
 // the processes.
 var faultPlayers = map[simulation.FaultKind]func(*tierRun, simulation.Fault){
 	simulation.FaultPartition:      (*tierRun).playBlockedWays,
-	simulation.FaultMute:           (*tierRun).playBlockedWays,
-	simulation.FaultDeaf:           (*tierRun).playBlockedWays,
+	simulation.FaultOutgoingLoss:   (*tierRun).playBlockedWays,
+	simulation.FaultIncomingLoss:   (*tierRun).playBlockedWays,
 	simulation.FaultLoss:           (*tierRun).playLoss,
 	simulation.FaultRestart:        (*tierRun).playRestart,
 	simulation.FaultStall:          (*tierRun).playStall,
@@ -112,9 +112,9 @@
 		}
 	}
 	blocks := map[simulation.FaultKind]func(from, to int) bool{
-		simulation.FaultPartition: func(from, to int) bool { return group[from] != group[to] },
-		simulation.FaultMute:      func(from, _ int) bool { return slices.Contains(f.Limiters, from) },
-		simulation.FaultDeaf:      func(_, to int) bool { return slices.Contains(f.Limiters, to) },
+		simulation.FaultPartition:    func(from, to int) bool { return group[from] != group[to] },
+		simulation.FaultOutgoingLoss: func(from, _ int) bool { return slices.Contains(f.Limiters, from) },
+		simulation.FaultIncomingLoss: func(_, to int) bool { return slices.Contains(f.Limiters, to) },
 	}[f.Kind]
 	var ways []way
 	for from := range r.Limiters {
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	for _, w := range f.LostWays {
+	for _, w := range f.LostDirections {
 		ways = append(ways, way{w[0], w[1]})
 	}
 	return ways
--- a/internal/processharness/judge.go
+++ b/internal/processharness/judge.go
@@ -138,7 +138,7 @@
 		r.result.LeasedAttempts++
 		switch {
 		case a.Token < token:
-			r.result.TokenFalls++
+			r.result.TokenDecreases++
 			r.breach("attempt %d under a lease, %.3f s: token %d after %d", i, r.sinceStart(a.At).Seconds(), a.Token, token)
 		case a.Token > token:
 			r.result.Holders++
--- a/internal/processharness/run.go
+++ b/internal/processharness/run.go
@@ -49,7 +49,7 @@
 	switch {
 	case f.Kind == simulation.FaultHotRestart || f.Kind == simulation.FaultRollingRestart:
 		return fmt.Errorf("kind: no %q on processes; see cmd/lemongate", f.Kind)
-	case f.Kind == simulation.FaultBackendSilent || f.Zone > 0:
+	case f.Kind == simulation.FaultBackendUnresponsive || f.Zone > 0:
 		return errors.New("kind: silent backends and zones are played in virtual time only")
 	case f.Kind == simulation.FaultClock && (f.At > 0 || f.Role != ""):
 		return errors.New("at_s: a process has the rate of its clock from its start on")
--- a/internal/processharness/run_test.go
+++ b/internal/processharness/run_test.go
@@ -18,7 +18,7 @@
 		{simulation.Fault{Kind: simulation.FaultClock, At: 2, Rate: 1.01}, false},
 		{simulation.Fault{Kind: simulation.FaultHotRestart}, false},
 		{simulation.Fault{Kind: simulation.FaultRollingRestart}, false},
-		{simulation.Fault{Kind: simulation.FaultBackendSilent}, false},
+		{simulation.Fault{Kind: simulation.FaultBackendUnresponsive}, false},
 		{simulation.Fault{Kind: simulation.FaultBackendRefuses, Zone: 1}, false},
 	} {
 		if err := CheckPlayable(c.fault); (err == nil) != c.playable {
@@ -46,9 +46,9 @@
 // Each kind of fault that can be played on processes has a player, but for clocks, which are set at the start.
 func TestEachPlayableFaultKindHasPlayer(t *testing.T) {
 	kinds := []simulation.FaultKind{
-		simulation.FaultPartition, simulation.FaultMute, simulation.FaultDeaf, simulation.FaultLoss, simulation.FaultClock,
+		simulation.FaultPartition, simulation.FaultOutgoingLoss, simulation.FaultIncomingLoss, simulation.FaultLoss, simulation.FaultClock,
 		simulation.FaultStall, simulation.FaultRestart, simulation.FaultHotRestart, simulation.FaultRollingRestart,
-		simulation.FaultBackendCrash, simulation.FaultBackendRefuses, simulation.FaultBackendSilent,
+		simulation.FaultBackendCrash, simulation.FaultBackendRefuses, simulation.FaultBackendUnresponsive,
 	}
 	for _, kind := range kinds {
 		playable := CheckPlayable(simulation.Fault{Kind: kind}) == nil && kind != simulation.FaultClock
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -3,18 +3,18 @@
 // faultStarters maps each kind of fault to the function that starts it, for the limiters and backends that the
 // fault names, and schedules its end.
 var faultStarters = map[FaultKind]func(*world, Fault){
-	FaultPartition:      (*world).startPartition,
-	FaultMute:           (*world).startOutgoingLoss,
-	FaultDeaf:           (*world).startIncomingLoss,
-	FaultLoss:           (*world).startLoss,
-	FaultClock:          (*world).changeClocks,
-	FaultStall:          (*world).startStall,
-	FaultRestart:        (*world).restartLimiters,
-	FaultHotRestart:     (*world).hotRestartLimiters,
-	FaultRollingRestart: (*world).startRollingRestart,
-	FaultBackendCrash:   (*world).crashBackends,
-	FaultBackendRefuses: (*world).startRefusing,
-	FaultBackendSilent:  (*world).startUnresponsive,
+	FaultPartition:           (*world).startPartition,
+	FaultOutgoingLoss:        (*world).startOutgoingLoss,
+	FaultIncomingLoss:        (*world).startIncomingLoss,
+	FaultLoss:                (*world).startLoss,
+	FaultClock:               (*world).changeClocks,
+	FaultStall:               (*world).startStall,
+	FaultRestart:             (*world).restartLimiters,
+	FaultHotRestart:          (*world).hotRestartLimiters,
+	FaultRollingRestart:      (*world).startRollingRestart,
+	FaultBackendCrash:        (*world).crashBackends,
+	FaultBackendRefuses:      (*world).startRefusing,
+	FaultBackendUnresponsive: (*world).startUnresponsive,
 }
 
 // startFault starts a fault and schedules its next start.
@@ -92,7 +92,7 @@
 	for partition, group := range f.Groups {
 		w.forLimiters(group, func(l *limiter) { l.partition = partition })
 	}
-	for _, direction := range f.LostWays {
+	for _, direction := range f.LostDirections {
 		w.lostDirections[[2]int{direction[0], direction[1]}] = true
 	}
 	w.after(seconds(f.For), func() {
--- a/internal/simulation/hotrestart.go
+++ b/internal/simulation/hotrestart.go
@@ -51,7 +51,7 @@
 	if f.For > 0 {
 		w.after(seconds(f.For), l.shutDownIfHandedOver)
 	}
-	switch f.Dies {
+	switch f.KilledProcess {
 	case Predecessor:
 		w.after(seconds(f.Down), func() { w.endProcess(l) })
 	case Successor:
--- a/internal/simulation/hotrestart_test.go
+++ b/internal/simulation/hotrestart_test.go
@@ -36,7 +36,7 @@
 			}
 			for i, dies := range []Process{Predecessor, Successor, Predecessor, Successor} {
 				sc.Faults = []Fault{{
-					Kind: FaultHotRestart, At: 1, For: 0.6, Every: 1.1, Limiters: everyNth(n, 3, i%3), Dies: dies,
+					Kind: FaultHotRestart, At: 1, For: 0.6, Every: 1.1, Limiters: everyNth(n, 3, i%3), KilledProcess: dies,
 					Down: 0.0005 * float64(1+seed+3*uint64(i)),
 				}}
 				if i > 1 {
--- a/internal/simulation/leasechecker.go
+++ b/internal/simulation/leasechecker.go
@@ -120,7 +120,7 @@
 	}
 	w.result.LeasedAttempts++
 	if a.token < w.leases.maxAttemptToken {
-		w.result.TokenFalls++
+		w.result.TokenDecreases++
 		w.breach("limiter %d starts an attempt under token %d after token %d", a.limiter.number, a.token, w.leases.maxAttemptToken)
 	}
 	w.leases.maxAttemptToken = max(w.leases.maxAttemptToken, a.token)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -49,7 +49,7 @@
 	NoHolder        float64 `json:"no_holder_ms"` // mean time without one, of the times after the first
 	NoHolderWorst   float64 `json:"no_holder_worst_ms"`
 	LeasedAttempts  int     `json:"acts"`        // attempts that reached backends under it
-	TokenFalls      int     `json:"token_falls"` // of these, under a lower token than an earlier one
+	TokenDecreases  int     `json:"token_falls"` // of these, under a lower token than an earlier one
 	Periods         int     `json:"periods"`     // usage reports that count
 	UsageFaults     int     `json:"use_faults"`  // faults of their summary
 	UsageDuplicates int     `json:"use_twice"`   // periods in two reports
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -111,12 +111,12 @@
 // The kinds of faults.
 const (
 	// FaultPartition separates limiters in different Groups, and loses datagrams between both ends of each pair
-	// of LostWays, in that direction only.
+	// of LostDirections, in that direction only.
 	FaultPartition FaultKind = "cut"
-	// FaultMute loses all datagrams that Limiters send.
-	FaultMute FaultKind = "mute"
-	// FaultDeaf loses all datagrams that are sent to Limiters.
-	FaultDeaf FaultKind = "deaf"
+	// FaultOutgoingLoss loses all datagrams that Limiters send.
+	FaultOutgoingLoss FaultKind = "mute"
+	// FaultIncomingLoss loses all datagrams that are sent to Limiters.
+	FaultIncomingLoss FaultKind = "deaf"
 	// FaultLoss loses the fraction Rate of all datagrams.
 	FaultLoss FaultKind = "loss"
 	// FaultClock makes the clocks of Limiters run Rate times as fast from then on.
@@ -126,7 +126,7 @@
 	// FaultRestart kills Limiters, and starts them without any state after Down.
 	FaultRestart FaultKind = "restart"
 	// FaultHotRestart starts a successor of each of Limiters. The predecessor is shut down after For. The process
-	// that Dies names is killed Down after the start of the fault.
+	// that KilledProcess names is killed Down after the start of the fault.
 	FaultHotRestart FaultKind = "takeover"
 	// FaultRollingRestart restarts Limiters once they have a restart slot, each down for Down.
 	FaultRollingRestart FaultKind = "walk"
@@ -134,8 +134,8 @@
 	FaultBackendCrash FaultKind = "backend"
 	// FaultBackendRefuses makes Backends refuse all connections, while the endpoint list shows no change.
 	FaultBackendRefuses FaultKind = "down"
-	// FaultBackendSilent makes connections to Backends time out, while the endpoint list shows no change.
-	FaultBackendSilent FaultKind = "silent"
+	// FaultBackendUnresponsive makes connections to Backends time out, while the endpoint list shows no change.
+	FaultBackendUnresponsive FaultKind = "silent"
 )
 
 // Process is one of the two processes of a hot restart, as files name it.
@@ -160,17 +160,17 @@
 // Fault is a fault that starts at a time and lasts for a time. Each kind uses the fields that its constant
 // names.
 type Fault struct {
-	Kind     FaultKind `json:"kind"`
-	At       float64   `json:"at_s"`
-	For      float64   `json:"for_s"`
-	Groups   [][]int   `json:"groups,omitempty"`   // of limiters
-	LostWays [][]int   `json:"ways,omitempty"`     // sender and receiver
-	Limiters []int     `json:"limiters,omitempty"` // replaced by those of Role, if that is set
-	Backends []int     `json:"backends,omitempty"` // replaced by Zone, if that is set
-	Down     float64   `json:"down_s,omitempty"`
-	Every    float64   `json:"every_s,omitempty"` // the fault starts again after this; 0 for never
-	Rate     float64   `json:"rate,omitempty"`
-	Dies     Process   `json:"dies,omitempty"`
-	Role     Role      `json:"who,omitempty"`
-	Zone     int       `json:"zone,omitempty"` // from 1: all backends of this zone
+	Kind           FaultKind `json:"kind"`
+	At             float64   `json:"at_s"`
+	For            float64   `json:"for_s"`
+	Groups         [][]int   `json:"groups,omitempty"`   // of limiters
+	LostDirections [][]int   `json:"ways,omitempty"`     // sender and receiver
+	Limiters       []int     `json:"limiters,omitempty"` // replaced by those of Role, if that is set
+	Backends       []int     `json:"backends,omitempty"` // replaced by Zone, if that is set
+	Down           float64   `json:"down_s,omitempty"`
+	Every          float64   `json:"every_s,omitempty"` // the fault starts again after this; 0 for never
+	Rate           float64   `json:"rate,omitempty"`
+	KilledProcess  Process   `json:"dies,omitempty"`
+	Role           Role      `json:"who,omitempty"`
+	Zone           int       `json:"zone,omitempty"` // from 1: all backends of this zone
 }
--- a/internal/simulation/slotchecker.go
+++ b/internal/simulation/slotchecker.go
@@ -26,13 +26,13 @@
 // SlotResult holds the measures of the limits of attempts in flight, see Plan.MaxConcurrent. All are zero if no plan
 // has a limit. Experiments use them like the measures of Result; releases up to 0.9.1 do not have them.
 type SlotResult struct {
-	Over         float64 `json:"slots_over"`         // attempts in flight beyond the limit, of the customer with most
-	OverKilled   float64 `json:"slots_over_killed"`  // the same, with attempts still served for killed processes
-	OverTries    float64 `json:"slots_over_tries"`   // tries whose first attempt came while the limit was reached
-	RejectedFree float64 `json:"slots_refused_free"` // fraction of the tries, rejected while a slot and the units were free
-	Unusable     float64 `json:"slots_unusable"`     // slots that the probe after the run could not use
-	Probed       float64 `json:"slots_probed"`       // slots of the customers that were probed
-	Messages     float64 `json:"slots_messages_per_s"`
+	Excess               float64 `json:"slots_over"`         // attempts in flight beyond the limit, of the customer with most
+	ExcessWithOrphaned   float64 `json:"slots_over_killed"`  // the same, with attempts still served for killed processes
+	TriesOverLimit       float64 `json:"slots_over_tries"`   // tries whose first attempt came while the limit was reached
+	RejectedWithFreeSlot float64 `json:"slots_refused_free"` // fraction of the tries, rejected while a slot and the units were free
+	Unusable             float64 `json:"slots_unusable"`     // slots that the probe after the run could not use
+	Probed               float64 `json:"slots_probed"`       // slots of the customers that were probed
+	Messages             float64 `json:"slots_messages_per_s"`
 }
 
 // slotChecker checks the limits of attempts in flight from outside of the limiters, by the attempts at the backends.
@@ -44,7 +44,7 @@
 	rejectedFree       int
 	triesOverLimit     int
 	excess             int // largest excess over a limit
-	excessWithOrphaned int // see SlotResult.OverKilled
+	excessWithOrphaned int // see SlotResult.ExcessWithOrphaned
 	probing            bool
 }
 
@@ -176,11 +176,11 @@
 // result returns the measures of the limits so far; the probe adds to them.
 func (c *slotChecker) result(sc *Scenario, messages int) SlotResult {
 	return SlotResult{
-		Over:         float64(c.excess),
-		OverKilled:   float64(c.excessWithOrphaned),
-		OverTries:    float64(c.triesOverLimit),
-		RejectedFree: float64(c.rejectedFree) / float64(max(c.tries, 1)),
-		Messages:     float64(messages) / sc.Seconds,
+		Excess:               float64(c.excess),
+		ExcessWithOrphaned:   float64(c.excessWithOrphaned),
+		TriesOverLimit:       float64(c.triesOverLimit),
+		RejectedWithFreeSlot: float64(c.rejectedFree) / float64(max(c.tries, 1)),
+		Messages:             float64(messages) / sc.Seconds,
 	}
 }
 
@@ -190,9 +190,9 @@
 		r.Slots.Probed += float64(c.slots.limit)
 		r.Slots.Unusable += float64(max(c.slots.limit-c.slots.maxInFlight, 0))
 	}
-	r.Slots.Over = float64(w.slots.excess)
-	r.Slots.OverKilled = float64(w.slots.excessWithOrphaned)
-	r.Slots.OverTries = float64(w.slots.triesOverLimit)
+	r.Slots.Excess = float64(w.slots.excess)
+	r.Slots.ExcessWithOrphaned = float64(w.slots.excessWithOrphaned)
+	r.Slots.TriesOverLimit = float64(w.slots.triesOverLimit)
 	r.Breaches, r.Broken = w.result.Breaches, w.result.Broken
 }
 
--- a/internal/simulation/slotchecker_test.go
+++ b/internal/simulation/slotchecker_test.go
@@ -53,7 +53,7 @@
 	checkSlots(t, w, 1, 1, 1)
 	w.arrive(w.limiters[1])
 	checkSlots(t, w, 2, 2, 2)
-	if r := w.slots.result(&w.scenario, 0); r.Over != 2 || r.OverKilled != 2 || r.OverTries != 2 {
+	if r := w.slots.result(&w.scenario, 0); r.Excess != 2 || r.ExcessWithOrphaned != 2 || r.TriesOverLimit != 2 {
 		t.Errorf("result %+v, want 2 over, 2 with orphaned attempts and 2 tries", r)
 	}
 }
@@ -131,10 +131,10 @@
 	sc := smallTier(3, 3)
 	sc.Seconds = 4
 	sc.Plans = []Plan{{Name: "p", Rate: 100, Burst: 100, Customers: 1, LoadFactor: 0.2, MaxConcurrent: 6}}
-	if r := Run(sc, 1); r.Slots.Over != 0 || r.Slots.Unusable != 0 || r.Slots.Probed != 6 || r.Slots.Messages <= 0 {
+	if r := Run(sc, 1); r.Slots.Excess != 0 || r.Slots.Unusable != 0 || r.Slots.Probed != 6 || r.Slots.Messages <= 0 {
 		t.Errorf("without faults %+v, want 6 slots probed, all usable, none over, and messages", r.Slots)
 	}
-	sc.Faults = []Fault{{Kind: FaultDeaf, At: 1, For: 100, Limiters: []int{0, 1, 2}}, {Kind: FaultStall, At: 1, For: 100, Limiters: []int{0}}}
+	sc.Faults = []Fault{{Kind: FaultIncomingLoss, At: 1, For: 100, Limiters: []int{0, 1, 2}}, {Kind: FaultStall, At: 1, For: 100, Limiters: []int{0}}}
 	if r := Run(sc, 1); r.Slots.Unusable != 2 {
 		t.Errorf("%v slots unusable with a stalled limiter and no loans, want its 2", r.Slots.Unusable)
 	}
