--- a/internal/alloctest/alloctest.go
+++ b/internal/alloctest/alloctest.go
@@ -1,5 +1,5 @@
-// Package alloctest compares, for tests, what the first call of a function in a process costs with what later ones
-// cost.
+// Package alloctest compares in tests the allocations of a function's first call in a process with those of later
+// calls.
 package alloctest
 
 import (
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// freshProcess is set in a process that InFreshProcess started.
+// freshProcess is the environment variable that is set in a process started by InFreshProcess.
 const freshProcess = "LEMONGATE_FRESH_PROCESS"
 
-// InFreshProcess runs the test that calls it in a process in which nothing ran before, and reports whether this is
-// that process. The test ends where it is not.
+// InFreshProcess runs the calling test in a new process in which no other test runs, and reports whether the caller
+// is in that process. If it returns false, the test has run there and the caller returns.
 func InFreshProcess(t *testing.T) bool {
 	t.Helper()
 	if os.Getenv(freshProcess) != "" {
@@ -27,19 +27,19 @@
 	return false
 }
 
-// CompareFirst reports an error if the first call of a function makes more allocations than a later one: a quarter
-// and some more are allowed.
+// CompareFirst reports an error if the first call of a function makes more than 5/4 of the allocations of a later
+// call, plus 20.
 func CompareFirst(t *testing.T, name string, call func()) {
 	t.Helper()
 	first := allocations(call)
 	call()
 	later := allocations(call)
 	if first > later*5/4+20 {
-		t.Errorf("%s: %d allocations at first, %d later", name, first, later)
+		t.Errorf("%s: %d allocations in the first call, %d in a later one", name, first, later)
 	}
 }
 
-// allocations returns how many allocations a call makes.
+// allocations returns the number of allocations that a call makes.
 func allocations(call func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden helps tests that compare stored forms with files written by an earlier release.
+// Package golden helps tests to compare stored forms with files that an earlier release wrote.
 package golden
 
 import (
@@ -16,9 +16,9 @@
 	"unsafe"
 )
 
-// A Filler gives each field of a value a value of its own, in the order of the fields.
-// Booleans cannot differ each: the one with number i is bit Pattern of i+1, so that over
-// Patterns fillings no two of them agree.
+// A Filler gives each field of a value a different value, in the order of the fields. Booleans have only two values:
+// the boolean with number i is set to bit Pattern of i+1, so that no two booleans agree in all fillings of the
+// Patterns from 0 on.
 type Filler struct {
 	Pattern int
 
@@ -27,12 +27,12 @@
 	booleans int
 }
 
-// Patterns is the number of fillings that tell up to 127 booleans apart.
+// Patterns is the number of fillings that distinguish up to 127 booleans.
 const Patterns = 7
 
-// Fill fills what a pointer points to, unexported fields too. Fields that are not stored
-// (json:"-") and functions, channels and interfaces stay as they are; so do fields that the release which wrote
-// the files did not have, which name the first one that has them (since:"0.9.2") and are optional.
+// Fill fills the value that a pointer points to, including unexported fields. It leaves out fields that are not stored
+// (json:"-"), functions, channels and interfaces, and fields with a tag that names the first release that has them
+// (since:"0.9.2"): the release that wrote the files did not have these, and they are optional.
 func (f *Filler) Fill(pointer any) { f.fill(reflect.ValueOf(pointer).Elem()) }
 
 func (f *Filler) fill(v reflect.Value) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// fillParts fills what is made of other values.
+// fillParts fills a value that consists of other values.
 func (f *Filler) fillParts(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -97,7 +97,7 @@
 	}
 }
 
-// Read returns a file of testdata.
+// Read returns the content of a file in testdata.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -107,7 +107,7 @@
 	return data
 }
 
-// Equal compares bytes with a file of testdata.
+// Equal compares bytes with the content of a file in testdata.
 func Equal(t testing.TB, name string, got []byte) {
 	t.Helper()
 	want := Read(t, name)
@@ -124,8 +124,8 @@
 
 var mapKey = regexp.MustCompile(`^(text)?[0-9]+$`)
 
-// Fields lists the leaves of a JSON document by their paths, such as "peers.7.epoch", with their
-// JSON text. Of a list of objects and of a map that a Filler made, only the first element counts.
+// Fields returns the leaves of a JSON document by their paths, such as "peers.7.epoch", with their JSON text. Only the
+// first element is included of a list of objects, and of a map that a Filler made.
 func Fields(t testing.TB, data []byte) map[string]string {
 	t.Helper()
 	var document any
@@ -162,8 +162,7 @@
 	fields[path] = string(text)
 }
 
-// Match compares the live value of each path with the stored field, and demands a live value for
-// each field.
+// Match compares the live value of each path with the stored field, and requires a live value for each field.
 func Match(t testing.TB, fields map[string]string, live map[string]any) {
 	t.Helper()
 	for path, value := range live {
@@ -177,7 +176,7 @@
 	}
 	for path := range fields {
 		if _, ok := live[path]; !ok {
-			t.Errorf("%s: stored, and compared with no live field", path)
+			t.Errorf("%s: stored, but not compared with a live field", path)
 		}
 	}
 }
--- a/internal/processharness/backend.go
+++ b/internal/processharness/backend.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Backend is the stand-in of a backend: it responds to attempts and records them.
+// Backend is a fake backend that responds to attempts and records them.
 type Backend struct {
 	ID   string
 	addr string
@@ -21,17 +21,17 @@
 
 	server *httptest.Server // the current one
 
-	mu       sync.Mutex
-	delay    time.Duration
-	broken   bool
-	attempts []Attempt
-	flights  []Flight
-	acts     []LeasedAttempt
+	mu             sync.Mutex
+	delay          time.Duration
+	abortsConns    bool
+	attempts       []Attempt
+	spans          []AttemptSpan
+	leasedAttempts []LeasedAttempt
 }
 
-// Flight is the time in which an attempt was in flight: from its last byte until its response was written or
-// its connection ended.
-type Flight struct {
+// AttemptSpan is the time during which an attempt was in flight: from the last byte of its request until its response
+// was written or its connection ended.
+type AttemptSpan struct {
 	Attempt
 	End    time.Time // zero while it is in flight
 	Closed bool      // its connection ended before its response was written, seen by the backend at End
@@ -39,7 +39,7 @@
 
 // LeasedAttempt is an attempt that arrived under a lease.
 type LeasedAttempt struct {
-	At, End time.Time // when it arrived, and when its response was begun
+	At, End time.Time // when it arrived, and when its response began
 	Token   uint64    // fencing token
 }
 
@@ -51,18 +51,18 @@
 	IsKeyed  bool // it has an idempotency key
 }
 
-// listenAttempts is how many addresses newBackend tries.
+// listenAttempts limits how often listen tries another address.
 const listenAttempts = 20
 
-// newBackend starts a backend, which ends with the test.
+// newBackend starts a backend that is shut down at the end of the test.
 func newBackend(tier *Tier, number int) *Backend {
 	b := &Backend{ID: fmt.Sprintf("b%d", number), tier: tier}
 	b.serve(b.listen())
 	return b
 }
 
-// listen chooses the address of the backend. A process that is just being started may still have a socket
-// that was closed here, so that an address may be in use again.
+// listen chooses the address of the backend and listens there. A process that is being started may still hold a
+// socket that was closed here, so an address that was free before may be in use again.
 func (b *Backend) listen() net.Listener {
 	for tries := 0; ; tries++ {
 		b.addr = freeAddr(b.tier.Host, "tcp")
@@ -76,7 +76,7 @@
 	}
 }
 
-// serve starts a server, which ends with the test.
+// serve starts a server that is closed at the end of the test.
 func (b *Backend) serve(listener net.Listener) {
 	server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: b}}
 	server.Start()
@@ -87,33 +87,33 @@
 	})
 }
 
-// Delay sets how long a response takes.
+// Delay sets how long the backend takes to respond.
 func (b *Backend) Delay(d time.Duration) {
 	b.mu.Lock()
 	b.delay = d
 	b.mu.Unlock()
 }
 
-// ServeHTTP responds with the ID of the request and the size of its body in bytes.
+// ServeHTTP responds with the X-Call-Id of the request and the size of its body in bytes.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // the client sees a body that was cut short by its size
+	body, _ := io.ReadAll(r.Body) // the size in the response shows a truncated body
 	callID := r.Header.Get("X-Call-Id")
 	if token, err := strconv.ParseUint(r.Header.Get("X-Lease-Token"), 10, 64); err == nil {
-		defer b.recordAct(time.Now(), token)
+		defer b.recordLeasedAttempt(time.Now(), token)
 	}
 	customer := r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	key := r.Header.Get("Idempotency-Key")
 	attempt := Attempt{At: time.Now(), CallID: callID, Customer: customer, IsKeyed: key != ""}
 	delay := b.recordAttempt(attempt)
-	if work := b.tier.Work; work != nil {
-		delay = max(delay, work(attempt))
+	if minServiceTime := b.tier.MinServiceTime; minServiceTime != nil {
+		delay = max(delay, minServiceTime(attempt))
 	}
-	defer b.trackFlight(r.Context(), attempt)()
+	defer b.trackAttempt(r.Context(), attempt)()
 	if key != "" {
 		b.tier.keys.record(key)
 	}
 	time.Sleep(delay)
-	if b.isBroken() {
+	if b.isAbortingConns() {
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	if b.tier.ReportUtilization {
@@ -130,41 +130,41 @@
 	return b.delay
 }
 
-// trackFlight records an attempt in flight, and returns the function that ends it unless its connection ends
-// before.
-func (b *Backend) trackFlight(connection context.Context, attempt Attempt) (end func()) {
+// trackAttempt records that an attempt is in flight. The returned function records its end, unless its connection
+// ended before.
+func (b *Backend) trackAttempt(connection context.Context, attempt Attempt) (end func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	number := len(b.flights)
-	b.flights = append(b.flights, Flight{Attempt: attempt})
-	land := func(closed bool) {
+	number := len(b.spans)
+	b.spans = append(b.spans, AttemptSpan{Attempt: attempt})
+	finish := func(closed bool) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if flight := &b.flights[number]; flight.End.IsZero() {
-			flight.End, flight.Closed = time.Now(), closed
+		if span := &b.spans[number]; span.End.IsZero() {
+			span.End, span.Closed = time.Now(), closed
 		}
 	}
-	stop := context.AfterFunc(connection, func() { land(true) })
+	stop := context.AfterFunc(connection, func() { finish(true) })
 	return func() {
 		stop()
-		land(false)
+		finish(false)
 	}
 }
 
-// recordAct records an attempt under a lease, whose response is begun now.
-func (b *Backend) recordAct(arrivedAt time.Time, token uint64) {
+// recordLeasedAttempt records an attempt under a lease whose response begins now.
+func (b *Backend) recordLeasedAttempt(arrivedAt time.Time, token uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.acts = append(b.acts, LeasedAttempt{At: arrivedAt, End: time.Now(), Token: token})
+	b.leasedAttempts = append(b.leasedAttempts, LeasedAttempt{At: arrivedAt, End: time.Now(), Token: token})
 }
 
-func (b *Backend) isBroken() bool {
+func (b *Backend) isAbortingConns() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.broken
+	return b.abortsConns
 }
 
-// Down stops listening at the backend's address and closes its connections, or listens again.
+// Down stops listening and closes all connections if down is true; otherwise it listens again at the same address.
 func (b *Backend) Down(down bool) {
 	if down {
 		_ = b.server.Listener.Close() // it may be closed already
@@ -179,10 +179,10 @@
 	b.serve(listener)
 }
 
-// Break closes all connections of the backend, and each later one instead of a response.
+// Break closes all connections of the backend. From then on it closes the connection instead of sending a response.
 func (b *Backend) Break() {
 	b.mu.Lock()
-	b.broken = true
+	b.abortsConns = true
 	b.mu.Unlock()
 	b.server.CloseClientConnections()
 }
--- a/internal/processharness/judge.go
+++ b/internal/processharness/checker.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// excuseMargin is how long before and after a limiter is away its clients may miss a response.
+	// excuseMargin is the time before and after a limiter is unavailable in which its clients may miss a response.
 	excuseMargin = 200 * time.Millisecond
 	// maxUnitsMissing is how many units may be missing in the usage reports without a report that says so:
-	// none, but for rounding.
+	// none, except for rounding.
 	maxUnitsMissing = 0.5
 )
 
-// judge judges a run by what the stand-ins observed, and returns the units of each request by its ID.
-func (r *tierRun) judge(results []Result) (units map[string]float64) {
+// check checks what the fakes observed in a run against the rules, and returns the units of each request by its ID.
+func (r *tierRun) check(results []Result) (units map[string]float64) {
 	units = map[string]float64{}
 	for _, result := range results {
 		units[result.ID] = float64(max(result.Units, 1))
-		r.judgeResult(result)
+		r.checkResult(result)
 	}
 	r.result.Doubled = r.RepeatedRuns()
 	if r.result.Doubled > 0 {
-		r.breach("%d requests with an idempotency key ran twice", r.result.Doubled)
+		r.breach("%d requests with an idempotency key were executed twice", r.result.Doubled)
 	}
-	r.judgeQuotas(units)
-	r.judgeLease()
+	r.checkQuotas(units)
+	r.checkLease()
 	r.countMessages()
 	return units
 }
@@ -42,11 +42,11 @@
 	r.result.RecordBreach(fmt.Sprintf(format, args...))
 }
 
-// sinceStart is how long after the start of the run a time is.
+// sinceStart returns the time from the start of the run to a given time.
 func (r *tierRun) sinceStart(at time.Time) time.Duration { return at.Sub(r.startedAt) }
 
-// judgeResult counts what came of a request.
-func (r *tierRun) judgeResult(q Result) {
+// checkResult counts the result of a request, and checks it.
+func (r *tierRun) checkResult(q Result) {
 	counts := &r.result
 	counts.Requests++
 	switch q.Status {
@@ -58,7 +58,7 @@
 	case http.StatusOK:
 		counts.Served++
 		if q.Body != fmt.Sprintf("%s %d", q.ID, q.Request.Body) {
-			r.breach("limiter %d: request %s got the response %q", q.Limiter, q.ID, q.Body)
+			r.breach("limiter %d: request %s got a response with the unexpected body %q", q.Limiter, q.ID, q.Body)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		counts.Rejected++
@@ -67,14 +67,15 @@
 	}
 }
 
-// excused reports whether the limiter of a request was away meanwhile.
+// excused reports whether the limiter of a request was unavailable while the request was in flight, or within
+// excuseMargin of that.
 func (r *tierRun) excused(q Result) bool {
-	for _, away := range r.away[q.Limiter] {
-		if away.to.IsZero() {
+	for _, outage := range r.outages[q.Limiter] {
+		if outage.to.IsZero() {
 			return true
 		}
-		sentBefore := q.At.Before(away.to.Add(excuseMargin))
-		endedAfter := q.At.Add(q.Took).After(away.from.Add(-excuseMargin))
+		sentBefore := q.At.Before(outage.to.Add(excuseMargin))
+		endedAfter := q.At.Add(q.Took).After(outage.from.Add(-excuseMargin))
 		if sentBefore && endedAfter {
 			return true
 		}
@@ -82,12 +83,12 @@
 	return false
 }
 
-// buckets are the reference buckets of a customer.
-type buckets struct{ quota, ceiling simulation.Bucket }
+// referenceBuckets are the reference buckets of a customer.
+type referenceBuckets struct{ quota, ceiling simulation.Bucket }
 
-// judgeQuotas plays the reference buckets by what arrived at the backends, in its order.
-func (r *tierRun) judgeQuotas(units map[string]float64) {
-	customers := make([]buckets, len(r.customers))
+// checkQuotas applies the requests that arrived at the backends to the reference buckets, in the order of arrival.
+func (r *tierRun) checkQuotas(units map[string]float64) {
+	customers := make([]referenceBuckets, len(r.customers))
 	for i, c := range r.customers {
 		plan := r.scenario.Plans[c.plan]
 		customers[i].quota = simulation.NewBucket(plan.Rate, plan.Burst, 0)
@@ -104,12 +105,12 @@
 			continue
 		}
 		counted[a.CallID] = true
-		r.judgeAttempt(int(number), &customers[number-1], r.sinceStart(a.At), cost)
+		r.checkAttempt(int(number), &customers[number-1], r.sinceStart(a.At), cost)
 	}
 }
 
-// judgeAttempt has the first attempt of a request consume its units from the buckets of its customer.
-func (r *tierRun) judgeAttempt(number int, b *buckets, at time.Duration, units float64) {
+// checkAttempt takes the units of a request's first attempt from the buckets of its customer.
+func (r *tierRun) checkAttempt(number int, b *referenceBuckets, at time.Duration, units float64) {
 	count := float64(max(len(r.customers), 1))
 	if b.quota.Take(at, units) {
 		r.result.WithinQuota += units / count
@@ -126,33 +127,33 @@
 	}
 	r.result.CeilingDebtWorst = debt
 	if debt > plan.Tolerance {
-		r.breach("%.3f s: the ceiling's bucket of customer %d is %.1f below zero", at.Seconds(), number, debt)
+		r.breach("%.3f s: the ceiling bucket of customer %d is %.1f units below zero", at.Seconds(), number, debt)
 	}
 }
 
-// judgeLease judges the attempts under a lease: fencing tokens grow.
-func (r *tierRun) judgeLease() {
-	acts := r.LeasedAttempts()
+// checkLease checks the attempts under a lease: fencing tokens never decrease.
+func (r *tierRun) checkLease() {
+	attempts := r.LeasedAttempts()
 	var token uint64
-	for i, a := range acts {
+	for i, a := range attempts {
 		r.result.LeasedAttempts++
 		switch {
 		case a.Token < token:
 			r.result.TokenFalls++
-			r.breach("attempt %d under a lease, %.3f s: token %d after %d", i, r.sinceStart(a.At).Seconds(), a.Token, token)
+			r.breach("attempt %d under a lease, %.3f s: fencing token %d after %d", i, r.sinceStart(a.At).Seconds(), a.Token, token)
 		case a.Token > token:
 			r.result.Holders++
 		}
 		token = max(token, a.Token)
 	}
-	if !IsFencedLockHistory(acts) {
-		r.breach("the attempts under the lease are no history of a lock with fencing tokens")
+	if !IsFencedLockHistory(attempts) {
+		r.breach("the attempts under the lease are not linearizable as a lock with fencing tokens")
 	}
 }
 
-// countMessages puts the figures of the network into the result.
+// countMessages adds the message counts of the network to the result.
 func (r *tierRun) countMessages() {
-	perLimiter, bytes := r.Network.Leases()
+	perLimiter, bytes := r.Network.LeaseTraffic()
 	for _, n := range perLimiter {
 		rate := float64(n) / r.scenario.Seconds
 		r.result.LeaseMessages += rate
@@ -163,8 +164,8 @@
 	r.result.MessagesPerRequest = float64(r.result.Messages) / float64(max(r.result.Requests, 1))
 }
 
-// judgeUsage judges the usage reports by the units that arrived at backends.
-func (r *tierRun) judgeUsage(dir string, units map[string]float64) {
+// checkUsage compares the usage reports with the units that arrived at the backends.
+func (r *tierRun) checkUsage(dir string, units map[string]float64) {
 	reported := r.result.RecordUsage(usage.Merge(r.readReports(dir)), r.breach)
 	arrived := 0.0
 	attemptsByID, _ := r.Attempts()
@@ -178,7 +179,7 @@
 	}
 }
 
-// readReports reads the usage reports of all files of a directory.
+// readReports reads the usage reports in all files of a directory.
 func (r *tierRun) readReports(dir string) []usage.Report {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.jsonl"))
 	if err != nil {
@@ -191,9 +192,9 @@
 			r.Host.Fatal(err)
 		}
 		more, torn, err := usage.ReadReports(file)
-		_ = file.Close() // it was only read
+		_ = file.Close() // nothing was written
 		if err != nil || len(torn) > 0 {
-			r.breach("%s: lines %v cannot be read, %v", filepath.Base(path), torn, err)
+			r.breach("%s: cannot read lines %v: %v", filepath.Base(path), torn, err)
 		}
 		reports = append(reports, more...)
 	}
--- a/internal/processharness/clientconn.go
+++ b/internal/processharness/clientconn.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// dialTimeout is how long a client waits for a connection.
+	// dialTimeout limits the time to connect to a limiter.
 	dialTimeout = 2 * time.Second
-	// openCheckTimeout is how long a client looks whether an idle connection was closed.
+	// openCheckTimeout is the read timeout when checking whether an idle connection was closed.
 	openCheckTimeout = 50 * time.Microsecond
 )
 
@@ -32,8 +32,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// write writes a text of requests, and returns when its last byte was written. The responses are due within
-// requestTimeout.
+// write writes the text of one or more requests, and returns the time at which the last byte was written. The
+// responses have to arrive within requestTimeout.
 func (c *clientConn) write(text string) (at time.Time, err error) {
 	c.setDeadline(time.Now().Add(requestTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
@@ -42,9 +42,9 @@
 	return time.Now(), nil
 }
 
-// endSending ends the sending side of the connection.
+// endSending closes the sending side of the connection.
 func (c *clientConn) endSending() {
-	_ = c.Conn.(*net.TCPConn).CloseWrite() // a closed connection shows at the read
+	_ = c.Conn.(*net.TCPConn).CloseWrite() // the next read fails if the connection is closed
 }
 
 // readResponse reads a response and its body.
@@ -57,18 +57,18 @@
 	return resp, string(body), err
 }
 
-// isOpen reports whether an idle connection is neither closed nor has something to read.
+// isOpen reports whether an idle connection is open and has nothing to read.
 func (c *clientConn) isOpen() bool {
-	_ = c.SetReadDeadline(time.Now().Add(openCheckTimeout)) // a closed connection shows at the read
+	_ = c.SetReadDeadline(time.Now().Add(openCheckTimeout)) // the next read fails if the connection is closed
 	_, err := c.reader.Peek(1)
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // setDeadline sets the deadline of reads and writes.
 func (c *clientConn) setDeadline(at time.Time) {
-	_ = c.SetDeadline(at) // a closed connection shows at the write
+	_ = c.SetDeadline(at) // the next write fails if the connection is closed
 }
 
 func (c *clientConn) close() {
-	_ = c.Close() // nothing is to be read or written any more
+	_ = c.Close() // the connection is not used any more
 }
--- a/internal/processharness/customers.go
+++ b/internal/processharness/customers.go
@@ -8,10 +8,10 @@
 	"lemongate/internal/simulation"
 )
 
-// keyedBody is the size in bytes of the body of a request with an idempotency key.
-const keyedBody = 200
+// keyedBodySize is the size in bytes of the body of a request with an idempotency key.
+const keyedBodySize = 200
 
-// customer sends requests through the limiters of its set. Its number, from 1, is its name.
+// customer sends requests through the limiters of its set. Its name is its number, which counts from 1.
 type customer struct {
 	plan         int // index
 	firstLimiter int
@@ -20,7 +20,7 @@
 	rate         float64 // requests per second
 }
 
-// startLoad starts the requests of all customers, at a constant rate for all together.
+// startLoad starts sending the requests of all customers, at a constant total rate.
 func (r *tierRun) startLoad() *Load {
 	total := 0.0
 	mean := r.scenario.Traffic.MeanUnits()
@@ -35,14 +35,14 @@
 	return r.StartLoad(total, source.next)
 }
 
-// newCustomer is a customer of a plan, with a rate in requests per second.
+// newCustomer returns a customer of a plan that sends rate requests per second.
 func (r *tierRun) newCustomer(plan int, rate float64) customer {
 	c := customer{plan: plan, firstLimiter: r.random.IntN(r.scenario.Limiters), setSize: r.scenario.SetSize(), rate: rate}
 	c.busiest = r.random.IntN(c.setSize)
 	return c
 }
 
-// requestSource makes the requests of all customers.
+// requestSource generates the requests of all customers.
 type requestSource struct {
 	run   *tierRun
 	total float64 // requests per second of all customers
@@ -51,7 +51,7 @@
 	random *rand.Rand
 }
 
-// next is the request of a number.
+// next returns the request with number n.
 func (s *requestSource) next(n int) Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 		Units:        int(traffic.Units[s.random.IntN(len(traffic.Units))]),
 	}
 	if s.random.Float64() < traffic.KeyedFraction {
-		request.Class, request.Key, request.Body = ClassKeyed, fmt.Sprintf("%032x", n), keyedBody
+		request.Class, request.Key, request.Body = ClassKeyed, fmt.Sprintf("%032x", n), keyedBodySize
 	}
 	return request
 }
@@ -86,8 +86,8 @@
 	return len(customers) - 1
 }
 
-// selectLimiter draws the limiter for a request: the busiest of the customer's set or another one. If it is
-// down it is the next of the set that is not.
+// selectLimiter draws the limiter for a request: the busiest of the customer's set, or one of the others. If that
+// limiter is down, the next one of the set that is up is used.
 func (s *requestSource) selectLimiter(c *customer, traffic *simulation.Traffic) int {
 	index := c.busiest
 	if s.random.Float64() >= traffic.BusiestFraction && c.setSize > 1 {
@@ -96,7 +96,8 @@
 	return s.run.firstUp(c, index)
 }
 
-// firstUp is the limiter at an index of a customer's set, or the first one after it that is not down.
+// firstUp returns the limiter at an index of a customer's set, or the first one after it that is up. If all are down,
+// it returns the one at the index.
 func (r *tierRun) firstUp(c *customer, index int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/processharness/discovery.go
+++ b/internal/processharness/discovery.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// watchPoll is how often a watch looks whether the endpoint list has changed. It sends an empty line if
-// not.
+// watchPoll is the interval at which a watch checks whether the endpoint list has changed. If it has not, the watch
+// sends an empty line.
 const watchPoll = 500 * time.Millisecond
 
-// discovery is the stand-in of endpoint discovery.
+// discovery is a fake endpoint discovery service.
 type discovery struct {
 	tier   *Tier
 	server *httptest.Server
@@ -23,10 +23,10 @@
 	mu       sync.Mutex
 	watches  []chan struct{} // closed to end a watch
 	unlisted map[*Backend]bool
-	changes  int // of the list
+	changes  int // number of changes of the list
 }
 
-// newDiscovery starts the stand-in, which ends with the test.
+// newDiscovery starts a discovery service that is closed at the end of the test.
 func newDiscovery(tier *Tier) *discovery {
 	d := &discovery{tier: tier, unlisted: map[*Backend]bool{}}
 	d.server = httptest.NewServer(http.HandlerFunc(d.serveWatch))
@@ -45,7 +45,7 @@
 	d.server.Close()
 }
 
-// addr is where the stand-in listens.
+// addr returns the address at which the service listens.
 func (d *discovery) addr() string { return strings.TrimPrefix(d.server.URL, "http://") }
 
 // SetListed adds a backend to the endpoint list, or removes it.
@@ -57,14 +57,14 @@
 	d.mu.Unlock()
 }
 
-// changeCount is how many times the list has changed.
+// changeCount returns how many times the list has changed.
 func (d *discovery) changeCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.changes
 }
 
-// instances is the endpoint list, as discovery sends it.
+// instances returns the endpoint list in the form in which discovery sends it.
 func (d *discovery) instances() []map[string]any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,15 +86,15 @@
 	return list
 }
 
-// generation is the generation of the list after a number of changes.
+// generation returns the generation of the list after a number of changes.
 func generation(changes int) int { return changes + 1 }
 
-// snapshot is the endpoint list with its generation; reset if it replaces what was sent before.
+// snapshot returns the endpoint list with its generation. With reset, it replaces what was sent before.
 func (d *discovery) snapshot(changes int, reset bool) map[string]any {
 	return map[string]any{"generation": generation(changes), "reset": reset, "instances": d.instances()}
 }
 
-// serveWatch answers a watch: the list, then each change of it, and empty lines in between.
+// serveWatch responds to a watch with the list, the new list after each change, and empty lines in between.
 func (d *discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
 	sent := d.changeCount()
 	isKnown := r.URL.Query().Get("index") == fmt.Sprint(generation(sent))
@@ -122,11 +122,11 @@
 }
 
 func writeSnapshot(w http.ResponseWriter, snapshot map[string]any) {
-	_ = json.NewEncoder(w).Encode(snapshot) // the watch ends by its context if its client has left
+	_ = json.NewEncoder(w).Encode(snapshot) // if the client has disconnected, the context of the request ends the watch
 	w.(http.Flusher).Flush()
 }
 
 func writeKeepalive(w http.ResponseWriter) {
-	_, _ = io.WriteString(w, "\n") // as with writeSnapshot
+	_, _ = io.WriteString(w, "\n") // see writeSnapshot
 	w.(http.Flusher).Flush()
 }
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -10,27 +10,27 @@
 	"lemongate/internal/simulation"
 )
 
-// leaseQueryTimeout is how long a limiter may take to report its leases.
+// leaseQueryTimeout limits the time that a limiter takes to report its leases.
 const leaseQueryTimeout = 100 * time.Millisecond
 
-// faultPlayers plays each kind of fault from its start to its end. Other kinds that Plays allows begin with
-// the processes.
-var faultPlayers = map[simulation.FaultKind]func(*tierRun, simulation.Fault){
-	simulation.FaultPartition:      (*tierRun).playBlockedWays,
-	simulation.FaultMute:           (*tierRun).playBlockedWays,
-	simulation.FaultDeaf:           (*tierRun).playBlockedWays,
-	simulation.FaultLoss:           (*tierRun).playLoss,
-	simulation.FaultRestart:        (*tierRun).playRestart,
-	simulation.FaultStall:          (*tierRun).playStall,
-	simulation.FaultBackendCrash:   (*tierRun).playBackendCrash,
-	simulation.FaultBackendRefuses: (*tierRun).playBackendRefuses,
-}
-
-// repeatFault plays a fault at its time, and again as often as it is to start.
-func (r *tierRun) repeatFault(f simulation.Fault) {
+// faultInjectors injects each kind of fault from its start to its end. The other kinds that CheckPlayable allows are
+// in effect from the start of the processes.
+var faultInjectors = map[simulation.FaultKind]func(*tierRun, simulation.Fault){
+	simulation.FaultPartition:      (*tierRun).injectBlockedDirections,
+	simulation.FaultMute:           (*tierRun).injectBlockedDirections,
+	simulation.FaultDeaf:           (*tierRun).injectBlockedDirections,
+	simulation.FaultLoss:           (*tierRun).injectLoss,
+	simulation.FaultRestart:        (*tierRun).injectRestart,
+	simulation.FaultStall:          (*tierRun).injectStall,
+	simulation.FaultBackendCrash:   (*tierRun).injectBackendCrash,
+	simulation.FaultBackendRefuses: (*tierRun).injectBackendRefuses,
+}
+
+// scheduleFault injects a fault at its time, and again at its interval if it is a repeated one.
+func (r *tierRun) scheduleFault(f simulation.Fault) {
 	at := r.startedAt.Add(seconds(f.At))
 	for r.sleep(time.Until(at)) {
-		r.playFault(f)
+		r.injectFault(f)
 		at = at.Add(seconds(f.Every))
 		if f.Every <= 0 {
 			return
@@ -42,16 +42,16 @@
 	}
 }
 
-// playFault plays a fault once, to its end.
-func (r *tierRun) playFault(f simulation.Fault) {
+// injectFault injects a fault once, and returns when it ends.
+func (r *tierRun) injectFault(f simulation.Fault) {
 	f.Limiters = r.faultLimiters(f)
-	if play := faultPlayers[f.Kind]; play != nil {
-		play(r, f)
+	if inject := faultInjectors[f.Kind]; inject != nil {
+		inject(r, f)
 	}
 }
 
-// faultLimiters are the numbers of the limiters that a fault is for. The limiters report who holds a lease:
-// that directs a fault, and proves nothing.
+// faultLimiters returns the numbers of the limiters that a fault applies to. The lease holder is found by asking the
+// limiters: this only selects the target of a fault, and the checker does not rely on it.
 func (r *tierRun) faultLimiters(f simulation.Fault) []int {
 	switch f.Role {
 	case "":
@@ -66,7 +66,7 @@
 	return acceptors
 }
 
-// leaseHolder is the limiter that reports to hold the first task's lease, if any.
+// leaseHolder returns the limiter that reports holding the lease of the first task, if there is one.
 func (r *tierRun) leaseHolder() []int {
 	r.mu.Lock()
 	processes := slices.Clone(r.processes)
@@ -79,32 +79,32 @@
 	return nil
 }
 
-// holdsLease reports whether a process reports to hold the first task's lease.
+// holdsLease reports whether a process says that it holds the lease of the first task.
 func (p *Process) holdsLease() bool {
-	resp, err := consoleClient(leaseQueryTimeout).Get("http://" + p.Console + "/leases")
+	resp, err := adminClient(leaseQueryTimeout).Get("http://" + p.Console + "/leases")
 	if err != nil {
 		return false
 	}
 	var views []lease.View
 	err = json.NewDecoder(resp.Body).Decode(&views)
-	_ = resp.Body.Close() // all that counts was read
+	_ = resp.Body.Close() // the views have been read
 	return err == nil && len(views) > 0 && views[0].Holds
 }
 
-// playBlockedWays blocks ways between limiters for a time.
-func (r *tierRun) playBlockedWays(f simulation.Fault) {
-	ways := r.blockedWays(f)
-	for _, w := range ways {
+// injectBlockedDirections blocks datagrams between limiters for a time, in the directions of the fault.
+func (r *tierRun) injectBlockedDirections(f simulation.Fault) {
+	directions := r.blockedDirections(f)
+	for _, w := range directions {
 		r.Network.Block(w.from, w.to, true)
 	}
 	r.sleep(seconds(f.For))
-	for _, w := range ways {
+	for _, w := range directions {
 		r.Network.Block(w.from, w.to, false)
 	}
 }
 
-// blockedWays are the ways between limiters that a fault blocks.
-func (r *tierRun) blockedWays(f simulation.Fault) []way {
+// blockedDirections returns the directions between limiters that a fault blocks.
+func (r *tierRun) blockedDirections(f simulation.Fault) []direction {
 	group := map[int]int{}
 	for g, members := range f.Groups {
 		for _, n := range members {
@@ -116,36 +116,36 @@
 		simulation.FaultMute:      func(from, _ int) bool { return slices.Contains(f.Limiters, from) },
 		simulation.FaultDeaf:      func(_, to int) bool { return slices.Contains(f.Limiters, to) },
 	}[f.Kind]
-	var ways []way
+	var directions []direction
 	for from := range r.Limiters {
 		for to := range r.Limiters {
 			if from != to && blocks(from, to) {
-				ways = append(ways, way{from, to})
+				directions = append(directions, direction{from, to})
 			}
 		}
 	}
 	for _, w := range f.LostWays {
-		ways = append(ways, way{w[0], w[1]})
+		directions = append(directions, direction{w[0], w[1]})
 	}
-	return ways
+	return directions
 }
 
-// playLoss loses datagrams for a time.
-func (r *tierRun) playLoss(f simulation.Fault) {
+// injectLoss sets the fraction of lost datagrams to that of the fault for a time.
+func (r *tierRun) injectLoss(f simulation.Fault) {
 	network := r.scenario.Network
 	r.Network.SetQuality(f.Rate, network.Duplicated, milliseconds(network.DelayMax))
 	r.sleep(seconds(f.For))
 	r.restoreNetwork()
 }
 
-// restoreNetwork has the network lose, duplicate and delay datagrams as the scenario says.
+// restoreNetwork sets the loss, duplication and delay of datagrams to those of the scenario.
 func (r *tierRun) restoreNetwork() {
 	network := r.scenario.Network
 	r.Network.SetQuality(network.Loss, network.Duplicated, milliseconds(network.DelayMax))
 }
 
-// playRestart kills limiters, and starts them again without any state.
-func (r *tierRun) playRestart(f simulation.Fault) {
+// injectRestart kills limiters, and starts them again without any state.
+func (r *tierRun) injectRestart(f simulation.Fault) {
 	for _, n := range f.Limiters {
 		r.killLimiter(n)
 	}
@@ -162,9 +162,9 @@
 	if p == nil {
 		return
 	}
-	r.beginAway(n)
+	r.beginOutage(n)
 	p.Signal(syscall.SIGKILL)
-	_ = p.Wait(r.Host) // killed
+	_ = p.Wait(r.Host) // returns that it was killed
 	r.processes[n] = nil
 }
 
@@ -174,21 +174,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.processes[n] = p
-	r.endAway(n)
+	r.endOutage(n)
 }
 
-// playStall stops the processes of limiters for a time.
-func (r *tierRun) playStall(f simulation.Fault) {
+// injectStall stops the processes of limiters with SIGSTOP for a time.
+func (r *tierRun) injectStall(f simulation.Fault) {
 	for _, n := range f.Limiters {
-		r.signalLimiter(n, syscall.SIGSTOP, r.beginAway)
+		r.signalLimiter(n, syscall.SIGSTOP, r.beginOutage)
 	}
 	r.sleep(seconds(f.For))
 	for _, n := range f.Limiters {
-		r.signalLimiter(n, syscall.SIGCONT, r.endAway)
+		r.signalLimiter(n, syscall.SIGCONT, r.endOutage)
 	}
 }
 
-// signalLimiter sends a limiter that is not down a signal, and records it.
+// signalLimiter sends a signal to a limiter that is not down, and calls record for it.
 func (r *tierRun) signalLimiter(n int, signal syscall.Signal, record func(n int)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,33 +198,33 @@
 	}
 }
 
-// beginAway records that a limiter is away from now on. The caller has locked the run.
-func (r *tierRun) beginAway(n int) { r.away[n] = append(r.away[n], period{from: time.Now()}) }
+// beginOutage records that a limiter is down or stopped from now on. The caller holds r.mu.
+func (r *tierRun) beginOutage(n int) { r.outages[n] = append(r.outages[n], interval{from: time.Now()}) }
 
-// endAway records that a limiter is back. The caller has locked the run.
-func (r *tierRun) endAway(n int) {
-	if last := len(r.away[n]) - 1; last >= 0 {
-		r.away[n][last].to = time.Now()
+// endOutage records that a limiter is up again. The caller holds r.mu.
+func (r *tierRun) endOutage(n int) {
+	if last := len(r.outages[n]) - 1; last >= 0 {
+		r.outages[n][last].to = time.Now()
 	}
 }
 
-// playBackendCrash stops backends for a time; the endpoint list shows it late.
-func (r *tierRun) playBackendCrash(f simulation.Fault) {
+// injectBackendCrash takes backends down for a time. The endpoint list omits them after the list lag of the scenario.
+func (r *tierRun) injectBackendCrash(f simulation.Fault) {
 	r.stopBackends(f.Backends)
-	lasts := seconds(f.For)
-	lag := min(lasts, milliseconds(r.scenario.Backends.ListLag))
+	remaining := seconds(f.For)
+	lag := min(remaining, milliseconds(r.scenario.Backends.ListLag))
 	if r.sleep(lag) {
 		for _, n := range f.Backends {
 			r.SetListed(r.Backends[n], false)
 		}
-		lasts -= lag
+		remaining -= lag
 	}
-	r.sleep(lasts)
+	r.sleep(remaining)
 	r.restoreBackends(f.Backends)
 }
 
-// playBackendRefuses stops backends for a time; the endpoint list does not show it.
-func (r *tierRun) playBackendRefuses(f simulation.Fault) {
+// injectBackendRefuses takes backends down for a time. The endpoint list keeps them.
+func (r *tierRun) injectBackendRefuses(f simulation.Fault) {
 	r.stopBackends(f.Backends)
 	r.sleep(seconds(f.For))
 	r.restoreBackends(f.Backends)
--- a/internal/processharness/host.go
+++ b/internal/processharness/host.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Host is what a tier runs in: a test, or a command that stands in for one.
+// Host is what a tier runs in: a test, or a command that implements the same methods.
 type Host interface {
 	Helper()
 	Fatal(args ...any) // does not return
@@ -22,11 +22,12 @@
 const (
 	// waitTimeout is how long Until and Process.Wait wait.
 	waitTimeout = 20 * time.Second
-	// waitPoll is how often Until looks.
+	// waitPoll is the interval at which Until checks its condition.
 	waitPoll = 5 * time.Millisecond
 )
 
-// Until waits until a condition holds, and ends the test if it does not soon; what describes it.
+// Until waits until a condition holds, and ends the test if it does not hold within waitTimeout. what describes the
+// condition in the failure text.
 func Until(t Host, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(waitPoll) {
@@ -46,8 +47,8 @@
 // portsTried counts the ports that freeAddr tried.
 var portsTried atomic.Uint32
 
-// freeAddr is an address on loopback where nothing listens, nor will: on an IP of this process's own, so
-// that no socket with a port of the kernel's choice takes it before a limiter does.
+// freeAddr returns an address on loopback at which nothing listens. Its IP is derived from the ID of this process, so
+// that no socket with a port chosen by the kernel takes the address before a limiter does.
 func freeAddr(t Host, network string) string {
 	pid := os.Getpid()
 	ip := fmt.Sprintf("127.%d.%d.1", 64+((pid>>8)&63), pid&255)
@@ -68,13 +69,13 @@
 		if err != nil {
 			return false
 		}
-		_ = conn.Close() // it was only to be opened
+		_ = conn.Close() // opened only as a check
 		return true
 	}
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return false
 	}
-	_ = listener.Close() // it was only to be opened
+	_ = listener.Close() // opened only as a check
 	return true
 }
--- a/internal/processharness/leasehistory.go
+++ b/internal/processharness/leasehistory.go
@@ -6,11 +6,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// historyTimeout bounds the search for an order of a history.
+// historyTimeout limits the search for a linearization of a history.
 const historyTimeout = time.Minute
 
-// fencedLock is what a lease guarantees to a backend: a lock whose holders have growing fencing tokens. Its
-// state is the greatest token of an attempt.
+// fencedLock models what a lease guarantees to a backend: a lock whose holders have increasing fencing tokens. Its
+// state is the greatest token of an attempt so far.
 var fencedLock = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -18,11 +18,11 @@
 	},
 }
 
-// IsFencedLockHistory reports whether acts are a linearizable history of a lock with fencing tokens: each at some time
-// between its arrival and its response, none under a lower token than one before.
-func IsFencedLockHistory(acts []LeasedAttempt) bool {
+// IsFencedLockHistory reports whether the attempts are a linearizable history of a lock with fencing tokens: each
+// takes effect at some time between its arrival and its response, and none has a lower token than one before it.
+func IsFencedLockHistory(attempts []LeasedAttempt) bool {
 	var history []porcupine.Operation
-	for i, a := range acts {
+	for i, a := range attempts {
 		history = append(history, porcupine.Operation{
 			ClientId: i,
 			Input:    a.Token,
--- a/internal/processharness/limiter.go
+++ b/internal/processharness/limiter.go
@@ -10,16 +10,16 @@
 	"syscall"
 )
 
-// Limiter is a limiter of a tier, whatever processes it has.
+// Limiter is a limiter of a tier. It may have several processes, one after another or during a hot restart.
 type Limiter struct {
 	Number int
 	Addr   string   // where clients connect
 	Dir    string   // its TMPDIR
-	Env    []string // of its processes, in addition
+	Env    []string // additional environment of its processes
 	tier   *Tier
 }
 
-// Config returns the limiter's configuration, with the fields of the platform's file.
+// Config returns the configuration of the limiter, with the fields of the configuration file.
 func (l *Limiter) Config() map[string]any {
 	tier := l.tier
 	return map[string]any{
@@ -35,7 +35,7 @@
 	}
 }
 
-// settings is the part of the configuration that the simulator's limiters have, too.
+// settings returns the part of the configuration that limiters in the simulation have as well.
 func (l *Limiter) settings() map[string]any {
 	limiters := len(l.tier.Limiters)
 	settings := map[string]any{
@@ -62,14 +62,14 @@
 	return settings
 }
 
-// The request classes of each tier, by what a repeat of a request does.
+// The request classes of each tier, by whether a request may be repeated.
 const (
 	ClassIdempotent    = "read"
 	ClassKeyed         = "post" // idempotent under a key
 	ClassNonIdempotent = "pay"
 )
 
-// requestClasses are the request classes, as the platform's file has them.
+// requestClasses returns the request classes in the form of the configuration file.
 func requestClasses() []map[string]any {
 	return []map[string]any{
 		{
@@ -87,7 +87,7 @@
 	}
 }
 
-// plans are the plans, as the platform's file has them.
+// plans returns the plans in the form of the configuration file.
 func (tier *Tier) plans() []map[string]any {
 	var plans []map[string]any
 	for _, p := range tier.Plans {
@@ -104,8 +104,8 @@
 	return plans
 }
 
-// Start starts a process of the limiter, which is killed at the end of the test. The functions may change
-// its configuration.
+// Start starts a process of the limiter, which is killed at the end of the test. The functions may change the
+// configuration before it is written.
 func (l *Limiter) Start(change ...func(map[string]any)) *Process {
 	host := l.tier.Host
 	host.Helper()
@@ -129,18 +129,19 @@
 	return p
 }
 
-// command is the command that starts a process with the configuration of a file. The process is killed when this
-// program ends, however it ends: else it would go on, and retry its watch on a port that others get.
+// command returns the command that starts a process with a configuration file. The process is killed when this
+// program ends, however it ends: otherwise it would keep running, and retry its watch on a port that other programs
+// are given.
 func (l *Limiter) command(configPath string) *exec.Cmd {
 	program := l.tier.Program
 	cmd := exec.Command(program[0], program[1:]...)
 	cmd.Env = slices.Concat(os.Environ(), l.tier.Env, l.Env)
 	cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+configPath, "TMPDIR="+l.Dir)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // with the thread that starts it, which Go keeps
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // sent if the starting thread ends; Go keeps it
 	return cmd
 }
 
-// writeConfig writes a configuration to a file of its own, and returns the path.
+// writeConfig writes a configuration to a new file, and returns the path.
 func (l *Limiter) writeConfig(config map[string]any) string {
 	host := l.tier.Host
 	host.Helper()
--- a/internal/processharness/limiter_test.go
+++ b/internal/processharness/limiter_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// holdVariable has the test program start a limiter and wait to be killed.
+// holdVariable makes the test program start a limiter and wait to be killed.
 const holdVariable = "LEMONGATE_TEST_HOLD"
 
-// A limiter ends with the program that started it, also if that is killed. It went on, logged nothing at its level of
-// errors, and retried its watch for good on a port that the kernel gave to others.
+// A limiter process ends with the program that started it, also if that program is killed. Otherwise it keeps
+// running, logs nothing at the error level, and retries its watch forever on a port that the kernel gives to others.
 func TestLimiterEndsWithKilledProgram(t *testing.T) {
 	if os.Getenv(holdVariable) != "" {
 		limiter := New(t, 1, 1, "sleep", "60").Limiters[0].Start()
@@ -34,16 +34,16 @@
 		t.Fatal(err)
 	}
 	pid := startedPID(t, bufio.NewScanner(out))
-	_ = program.Process.Kill()                                   // it waits
-	_ = program.Wait()                                           // it was killed
-	t.Cleanup(func() { _ = syscall.Kill(pid, syscall.SIGKILL) }) // it should have ended
+	_ = program.Process.Kill()                                   // it runs until it is killed
+	_ = program.Wait()                                           // returns that it was killed
+	t.Cleanup(func() { _ = syscall.Kill(pid, syscall.SIGKILL) }) // in case it has not ended
 	Until(t, "the end of the limiter", func() bool {
 		line, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
-		return err != nil || len(line) == 0 // empty once it has ended and nobody has waited for it
+		return err != nil || len(line) == 0 // empty once the process has ended and has not been waited for
 	})
 }
 
-// startedPID reads the process that was started from the output of the test program.
+// startedPID reads the ID of the limiter process from the output of the test program.
 func startedPID(t *testing.T, lines *bufio.Scanner) int {
 	t.Helper()
 	for lines.Scan() {
--- a/internal/processharness/linkpeer.go
+++ b/internal/processharness/linkpeer.go
@@ -13,8 +13,8 @@
 	"lemongate/internal/hotrestart/link"
 )
 
-// This file plays one side of a hot restart that fails at a step, as a process of its own. Its script is
-// STEP:FAILURE.
+// This file implements one side of a hot restart that fails at a step, as a process of its own. Its script has the
+// form STEP:FAILURE.
 
 // The failures of a script.
 const (
@@ -26,16 +26,16 @@
 const (
 	// linkFormat is the version of the link's messages.
 	linkFormat = 1
-	// heartbeatCount and heartbeatInterval: PlayHeir sends so many heartbeats before its last step.
+	// heartbeatCount is how many heartbeats PlayFailingSuccessor sends before its last step, heartbeatInterval apart.
 	heartbeatCount    = 5
 	heartbeatInterval = 20 * time.Millisecond
-	// flushDelay is how long a queued message takes to be written.
+	// flushDelay is the time allowed for a queued message to be written.
 	flushDelay = 5 * time.Millisecond
 	// exitLinkClosed is the exit code of a process whose link was closed by the other side.
 	exitLinkClosed = 3
 )
 
-// limiterAddresses is what the configuration says of a limiter's own addresses.
+// limiterAddresses are the fields of the configuration with a limiter's own name and addresses.
 type limiterAddresses struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -55,10 +55,10 @@
 	return addresses
 }
 
-// linkPath is where the limiter's processes find each other.
+// linkPath returns the path of the socket through which the processes of the limiter connect to each other.
 func (a limiterAddresses) linkPath() string { return link.Path(os.TempDir(), a.Name) }
 
-// hello is the body of a successor's first message.
+// hello returns the body of a successor's first message.
 func (a limiterAddresses) hello() []byte {
 	body, err := json.Marshal(map[string]any{
 		"Format": linkFormat, "Name": a.Name, "Listen": a.Listen, "Peers": a.PeerListen,
@@ -69,10 +69,10 @@
 	return body
 }
 
-// failingPeer is one end of the link of a hot restart, with a script.
+// failingPeer is one end of the link of a hot restart, which fails as its script says.
 type failingPeer struct {
 	conn    *link.Conn
-	step    string // at which it fails
+	step    string // step at which it fails
 	failure string
 }
 
@@ -81,7 +81,7 @@
 	return &failingPeer{conn: conn, step: step, failure: failure}
 }
 
-// failAt fails if the script says so for a step, and does not return then.
+// failAt fails if the script names the given step, and does not return in that case.
 func (p *failingPeer) failAt(step string) {
 	if p.step != step {
 		return
@@ -96,7 +96,7 @@
 	select {} // until the test kills the process
 }
 
-// await reads messages up to one of a kind. The process exits if the link is closed.
+// await reads messages until it has received one of the given kind. The process exits if the link is closed.
 func (p *failingPeer) await(kind hotrestart.Kind) {
 	for {
 		frame, err := p.conn.Read()
@@ -114,12 +114,13 @@
 	p.conn.Send(uint8(kind), body)
 }
 
-// write writes a message.
+// write sends a message, and returns once it is written.
 func (p *failingPeer) write(kind hotrestart.Kind, body []byte, sockets ...syscall.Conn) {
-	_ = p.conn.SendSync(uint8(kind), body, sockets...) // a closed link shows at the next read
+	_ = p.conn.SendSync(uint8(kind), body, sockets...) // the next read fails if the link is closed
 }
 
-// PlayFailingSuccessor is a successor that fails at a step: hello, offer, prepared, transfer, taken, commit or beats.
+// PlayFailingSuccessor acts as a successor that fails at a step: hello, offer, prepared, transfer, taken, commit or
+// beats.
 func PlayFailingSuccessor(script string) {
 	addresses := readAddresses()
 	conn, err := link.Dial(addresses.linkPath())
@@ -149,8 +150,8 @@
 	p.failAt("beats")
 }
 
-// PlayFailingPredecessor is a predecessor that accepts no clients but has their address, and fails at a step:
-// listening, hello, offer, prepared, transfer, taken or commit. It prints "ready" once it listens.
+// PlayFailingPredecessor acts as a predecessor that listens at the address for clients without accepting any, and
+// fails at a step: listening, hello, offer, prepared, transfer, taken or commit. It prints "ready" once it listens.
 func PlayFailingPredecessor(script string) {
 	addresses := readAddresses()
 	clients, err := net.Listen("tcp", addresses.Listen)
--- a/internal/processharness/load.go
+++ b/internal/processharness/load.go
@@ -19,67 +19,67 @@
 	keyedBudget = 3 * time.Second
 )
 
-// Load sends requests at a constant rate whatever comes of them, over connections that are kept. The one
-// that is idle longest is used first, so that all of them are used.
+// Load sends requests at a constant rate, whatever their results, over connections that are kept open. The connection
+// that has been idle longest is used first, so that all of them are used.
 type Load struct {
-	// Resent counts the requests that were sent again, see Resend.
+	// Resent counts the requests that were sent again, see EnableResend.
 	Resent int
-	// Results are those so far, in no order.
+	// Results are the results so far, in no order.
 	Results []Result
 
 	tier        *Tier
 	interval    time.Duration
 	makeRequest func(n int) Request
 	stop        chan struct{} // closed by End
-	running     sync.WaitGroup
+	senders     sync.WaitGroup
 
-	mu      sync.Mutex      // of Resent, Results and what follows
-	resends bool            // see Resend
-	idle    [][]*clientConn // by limiter, the one idle longest first
-	each    func(Result)    // nil to keep Results
+	mu            sync.Mutex      // protects Resent, Results and the fields below
+	resendEnabled bool            // see EnableResend
+	idle          [][]*clientConn // by limiter, the one idle longest first
+	onResult      func(Result)    // nil to append to Results
 }
 
 // Request is a request to be sent.
 type Request struct {
-	Limiter      int // that it is sent to
-	Class        string
-	Plan         string
-	Customer     uint64
-	Key          string // idempotency key, "" for none
-	FirstLimiter int    // first limiter of the customer's set
-	SetSize      int    // limiters in the customer's set, 0 for one
-	Body         int    // bytes
-	Units        int    // 0 for one
-	Manner       Manner
-	LeaveAfter   time.Duration // see Leaving
+	Limiter         int // number of the limiter that it is sent to
+	Class           string
+	Plan            string
+	Customer        uint64
+	Key             string // idempotency key, "" for none
+	FirstLimiter    int    // first limiter of the customer's set
+	SetSize         int    // limiters in the customer's set, 0 for one
+	Body            int    // bytes
+	Units           int    // 0 for one
+	Mode            ClientMode
+	DisconnectAfter time.Duration // see Disconnecting
 }
 
-// Manner is how the client of a request uses its connection.
-type Manner int
+// ClientMode is how the client of a request uses its connection.
+type ClientMode int
 
-// The manners.
+// The client modes.
 const (
-	Usual       Manner = iota
-	Leaving            // closes the connection after LeaveAfter, if the response has not come by then
-	HalfClosing        // ends its sending behind the request
-	Pipelining         // sends a second request, like the first, right behind it
+	Normal        ClientMode = iota
+	Disconnecting            // closes the connection after DisconnectAfter if the response has not arrived by then
+	HalfClosing              // closes the sending side after the request
+	Pipelining               // sends a second request, like the first, immediately after it
 )
 
-// Result is what came of a request.
+// Result describes the response to a request, or why there was none.
 type Result struct {
 	Request
-	ID     string
-	At     time.Time // when its last byte was written
-	Took   time.Duration
-	Status int    // 0 without a complete response
-	Fault  string // what happened to the connection, "" for nothing
-	Body   string
-	Left   time.Time // when the client closed the connection; zero if it did not leave
-
-	timedOut bool // the client waited no longer
+	ID             string
+	At             time.Time // when its last byte was written
+	Took           time.Duration
+	Status         int    // 0 without a complete response
+	Fault          string // error of the connection, "" for none
+	Body           string
+	DisconnectedAt time.Time // when the client closed the connection; zero if it did not disconnect
+
+	timedOut bool // a deadline of the client passed
 }
 
-// StartLoad sends requests until End, at a rate per second. makeRequest makes the request of each number.
+// StartLoad sends requests until End, at a rate per second. makeRequest returns the request with number n.
 func (tier *Tier) StartLoad(perSecond float64, makeRequest func(n int) Request) *Load {
 	l := &Load{
 		tier:        tier,
@@ -88,22 +88,22 @@
 		stop:        make(chan struct{}),
 		idle:        make([][]*clientConn, len(tier.Limiters)),
 	}
-	l.running.Go(l.run)
+	l.senders.Go(l.run)
 	return l
 }
 
-// Resend has a request sent again from now on, on a new connection, where a kept one was closed without a byte
-// of a response: a limiter may close one between requests while the next is on its way to it.
-func (l *Load) Resend() {
+// EnableResend makes the load resend a request on a new connection from now on if a kept connection was closed
+// without a byte of the response: a limiter may close an idle connection while the next request is on its way to it.
+func (l *Load) EnableResend() {
 	l.mu.Lock()
-	l.resends = true
+	l.resendEnabled = true
 	l.mu.Unlock()
 }
 
-// Each hands over each result as it comes instead of keeping it, from any goroutine.
+// Each passes each result to f as it arrives instead of keeping it. f is called from any goroutine.
 func (l *Load) Each(f func(Result)) {
 	l.mu.Lock()
-	l.each = f
+	l.onResult = f
 	l.mu.Unlock()
 }
 
@@ -118,37 +118,37 @@
 			case <-time.After(wait):
 			}
 		}
-		l.running.Go(func() { l.sendNumber(n) })
+		l.senders.Go(func() { l.sendNumber(n) })
 	}
 }
 
-// countResend counts a request that is sent again, and reports whether it is to be.
+// countResend reports whether a request is to be resent, and counts it in that case.
 func (l *Load) countResend() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.resends {
+	if l.resendEnabled {
 		l.Resent++
 	}
-	return l.resends
+	return l.resendEnabled
 }
 
-// record keeps a result, or hands it over.
+// record appends a result to Results, or passes it to the function that was given to Each.
 func (l *Load) record(result Result) {
 	l.mu.Lock()
-	each := l.each
-	if each == nil {
+	onResult := l.onResult
+	if onResult == nil {
 		l.Results = append(l.Results, result)
 	}
 	l.mu.Unlock()
-	if each != nil {
-		each(result)
+	if onResult != nil {
+		onResult(result)
 	}
 }
 
-// End stops sending, waits for all responses and returns the results in the order of their sending.
+// End stops sending, waits for all responses and returns the results in the order in which the requests were sent.
 func (l *Load) End() []Result {
 	close(l.stop)
-	l.running.Wait()
+	l.senders.Wait()
 	for _, conns := range l.idle {
 		for _, c := range conns {
 			c.close()
@@ -158,7 +158,7 @@
 	return l.Results
 }
 
-// sendNumber sends the request of a number, and records what came of it.
+// sendNumber sends the request with number n, and records its result.
 func (l *Load) sendNumber(n int) {
 	request := l.makeRequest(n)
 	id := fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, n)
@@ -167,7 +167,7 @@
 		l.record(Result{Request: request, ID: id, At: time.Now(), Fault: "connect: " + err.Error()})
 		return
 	}
-	if request.Manner == Pipelining {
+	if request.Mode == Pipelining {
 		l.sendPair(request, id, conn, kept)
 		return
 	}
@@ -175,8 +175,8 @@
 	l.finish(result, closed && kept)
 }
 
-// finish records a result. If the connection was closed over its request, that is sent again if it is to be
-// resent.
+// finish records a result. If closed reports that the connection was closed without a byte of the response, the
+// request is resent first, provided that EnableResend was called.
 func (l *Load) finish(result Result, closed bool) {
 	if closed && l.countResend() {
 		if conn, err := l.connect(result.Limiter); err == nil {
@@ -186,10 +186,10 @@
 	l.record(result)
 }
 
-// sendPair sends a request and a second one like it at once. The time of the second one counts from the response
-// to the first. A limiter may close the connection between the two.
+// sendPair sends a request and a second one like it together. The time of the second one counts from the response to
+// the first. A limiter may close the connection between the two.
 func (l *Load) sendPair(first Request, id string, conn *clientConn, kept bool) {
-	second, secondID := first, id[:8]+"f"+id[9:] // numbers of requests are smaller
+	second, secondID := first, id[:8]+"f"+id[9:] // no request number is large enough to have this digit there
 	if first.Key != "" {
 		second.Key = "f" + first.Key[1:]
 	}
@@ -211,32 +211,32 @@
 	l.finish(result, state == connUnanswered && (isBetween || kept))
 }
 
-// send sends a request on a connection. closed reports that this was closed without a byte of a response.
+// send sends a request on a connection. closed reports that the connection was closed without a byte of the response.
 func (l *Load) send(request Request, id string, conn *clientConn) (result Result, closed bool) {
 	at, err := conn.write(requestText(request, id))
 	if err != nil {
 		conn.close()
 		return Result{Request: request, ID: id, At: at, Fault: err.Error()}, true
 	}
-	switch request.Manner {
-	case Leaving:
-		conn.setDeadline(at.Add(request.LeaveAfter))
+	switch request.Mode {
+	case Disconnecting:
+		conn.setDeadline(at.Add(request.DisconnectAfter))
 	case HalfClosing:
 		conn.endSending()
 	}
 	result, state := receive(Result{Request: request, ID: id, At: at}, conn)
-	if request.Manner == Usual {
+	if request.Mode == Normal {
 		l.release(request.Limiter, conn, state)
 	} else {
 		conn.close()
 	}
-	if request.Manner == Leaving && result.timedOut {
-		result.Left = time.Now()
+	if request.Mode == Disconnecting && result.timedOut {
+		result.DisconnectedAt = time.Now()
 	}
 	return result, state == connUnanswered
 }
 
-// connState is what a connection is good for after a response.
+// connState says whether a connection can be used again after a response.
 type connState int
 
 const (
@@ -245,7 +245,7 @@
 	connOpen
 )
 
-// receive completes a result by the response that comes next on a connection.
+// receive reads the next response on a connection, and completes the result with it.
 func receive(result Result, conn *clientConn) (Result, connState) {
 	_, firstByteErr := conn.reader.Peek(1)
 	resp, body, err := conn.readResponse()
@@ -268,16 +268,16 @@
 	return result, connOpen
 }
 
-// release keeps a connection that may be used again, and closes any other.
+// release keeps a connection that can be used again, and closes any other.
 func (l *Load) release(limiter int, conn *clientConn, state connState) {
 	if state == connOpen {
-		l.keep(limiter, conn)
+		l.keepIdle(limiter, conn)
 		return
 	}
 	conn.close()
 }
 
-// BudgetOf is how long the client of a request waits for the response, as it tells the limiter.
+// BudgetOf returns the budget that a request states: how long its client waits for the response.
 func BudgetOf(r Request) time.Duration {
 	if r.Class == ClassKeyed {
 		return keyedBudget
@@ -285,7 +285,7 @@
 	return usualBudget
 }
 
-// requestText is a request as it is written to a connection.
+// requestText returns a request in the form in which it is written to a connection.
 func requestText(r Request, id string) string {
 	method := http.MethodPost
 	if r.Class == ClassIdempotent {
@@ -312,13 +312,13 @@
 		if err != nil {
 			return err
 		}
-		l.keep(limiter, conn)
+		l.keepIdle(limiter, conn)
 	}
 	return nil
 }
 
-// connection returns the connection that is idle longest, or a new one. It is no fault if a kept one was
-// closed: a limiter may do so between requests, and the client sees it before it writes.
+// connection returns the connection that has been idle longest, or a new one. It skips connections that were closed:
+// a limiter may close one between requests, and the client notices before it writes.
 func (l *Load) connection(limiter int) (conn *clientConn, kept bool, err error) {
 	for {
 		conn := l.takeIdle(limiter)
@@ -333,7 +333,7 @@
 	}
 }
 
-// takeIdle takes the connection that is idle longest, nil if there is none.
+// takeIdle removes and returns the connection that has been idle longest, nil if there is none.
 func (l *Load) takeIdle(limiter int) *clientConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -345,8 +345,8 @@
 	return conns[0]
 }
 
-// keep keeps an idle connection.
-func (l *Load) keep(limiter int, conn *clientConn) {
+// keepIdle keeps an idle connection for later requests.
+func (l *Load) keepIdle(limiter int, conn *clientConn) {
 	l.mu.Lock()
 	l.idle[limiter] = append(l.idle[limiter], conn)
 	l.mu.Unlock()
--- a/internal/processharness/load_test.go
+++ b/internal/processharness/load_test.go
@@ -11,9 +11,9 @@
 	"lemongate/internal/testnet"
 )
 
-// serveRequests answers each request with its ID, but with every behaviour of a limiter that a name stands for:
-// "closes" ends each connection with its first response, "silent" never responds. It sends what it read of each
-// connection, by the errors that ended it.
+// serveRequests acts as a limiter that responds to each request with its ID. Two behaviours differ: "closes" closes
+// each connection after its first response, and "silent" never responds. When a connection ends, the error of its
+// last read is sent on ended, nil if this side closed it.
 func serveRequests(t *testing.T, behaviour string) (addr string, ended <-chan error) {
 	t.Helper()
 	listener := testnet.Listen(t) // its close ends the goroutine
@@ -31,7 +31,7 @@
 }
 
 func serveConn(conn net.Conn, behaviour string) error {
-	defer func() { _ = conn.Close() }() // the test has what it needs
+	defer func() { _ = conn.Close() }() // an error does not matter to the test
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -52,52 +52,52 @@
 	}
 }
 
-// sendOne sends the first request of a load, and returns all results.
+// sendOne sends one request with a load, and returns all results.
 func sendOne(t *testing.T, addr string, request Request) []Result {
 	t.Helper()
 	l := &Load{tier: &Tier{Limiters: []*Limiter{{Addr: addr}}}, idle: make([][]*clientConn, 1)}
 	l.makeRequest = func(int) Request { return request }
 	l.stop = make(chan struct{})
-	l.Resend()
+	l.EnableResend()
 	l.sendNumber(7)
 	return l.End()
 }
 
-// A client that leaves closes its connection once it has waited; one that ends its sending reads its response.
-func TestLeavingAndHalfClosingClients(t *testing.T) {
+// A disconnecting client closes its connection after its wait, and a half-closing client still reads its response.
+func TestDisconnectingAndHalfClosingClients(t *testing.T) {
 	const wait = 30 * time.Millisecond
 	addr, ended := serveRequests(t, "silent")
-	results := sendOne(t, addr, Request{Class: ClassIdempotent, Manner: Leaving, LeaveAfter: wait})
-	if len(results) != 1 || results[0].Left.Sub(results[0].At) < wait || results[0].Status != 0 {
-		t.Errorf("leaving: %+v", results)
+	results := sendOne(t, addr, Request{Class: ClassIdempotent, Mode: Disconnecting, DisconnectAfter: wait})
+	if len(results) != 1 || results[0].DisconnectedAt.Sub(results[0].At) < wait || results[0].Status != 0 {
+		t.Errorf("disconnecting: results %+v, want one without a response, disconnected after the wait", results)
 	}
 	if err := <-ended; err == nil {
-		t.Error("leaving: the connection is open")
+		t.Error("disconnecting: the connection is still open")
 	}
-	for _, manner := range []Manner{Leaving, HalfClosing} {
+	for _, mode := range []ClientMode{Disconnecting, HalfClosing} {
 		addr, ended = serveRequests(t, "answers")
-		results = sendOne(t, addr, Request{Class: ClassIdempotent, Manner: manner, LeaveAfter: time.Second})
-		if len(results) != 1 || results[0].Body != results[0].ID || !results[0].Left.IsZero() {
-			t.Errorf("manner %d: %+v", manner, results)
+		results = sendOne(t, addr, Request{Class: ClassIdempotent, Mode: mode, DisconnectAfter: time.Second})
+		if len(results) != 1 || results[0].Body != results[0].ID || !results[0].DisconnectedAt.IsZero() {
+			t.Errorf("mode %d: results %+v, want one response to a client that did not disconnect", mode, results)
 		}
 		if err := <-ended; err == nil {
-			t.Errorf("manner %d: the connection is open", manner)
+			t.Errorf("mode %d: the connection is still open", mode)
 		}
 	}
 }
 
-// Of two requests sent at once each gets its own response, the second one on a new connection if the limiter closes
-// the first between them.
+// Each of two requests sent together gets its own response, the second one on a new connection if the limiter closes
+// the first connection between them.
 func TestPipeliningClient(t *testing.T) {
 	for _, behaviour := range []string{"answers", "closes"} {
 		addr, _ := serveRequests(t, behaviour)
-		results := sendOne(t, addr, Request{Class: ClassKeyed, Key: "00", Body: 3, Manner: Pipelining})
+		results := sendOne(t, addr, Request{Class: ClassKeyed, Key: "00", Body: 3, Mode: Pipelining})
 		if len(results) != 2 || results[0].ID == results[1].ID || results[0].Key == results[1].Key {
-			t.Fatalf("%s: %+v", behaviour, results)
+			t.Fatalf("%s: results %+v, want two of different requests", behaviour, results)
 		}
 		for _, r := range results {
 			if r.Status != http.StatusOK || r.Body != r.ID {
-				t.Errorf("%s: %+v", behaviour, r)
+				t.Errorf("%s: result %+v, want status 200 with its ID", behaviour, r)
 			}
 		}
 	}
--- a/internal/processharness/network.go
+++ b/internal/processharness/network.go
@@ -13,17 +13,18 @@
 	"lemongate/internal/lease"
 )
 
-// maxDatagramSize is more bytes than any datagram of a limiter has.
+// maxDatagramSize is larger than any datagram of a limiter, in bytes.
 const maxDatagramSize = 2048
 
-// way is the way of datagrams from one limiter to another.
-type way struct{ from, to int }
+// direction is the direction of datagrams from one limiter to another.
+type direction struct{ from, to int }
 
-// Network carries the datagrams between limiters, each pair over sockets of its own, and can lose, delay,
-// duplicate and block them.
+// Network relays the datagrams between limiters, over separate sockets for each pair, and can lose, delay, duplicate
+// and block them.
 type Network struct {
 	listen []string // where the limiters listen
-	// relays[i][j] is where limiter i sends what is for j; what it sends to j leaves from relays[j][i].
+	// relays[i][j] is the socket to which limiter i sends datagrams for limiter j. What i sends to j is forwarded from
+	// relays[j][i].
 	relays [][]*net.UDPConn
 
 	mu        sync.Mutex
@@ -31,17 +32,17 @@
 	loss      float64
 	duplicate float64
 	maxDelay  time.Duration // delays are random, so that some datagrams overtake others
-	blocked   map[way]bool
+	blocked   map[direction]bool
 
-	epochs        []map[uint32]bool // of each sender
+	epochs        []map[uint32]bool // by sender
 	datagrams     int
 	leaseMessages []int // by receiver
 	leaseBytes    int
 }
 
-// newNet starts a network, which ends with the test.
-func newNet(t Host, limiters int) *Network {
-	n := &Network{random: rand.New(rand.NewPCG(1, 2)), blocked: map[way]bool{}, leaseMessages: make([]int, limiters)}
+// newNetwork starts a network that is closed at the end of the test.
+func newNetwork(t Host, limiters int) *Network {
+	n := &Network{random: rand.New(rand.NewPCG(1, 2)), blocked: map[direction]bool{}, leaseMessages: make([]int, limiters)}
 	for range limiters {
 		n.listen = append(n.listen, freeAddr(t, "udp"))
 		n.epochs = append(n.epochs, map[uint32]bool{})
@@ -52,7 +53,7 @@
 	for from := range limiters {
 		for to := range limiters {
 			if from != to {
-				go n.relay(way{from, to}) // until its socket is closed
+				go n.relay(direction{from, to}) // until its socket is closed
 			}
 		}
 	}
@@ -99,12 +100,12 @@
 // Block blocks or unblocks datagrams from one limiter to another, in that direction only.
 func (n *Network) Block(from, to int, blocked bool) {
 	n.mu.Lock()
-	n.blocked[way{from, to}] = blocked
+	n.blocked[direction{from, to}] = blocked
 	n.mu.Unlock()
 }
 
 // Inject sends a limiter a datagram as if it came from another one.
-func (n *Network) Inject(from, to int, data []byte) { n.deliver(way{from, to}, data) }
+func (n *Network) Inject(from, to int, data []byte) { n.deliver(direction{from, to}, data) }
 
 // Epochs returns the epochs that were in the gossip of a limiter.
 func (n *Network) Epochs(limiter int) []uint32 {
@@ -113,8 +114,8 @@
 	return slices.Collect(maps.Keys(n.epochs[limiter]))
 }
 
-// Leases returns how many datagrams about leases were sent to each limiter, and how many bytes in all.
-func (n *Network) Leases() (messages []int, bytes int) {
+// LeaseTraffic returns how many lease messages were sent to each limiter, and how many bytes they had in total.
+func (n *Network) LeaseTraffic() (messages []int, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.leaseMessages), n.leaseBytes
@@ -127,8 +128,8 @@
 	return n.datagrams
 }
 
-// relay carries the datagrams of one way until its socket is closed.
-func (n *Network) relay(w way) {
+// relay forwards the datagrams of one direction until its socket is closed.
+func (n *Network) relay(w direction) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
 		size, err := n.relays[w.from][w.to].Read(buffer)
@@ -139,8 +140,8 @@
 	}
 }
 
-// transmit delivers a datagram never, once or twice, late.
-func (n *Network) transmit(w way, data []byte) {
+// transmit delivers a datagram zero, one or two times, each after a random delay.
+func (n *Network) transmit(w direction, data []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.record(w, data)
@@ -160,8 +161,8 @@
 	}
 }
 
-// record counts a datagram. The caller has locked the network.
-func (n *Network) record(w way, data []byte) {
+// record counts a datagram. The caller holds n.mu.
+func (n *Network) record(w direction, data []byte) {
 	n.datagrams++
 	if message, ok := gossip.Parse(data); ok {
 		n.epochs[w.from][message.Epoch] = true
@@ -172,8 +173,8 @@
 	}
 }
 
-// deliver sends a datagram to its receiver, from the address that this knows its sender by.
-func (n *Network) deliver(w way, data []byte) {
+// deliver sends a datagram to its receiver, from the address by which the receiver knows the sender.
+func (n *Network) deliver(w direction, data []byte) {
 	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(n.listen[w.to]))
 	_, _ = n.relays[w.to][w.from].WriteToUDP(data, to) // the socket may be closed; datagrams may be lost
 }
--- a/internal/processharness/process.go
+++ b/internal/processharness/process.go
@@ -15,31 +15,31 @@
 type Process struct {
 	Cmd     *exec.Cmd
 	Console string     // address of the administration server
-	Ended   chan error // receives the result of the process once
+	Ended   chan error // receives the error with which the process ended, once
 	log     *lockedBuffer
 
-	mu   sync.Mutex // of the start of Cmd and what follows
-	over bool       // it is not started any more
+	mu        sync.Mutex // protects the start of Cmd and the field below
+	hostEnded bool       // the process must not be started any more
 }
 
-// errOver is the error of a start after the end of the host.
-var errOver = errors.New("a process is to be started in a host that has ended")
+// errHostEnded is returned if a process is started after the end of its host.
+var errHostEnded = errors.New("cannot start a process: its host has ended")
 
 // start starts the process, unless its host has ended.
 func (p *Process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
-		return errOver
+	if p.hostEnded {
+		return errHostEnded
 	}
 	return p.Cmd.Start()
 }
 
-// end kills the process, or keeps it from being started. It reports whether it was started.
+// end kills the process, or prevents its start. It reports whether the process was started.
 func (p *Process) end() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
+	p.hostEnded = true
 	if p.Cmd.Process == nil {
 		return false
 	}
@@ -52,11 +52,11 @@
 	_ = p.Cmd.Process.Signal(s) // fails only for a process that has ended
 }
 
-// HasLogged reports whether a line with a text was logged. The log comes through a pipe and may be later than
-// what the process is known to have done: wait for a line that is due.
+// HasLogged reports whether the process logged a text. The log comes through a pipe and may lag behind what the
+// process is known to have done: wait for a line that is due.
 func (p *Process) HasLogged(text string) bool { return strings.Contains(p.log.String(), text) }
 
-// LastLogged returns the last line with a text that was logged, "" if there is none.
+// LastLogged returns the last logged line that contains a text, "" if there is none.
 func (p *Process) LastLogged(text string) string {
 	lines := strings.Split(p.log.String(), "\n")
 	for i := len(lines) - 1; i >= 0; i-- {
@@ -67,40 +67,40 @@
 	return ""
 }
 
-// LogTail returns the last lines that were logged, at most so many.
+// LogTail returns the last logged lines, at most the given number.
 func (p *Process) LogTail(lines int) []string {
 	all := strings.Split(strings.TrimSpace(p.log.String()), "\n")
 	return all[max(len(all)-lines, 0):]
 }
 
-// Healthy reports whether the process accepts clients, as its administration server says.
+// Healthy reports whether the process accepts clients, according to its administration server.
 func (p *Process) Healthy() bool {
-	resp, err := consoleClient(time.Second).Get("http://" + p.Console + "/healthcheck")
+	resp, err := adminClient(time.Second).Get("http://" + p.Console + "/healthcheck")
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // only the status counts
+	_ = resp.Body.Close() // only the status is used
 	return resp.StatusCode == http.StatusOK
 }
 
-// consoleClient is an HTTP client that keeps no connections.
-func consoleClient(timeout time.Duration) *http.Client {
+// adminClient returns an HTTP client that keeps no idle connections.
+func adminClient(timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// Await waits until the process accepts clients, and ends the test if it does not soon.
+// Await waits until the process accepts clients, and ends the test if it does not within waitTimeout.
 func (p *Process) Await(t Host) {
 	t.Helper()
 	Until(t, "a process that accepts clients", p.Healthy)
 }
 
-// Wait waits for the end of the process and returns its result. It ends the test if the process does not
-// end soon.
+// Wait waits for the end of the process and returns the error with which it ended. It ends the test if the process
+// does not end within waitTimeout.
 func (p *Process) Wait(t Host) error {
 	t.Helper()
 	select {
 	case err := <-p.Ended:
-		p.Ended <- err // for whoever waits next
+		p.Ended <- err // for the next waiter
 		return err
 	case <-time.After(waitTimeout):
 		t.Fatal("the process did not end")
@@ -108,7 +108,7 @@
 	}
 }
 
-// lockedBuffer keeps what a process logs.
+// lockedBuffer stores what a process logs.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/internal/processharness/run.go
+++ b/internal/processharness/run.go
@@ -14,13 +14,13 @@
 	"lemongate/internal/simulation"
 )
 
-// This file plays a scenario of the simulation on processes: the same limiters, customers, backends and
-// faults, in real time.
+// This file runs a scenario of the simulation on processes: the same limiters, customers, backends and faults, in
+// real time.
 
 const (
-	// settlePeriods is how many periods after the last request all usage is reported.
+	// settlePeriods is how many usage periods after the last request all usage has been reported.
 	settlePeriods = 3
-	// clockRateVariable is the environment variable with the rate of a limiter's clock.
+	// clockRateVariable is the environment variable that sets the rate of a limiter's clock.
 	clockRateVariable = "LEMONGATE_LAB_CLOCK"
 )
 
@@ -33,31 +33,31 @@
 	customers []customer
 	result    simulation.Result
 
-	stop    chan struct{} // closed at the end of the scenario
-	running sync.WaitGroup
+	stop   chan struct{} // closed at the end of the scenario
+	faults sync.WaitGroup
 
 	mu        sync.Mutex
-	processes []*Process // by limiter; nil for one that is down
-	away      [][]period // by limiter; when it was down or stopped
+	processes []*Process   // by limiter; nil for one that is down
+	outages   [][]interval // by limiter; when it was down or stopped
 }
 
-// period is from one time to another; it lasts while to is zero.
-type period struct{ from, to time.Time }
+// interval is the time from one instant to another. It has not ended while to is zero.
+type interval struct{ from, to time.Time }
 
-// CheckPlayable returns the reason why a fault cannot be played on processes, nil if it can.
+// CheckPlayable returns the reason why a fault cannot be injected on processes, nil if it can.
 func CheckPlayable(f simulation.Fault) error {
 	switch {
 	case f.Kind == simulation.FaultHotRestart || f.Kind == simulation.FaultRollingRestart:
-		return fmt.Errorf("kind: no %q on processes; see cmd/lemongate", f.Kind)
+		return fmt.Errorf("kind: %q is not supported on processes; see cmd/lemongate", f.Kind)
 	case f.Kind == simulation.FaultBackendSilent || f.Zone > 0:
-		return errors.New("kind: silent backends and zones are played in virtual time only")
+		return errors.New("kind: silent backends and zones are supported in virtual time only")
 	case f.Kind == simulation.FaultClock && (f.At > 0 || f.Role != ""):
-		return errors.New("at_s: a process has the rate of its clock from its start on")
+		return errors.New("at_s: the clock rate of a process is set when it starts")
 	}
 	return nil
 }
 
-// Play plays a scenario once, with limiters that a program starts.
+// Play runs a scenario once, with limiters that are started by running program.
 func Play(h Host, sc simulation.Scenario, seed uint64, program ...string) simulation.Result {
 	usageDir := h.TempDir()
 	if sc.Leases != nil {
@@ -65,15 +65,15 @@
 	}
 	r := newTierRun(h, sc, seed, program)
 	r.startProcesses()
-	units := r.judge(r.play())
+	units := r.check(r.runTraffic())
 	if sc.Leases != nil && sc.Leases.UsagePeriod > 0 {
 		time.Sleep(milliseconds(settlePeriods * sc.Leases.UsagePeriod))
-		r.judgeUsage(usageDir, units)
+		r.checkUsage(usageDir, units)
 	}
 	return r.result
 }
 
-// newTierRun is a run whose limiters are not started.
+// newTierRun returns a run whose limiters are not started yet.
 func newTierRun(h Host, sc simulation.Scenario, seed uint64, program []string) *tierRun {
 	r := &tierRun{
 		Tier:      New(h, sc.Limiters, sc.Backends.Count, program...),
@@ -81,7 +81,7 @@
 		random:    rand.New(rand.NewPCG(seed, 11)),
 		stop:      make(chan struct{}),
 		processes: make([]*Process, sc.Limiters),
-		away:      make([][]period, sc.Limiters),
+		outages:   make([][]interval, sc.Limiters),
 	}
 	r.ReportUtilization = true
 	r.Plans = nil
@@ -122,23 +122,23 @@
 	}
 }
 
-// play sends requests and plays the faults for the time of the scenario.
-func (r *tierRun) play() []Result {
+// runTraffic sends requests and injects the faults for the duration of the scenario.
+func (r *tierRun) runTraffic() []Result {
 	r.startedAt = time.Now()
 	load := r.startLoad()
-	load.Resend()
+	load.EnableResend()
 	for _, f := range r.scenario.Faults {
-		r.running.Go(func() { r.repeatFault(f) }) // until r.stop
+		r.faults.Go(func() { r.scheduleFault(f) }) // until r.stop
 	}
 	r.sleep(seconds(r.scenario.Seconds))
 	close(r.stop)
-	r.running.Wait()
+	r.faults.Wait()
 	results := load.End()
 	r.result.Resent = load.Resent
 	return results
 }
 
-// sleep waits, and reports whether the run goes on.
+// sleep waits, and reports whether the run goes on. It returns early if the run ends.
 func (r *tierRun) sleep(d time.Duration) bool {
 	select {
 	case <-r.stop:
--- a/internal/processharness/run_test.go
+++ b/internal/processharness/run_test.go
@@ -7,11 +7,11 @@
 	"lemongate/internal/simulation"
 )
 
-// Plays returns an error for each fault that cannot be played on processes.
-func TestPlaysRejectsFaultsOfVirtualTime(t *testing.T) {
+// CheckPlayable returns an error for each fault that cannot be injected on processes.
+func TestFaultsOfVirtualTimeAreUnsupported(t *testing.T) {
 	for _, c := range []struct {
-		fault    simulation.Fault
-		playable bool
+		fault     simulation.Fault
+		supported bool
 	}{
 		{simulation.Fault{Kind: simulation.FaultRestart}, true},
 		{simulation.Fault{Kind: simulation.FaultClock, Rate: 1.01}, true},
@@ -21,30 +21,30 @@
 		{simulation.Fault{Kind: simulation.FaultBackendSilent}, false},
 		{simulation.Fault{Kind: simulation.FaultBackendRefuses, Zone: 1}, false},
 	} {
-		if err := CheckPlayable(c.fault); (err == nil) != c.playable {
-			t.Errorf("%+v: %v", c.fault, err)
+		if err := CheckPlayable(c.fault); (err == nil) != c.supported {
+			t.Errorf("fault %+v: error %v", c.fault, err)
 		}
 	}
 }
 
-// A missing response is excused while the limiter is down or stopped, and shortly before and after; no
-// other is.
-func TestMissingResponseExcusedWhileLimiterIsAway(t *testing.T) {
+// A missing response is excused while the limiter is down or stopped, and shortly before and after that, but at no
+// other time.
+func TestMissingResponseExcusedWhileLimiterIsUnavailable(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(100, int64(ms)*1e6) }
-	r := &tierRun{away: [][]period{{{at(1000), at(2000)}}, {{from: at(5000)}}}}
+	r := &tierRun{outages: [][]interval{{{at(1000), at(2000)}}, {{from: at(5000)}}}}
 	for _, c := range []struct {
 		limiter, at, took int
 		want              bool
 	}{{0, 100, 200, false}, {0, 700, 200, true}, {0, 1500, 10, true}, {0, 2100, 10, true}, {0, 2300, 10, false}, {1, 9000, 10, true}} {
 		q := Result{Request: Request{Limiter: c.limiter}, At: at(c.at), Took: time.Duration(c.took) * time.Millisecond}
 		if r.excused(q) != c.want {
-			t.Errorf("%+v: want %v", c, c.want)
+			t.Errorf("%+v: want excused %v", c, c.want)
 		}
 	}
 }
 
-// Each kind of fault that can be played on processes has a player, but for clocks, which are set at the start.
-func TestEachPlayableFaultKindHasPlayer(t *testing.T) {
+// Each kind of fault that is supported on processes has an injector, except clock rates, which are set at the start.
+func TestEachSupportedFaultKindHasInjector(t *testing.T) {
 	kinds := []simulation.FaultKind{
 		simulation.FaultPartition, simulation.FaultMute, simulation.FaultDeaf, simulation.FaultLoss, simulation.FaultClock,
 		simulation.FaultStall, simulation.FaultRestart, simulation.FaultHotRestart, simulation.FaultRollingRestart,
@@ -52,8 +52,8 @@
 	}
 	for _, kind := range kinds {
 		playable := CheckPlayable(simulation.Fault{Kind: kind}) == nil && kind != simulation.FaultClock
-		if hasPlayer := faultPlayers[kind] != nil; hasPlayer != playable {
-			t.Errorf("%q: playable %v, has a player %v", kind, playable, hasPlayer)
+		if hasInjector := faultInjectors[kind] != nil; hasInjector != playable {
+			t.Errorf("%q: supported %v, has an injector %v", kind, playable, hasInjector)
 		}
 	}
 }
--- a/internal/processharness/tier.go
+++ b/internal/processharness/tier.go
@@ -1,6 +1,6 @@
-// Package processharness plays limiters as processes of their own, with stand-ins for all that they
-// connect to: discovery, backends, clients and the network between limiters. A run is judged by what the
-// stand-ins observed, by one clock, and never by what a limiter reports of itself.
+// Package processharness runs limiters as processes of their own, with fakes of everything they connect to:
+// discovery, backends, clients and the network between limiters. A run is checked by what the fakes observed, by one
+// clock, and never by what a limiter reports about itself.
 package processharness
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Plan is a plan of the settings; zero is no bound.
+// Plan is a plan of the settings; a limit of zero means none.
 type Plan struct {
 	Name                      string
 	Rate, Burst               float64 // units per second, units
@@ -17,30 +17,30 @@
 	MaxConcurrent             int     // attempts in flight at once
 }
 
-// Tier is some limiters with all that they connect to. Its exported fields may be changed before a process
+// Tier consists of limiters and everything they connect to. Its exported fields may be changed before a process
 // starts.
 type Tier struct {
 	Host              Host
 	Limiters          []*Limiter
 	Network           *Network
 	Backends          []*Backend
-	Program           []string // how to start a limiter
-	Env               []string // of each limiter, in addition
+	Program           []string // command that starts a limiter
+	Env               []string // additional environment of each limiter
 	Plans             []Plan
 	Sockets           int  // limit of each limiter
 	MemoryMB          int  // limit of each limiter
 	ReportUtilization bool // backends send load reports with their utilization
-	// Work is how long backends work at least on an attempt; nil for no more than their delay.
-	Work func(Attempt) time.Duration
+	// MinServiceTime returns the least time that backends take for an attempt; nil for no more than their delay.
+	MinServiceTime func(Attempt) time.Duration
 
 	discovery *discovery
 	keys      keyLog
 }
 
-// New returns a tier whose limiters are not started. All of it ends with the test.
+// New returns a tier whose limiters are not started. All of it is shut down at the end of the test.
 func New(t Host, limiters, backends int, program ...string) *Tier {
 	tier := &Tier{Host: t, Program: program, Sockets: 1024, MemoryMB: 192, Plans: []Plan{{Name: "free"}}}
-	tier.Network = newNet(t, limiters)
+	tier.Network = newNetwork(t, limiters)
 	for i := range backends {
 		tier.Backends = append(tier.Backends, newBackend(tier, i))
 	}
@@ -53,18 +53,18 @@
 
 // LeasedAttempts returns all attempts that arrived at backends under a lease, in the order in which they arrived.
 func (tier *Tier) LeasedAttempts() []LeasedAttempt {
-	var acts []LeasedAttempt
+	var attempts []LeasedAttempt
 	for _, b := range tier.Backends {
 		b.mu.Lock()
-		acts = append(acts, b.acts...)
+		attempts = append(attempts, b.leasedAttempts...)
 		b.mu.Unlock()
 	}
-	slices.SortStableFunc(acts, func(a, b LeasedAttempt) int { return a.At.Compare(b.At) })
-	return acts
+	slices.SortStableFunc(attempts, func(a, b LeasedAttempt) int { return a.At.Compare(b.At) })
+	return attempts
 }
 
-// Attempts returns how often each request arrived at the backends, by its X-Call-Id, and all attempts in
-// the order in which they arrived.
+// Attempts returns how often each request arrived at the backends, by its X-Call-Id, and all attempts in the order in
+// which they arrived.
 func (tier *Tier) Attempts() (byID map[string]int, attempts []Attempt) {
 	byID = map[string]int{}
 	for _, b := range tier.Backends {
@@ -79,52 +79,52 @@
 	return byID, attempts
 }
 
-// Visit is an attempt and the number of the backend at which it arrived.
-type Visit struct {
+// BackendAttempt is an attempt with the number of the backend at which it arrived.
+type BackendAttempt struct {
 	Attempt
 	Backend int
 }
 
-// Visits returns all attempts with their backends, in no order.
-func (tier *Tier) Visits() (visits []Visit) {
+// BackendAttempts returns all attempts with their backends, in no order.
+func (tier *Tier) BackendAttempts() (attempts []BackendAttempt) {
 	for number, b := range tier.Backends {
 		b.mu.Lock()
 		for _, a := range b.attempts {
-			visits = append(visits, Visit{a, number})
+			attempts = append(attempts, BackendAttempt{a, number})
 		}
 		b.mu.Unlock()
 	}
-	return visits
+	return attempts
 }
 
-// Flights returns when each attempt was in flight, in no order.
-func (tier *Tier) Flights() (flights []Flight) {
+// AttemptSpans returns the span of each attempt, in no order.
+func (tier *Tier) AttemptSpans() (spans []AttemptSpan) {
 	for _, b := range tier.Backends {
 		b.mu.Lock()
-		flights = append(flights, b.flights...)
+		spans = append(spans, b.spans...)
 		b.mu.Unlock()
 	}
-	return flights
+	return spans
 }
 
-// RepeatedRuns returns how many times a request with an idempotency key ran again after the window.
+// RepeatedRuns returns how many times a request with an idempotency key was executed again after the window.
 func (tier *Tier) RepeatedRuns() int {
 	tier.keys.mu.Lock()
 	defer tier.keys.mu.Unlock()
-	return tier.keys.doubled
+	return tier.keys.repeats
 }
 
-// keyWindow is how long all backends drop the repeats of an idempotency key.
+// keyWindow is the time within which the backends do not execute the repeats of an idempotency key.
 const keyWindow = 3 * time.Second
 
-// keyLog records when requests with an idempotency key ran, at any backend.
+// keyLog records when requests with an idempotency key were executed, at any backend.
 type keyLog struct {
 	mu      sync.Mutex
 	ranAt   map[string]time.Time
-	doubled int
+	repeats int
 }
 
-// record records an attempt under a key. A repeat within the window does not run.
+// record records an attempt with a key. A repeat within the window is not executed.
 func (k *keyLog) record(key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -133,7 +133,7 @@
 		return
 	}
 	if ran {
-		k.doubled++
+		k.repeats++
 	}
 	if k.ranAt == nil {
 		k.ranAt = map[string]time.Time{}
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,5 +1,5 @@
-// Package rapidtest runs the tests of a package with fixed settings of rapid, so that random tests draw
-// the same values every time.
+// Package rapidtest runs the tests of a package with fixed settings of rapid, so that property-based tests draw the
+// same values every time.
 package rapidtest
 
 import (
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Main runs the tests with rapid's seed, and with further flags of rapid by name, such as "rapid.steps". It
-// returns the exit code. No file is written of a test that fails: the seed repeats it.
+// Main runs the tests with a seed for rapid and with further rapid flags by name, such as "rapid.steps". It returns
+// the exit code. Failing tests write no file, because the seed reproduces them.
 func Main(m *testing.M, seed string, flags map[string]string) int {
 	flag.Parse()
 	set("rapid.seed", seed)
--- a/internal/soak/hotrestart.go
+++ b/internal/soak/hotrestart.go
@@ -7,11 +7,11 @@
 	"lemongate/internal/processharness"
 )
 
-// takeoverPoll is how often the soak looks whether a successor admits.
+// takeoverPoll is the interval at which the soak checks whether a successor accepts clients.
 const takeoverPoll = 5 * time.Millisecond
 
-// hotRestart starts a successor, and shuts its predecessor down during the probation. Every request has its
-// response all the while, and no connection is refused.
+// hotRestart starts a successor, and shuts its predecessor down during the probation. Every request must get its
+// response throughout, and no connection may be refused.
 func (r *run) hotRestart(step Step) {
 	if !r.claim(step.Target) {
 		return
@@ -21,7 +21,7 @@
 	startedAt := time.Now()
 	successor := r.tier.Limiters[step.Target].Start()
 	if !r.awaitTakeover(successor, &out) {
-		r.giveUp(predecessor, successor, out)
+		r.abandonHotRestart(predecessor, successor, out)
 		return
 	}
 	out.readyIn = time.Since(startedAt)
@@ -32,7 +32,7 @@
 	r.release(successor, out)
 }
 
-// failSuccessor starts a successor and kills it. Its predecessor serves on, or again.
+// failSuccessor starts a successor and kills it. Its predecessor must keep serving, or serve again.
 func (r *run) failSuccessor(step Step) {
 	if !r.claim(step.Target) {
 		return
@@ -40,14 +40,14 @@
 	predecessor := r.process(step.Target)
 	out := outage{limiter: step.Target, hot: true}
 	successor := r.tier.Limiters[step.Target].Start()
-	if step.Action == EndInTrial && !r.awaitTakeover(successor, &out) {
-		r.giveUp(predecessor, successor, out)
+	if step.Action == KillSuccessorInProbation && !r.awaitTakeover(successor, &out) {
+		r.abandonHotRestart(predecessor, successor, out)
 		return
 	}
 	time.Sleep(step.For)
 	out.from = time.Now()
 	r.kill(successor)
-	out.crash = successor.HasLogged(admits) // it may have had clients
+	out.crash = successor.HasLogged(servingText) // it may have had clients
 	predecessor.Await(r.tier.Host)
 	out.to = time.Now()
 	out.readyIn = out.to.Sub(out.from)
@@ -55,32 +55,33 @@
 }
 
 const (
-	// takesOver is in the log of a successor that has connected to its predecessor.
-	takesOver = "takes over"
-	// admits is in the log of a process before it accepts clients.
-	admits = "phase serving"
+	// takeoverText is in the log of a successor that has connected to its predecessor.
+	takeoverText = "takes over"
+	// servingText is in the log of a process before it accepts clients.
+	servingText = "phase serving"
 )
 
-// awaitTakeover waits until a successor admits. If it ends or takes longer than readyWithin, that is a fault.
+// awaitTakeover waits until a successor accepts clients, and returns true. If the successor exits or needs more than
+// readyWithin, it sets out.failure and returns false.
 func (r *run) awaitTakeover(successor *processharness.Process, out *outage) bool {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(takeoverPoll) {
 		select {
 		case err := <-successor.Ended:
-			successor.Ended <- err // for whoever waits next
-			out.failure = fmt.Sprintf("its successor ended by itself with %v", err)
+			successor.Ended <- err // for the next waiter
+			out.failure = fmt.Sprintf("the successor exited by itself with %v", err)
 			return false
 		default:
 		}
-		if successor.HasLogged(takesOver) && successor.Healthy() {
+		if successor.HasLogged(takeoverText) && successor.Healthy() {
 			return true
 		}
 	}
-	out.failure = fmt.Sprintf("its successor did not take over in %v", readyWithin)
+	out.failure = fmt.Sprintf("the successor did not take over within %v", readyWithin)
 	return false
 }
 
-// giveUp ends a hot restart that failed though it should not.
-func (r *run) giveUp(predecessor, successor *processharness.Process, out outage) {
+// abandonHotRestart kills the successor of a hot restart that failed unexpectedly.
+func (r *run) abandonHotRestart(predecessor, successor *processharness.Process, out outage) {
 	out.from = time.Now()
 	out.log = append(predecessor.LogTail(logLines), successor.LogTail(logLines)...)
 	r.kill(successor)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,45 +16,46 @@
 )
 
 const (
-	// requestsPerSecond is the load of a run, over all limiters.
+	// requestsPerSecond is the request rate of a run, over all limiters.
 	requestsPerSecond = 150
-	// crowdConns are the idle connections that some runs open at each limiter.
-	crowdConns = 400
-	// socketLimit is that of each limiter.
+	// extraIdleConns is how many idle connections some runs open to each limiter.
+	extraIdleConns = 400
+	// socketLimit is the limit of sockets of each limiter.
 	socketLimit = 1024
 	// normalDelay and slowDelay are how long a backend takes to respond.
 	normalDelay = 15 * time.Millisecond
 	slowDelay   = 900 * time.Millisecond
-	// customers is how many customers there are.
+	// customers is the number of customers without a limit of attempts in flight.
 	customers = 40
-	// limitedCustomers are further customers, on a plan with a limit of maxInFlight attempts in flight. One in
-	// limitedShare requests is theirs. Three in four of a customer's come through one limiter, which has to borrow
-	// slots for them.
-	limitedCustomers, limitedShare = 4, 6
+	// limitedCustomers is the number of further customers, on a plan with a limit of maxInFlight attempts in flight.
+	// They send one in limitedEvery requests. Three in four requests of each of them are sent to one limiter, which
+	// has to borrow slots for them.
+	limitedCustomers, limitedEvery = 4, 6
 	maxInFlight                    = 3
-	// longWork is how long backends work on every second keyed request of theirs: longer than a slot is lent.
-	longWork = 2300 * time.Millisecond
-	// One in mannerShare clients leaves before its response, one ends its sending behind its request, and one sends
-	// two requests at once. Who leaves waits for less than longestWait, on a plan with a limit of attempts in flight
-	// longWaitFactor times that.
-	mannerShare    = 25
-	longestWait    = 40 * time.Millisecond
-	longWaitFactor = 30
-	// lossInTrouble and lossOtherwise are the fractions of the messages between limiters that are lost.
-	lossInTrouble = 0.4
-	lossOtherwise = 0.02
+	// longServiceTime is how long backends take for every second keyed request of the limited customers: longer than a
+	// slot is lent.
+	longServiceTime = 2300 * time.Millisecond
+	// One in clientModeEvery clients disconnects before its response, one closes its sending side after its request,
+	// and one sends two requests together. A disconnecting client waits for less than maxDisconnectDelay, or
+	// limitedDelayFactor times that on a plan with a limit of attempts in flight.
+	clientModeEvery    = 25
+	maxDisconnectDelay = 40 * time.Millisecond
+	limitedDelayFactor = 30
+	// faultLoss and normalLoss are the fractions of lost datagrams between limiters, during LoseDatagrams and otherwise.
+	faultLoss  = 0.4
+	normalLoss = 0.02
 	// operatorFile is the operators' file of each limiter. A successor counts as dead after twice the longest time
 	// for which the schedule suspends a process.
 	operatorFile = `{"takeover":{"on":true,"silence_ms":300}}`
-	// overdueAfter is how long after SIGTERM a process that is still there is asked to log its counters.
+	// overdueAfter is the time after SIGTERM at which a process that still runs is asked to log its counters.
 	overdueAfter = killAfter - 150*time.Millisecond
-	// logLines is how many lines of the log of a process are shown that did not end as it should.
+	// logLines is how many of the last log lines of a process are shown if it did not end as it should.
 	logLines = 12
-	// settleTime is how long limiters get after the last request before their resources are read.
+	// settleTime is the time between the last request and the reading of the limiters' resources.
 	settleTime = 1500 * time.Millisecond
 )
 
-// run is a run of the soak.
+// run is one run of the soak.
 type run struct {
 	tier      *processharness.Tier
 	startedAt time.Time
@@ -75,33 +76,33 @@
 	from, to time.Time
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Requests int
 	Served   int
-	Restarts int // of all kinds
-	Hot      int // hot restarts, with those that failed as they should
-	Killed   int // limiters that SIGKILL ended after SIGTERM
-	Left     int // clients that did not wait for their response
-	// LongAttempts are those on a plan with a limit of attempts in flight that took longer than a slot is lent.
+	Restarts int // of all kinds, crashes included
+	Hot      int // hot restarts, including those that failed as intended
+	Killed   int // processes that SIGKILL ended after SIGTERM
+	Left     int // clients that disconnected before their response
+	// LongAttempts counts the attempts on a plan with a limit of attempts in flight that took longer than a slot is lent.
 	LongAttempts int
-	Breaches     []string // of rules, a line each
+	Breaches     []string // of rules, one line each
 }
 
-// Play plays a run with limiters that a program starts.
+// Play runs the schedule of a seed, with limiters that are started by running program.
 func Play(host processharness.Host, seed uint64, duration time.Duration, program ...string) Result {
 	r := newRun(host, program)
 	load := r.startLoad()
-	if seed%3 == 0 { // every third run has a crowd of idle connections
+	if seed%3 == 0 { // every third run has many idle connections
 		for n := range limiters {
-			if err := load.Warm(n, crowdConns); err != nil {
-				host.Errorf("crowd: %v", err)
+			if err := load.Warm(n, extraIdleConns); err != nil {
+				host.Errorf("opening idle connections: %v", err)
 			}
 		}
 	}
 	for _, step := range Schedule(seed, duration) {
 		time.Sleep(time.Until(r.startedAt.Add(step.At)))
-		r.steps.Go(func() { r.play(step) })
+		r.steps.Go(func() { r.perform(step) })
 	}
 	r.steps.Wait()
 	time.Sleep(time.Until(r.startedAt.Add(duration)))
@@ -116,11 +117,11 @@
 	tier.Sockets = socketLimit
 	tier.ReportUtilization = true
 	tier.Plans = []processharness.Plan{{Name: "free"}, {Name: "small", Rate: 5, Burst: 24, CeilingRate: 10, CeilingBurst: 48}, {Name: limitedPlan, MaxConcurrent: maxInFlight}}
-	tier.Work = workOn
+	tier.MinServiceTime = minServiceTime
 	for _, b := range tier.Backends {
 		b.Delay(normalDelay)
 	}
-	tier.Network.SetQuality(lossOtherwise, 0, time.Millisecond)
+	tier.Network.SetQuality(normalLoss, 0, time.Millisecond)
 	r := &run{tier: tier}
 	for i, l := range tier.Limiters {
 		r.processes[i] = l.Start()
@@ -133,7 +134,7 @@
 	return r
 }
 
-// writeOperatorFile writes an operators' file that has hot restarts on, and returns the path.
+// writeOperatorFile writes an operators' file that enables hot restarts, and returns the path.
 func writeOperatorFile(host processharness.Host) string {
 	path := filepath.Join(host.TempDir(), "operator.json")
 	if err := os.WriteFile(path, []byte(operatorFile), 0o600); err != nil {
@@ -142,7 +143,7 @@
 	return path
 }
 
-// startLoad starts requests of all classes and plans at all limiters.
+// startLoad starts sending requests of all classes and plans to all limiters.
 func (r *run) startLoad() *processharness.Load {
 	classes := []string{processharness.ClassIdempotent, processharness.ClassKeyed, processharness.ClassNonIdempotent}
 	load := r.tier.StartLoad(requestsPerSecond, func(n int) processharness.Request {
@@ -150,40 +151,40 @@
 			Limiter: n % limiters, Class: classes[n/limiters%len(classes)], Plan: []string{"free", "small"}[n/2%2],
 			Customer: uint64(1 + n%customers), SetSize: limiters,
 		}
-		if n%limitedShare == 0 {
-			limitRequest(n/limitedShare, &request, classes)
+		if n%limitedEvery == 0 {
+			limitRequest(n/limitedEvery, &request, classes)
 		}
-		chooseManner(n, &request)
+		chooseClientMode(n, &request)
 		if request.Class == processharness.ClassKeyed {
 			request.Key, request.Body = fmt.Sprintf("%032x", n), n%3*1000
 		}
 		return request
 	})
-	load.Resend()
+	load.EnableResend()
 	return load
 }
 
-// chooseManner sets how the client of the request of a number uses its connection.
-func chooseManner(n int, request *processharness.Request) {
-	const steps = 8 // of the time for which a client waits
-	switch n % mannerShare {
+// chooseClientMode sets how the client of the request with number n uses its connection.
+func chooseClientMode(n int, request *processharness.Request) {
+	const steps = 8 // of the time for which a disconnecting client waits
+	switch n % clientModeEvery {
 	case 1:
-		request.Manner = processharness.Leaving
-		request.LeaveAfter = longestWait * time.Duration(n/mannerShare%steps) / steps
+		request.Mode = processharness.Disconnecting
+		request.DisconnectAfter = maxDisconnectDelay * time.Duration(n/clientModeEvery%steps) / steps
 		if request.Plan == limitedPlan {
-			request.LeaveAfter *= longWaitFactor
+			request.DisconnectAfter *= limitedDelayFactor
 		}
 	case 2:
-		request.Manner = processharness.HalfClosing
+		request.Mode = processharness.HalfClosing
 	case 3:
-		request.Manner = processharness.Pipelining
+		request.Mode = processharness.Pipelining
 	}
 }
 
 // limitedPlan is the plan of the customers with a limit of attempts in flight.
 const limitedPlan = "slots"
 
-// limitRequest makes a request one of a customer with a limit of attempts in flight; n counts these requests.
+// limitRequest turns a request into one of a customer with a limit of attempts in flight; n counts these requests.
 func limitRequest(n int, request *processharness.Request, classes []string) {
 	index, turn := n%limitedCustomers, n/limitedCustomers
 	request.Plan, request.Customer = limitedPlan, uint64(customers+1+index)
@@ -200,27 +201,27 @@
 	return err == nil && number > customers
 }
 
-// workOn returns how long backends work at least on an attempt.
-func workOn(a processharness.Attempt) time.Duration {
+// minServiceTime returns the least time that backends take for an attempt.
+func minServiceTime(a processharness.Attempt) time.Duration {
 	if !a.IsKeyed || !isLimited(a) {
 		return 0
 	}
 	number, err := strconv.ParseUint(a.CallID[len(a.CallID)/2:], 16, 64) // of the request
-	if err != nil || number/limitedShare/limitedCustomers/3%2 > 0 {
+	if err != nil || number/limitedEvery/limitedCustomers/3%2 > 0 {
 		return 0
 	}
-	return longWork
+	return longServiceTime
 }
 
-// play plays a step to its end.
-func (r *run) play(step Step) {
+// perform carries out a step to its end.
+func (r *run) perform(step Step) {
 	switch step.Action {
 	case Reload:
 		r.process(step.Target).Signal(syscall.SIGHUP)
 	case LogCounters:
 		r.process(step.Target).Signal(syscall.SIGUSR1)
 	case Suspend:
-		r.suspend(r.process(step.Target), step.For) // also one that shuts down
+		r.suspend(r.process(step.Target), step.For) // also one that is shutting down
 	case Terminate:
 		r.replace(step.Target, func(out *outage) { r.terminate(r.process(step.Target), out) })
 	case Crash:
@@ -231,13 +232,13 @@
 		})
 	case HotRestart:
 		r.hotRestart(step)
-	case EndLate:
+	case KillSuccessorLater:
 		r.hotRestart(step)
 		r.replace(step.Target, func(out *outage) {
 			out.crash = true
 			r.kill(r.process(step.Target))
 		})
-	case EndEarly, EndInTrial:
+	case KillSuccessorEarly, KillSuccessorInProbation:
 		r.failSuccessor(step)
 	case Unlist:
 		r.unlist(step)
@@ -246,13 +247,13 @@
 		time.Sleep(step.For)
 		r.tier.Backends[step.Target].Delay(normalDelay)
 	case LoseDatagrams:
-		r.tier.Network.SetQuality(lossInTrouble, 0, time.Millisecond)
+		r.tier.Network.SetQuality(faultLoss, 0, time.Millisecond)
 		time.Sleep(step.For)
-		r.tier.Network.SetQuality(lossOtherwise, 0, time.Millisecond)
+		r.tier.Network.SetQuality(normalLoss, 0, time.Millisecond)
 	}
 }
 
-// suspend holds a process up for a time.
+// suspend stops a process for a time with SIGSTOP.
 func (r *run) suspend(p *processharness.Process, duration time.Duration) {
 	from := time.Now()
 	r.mu.Lock()
@@ -263,9 +264,9 @@
 	p.Signal(syscall.SIGCONT)
 }
 
-// heldUp returns for how long a process was suspended between two times. Each suspension counts, also
-// where it overlaps another one.
-func (r *run) heldUp(p *processharness.Process, from, to time.Time) (sum time.Duration) {
+// suspendedTime returns for how long a process was suspended between two times. Overlapping suspensions all count in
+// full.
+func (r *run) suspendedTime(p *processharness.Process, from, to time.Time) (sum time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.suspensions {
@@ -289,7 +290,7 @@
 	return r.processes[limiter]
 }
 
-// replace ends a process of a limiter and starts the next one, unless that is done already.
+// replace ends the process of a limiter and starts the next one, unless another step is changing its process.
 func (r *run) replace(limiter int, end func(*outage)) {
 	if !r.claim(limiter) {
 		return
@@ -315,7 +316,7 @@
 	return true
 }
 
-// release ends a claim, with the process of the limiter from now on and what was observed.
+// release ends a claim, and stores the limiter's process from now on and the observed outage.
 func (r *run) release(p *processharness.Process, out outage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -323,33 +324,33 @@
 	r.observed.outages = append(r.observed.outages, out)
 }
 
-// terminate has a process shut down, and kills it at the earliest time that the operators' terms allow.
+// terminate shuts a process down, and kills it at the earliest time that the operating requirements allow.
 func (r *run) terminate(p *processharness.Process, out *outage) {
 	p.Signal(syscall.SIGTERM)
-	overdue := time.AfterFunc(overdueAfter, func() { p.Signal(syscall.SIGUSR1) }) // its log shows what it waits for
+	overdue := time.AfterFunc(overdueAfter, func() { p.Signal(syscall.SIGUSR1) }) // the counters show what it waits for
 	defer overdue.Stop()
 	select {
 	case out.exit = <-p.Ended:
-		p.Ended <- out.exit // for whoever waits next
+		p.Ended <- out.exit // for the next waiter
 		out.took = time.Since(out.from)
 	case <-time.After(killAfter - time.Since(out.from)):
 		out.killed, out.took = true, time.Since(out.from)
 		r.kill(p)
 	}
-	out.heldUp = r.heldUp(p, out.from, out.from.Add(out.took))
+	out.suspended = r.suspendedTime(p, out.from, out.from.Add(out.took))
 	if out.killed || out.exit != nil {
 		out.log = p.LogTail(logLines)
 	}
 }
 
-// kill kills a process and waits for its end: until then the system keeps its sockets, and the next one could
-// not listen.
+// kill kills a process and waits for its end: until then the system keeps its sockets, and the next process could not
+// listen.
 func (r *run) kill(p *processharness.Process) {
 	p.Signal(syscall.SIGKILL)
-	_ = p.Wait(r.tier.Host) // killed
+	_ = p.Wait(r.tier.Host) // returns that it was killed
 }
 
-// unlist takes a backend out of the list for a time, unless it is the last one.
+// unlist removes a backend from the endpoint list for a time, unless it is the last one there.
 func (r *run) unlist(step Step) {
 	r.mu.Lock()
 	listed := 0
@@ -377,26 +378,26 @@
 	r.observed.unlistings = append(r.observed.unlistings, unlisting{step.Target, from, to})
 }
 
-// result judges the run.
+// result checks the observations of the run, and returns its result.
 func (r *run) result() Result {
 	o := &r.observed
 	o.attempts, _ = r.tier.Attempts()
-	o.arrivals = r.tier.Visits()
-	o.keysTwice = r.tier.RepeatedRuns()
+	o.arrivals = r.tier.BackendAttempts()
+	o.repeatedKeys = r.tier.RepeatedRuns()
 	o.startedAt, o.maxInFlight = r.startedAt, maxInFlight
-	for _, f := range r.tier.Flights() {
+	for _, f := range r.tier.AttemptSpans() {
 		if isLimited(f.Attempt) {
-			o.flights = append(o.flights, f)
+			o.spans = append(o.spans, f)
 		}
 	}
 	for _, p := range r.processes {
 		o.idle = append(o.idle, resourcesOf(p))
 	}
 	result := Result{
-		Requests: len(o.results), Restarts: len(o.outages), LongAttempts: o.longFlights(), Breaches: o.judge(),
+		Requests: len(o.results), Restarts: len(o.outages), LongAttempts: o.countLongAttempts(), Breaches: o.check(),
 	}
 	for _, answered := range o.results {
-		if !answered.Left.IsZero() {
+		if !answered.DisconnectedAt.IsZero() {
 			result.Left++
 		}
 		if answered.Status == http.StatusOK {
@@ -414,10 +415,10 @@
 	return result
 }
 
-// resourcesOf reads what a process holds from the system.
+// resourcesOf reads from the operating system what a process uses.
 func resourcesOf(p *processharness.Process) resources {
 	dir := fmt.Sprintf("/proc/%d", p.Cmd.Process.Pid)
-	descriptors, _ := os.ReadDir(dir + "/fd") // none of a process that has ended
+	descriptors, _ := os.ReadDir(dir + "/fd") // none for a process that has ended
 	status, _ := os.ReadFile(dir + "/status")
 	held := resources{descriptors: len(descriptors)}
 	for line := range bytes.Lines(status) {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,8 +1,8 @@
-// Package soak plays limiters as processes for a while under signals, crashes, slow and unlisted backends and
-// lost datagrams, with clients that use every open connection, and judges what clients and backends observed.
+// Package soak runs limiters as processes for a while under signals, crashes, slow and unlisted backends and lost
+// datagrams, with clients that use every open connection, and checks what clients and backends observed.
 //
-// The schedule of a run is drawn from its seed, so that a seed is played again. Times within the run are those
-// of real processes, and differ a little.
+// The schedule of a run is drawn from its seed, so that it can be repeated. The times within a run are those of real
+// processes, and differ a little.
 package soak
 
 import (
@@ -18,95 +18,96 @@
 
 // The actions.
 const (
-	Reload        Action = "SIGHUP"
-	LogCounters   Action = "SIGUSR1"
-	Suspend       Action = "SIGSTOP"                        // and SIGCONT after For
-	Terminate     Action = "SIGTERM"                        // and SIGKILL after killAfter, then a new process
-	Crash         Action = "SIGKILL"                        // and a new process after For
-	HotRestart    Action = "hot restart"                    // and SIGTERM to the predecessor, For after the successor admits
-	EndEarly      Action = "successor dies early"           // For after its start
-	EndInTrial    Action = "successor dies in probation"    // For after it admits
-	EndLate       Action = "successor dies after probation" // a hot restart, and SIGKILL For after it
-	Unlist        Action = "unlist"                         // a backend, for For
-	SlowBackend   Action = "slow backend"                   // for For
-	LoseDatagrams Action = "lose messages"                  // between limiters, for For
+	Reload                   Action = "SIGHUP"
+	LogCounters              Action = "SIGUSR1"
+	Suspend                  Action = "SIGSTOP"                        // and SIGCONT after For
+	Terminate                Action = "SIGTERM"                        // and SIGKILL after killAfter, then a new process
+	Crash                    Action = "SIGKILL"                        // and a new process after For
+	HotRestart               Action = "hot restart"                    // and SIGTERM to the predecessor, For after the successor accepts clients
+	KillSuccessorEarly       Action = "successor dies early"           // SIGKILL to the successor For after its start
+	KillSuccessorInProbation Action = "successor dies in probation"    // SIGKILL to the successor For after it accepts clients
+	KillSuccessorLater       Action = "successor dies after probation" // a hot restart as above, then SIGKILL to the successor
+	Unlist                   Action = "unlist"                         // a backend, for the duration For
+	SlowBackend              Action = "slow backend"                   // for the duration For
+	LoseDatagrams            Action = "lose messages"                  // between limiters, for the duration For
 )
 
-// A Step is something that is done in a run.
+// A Step is an action at a time of a run.
 type Step struct {
-	At     time.Duration // after the start
+	At     time.Duration // since the start of the run
 	Action Action
 	Target int           // number of the limiter or backend
 	For    time.Duration // see Action; 0 where it has no meaning
 }
 
-// String returns the step as a line for people.
+// String returns the step as a line of text.
 func (s Step) String() string {
 	return fmt.Sprintf("%6.2f s  %s %d for %v", s.At.Seconds(), s.Action, s.Target, s.For)
 }
 
 const (
-	// limiters and backends of a run.
+	// limiters and backends are the numbers of limiters and backends of a run.
 	limiters = 3
 	backends = 4
-	// meanPause is the mean time between two steps.
-	meanPause = 350 * time.Millisecond
-	// warmUp is the time before the first step, and quietEnd that after the last one.
+	// meanStepInterval is the mean time between two steps.
+	meanStepInterval = 350 * time.Millisecond
+	// warmUp is the time before the first step, and cooldown the time after the last one.
 	warmUp   = 500 * time.Millisecond
-	quietEnd = 5 * time.Second
-	// maxSuspend is the longest that a limiter may be held up, by the operators' terms.
+	cooldown = 5 * time.Second
+	// maxSuspend is the longest time for which the operating requirements allow a limiter to be suspended.
 	maxSuspend = 150 * time.Millisecond
-	// maxDown is the longest that a limiter stays down after a crash.
-	maxDown = 700 * time.Millisecond
-	// maxEarly is the longest that a successor lives which may die before it admits.
-	maxEarly = 120 * time.Millisecond
-	// maxProbation is the longest that a probation takes, or the time after it until a successor dies.
+	// maxDowntime is the longest time for which a limiter stays down after a crash.
+	maxDowntime = 700 * time.Millisecond
+	// maxEarlyKillDelay is the longest time from the start of a successor to its kill, which may come before it accepts
+	// clients.
+	maxEarlyKillDelay = 120 * time.Millisecond
+	// maxProbation is the longest time from the takeover to the end of the predecessor or the kill of the successor.
 	maxProbation = 600 * time.Millisecond
-	// maxTrouble is the longest that a backend is slow, or messages are lost.
-	maxTrouble = 4 * time.Second
-	// maxUnlisted is the longest that a backend is not listed: more than limiters have to learn it.
+	// maxFaultDuration is the longest time for which a backend is slow or datagrams are lost.
+	maxFaultDuration = 4 * time.Second
+	// maxUnlisted is the longest time for which a backend is unlisted: more than limiters have to learn of it.
 	maxUnlisted = 10 * time.Second
 )
 
-// weights say how often each action is drawn.
+// weights are the relative frequencies of the actions.
 var weights = []struct {
 	action  Action
 	weight  int
-	longest time.Duration // of For
+	maxFor  time.Duration // upper bound of Step.For
 	targets int
 }{
 	{Reload, 3, 0, limiters},
 	{LogCounters, 2, 0, limiters},
 	{Suspend, 4, maxSuspend, limiters},
 	{Terminate, 3, 0, limiters},
-	{Crash, 2, maxDown, limiters},
+	{Crash, 2, maxDowntime, limiters},
 	{HotRestart, 2, maxProbation, limiters},
-	{EndEarly, 1, maxEarly, limiters},
-	{EndInTrial, 1, maxProbation, limiters},
-	{EndLate, 1, maxProbation, limiters},
+	{KillSuccessorEarly, 1, maxEarlyKillDelay, limiters},
+	{KillSuccessorInProbation, 1, maxProbation, limiters},
+	{KillSuccessorLater, 1, maxProbation, limiters},
 	{Unlist, 2, maxUnlisted, backends},
-	{SlowBackend, 2, maxTrouble, backends},
-	{LoseDatagrams, 1, maxTrouble, 1},
+	{SlowBackend, 2, maxFaultDuration, backends},
+	{LoseDatagrams, 1, maxFaultDuration, 1},
 }
 
-// Schedule returns the steps of a run, in the order of their times. Signals often come in series: a step at a
-// limiter is followed by another one there within milliseconds.
+// Schedule returns the steps of a run, in the order of their times. Signals often come in series: a step at a limiter
+// may be followed by another one at the same limiter within milliseconds.
 func Schedule(seed uint64, duration time.Duration) []Step {
-	const seriesPercent, seriesPause = 30, 40 * time.Millisecond
+	const seriesPercent, seriesInterval = 30, 40 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 21))
 	var steps []Step
 	at := warmUp
-	for at < duration-quietEnd {
+	for at < duration-cooldown {
 		step := drawStep(random, at)
 		steps = append(steps, step)
 		if isSignal(step.Action) && random.IntN(100) < seriesPercent {
-			next := drawStep(random, at+time.Duration(random.Int64N(int64(seriesPause))))
+			next := drawStep(random, at+time.Duration(random.Int64N(int64(seriesInterval))))
 			if isSignal(next.Action) {
 				next.Target = step.Target
 			}
 			steps = append(steps, next)
 		}
-		at += time.Duration(random.ExpFloat64() * float64(meanPause))
+		at += time.Duration(random.ExpFloat64() * float64(meanStepInterval))
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return steps
@@ -128,8 +129,8 @@
 			continue
 		}
 		step := Step{At: at, Action: w.action, Target: random.IntN(w.targets)}
-		if w.longest > 0 {
-			step.For = time.Duration(random.Int64N(int64(w.longest))).Round(time.Millisecond)
+		if w.maxFor > 0 {
+			step.For = time.Duration(random.Int64N(int64(w.maxFor))).Round(time.Millisecond)
 		}
 		return step
 	}
--- a/internal/sourcecheck/knownred_test.go
+++ b/internal/sourcecheck/knownred_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// knownRedModule has a test and an experiment for lists of known failures, and commands that stand in for theirs.
+// knownRedModule has the files of a module with a test and an experiment that can be listed as known failures, and
+// scripts that take the place of their commands.
 var knownRedModule = map[string]string{
 	"go.mod":             "module listed\n\ngo 1.26.0\n",
 	"listed_test.go":     "package listed\n\nimport \"testing\"\n\nfunc TestListed(*testing.T) {}\n",
@@ -21,8 +22,8 @@
 	"break":              "echo verdict: broken: units\nexit 1\n",
 }
 
-// newKnownRed returns a function that runs .ci/known-red on a list, in a module of its own, and returns the exit
-// code and what was printed.
+// newKnownRed returns a function that runs .ci/known-red on a list, in a module in a temporary directory, and returns
+// the exit code and the output.
 func newKnownRed(t *testing.T) func(mode, list string) (code int, output string) {
 	t.Helper()
 	script, err := os.ReadFile("../../.ci/known-red")
@@ -65,8 +66,8 @@
 	atTimes      = " | at times"
 )
 
-// An entry of KNOWN-RED.txt has to fail, unless it is marked as one that fails at times, and what either names has
-// to be there and to have run.
+// An entry of KNOWN-RED.txt has to fail, unless it is marked as one that fails at times. In both cases, the test or
+// experiment that it names has to exist, and its command has to run it.
 func TestKnownRed(t *testing.T) {
 	knownRed := newKnownRed(t)
 	for _, c := range []struct {
@@ -85,9 +86,9 @@
 		{"command of no test", ". | TestListed | go test -run TestListedToo . | a fault | 7" + atTimes, 1, "the command of TestListed does not run it"},
 		{"command aborts", ". | TestListed | bash abort TestListed | a fault | 7" + atTimes, 1, "does not get as far as its failure"},
 
-		{"experiment breaks", listedBreaks, 0, "known red: experiments a.json: a fault (issue 7; "},
+		{"experiment is broken", listedBreaks, 0, "known red: experiments a.json: a fault (issue 7; "},
 		{"experiment holds", listedHolds, 1, "a.json passes: take its line out"},
-		{"experiment breaks, at times", listedBreaks + atTimes, 0, "known red, fails at times, failed now: experiments a.json: "},
+		{"experiment is broken, at times", listedBreaks + atTimes, 0, "known red, fails at times, failed now: experiments a.json: "},
 		{"experiment holds, at times", listedHolds + atTimes, 0, "known red, fails at times, passed now: experiments a.json: "},
 		{"experiment aborts", "experiments | a.json | bash abort experiments/a.json | a fault | 7" + atTimes, 1, "as far as its verdict"},
 		{"experiment without verdict", "experiments | a.json | bash pass experiments/a.json | a fault | 7" + atTimes, 1, "as far as its verdict"},
@@ -100,12 +101,12 @@
 		{"second fails", listedHolds + atTimes + "\n" + listedBreaks, 0, "\nknown red: experiments a.json: a fault"},
 	} {
 		if code, output := knownRed("check", c.list+"\n"); code != c.code || !strings.Contains(output, c.want) {
-			t.Errorf("%s: exit code %d, want %d; printed %q, want %q", c.name, code, c.code, output, c.want)
+			t.Errorf("%s: exit code %d, want %d; output %q, want %q", c.name, code, c.code, output, c.want)
 		}
 	}
 }
 
-// The pattern of the tests that are passed over has those that fail at times. No command runs for it.
+// The pattern of the skipped tests includes those that fail at times. No command runs to print it.
 func TestKnownRedIsSkipped(t *testing.T) {
 	knownRed := newKnownRed(t)
 	other := strings.ReplaceAll(listedPasses, "TestListed", "TestOther")
@@ -116,7 +117,7 @@
 		other + "\n" + listedBreaks + atTimes + "\n" + listedFails + atTimes: "^TestOther$|^TestListed$\n",
 	} {
 		if code, output := knownRed("skip", list); code != 0 || output != want {
-			t.Errorf("%q: exit code %d, %q, want %q", list, code, output, want)
+			t.Errorf("%q: exit code %d, output %q, want %q", list, code, output, want)
 		}
 	}
 }
--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -1,4 +1,4 @@
-// Package sourcecheck holds checks of the program's own source text for shapes that have caused faults.
+// Package sourcecheck checks the source text of the program for patterns that have caused faults.
 package sourcecheck
 
 import (
@@ -14,70 +14,70 @@
 	"testing"
 )
 
-// decidingPackages are the packages that own state and decide: the same calls have to give the same results.
-var decidingPackages = []string{
+// deterministicPackages are the packages that own state and make decisions: the same calls must give the same results.
+var deterministicPackages = []string{
 	"admission", "core", "experiment", "gossip", "hotrestart", "lease", "queueing", "quota", "rate", "rollingrestart", "simulation", "usage",
 }
 
-// A finding is a place where a shape was found: package and function, and the expression.
+// A finding is a place where a pattern was found: package and function, and the expression.
 type finding struct {
 	function   string
 	expression string
 }
 
-// An exception says why a shape does no harm at a place.
+// An exception says why a pattern is harmless at a place.
 type exception struct {
 	finding
 	reason string
 }
 
-// A pointer to an element of a slice that grows points to a copy that nobody uses: a loan was recorded in
-// one, and a ceiling exceeded (docs/incidents/2026-12-03-stale-link-pointer.md).
+// A pointer to an element of a slice points to an unused copy once the slice has grown. Such a pointer once received a
+// loan, and a ceiling was exceeded (docs/incidents/2026-12-03-stale-link-pointer.md).
 func TestNoPointersIntoGrowingSlices(t *testing.T) {
 	checkSource(t, findElementPointers, []exception{
-		{finding{"admission.lookupCustomer", "ctl.settings.Plans[index]"}, "settings never change after the start"},
-		{finding{"admission.relinkCustomer", "ctl.settings.Plans[c.planIndex]"}, "settings never change after the start"},
-		{finding{"core.countResponse", "m.metrics.classes[classIndex]"}, "as many as settings have classes"},
-		{finding{"quota.plan", "a.ledger.Plans[a.PlanIndex]"}, "settings never change after the start"},
-		{finding{"usage.Report", "c.sources[n]"}, "one for each limiter, all made at the start"},
-		{finding{"usage.Tick", "c.sources[n]"}, "one for each limiter, all made at the start"},
-		{finding{"usage.onPage", "c.sources[from]"}, "one for each limiter, all made at the start"},
-		{finding{"usage.onPendingReport", "c.sources[from]"}, "one for each limiter, all made at the start"},
-		{finding{"usage.query", "c.sources[n]"}, "one for each limiter, all made at the start"},
+		{finding{"admission.lookupCustomer", "ctl.settings.Plans[index]"}, "settings do not change after the start"},
+		{finding{"admission.relinkCustomer", "ctl.settings.Plans[c.planIndex]"}, "settings do not change after the start"},
+		{finding{"core.countResponse", "m.metrics.classes[classIndex]"}, "fixed length: one for each class of the settings"},
+		{finding{"quota.plan", "a.ledger.Plans[a.PlanIndex]"}, "settings do not change after the start"},
+		{finding{"usage.Report", "c.sources[n]"}, "fixed length: one for each limiter"},
+		{finding{"usage.Tick", "c.sources[n]"}, "fixed length: one for each limiter"},
+		{finding{"usage.onPage", "c.sources[from]"}, "fixed length: one for each limiter"},
+		{finding{"usage.onPendingReport", "c.sources[from]"}, "fixed length: one for each limiter"},
+		{finding{"usage.query", "c.sources[n]"}, "fixed length: one for each limiter"},
 	})
 }
 
-// The order of a map differs between two runs with the same events, and with it the effects.
+// The iteration order of a map differs between two runs with the same events, and with it the effects.
 func TestNoDecisionByMapOrder(t *testing.T) {
 	checkSource(t, findMapRanges, []exception{
-		{finding{"admission.mergeEndpoints", "ctl.endpoints.byID"}, "each backend by itself"},
-		{finding{"admission.relist", "set.byID"}, "the list is sorted after"},
-		{finding{"admission.derivePending", "ctl.endpoints.byID"}, "the list is sorted after"},
-		{finding{"admission.derivePending", "g.peers"}, "the list is sorted after"},
-		{finding{"admission.renewEpoch", "ctl.endpoints.byID"}, "each backend by itself"},
-		{finding{"admission.renewEpoch", "ctl.gossip.peers"}, "each peer by itself"},
+		{finding{"admission.mergeEndpoints", "ctl.endpoints.byID"}, "each backend is handled independently"},
+		{finding{"admission.relist", "set.byID"}, "the list is sorted afterwards"},
+		{finding{"admission.derivePending", "ctl.endpoints.byID"}, "the list is sorted afterwards"},
+		{finding{"admission.derivePending", "g.peers"}, "the list is sorted afterwards"},
+		{finding{"admission.renewEpoch", "ctl.endpoints.byID"}, "each backend is handled independently"},
+		{finding{"admission.renewEpoch", "ctl.gossip.peers"}, "each peer is handled independently"},
 		{finding{"core.currentMetrics", "m.endpoints.byID"}, "a count"},
 		{finding{"core.liveBackends", "m.endpoints.byID"}, "a count"},
-		{finding{"experiment.measures", "fields"}, "from one map to another"},
-		{finding{"experiment.summarize", "measures(r)"}, "each measure by itself"},
-		{finding{"experiment.summarize", "values"}, "each measure by itself"},
+		{finding{"experiment.measures", "fields"}, "copies from one map to another"},
+		{finding{"experiment.summarize", "measures(r)"}, "each measure is handled independently"},
+		{finding{"experiment.summarize", "values"}, "each measure is handled independently"},
 		{finding{"quota.Counters", "l.peers"}, "a count"},
-		{finding{"simulation.endWhenIdle", "l.world.openRequests"}, "whether there is any"},
-		{finding{"simulation.judgeRestarts", "restarting"}, "each limiter by itself"},
-		{finding{"simulation.kill", "l.world.openRequests"}, "each request by itself"},
-		{finding{"simulation.kill", "r.attempts"}, "each attempt by itself"},
+		{finding{"simulation.endWhenIdle", "l.world.openRequests"}, "tests only whether there is any"},
+		{finding{"simulation.judgeRestarts", "restarting"}, "each limiter is handled independently"},
+		{finding{"simulation.kill", "l.world.openRequests"}, "each request is handled independently"},
+		{finding{"simulation.kill", "r.attempts"}, "each attempt is handled independently"},
 		{finding{"simulation.summarizeLeases", "j.messages"}, "sums and a maximum of whole numbers"},
 		{finding{"usage.UnreportedUnits", "r.open"}, "a sum of whole numbers"},
-		{finding{"usage.openEntries", "r.open"}, "the entries are sorted after"},
-		{finding{"usage.sumUsage", "units"}, "the list is sorted after"},
+		{finding{"usage.openEntries", "r.open"}, "the entries are sorted afterwards"},
+		{finding{"usage.sumUsage", "units"}, "the list is sorted afterwards"},
 	})
 }
 
-// checkSource reports all findings without an exception, and all exceptions without a finding.
+// checkSource reports each finding without an exception, and each exception without a finding.
 func checkSource(t *testing.T, find func(*types.Info, ast.Node) string, exceptions []exception) {
 	t.Helper()
 	found := map[finding][]string{}
-	for _, name := range decidingPackages {
+	for _, name := range deterministicPackages {
 		p := load(t, name)
 		for _, file := range p.files {
 			for _, declaration := range file.Decls {
@@ -97,7 +97,7 @@
 	}
 	for _, e := range exceptions {
 		if found[e.finding] == nil {
-			t.Errorf("no %s in %s any more: take the exception out", e.expression, e.function)
+			t.Errorf("no %s in %s any more: remove the exception", e.expression, e.function)
 		}
 		delete(found, e.finding)
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-// findElementPointers returns x[i] where the address of an element of a slice is taken.
+// findElementPointers returns x[i] if a node takes the address of an element of a slice.
 func findElementPointers(info *types.Info, node ast.Node) string {
 	address, ok := node.(*ast.UnaryExpr)
 	if !ok || address.Op != token.AND {
@@ -122,7 +122,7 @@
 	return types.ExprString(element)
 }
 
-// findMapRanges returns m where a loop goes through a map in its own order.
+// findMapRanges returns m if a node is a loop over a map in its iteration order.
 func findMapRanges(info *types.Info, node ast.Node) string {
 	loop, ok := node.(*ast.RangeStmt)
 	if !ok {
@@ -134,8 +134,8 @@
 	return types.ExprString(loop.X)
 }
 
-// loaded is a package with its types.
-type loaded struct {
+// loadedPackage is a parsed package with its type information.
+type loadedPackage struct {
 	files     []*ast.File
 	info      *types.Info
 	positions *token.FileSet
@@ -144,11 +144,11 @@
 var (
 	positions      = token.NewFileSet()
 	sourceImporter = importer.ForCompiler(positions, "source", nil)
-	packages       = map[string]loaded{}
+	packages       = map[string]loadedPackage{}
 )
 
-// load parses and checks the files of a package, without its tests.
-func load(t *testing.T, name string) loaded {
+// load parses and type-checks the files of a package, without its tests.
+func load(t *testing.T, name string) loadedPackage {
 	t.Helper()
 	if p, ok := packages[name]; ok {
 		return p
@@ -158,7 +158,7 @@
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("no files of %s: %v", name, err)
 	}
-	p := loaded{positions: positions, info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{}}}
+	p := loadedPackage{positions: positions, info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{}}}
 	for _, path := range paths {
 		if strings.HasSuffix(path, "_test.go") {
 			continue
