--- a/internal/processharness/checker.go
+++ b/internal/processharness/checker.go
@@ -139,7 +139,7 @@
 		r.result.LeasedAttempts++
 		switch {
 		case a.Token < token:
-			r.result.TokenFalls++
+			r.result.TokenDecreases++
 			r.breach("attempt %d under a lease, %.3f s: fencing token %d after %d", i, r.sinceStart(a.At).Seconds(), a.Token, token)
 		case a.Token > token:
 			r.result.Holders++
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -17,8 +17,8 @@
 // in effect from the start of the processes.
 var faultInjectors = map[simulation.FaultKind]func(*tierRun, simulation.Fault){
 	simulation.FaultPartition:      (*tierRun).injectBlockedDirections,
-	simulation.FaultMute:           (*tierRun).injectBlockedDirections,
-	simulation.FaultDeaf:           (*tierRun).injectBlockedDirections,
+	simulation.FaultOutgoingLoss:   (*tierRun).injectBlockedDirections,
+	simulation.FaultIncomingLoss:   (*tierRun).injectBlockedDirections,
 	simulation.FaultLoss:           (*tierRun).injectLoss,
 	simulation.FaultRestart:        (*tierRun).injectRestart,
 	simulation.FaultStall:          (*tierRun).injectStall,
@@ -112,9 +112,9 @@
 		}
 	}
 	blocks := map[simulation.FaultKind]func(from, to int) bool{
-		simulation.FaultPartition: func(from, to int) bool { return group[from] != group[to] },
-		simulation.FaultMute:      func(from, _ int) bool { return slices.Contains(f.Limiters, from) },
-		simulation.FaultDeaf:      func(_, to int) bool { return slices.Contains(f.Limiters, to) },
+		simulation.FaultPartition:    func(from, to int) bool { return group[from] != group[to] },
+		simulation.FaultOutgoingLoss: func(from, _ int) bool { return slices.Contains(f.Limiters, from) },
+		simulation.FaultIncomingLoss: func(_, to int) bool { return slices.Contains(f.Limiters, to) },
 	}[f.Kind]
 	var directions []direction
 	for from := range r.Limiters {
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	for _, w := range f.LostWays {
+	for _, w := range f.LostDirections {
 		directions = append(directions, direction{w[0], w[1]})
 	}
 	return directions
