--- a/cmd/lemongate/admin_test.go
+++ b/cmd/lemongate/admin_test.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/processharness"
 )
 
-// Callers that keep connections to the administration server open, a hundred at once, keep nobody
-// from a response, and no request waits for them.
+// A hundred connections that are kept open to the administration server delay neither its responses nor the requests
+// of clients.
 func TestAdminServerUnderLoad(t *testing.T) {
 	tier := newTier(t, 1, 2)
 	p := startAll(t, tier)[0]
@@ -24,13 +24,13 @@
 		}
 		defer func() { _ = c.Close() }()
 		if i%3 == 0 {
-			_, _ = fmt.Fprint(c, "GET /stats HTTP/1.1\r\nHos") // it may be closed for others already
+			_, _ = fmt.Fprint(c, "GET /stats HTTP/1.1\r\nHos") // the server may have closed the connection already
 		}
 	}
 	for range 10 {
 		begin := time.Now()
 		if !p.Healthy() || time.Since(begin) > time.Second {
-			t.Errorf("not healthy within a second: %v", time.Since(begin))
+			t.Errorf("health check took %v, want a healthy response within 1 s", time.Since(begin))
 		}
 	}
 	results := load.End()
--- a/cmd/lemongate/adminclient.go
+++ b/cmd/lemongate/adminclient.go
@@ -10,14 +10,14 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// adminCallTimeout bounds a call to an administration server, which answers within a second.
+// adminCallTimeout bounds a call to an administration server, which responds within a second.
 const adminCallTimeout = 2 * time.Second
 
-// maxErrorBodyBytes is how much of the body of a failed call is printed.
+// maxErrorBodyBytes is how much of the body of an error response is printed.
 const maxErrorBodyBytes = 100
 
-// A statusError is a response of an administration server that reports a failure. The errors of this file
-// begin with "console", after the flag that has the address.
+// A statusError is an error response of an administration server. The errors of this file begin with "console", the
+// name of the flag that has the address.
 type statusError struct {
 	Code int // HTTP status
 	Body []byte
@@ -27,9 +27,8 @@
 	return fmt.Sprintf("console: status %d: %s", e.Code, e.Body[:min(len(e.Body), maxErrorBodyBytes)])
 }
 
-// callAdmin calls the administration server at an address, and decodes the JSON of the response into
-// result unless that is nil. It returns the body of the response. A status other than 2xx is a
-// *statusError.
+// callAdmin calls the administration server at an address, and decodes the JSON of the response into result unless
+// that is nil. It returns the body of the response. A status of 300 or above is a *statusError.
 func callAdmin(ctx context.Context, method, address, path string, result any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminCallTimeout)
 	defer cancel()
@@ -41,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it was read to its end, or the call failed
+	defer func() { _ = response.Body.Close() }() // the body was read to its end, or the call fails anyway
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
--- a/cmd/lemongate/check.go
+++ b/cmd/lemongate/check.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// check reads the configuration as serve would.
+// check reads the configuration in the same way as serve.
 func check(_ context.Context, cmd *cli.Command) error {
-	conf, err := loadConfig(eventloop.NewClock(1).Zero(), cmd.String("operator"))
+	conf, err := loadConfig(eventloop.NewClock(1).Origin(), cmd.String("operator"))
 	if err != nil {
 		return err
 	}
--- a/cmd/lemongate/crossrelease_test.go
+++ b/cmd/lemongate/crossrelease_test.go
@@ -14,44 +14,43 @@
 	"lemongate/internal/usage"
 )
 
-// previousReleaseVariable names a binary of an earlier release. The test is built with the tag
-// crossrelease alone, as a clean checkout has no such binary; README says how to run it.
+// previousReleaseVariable is the environment variable with the path of a binary of an earlier release. The test is
+// built only with the tag crossrelease, as a clean checkout has no such binary; README says how to run it.
 const previousReleaseVariable = "LEMONGATE_PREVIOUS_RELEASE"
 
-// A process of this release takes over from one of an earlier release under load, and the other way
-// round, again and again: no request is lost, none runs twice, the ceiling holds to the unit, and the
-// peers see one epoch of the limiter.
+// Processes of this release and of an earlier one take over from each other in turn under load: no request is lost,
+// none runs twice, the ceiling holds to the unit, and the peers see one epoch of the limiter.
 func TestHotRestartAcrossReleases(t *testing.T) {
 	const restarts, rate, burst = 10, 100.0, 60.0
 	previous := os.Getenv(previousReleaseVariable)
 	if previous == "" {
 		t.Fatalf("%s is not set", previousReleaseVariable)
 	}
-	x := newTier(t, 3, 4)
-	x.Plans = append(x.Plans, processharness.Plan{Name: "capped", Rate: rate, Burst: burst, CeilingRate: rate, CeilingBurst: burst})
-	current := x.Program[0]
-	x.Program[0] = previous
-	processes := startAll(t, x)
-	for _, b := range x.Backends {
+	tier := newTier(t, 3, 4)
+	tier.Plans = append(tier.Plans, processharness.Plan{Name: "capped", Rate: rate, Burst: burst, CeilingRate: rate, CeilingBurst: burst})
+	current := tier.Program[0]
+	tier.Program[0] = previous
+	processes := startAll(t, tier)
+	for _, b := range tier.Backends {
 		b.Delay(15 * time.Millisecond)
 	}
-	load := x.StartLoad(500, mixedRequest)
+	load := tier.StartLoad(500, mixedRequest)
 	if err := load.Warm(0, 30); err != nil {
 		t.Fatal(err)
 	}
 	predecessor := processes[0]
 	for i := range restarts {
-		x.Program[0] = current
+		tier.Program[0] = current
 		if i%2 == 1 {
-			x.Program[0] = previous
+			tier.Program[0] = previous
 		}
-		successor := x.Limiters[0].Start()
+		successor := tier.Limiters[0].Start()
 		successor.Await(t)
-		processharness.Until(t, "it takes over", func() bool { return successor.HasLogged("takes over") })
+		processharness.Until(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		if successor.HasLogged("without the state") || predecessor.HasLogged("with no state") {
-			t.Errorf("restart %d: the state did not go over", i)
+			t.Errorf("restart %d: the state was not transferred", i)
 		}
-		if i%3 == 0 { // on probation for a while
+		if i%3 == 0 { // leave the successor on probation for a while
 			time.Sleep(200 * time.Millisecond)
 		}
 		predecessor.Signal(syscall.SIGTERM)
@@ -61,21 +60,21 @@
 		predecessor = successor
 	}
 	results := load.End()
-	served, gap := checkResults(t, x, results)
+	served, gap := checkResults(t, tier, results)
 	if len(results) < 500 || served < len(results)/2 {
-		t.Errorf("served %d of %d", served, len(results))
+		t.Errorf("served %d of %d requests, want at least half of 500 or more", served, len(results))
 	}
-	if n := len(x.Network.Epochs(0)); n != 1 {
-		t.Errorf("the peers saw %d epochs of the limiter", n)
+	if n := len(tier.Network.Epochs(0)); n != 1 {
+		t.Errorf("the peers saw %d epochs of the limiter, want 1", n)
 	}
-	_, first := x.Attempts()
+	_, first := tier.Attempts()
 	checkCeiling(t, first, rate, burst)
 	t.Logf("%d restarts, %d requests, %d served, longest time without one %v", restarts, len(results), served, gap)
 }
 
-// Limiters of this release and of an earlier one account for usage together, while one after another is
-// taken over by a process of the other release, the lease holder among them: no unit is reported twice, and
-// none is missing, as no message is lost.
+// Limiters of this release and of an earlier one account for usage together, while processes of the other release take
+// over from one limiter after another, the lease holder among them. No unit is reported twice, and none is missing, as
+// no message is lost.
 func TestUsageAcrossReleases(t *testing.T) {
 	const restarts, requestsPerSecond, settlePeriods = 12, 200, 5
 	previous := os.Getenv(previousReleaseVariable)
@@ -102,7 +101,7 @@
 		tier.Program[0] = releases[(n+i/3+1)%2]
 		successor := tier.Limiters[n].Start()
 		successor.Await(t)
-		processharness.Until(t, "it takes over", func() bool { return successor.HasLogged("takes over") })
+		processharness.Until(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		processes[n].Signal(syscall.SIGTERM)
 		if err := processes[n].Wait(t); err != nil {
 			t.Errorf("restart %d: the predecessor ended with %v", i, err)
@@ -115,10 +114,10 @@
 	t.Logf("%d restarts, %d requests", restarts, len(results))
 }
 
-// usagePeriod is the shortest that the operators' file allows.
+// usagePeriod is the shortest period that the operators' file allows.
 const usagePeriod = time.Second
 
-// newTierWithUsage makes three limiters with hot restart enabled that account for usage in files of a folder.
+// newTierWithUsage creates a tier of three limiters with hot restart enabled that write usage reports into dir.
 func newTierWithUsage(t *testing.T, dir string) *processharness.Tier {
 	t.Helper()
 	tier := newTier(t, 3, 4)
@@ -132,21 +131,21 @@
 	return tier
 }
 
-// checkUsage compares the usage in the files of a folder with the requests that reached backends, of one
-// unit each.
+// checkUsage compares the usage in the files of a directory with the requests that reached backends, each of which
+// consumes one unit.
 func checkUsage(t *testing.T, tier *processharness.Tier, dir string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(dir, "*.jsonl"))
 	if err != nil || len(paths) < 2 {
-		t.Fatalf("files %v, %v", paths, err)
+		t.Fatalf("got usage files %v, %v; want at least 2", paths, err)
 	}
 	var reports []usage.Report
 	for _, path := range paths {
-		more, faults, err := readUsageFile(path)
+		inFile, faults, err := readUsageFile(path)
 		if err != nil || len(faults) > 0 {
-			t.Fatalf("%q, %v", faults, err)
+			t.Fatalf("usage file has faults %q, %v", faults, err)
 		}
-		reports = append(reports, more...)
+		reports = append(reports, inFile...)
 	}
 	summary := usage.Merge(reports)
 	reported := 0.0
--- a/cmd/lemongate/format_test.go
+++ b/cmd/lemongate/format_test.go
@@ -14,8 +14,8 @@
 	"lemongate/internal/golden"
 )
 
-// Subcommands, flags, their defaults and their environment variables, as scripts use them of 0.8.0.
-// Further ones may come.
+// Subcommands, flags, their defaults and their environment variables are those of 0.8.0, which scripts use. Further
+// ones may be added.
 func TestCommandsOfEarlierRelease(t *testing.T) {
 	var now []string
 	root := command()
@@ -33,12 +33,12 @@
 	}
 	for line := range strings.Lines(string(golden.Read(t, "commands.txt"))) {
 		if line = strings.TrimSpace(line); !slices.Contains(now, line) {
-			t.Errorf("no longer there: %s", line)
+			t.Errorf("missing from the command line: %s", line)
 		}
 	}
 }
 
-// Exit codes of 0.8.0, and whether anything is printed.
+// Exit codes, and whether a command writes to standard output and standard error, are those of 0.8.0.
 func TestExitCodesOfEarlierRelease(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "lemongate")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
--- a/cmd/lemongate/hotrestart_test.go
+++ b/cmd/lemongate/hotrestart_test.go
@@ -16,9 +16,8 @@
 	"lemongate/internal/processharness"
 )
 
-// Hot restarts one after another under load: no connection is reset or refused, every request gets one
-// complete response, none is forwarded twice, the ceiling holds to the unit, and the peers see one epoch
-// of the limiter.
+// Hot restarts in sequence under load: no connection is reset or refused, every request gets one complete response, none
+// is forwarded twice, the ceiling holds to the unit, and the peers see one epoch of the limiter.
 func TestHotRestartsUnderLoad(t *testing.T) {
 	const restarts, rate, burst = 10, 100.0, 60.0
 	tier := newTier(t, 3, 4)
@@ -35,8 +34,8 @@
 	for i := range restarts {
 		next := tier.Limiters[0].Start()
 		next.Await(t)
-		processharness.Until(t, "it takes over", func() bool { return next.HasLogged("takes over") })
-		if i%3 == 0 { // in probation for a while
+		processharness.Until(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
+		if i%3 == 0 { // leave the successor in probation for a while
 			time.Sleep(200 * time.Millisecond)
 		}
 		old.Signal(syscall.SIGTERM)
@@ -48,10 +47,10 @@
 	results := load.End()
 	served, gap := checkResults(t, tier, results)
 	if len(results) < 500 || served < len(results)/2 {
-		t.Errorf("served %d of %d", served, len(results))
+		t.Errorf("served %d of %d requests, want at least half of 500 or more", served, len(results))
 	}
 	if n := len(tier.Network.Epochs(0)); n != 1 {
-		t.Errorf("the peers saw %d epochs of the limiter", n)
+		t.Errorf("the peers saw %d epochs of the limiter, want 1", n)
 	}
 	_, first := tier.Attempts()
 	checkCeiling(t, first, rate, burst)
@@ -60,7 +59,7 @@
 		p99(results, func(r processharness.Result) bool { return r.Limiter > 0 }))
 }
 
-// A successor ends or hangs at any step: the predecessor goes on serving, or serves again soon, and no
+// A successor ends, is suspended or hangs at any step: the predecessor continues to serve, or serves again soon, and no
 // request is lost.
 func TestFailedSuccessor(t *testing.T) {
 	for _, step := range []string{"hello", "offer", "prepared", "transfer", "taken", "commit", "beats"} {
@@ -73,28 +72,28 @@
 					return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 20)}
 				})
 				time.Sleep(100 * time.Millisecond) // some connections and requests are open
-				successor := startScript(t, tier, "successor:"+step+":"+failure)
+				successor := startFailingProcess(t, tier, "successor:"+step+":"+failure)
 				processharness.Until(t, "the step", func() bool { return successor.HasLogged("at " + step) })
 				before := time.Now()
-				processharness.Until(t, "a process that takes clients", predecessor.Healthy)
-				back := time.Since(before)
-				time.Sleep(700 * time.Millisecond) // any timeout that still runs has passed
+				processharness.Until(t, "a predecessor that accepts clients", predecessor.Healthy)
+				recovery := time.Since(before)
+				time.Sleep(700 * time.Millisecond) // all timeouts of the hot restart have passed after it
 				if !predecessor.Healthy() {
 					t.Error("the predecessor accepts no clients")
 				}
 				results := load.End()
 				served, gap := checkResults(t, tier, results)
-				// While one hangs, what it was to decide is rejected.
+				// While the successor hangs, requests that it has to decide are rejected.
 				if served < len(results)/2 || gap > 1500*time.Millisecond {
-					t.Errorf("served %d of %d, once none for %v", served, len(results), gap)
+					t.Errorf("served %d of %d requests, and none for %v; want at least half, and a gap of 1.5 s at most", served, len(results), gap)
 				}
-				t.Logf("healthy after %v, longest time without a response %v", back, gap)
-				// A good successor takes over after the bad one.
+				t.Logf("healthy after %v, longest time without a response %v", recovery, gap)
+				// A working successor takes over after the failed one.
 				if failure != "end" {
 					successor.Signal(syscall.SIGKILL)
 				}
 				next := tier.Limiters[0].Start()
-				processharness.Until(t, "the good successor", next.Healthy)
+				processharness.Until(t, "a working successor", next.Healthy)
 				predecessor.Signal(syscall.SIGTERM)
 				if err := predecessor.Wait(t); err != nil {
 					t.Error(err)
@@ -104,9 +103,9 @@
 	}
 }
 
-// A predecessor that dies in the middle leaves the successor to serve with what it has; one that hangs
-// while neither accepts clients is killed; one that hangs before that still has the clients, and the
-// successor waits for it.
+// A predecessor that ends during a hot restart leaves the successor to serve with what it has received. One that hangs
+// while neither process accepts clients is killed. One that hangs before that still has the clients, and the successor
+// waits for it.
 func TestFailedPredecessor(t *testing.T) {
 	for _, c := range []struct{ step, failure string }{
 		{"listening", "end"}, {"hello", "end"}, {"offer", "end"}, {"prepared", "end"}, {"transfer", "end"}, {"taken", "end"}, {"commit", "end"},
@@ -116,7 +115,7 @@
 		t.Run(c.step+" "+c.failure, func(t *testing.T) {
 			t.Parallel()
 			tier := newTier(t, 1, 2)
-			predecessor := startScript(t, tier, "predecessor:"+c.step+":"+c.failure)
+			predecessor := startFailingProcess(t, tier, "predecessor:"+c.step+":"+c.failure)
 			processharness.Until(t, "the predecessor", func() bool { return predecessor.HasLogged("ready") })
 			successor := tier.Limiters[0].Start()
 			waits := c.failure == "stop" && c.step != "transfer" && c.step != "taken" && c.step != "commit"
@@ -124,7 +123,7 @@
 				processharness.Until(t, "the step", func() bool { return predecessor.HasLogged("at " + c.step) })
 				time.Sleep(800 * time.Millisecond)
 				if successor.Healthy() {
-					t.Error("accepts clients beside a predecessor that may")
+					t.Error("the successor accepts clients although the predecessor may accept them too")
 				}
 				predecessor.Signal(syscall.SIGKILL)
 			}
@@ -134,14 +133,14 @@
 			})
 			time.Sleep(300 * time.Millisecond)
 			if served, _ := checkResults(t, tier, load.End()); served < 20 {
-				t.Errorf("served %d", served)
+				t.Errorf("served %d requests, want at least 20", served)
 			}
 		})
 	}
 }
 
-// One of the two processes is killed or suspended a little after the hot restart began, at offsets that
-// sweep over all of it: one serves in the end, and never do both.
+// One of the two processes is killed or suspended shortly after the start of the hot restart, at delays that cover the
+// whole of it: one process serves in the end, and the two never do so at the same time.
 func TestKilledAtAnyPoint(t *testing.T) {
 	for i := range 12 {
 		for _, side := range []string{"predecessor", "successor"} {
@@ -162,9 +161,9 @@
 					victim, other = successor, predecessor
 				}
 				victim.Signal(sig)
-				processharness.Until(t, "one that serves", func() bool {
+				processharness.Until(t, "a process that serves", func() bool {
 					if sig == syscall.SIGSTOP && side == "predecessor" && !other.Healthy() {
-						victim.Signal(syscall.SIGKILL) // suspended before it handed over anything: the operator kills it
+						victim.Signal(syscall.SIGKILL) // it was suspended before it handed over anything, and an operator kills it
 					}
 					return other.Healthy()
 				})
@@ -182,7 +181,7 @@
 	}
 }
 
-// Signals to either process, a third process, other configurations and what a killed process left behind.
+// Signals to either process, a third process, different configurations, and the files that a killed process leaves.
 func TestUnusualHotRestarts(t *testing.T) {
 	t.Run("both shut down", func(t *testing.T) {
 		t.Parallel()
@@ -206,7 +205,7 @@
 		if err := successor.Wait(t); err != nil {
 			t.Error(err)
 		}
-		processharness.Until(t, "the predecessor serves again", predecessor.Healthy)
+		processharness.Until(t, "a predecessor that serves again", predecessor.Healthy)
 	})
 	t.Run("SIGHUP during the hot restart", func(t *testing.T) {
 		t.Parallel()
@@ -233,21 +232,21 @@
 		tier := newTier(t, 1, 1)
 		predecessor := startAll(t, tier)[0]
 		successor := tier.Limiters[0].Start()
-		successor.Await(t) // in its probation
+		successor.Await(t) // it is in probation now
 		third := tier.Limiters[0].Start()
-		processharness.Until(t, "a reply to the third", func() bool {
+		processharness.Until(t, "a reply to the third process", func() bool {
 			return predecessor.HasLogged("another takeover is under way") || predecessor.HasLogged("is handed")
 		})
 		if third.Healthy() || !successor.Healthy() {
-			t.Error("the third accepts clients")
+			t.Error("the third process accepts clients, or the successor does not")
 		}
 		predecessor.Signal(syscall.SIGTERM)
-		_ = predecessor.Wait(t) // its exit is not what is tested here
+		_ = predecessor.Wait(t) // the test does not check how it ends
 		third.Signal(syscall.SIGTERM)
 		third.Signal(syscall.SIGKILL)
 		time.Sleep(50 * time.Millisecond)
 		if !successor.Healthy() {
-			t.Error("the second does not serve any more")
+			t.Error("the successor no longer serves")
 		}
 	})
 	t.Run("other settings", func(t *testing.T) {
@@ -258,7 +257,7 @@
 			c["settings"].(map[string]any)["tiers_of_service"] = []map[string]any{{"name": "free"}, {"name": "more", "refill": 3, "depth": 9}}
 		})
 		successor.Await(t)
-		processharness.Until(t, "state of other settings is refused", func() bool { return successor.HasLogged("of other settings") })
+		processharness.Until(t, "rejection of the state of other settings", func() bool { return successor.HasLogged("of other settings") })
 		predecessor.Signal(syscall.SIGTERM)
 		if err := predecessor.Wait(t); err != nil || !successor.Healthy() {
 			t.Error(err)
@@ -269,9 +268,9 @@
 		tier := newTier(t, 1, 1)
 		predecessor := startAll(t, tier)[0]
 		tier.Limiters[0].Start(func(c map[string]any) { c["listen"] = "127.0.0.1:1" })
-		processharness.Until(t, "it is rejected", func() bool { return predecessor.HasLogged("listens elsewhere") })
+		processharness.Until(t, "denial of the other limiter", func() bool { return predecessor.HasLogged("listens elsewhere") })
 		if !predecessor.Healthy() {
-			t.Error("the one that runs does not serve any more")
+			t.Error("the running process no longer serves")
 		}
 	})
 	t.Run("what a killed process left", func(t *testing.T) {
@@ -279,21 +278,21 @@
 		tier := newTier(t, 1, 1)
 		predecessor := startAll(t, tier)[0]
 		predecessor.Signal(syscall.SIGKILL)
-		_ = predecessor.Wait(t) // its exit is not what is tested here
+		_ = predecessor.Wait(t) // the test does not check how it ends
 		if list, _ := os.ReadDir(tier.Limiters[0].Dir); len(list) != 1 {
-			t.Errorf("left %v", list)
+			t.Errorf("the killed process left %v, want one file", list)
 		}
 		next := tier.Limiters[0].Start()
 		next.Await(t)
 		again := tier.Limiters[0].Start()
 		again.Await(t)
-		processharness.Until(t, "the process that runs is found behind a file left over", func() bool { return again.HasLogged("takes over") })
+		processharness.Until(t, "a takeover from the process that replaced the socket of the killed one", func() bool { return again.HasLogged("takes over") })
 		next.Signal(syscall.SIGTERM)
 		_ = next.Wait(t)
 		again.Signal(syscall.SIGTERM)
 		_ = again.Wait(t)
 		if list, _ := os.ReadDir(tier.Limiters[0].Dir); len(list) != 0 {
-			t.Errorf("left %v", list)
+			t.Errorf("the processes left %v, want no files", list)
 		}
 	})
 	t.Run("a directory with a long name", func(t *testing.T) {
@@ -306,28 +305,28 @@
 		startAll(t, tier)
 		next := tier.Limiters[0].Start()
 		next.Await(t)
-		processharness.Until(t, "it takes over", func() bool { return next.HasLogged("takes over") })
+		processharness.Until(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
 	})
 }
 
-// Client connections of all kinds at the moment of the hot restart: used and idle, never used, and with
-// half a request head sent. Each goes on, and each request gets its response.
+// Client connections in all states at the time of the hot restart: used and idle, never used, and with half a request
+// head sent. Each connection stays open, and each request gets its response.
 func TestConnectionsAcrossHotRestart(t *testing.T) {
 	tier := newTier(t, 1, 2)
 	predecessor := startAll(t, tier)[0]
 	load := tier.StartLoad(100, func(n int) processharness.Request {
 		return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 20)}
 	})
-	const idle, half = 300, 100
+	const idleConns, partialConns = 300, 100
 	send := func(c net.Conn, id string) error {
 		_, err := fmt.Fprintf(c, "GET /read/%016x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nPlan: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n", 9, id)
 		return err
 	}
 	expectResponse := func(c net.Conn, what string) {
-		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second)) // a read would fail too
+		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second)) // if this fails, the read fails too
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
-			t.Errorf("%s: %v, %+v", what, err, resp)
+			t.Errorf("%s: got error %v, response %+v; want status 200 or 429", what, err, resp)
 		}
 	}
 	dial := func() net.Conn {
@@ -338,8 +337,8 @@
 		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
-	var used, halves []net.Conn
-	for i := range idle {
+	var used, partial []net.Conn
+	for i := range idleConns {
 		c := dial()
 		if i%2 == 0 {
 			if err := send(c, fmt.Sprintf("before%d", i)); err != nil {
@@ -349,25 +348,25 @@
 		}
 		used = append(used, c)
 	}
-	for i := range half {
+	for i := range partialConns {
 		c := dial()
-		_, _ = fmt.Fprintf(c, "GET /read/%016x HTTP/1.1\r\nHost: h\r\nX-Call-Id: half%d\r\nPl", 9, i) // the response shows it
-		halves = append(halves, c)
+		_, _ = fmt.Fprintf(c, "GET /read/%016x HTTP/1.1\r\nHost: h\r\nX-Call-Id: half%d\r\nPl", 9, i) // an error shows in the response
+		partial = append(partial, c)
 	}
 	successor := tier.Limiters[0].Start()
 	successor.Await(t)
 	predecessor.Signal(syscall.SIGTERM)
-	processharness.Until(t, "the predecessor closes", func() bool { return predecessor.HasLogged("phase closing") })
-	for _, c := range halves {
-		_, _ = fmt.Fprint(c, "an: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n") // the response shows it
+	processharness.Until(t, "a predecessor in phase closing", func() bool { return predecessor.HasLogged("phase closing") })
+	for _, c := range partial {
+		_, _ = fmt.Fprint(c, "an: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n") // an error shows in the response
 	}
 	for i, c := range used {
 		if err := send(c, fmt.Sprintf("after%d", i)); err != nil {
 			t.Error(err)
 		}
 	}
-	for _, c := range halves {
-		expectResponse(c, "half a head")
+	for _, c := range partial {
+		expectResponse(c, "a connection with half a head sent")
 	}
 	for _, c := range used {
 		expectResponse(c, "an idle connection")
@@ -378,9 +377,8 @@
 	checkResults(t, tier, load.End())
 }
 
-// A request with an idempotency key is in flight at a backend that dies during a hot restart: it runs
-// once, its client gets one response, and the client's own retry through the successor is answered by
-// what the backends remember.
+// A request with an idempotency key is in flight at a backend that fails during a hot restart: it runs once, its client
+// gets one response, and the client's own retry through the successor gets the response that the backends have stored.
 func TestIdempotencyKeyAcrossHotRestart(t *testing.T) {
 	tier := newTier(t, 1, 3)
 	predecessor := startAll(t, tier)[0]
@@ -393,7 +391,7 @@
 	time.Sleep(300 * time.Millisecond)
 	successor := tier.Limiters[0].Start()
 	successor.Await(t)
-	tier.Backends[0].Break() // with its requests in flight
+	tier.Backends[0].Break() // while requests are in flight to it
 	predecessor.Signal(syscall.SIGTERM)
 	if err := predecessor.Wait(t); err != nil {
 		t.Error(err)
@@ -410,15 +408,15 @@
 		}
 	}
 	if n := tier.RepeatedRuns(); n > 0 {
-		t.Errorf("%d keys ran twice outside of their idempotency window", n)
+		t.Errorf("requests with %d keys ran twice outside of their idempotency window", n)
 	}
 	if served < len(results)/2 {
-		t.Errorf("served %d of %d", served, len(results))
+		t.Errorf("served %d of %d requests, want at least half", served, len(results))
 	}
 }
 
-// A process that cannot take over leaves the one that runs as it is: another version of the format, a
-// program that does not start, one that comes while the other shuts down.
+// A process that cannot take over does not affect the running one: a process with another version of the format, a
+// program that does not start, and one that starts while the running one shuts down.
 func TestInvalidSuccessors(t *testing.T) {
 	tier := newTier(t, 1, 1)
 	predecessor := startAll(t, tier)[0]
@@ -431,19 +429,19 @@
 		t.Error("hello was not sent")
 	}
 	if f, err := c.Read(); err != nil || f.Kind != uint8(hotrestart.Deny) || !strings.Contains(string(f.Body), "format 2") {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("got frame %+v, error %v; want a Deny that names format 2", f, err)
 	}
 	for _, noise := range []string{"", "x", "\xff\xff\xff\xff\xff\xff", "\x00\x00\x00\x02\x00\x00{}", "\x00\x00\x00\x01\x00\x09x"} {
 		raw, err := net.Dial("unix", link.Path(tier.Limiters[0].Dir, "n0"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = raw.Write([]byte(noise)) // it may be closed for the noise already
+		_, _ = raw.Write([]byte(noise)) // the process may have closed the connection already
 		_ = raw.Close()
 	}
 	bad := tier.Limiters[0].Start(func(c map[string]any) { c["settings"] = map[string]any{} })
 	if err := bad.Wait(t); err == nil || !predecessor.Healthy() {
-		t.Error("an invalid configuration starts")
+		t.Error("a process with an invalid configuration started, or the running process is not healthy")
 	}
 	load := tier.StartLoad(50, func(n int) processharness.Request {
 		return processharness.Request{Class: "read", Plan: "free", Customer: 1}
@@ -453,17 +451,16 @@
 	results := load.End()
 	predecessor.Signal(syscall.SIGTERM)
 	late := tier.Limiters[0].Start()
-	late.Await(t) // once the address is free
-	processharness.Until(t, "it serves", func() bool { return late.HasLogged("phase serving") })
+	late.Await(t) // it listens once the address is free
+	processharness.Until(t, "the late process in phase serving", func() bool { return late.HasLogged("phase serving") })
 	if late.HasLogged("without the state") {
-		t.Error("it took over from one that shut down")
+		t.Error("the late process took over from one that shut down")
 	}
 	checkResults(t, tier, results)
 }
 
-// A token bucket that hardly refills is consumed once, whichever of the two processes its requests come
-// to: connections to the predecessor stay in use through a long probation, and new ones come to the
-// successor.
+// The units of a token bucket with a very low rate are consumed once, whichever of the two processes receives the
+// requests: connections to the predecessor stay in use through a long probation, while new ones go to the successor.
 func TestUnitsConsumedOnceAcrossHotRestart(t *testing.T) {
 	const burst = 60
 	tier := newTier(t, 1, 2)
@@ -489,8 +486,8 @@
 	}
 	checkResults(t, tier, load.End())
 	byID, _ := tier.Attempts()
-	mostUnits := burst + int(0.5*time.Since(begin).Seconds())
-	if len(byID) > mostUnits || len(byID) < burst*9/10 {
-		t.Errorf("%d requests were forwarded of a bucket of %d units", len(byID), mostUnits)
+	maxUnits := burst + int(0.5*time.Since(begin).Seconds())
+	if len(byID) > maxUnits || len(byID) < burst*9/10 {
+		t.Errorf("%d requests were forwarded of a bucket of %d units, want at most that and at least nine tenths of the burst", len(byID), maxUnits)
 	}
 }
--- a/cmd/lemongate/lease_test.go
+++ b/cmd/lemongate/lease_test.go
@@ -12,26 +12,26 @@
 	"lemongate/internal/processharness"
 )
 
-// leaseDuration is the shortest that the operators' file allows.
+// leaseDuration is the shortest hold duration that the operators' file allows.
 const leaseDuration = time.Second
 
-// The check of histories finds a late attempt, and passes one that ends after the next holder's began.
+// The check of histories finds a late attempt, and accepts one that ends after the next lease holder's began.
 func TestLocked(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, int64(ms)*1e6) }
-	acts := []processharness.LeasedAttempt{{At: at(0), End: at(10), Token: 5}, {At: at(20), End: at(40), Token: 6}, {At: at(30), End: at(50), Token: 5}}
-	if !processharness.IsFencedLockHistory(acts) {
-		t.Error("two that overlap may have come in either order")
+	attempts := []processharness.LeasedAttempt{{At: at(0), End: at(10), Token: 5}, {At: at(20), End: at(40), Token: 6}, {At: at(30), End: at(50), Token: 5}}
+	if !processharness.IsFencedLockHistory(attempts) {
+		t.Error("rejected a history in which two overlapping attempts may have come in either order")
 	}
-	acts[2].At = at(41)
-	if processharness.IsFencedLockHistory(acts) {
-		t.Error("an attempt with token 5 came after one with 6 had ended")
+	attempts[2].At = at(41)
+	if processharness.IsFencedLockHistory(attempts) {
+		t.Error("accepted a history in which an attempt with token 5 came after one with token 6 had ended")
 	}
 }
 
-// A backend that goes down and comes back again and again gets recovery attempts of one limiter at a
-// time; the lease holder is suspended for parts of a lease and for longer, cut off in one direction and
-// in both, killed, and started again without state. At the backends fencing tokens never fall, and there
-// are far fewer attempts than limiters would make each for itself.
+// A backend that repeatedly goes down and comes back gets recovery attempts of one limiter at a time. Meanwhile the
+// lease holder is suspended for parts of a lease and for longer, cut off from its peers in one direction and in both,
+// or killed and started again without state. At the backends fencing tokens never fall, and there are far fewer
+// attempts than if each limiter made its own.
 func TestRecoveryAttemptsUnderLease(t *testing.T) {
 	for _, fault := range []string{"none", "suspended", "killed", "cut", "one way"} {
 		t.Run(fault, func(t *testing.T) {
@@ -39,12 +39,12 @@
 			tier := newTierWithLeases(t, 3, 3)
 			tier.Network.SetQuality(0.08, 0.1, 30*time.Millisecond)
 			for _, b := range tier.Backends {
-				b.Delay(40 * time.Millisecond) // so that all are in use
+				b.Delay(40 * time.Millisecond) // so that all backends are in use
 			}
 			processes := startAll(t, tier)
 			awaitHolder(t, processes)
 			stop, done := make(chan bool), make(chan bool)
-			go func() { // down for a while, and up for a while; ends with stop
+			go func() { // takes the backend down and up in turn; ends with stop
 				defer close(done)
 				for i := 0; ; i++ {
 					select {
@@ -72,7 +72,7 @@
 					processes[holder].Signal(syscall.SIGCONT)
 				case "killed":
 					processes[holder].Signal(syscall.SIGKILL)
-					_ = processes[holder].Wait(t) // it was killed
+					_ = processes[holder].Wait(t) // fails, as the process was killed
 					processes[holder] = tier.Limiters[holder].Start()
 					processes[holder].Await(t)
 				case "cut", "one way":
@@ -95,24 +95,24 @@
 			<-done
 			results := load.End()
 			attempts := tier.LeasedAttempts()
-			holders := checkTokens(t, attempts)
+			holders := checkFencingTokens(t, attempts)
 			if len(attempts) < 5 {
-				t.Errorf("just %d recovery attempts", len(attempts))
+				t.Errorf("got %d recovery attempts, want at least 5", len(attempts))
 			}
 			if fault == "none" && holders != 1 {
-				t.Errorf("%d lease holders with nothing but loss", holders)
+				t.Errorf("%d lease holders with nothing but loss of datagrams, want 1", holders)
 			}
 			if fault == "killed" && holders < 2 {
-				t.Errorf("%d lease holders", holders)
+				t.Errorf("got %d lease holders although the holder was killed, want at least 2", holders)
 			}
 			t.Logf("%d requests, %d recovery attempts by %d lease holders, the last limiter %d", len(results), len(attempts), holders, holder)
 		})
 	}
 }
 
-// Noise, messages of an older format, ballots under another's name and messages of unknown tasks change
-// nothing, nor does a limiter that takes the tier for a larger one and so has other acceptors: fencing
-// tokens at the backends never fall, the lease is held and passes on, and invalid messages are counted.
+// Random bytes, messages of an older format, ballots in another limiter's name and messages of unknown tasks change
+// nothing, nor does a limiter that is configured for a larger tier and so has other acceptors: fencing tokens at the
+// backends never fall, the lease is held and passes to another limiter, and invalid messages are counted.
 func TestForeignMessages(t *testing.T) {
 	tier := newTierWithLeases(t, 3, 3)
 	for _, b := range tier.Backends {
@@ -152,16 +152,16 @@
 			}
 			data := m.Append(nil)
 			switch rng.IntN(4) {
-			case 0: // noise
+			case 0: // random bytes
 				for k := 1; k < len(data); k++ {
 					data[k] = byte(rng.Uint32())
 				}
-			case 1: // of an older format: without a payload, with a valid checksum
+			case 1: // an older format: without a payload, with a valid checksum
 				data = data[:39]
 				h := fnv.New32a()
-				_, _ = h.Write(data) // a hash takes everything
+				_, _ = h.Write(data) // a hash never returns an error
 				data = h.Sum(data)
-			case 2: // another's ballot, of a kind that names one
+			case 2: // a ballot in another limiter's name, in a message of a kind that names one
 				m.Kind, m.Token = []lease.Kind{lease.Prepare, lease.Propose}[rng.IntN(2)], 0
 				data = m.Append(nil)
 			case 3:
@@ -177,7 +177,7 @@
 	holder := awaitHolder(t, processes)
 	time.Sleep(4 * leaseDuration)
 	if now := awaitHolder(t, processes); now != holder {
-		t.Errorf("limiter %d holds the lease after limiter %d, with nothing but foreign messages", now, holder)
+		t.Errorf("limiter %d holds the lease after limiter %d, although only foreign messages were sent", now, holder)
 	}
 	processes[holder].Signal(syscall.SIGSTOP)
 	time.Sleep(3 * leaseDuration)
@@ -188,32 +188,32 @@
 	<-done
 	load.End()
 	attempts, invalid := tier.LeasedAttempts(), uint64(0)
-	checkTokens(t, attempts)
+	checkFencingTokens(t, attempts)
 	for _, p := range processes {
 		if v, ok := recoveryLease(t, p); ok {
 			invalid += v.Counts.InvalidMessages
 		}
 	}
 	if invalid == 0 || len(attempts) < 3 {
-		t.Errorf("%d messages counted as invalid, %d recovery attempts", invalid, len(attempts))
+		t.Errorf("%d messages counted as invalid, want some; %d recovery attempts, want at least 3", invalid, len(attempts))
 	}
 	t.Logf("limiter %d, then %d; %d recovery attempts, %d invalid messages", holder, next, len(attempts), invalid)
 }
 
-// The table of the command names the task, and a limiter without leases has an empty list.
+// The table that the leases command prints names the task, and a limiter without leases has an empty list.
 func TestLeasesCommand(t *testing.T) {
 	tier := newTierWithLeases(t, 1, 1)
 	p := startAll(t, tier)[0]
 	awaitHolder(t, []*processharness.Process{p})
 	out, err := run(t, "leases", "--console", p.Console)
 	if err != nil || !strings.Contains(out, "trials") || !strings.Contains(out, "yes") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("got table %q, %v; want one with the task and a lease that is held", out, err)
 	}
 	if _, err := run(t, "leases", "--console", "127.0.0.1:1"); err == nil || !strings.HasPrefix(err.Error(), "console: ") {
 		t.Error(err)
 	}
 	disabled := startAll(t, newTier(t, 1, 1))[0]
 	if out, err := run(t, "leases", "--json", "--console", disabled.Console); err != nil || strings.TrimSpace(out) != "[]" {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("limiter without leases: got %q, %v; want an empty list", out, err)
 	}
 }
--- a/cmd/lemongate/leases.go
+++ b/cmd/lemongate/leases.go
@@ -15,14 +15,14 @@
 	"lemongate/internal/lease"
 )
 
-// leaseColumns heads the table of leases. Scripts read it.
+// leaseColumns is the header of the table of leases. Scripts read it.
 const leaseColumns = "TASK\tHOLDER\tHELD HERE\tTOKEN\tFOR\tTRY\tKEEPERS\tKEEPS\tWON\tRENEWED\tLOST\tGIVEN\tREFUSED\tWAITED"
 
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "leases",
 		Usage:  "print the leases as a running limiter sees them: tasks that one limiter does at a time",
-		Flags:  []cli.Flag{consoleFlag(), jsonFlag()},
+		Flags:  []cli.Flag{adminAddressFlag(), jsonFlag()},
 		Action: leases,
 	}
 }
--- a/cmd/lemongate/main.go
+++ b/cmd/lemongate/main.go
@@ -1,6 +1,6 @@
-// Command lemongate is a limiter on real sockets: it accepts requests of clients, has internal/core
-// decide which are forwarded to which backend, and answers them. Further subcommands read the
-// configuration, call the administration server of a running limiter, and merge usage files.
+// Command lemongate runs a limiter on real sockets: it receives requests of clients, has internal/core decide which
+// are sent when to which backend, and returns the responses. Further subcommands read the configuration, call the
+// administration server of a running limiter, and merge usage files.
 //
 // Each subcommand has a file of its own.
 package main
@@ -16,17 +16,17 @@
 	"lemongate/internal/config"
 )
 
-// release is the version that the version command prints; CHANGELOG.md says what is in it.
+// release is the version that the version command prints. CHANGELOG.md describes it.
 const release = "0.9.4"
 
 func main() {
 	if err := command().Run(context.Background(), os.Args); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "lemongate:", err) // the exit code says it too
+		_, _ = fmt.Fprintln(os.Stderr, "lemongate:", err) // the exit code reports the failure too
 		os.Exit(1)
 	}
 }
 
-// command returns the command line: all subcommands with their flags.
+// command returns the root command with all subcommands and their flags.
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "lemongate",
@@ -43,22 +43,22 @@
 	}
 }
 
-// operatorFlag names the operators' file.
+// operatorFlag returns the flag for the path of the operators' file.
 func operatorFlag() cli.Flag {
 	return &cli.StringFlag{
-		Name: "operator", Usage: "operators' JSON `FILE`, see docs/operators; what it enables is off without it",
+		Name: "operator", Usage: "operators' JSON `FILE`, see docs/operators; features that it enables are off without it",
 	}
 }
 
-// consoleFlag names the administration server of a limiter.
-func consoleFlag() cli.Flag {
+// adminAddressFlag returns the flag for the address of a limiter's administration server.
+func adminAddressFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name: "console", Usage: "`ADDRESS` of the limiter's administration server", Required: true,
 		Sources: cli.EnvVars("ROUTER_CONSOLE"),
 	}
 }
 
-// jsonFlag selects JSON instead of a table.
+// jsonFlag returns the flag that selects JSON instead of a table.
 func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print JSON"} }
 
 func printOperatorSchema(_ context.Context, cmd *cli.Command) error {
--- a/cmd/lemongate/main_test.go
+++ b/cmd/lemongate/main_test.go
@@ -23,7 +23,7 @@
 	return out.String(), err
 }
 
-// TestMain lets the test program be a limiter's process, or one side of a hot restart that fails at a
+// TestMain lets the test binary run as a limiter's process, or as one side of a hot restart that fails at a given
 // step.
 func TestMain(m *testing.M) {
 	switch role, script, _ := strings.Cut(os.Getenv("LEMONGATE_TEST"), ":"); role {
@@ -39,11 +39,11 @@
 	}
 }
 
-// The version that is printed is the newest that the changelog describes.
+// The printed version is the newest one that the changelog describes.
 func TestVersion(t *testing.T) {
 	out, err := run(t, "version")
 	if err != nil || !strings.HasPrefix(out, "lemongate "+release+" ") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("the version command prints %q, %v; want the release", out, err)
 	}
 	text, err := os.ReadFile("../../CHANGELOG.md")
 	if err != nil {
@@ -51,11 +51,11 @@
 	}
 	_, after, _ := strings.Cut(string(text), "\n## ")
 	if newest, _, _ := strings.Cut(after, ","); newest != release {
-		t.Errorf("the changelog begins with %q, the release is %q", newest, release)
+		t.Errorf("the newest version in the changelog is %q, but the release is %q", newest, release)
 	}
 }
 
-// An invalid configuration gives one plain error.
+// An invalid configuration gives a single error that names the fault.
 func TestInvalidConfig(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(`{"settings":{}}`), 0o600); err != nil {
@@ -64,7 +64,7 @@
 	t.Setenv("ROUTER_CONFIG", path)
 	for _, name := range []string{"check", "serve"} {
 		if _, err := run(t, name); err == nil || err.Error() != "configuration: settings: no classes" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s with an invalid configuration: got error %v", name, err)
 		}
 	}
 	if _, err := run(t, "serve", "--log-level", "loud"); err == nil || !strings.Contains(err.Error(), "log-level") {
@@ -72,7 +72,7 @@
 	}
 }
 
-// The Go runtime is kept within the platform's limits.
+// The Go runtime is limited to the platform's limits.
 func TestLimitRuntime(t *testing.T) {
 	procs, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	defer func() {
@@ -81,6 +81,6 @@
 	}()
 	limitRuntime(config.Limits{Cores: 1.5, MemoryMB: 200}, 1)
 	if p, m := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1); p != 1 || m != 140<<20 {
-		t.Errorf("%d procs, %d bytes", p, m)
+		t.Errorf("got %d procs and a memory limit of %d bytes, want 1 and 140 MiB", p, m)
 	}
 }
--- a/cmd/lemongate/restartslot.go
+++ b/cmd/lemongate/restartslot.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// restartSlotPollInterval is how often a limiter is polled until it has a slot.
+	// restartSlotPollInterval is the time between two polls of a limiter that has no slot yet.
 	restartSlotPollInterval = 100 * time.Millisecond
-	// defaultRestartSlotWait is how long the command waits for a slot where no flag says otherwise.
+	// defaultRestartSlotWait is how long the command waits for a slot unless the wait flag is set.
 	defaultRestartSlotWait = 10 * time.Minute
 )
 
-// errRestartSlotsDisabled reports that the limiter's settings have no restart slots. This text and that of
-// a wait that ended are those of release 0.8.0, which docs/operators/restarts.md quotes.
+// errRestartSlotsDisabled reports that restart slots are not enabled for the limiter. Its text, and the text of the
+// error after a wait that timed out, are those of release 0.8.0, which docs/operators/restarts.md quotes.
 var errRestartSlotsDisabled = errors.New("turn: the limiter gives no turns; the operators' file sets them")
 
 func restartSlotCommand() *cli.Command {
@@ -30,7 +30,7 @@
 		Aliases: []string{"turn"},
 		Usage:   "wait until a limiter is granted a restart slot: a few restart at once, never all limiters of a customer",
 		Flags: []cli.Flag{
-			consoleFlag(),
+			adminAddressFlag(),
 			&cli.DurationFlag{Name: "wait", Usage: "wait for `DURATION` at most", Value: defaultRestartSlotWait},
 			&cli.BoolFlag{Name: "back", Usage: "release the limiter's slot, or withdraw its request for one"},
 			&cli.UintFlag{Name: "forget", Usage: "release the slot of limiter `N`, which is down and will not come back"},
@@ -53,8 +53,8 @@
 	return waitForRestartSlot(ctx, address, cmd.Duration("wait"), cmd.Root().Writer)
 }
 
-// waitForRestartSlot requests a slot and polls the limiter until it has it, then prints for how long
-// the slot is valid. A request that was not granted in time is withdrawn.
+// waitForRestartSlot requests a slot and polls the limiter until it has the slot, then prints for how long the slot is
+// valid. It withdraws a request that was not granted in time.
 func waitForRestartSlot(ctx context.Context, address string, wait time.Duration, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -77,8 +77,8 @@
 	}
 }
 
-// pollRestartSlot returns the restart slots as the limiter sees them, and requests one if it has no
-// request yet.
+// pollRestartSlot returns the restart slots as the limiter sees them. It requests one if the limiter has neither a slot
+// nor a request.
 func pollRestartSlot(ctx context.Context, address string) (core.RestartSlotView, error) {
 	view, err := callRestartSlot(ctx, http.MethodGet, address, "/turn")
 	if err == nil && !view.Granted && !view.Wanted {
@@ -87,9 +87,9 @@
 	return view, err
 }
 
-// withdrawRestartSlot withdraws a request that nobody waits for any longer.
+// withdrawRestartSlot withdraws a request after the wait for it has ended.
 func withdrawRestartSlot(address string) {
-	// the caller reports that no slot came in time
+	// the caller reports that no slot was granted in time
 	_, _ = callRestartSlot(context.Background(), http.MethodDelete, address, "/turn")
 }
 
--- a/cmd/lemongate/restartslot_test.go
+++ b/cmd/lemongate/restartslot_test.go
@@ -11,9 +11,9 @@
 	"lemongate/internal/processharness"
 )
 
-// Operators restart all limiters at once, each when it is granted a slot, while datagrams are lost, late
-// and repeated, and the lease holder is suspended, cut off in one direction, and restarted itself: never
-// more than two are restarting, by the operators' own count, and all were restarted at the end.
+// Operators restart all limiters at once, each when it is granted a slot, while datagrams are lost, delayed and
+// duplicated, and while the lease holder is suspended, cut off in one direction, and restarted itself. By the
+// operators' own count at most two are restarting at any time, and all have been restarted at the end.
 func TestRollingRestart(t *testing.T) {
 	const limiters, maxConcurrent = 5, 2
 	operator := t.TempDir() + "/operator.json"
@@ -28,11 +28,11 @@
 	holder := awaitHolder(t, processes)
 
 	var mu sync.Mutex
-	restarting, worst := 0, 0
+	restarting, maxRestarting := 0, 0
 	count := func(change int) {
 		mu.Lock()
 		restarting += change
-		worst = max(worst, restarting)
+		maxRestarting = max(maxRestarting, restarting)
 		mu.Unlock()
 	}
 	process := func(n int) *processharness.Process {
@@ -45,15 +45,15 @@
 		operators.Go(func() {
 			output, err := run(t, "restart-slot", "--wait", "50s", "--console", process(n).Console)
 			if err != nil || !strings.HasPrefix(output, "restart within ") {
-				t.Errorf("limiter %d: %q, %v", n, output, err)
+				t.Errorf("limiter %d: got output %q, error %v; want a slot", n, output, err)
 				return
 			}
 			count(1)
 			old := process(n)
 			old.Signal(syscall.SIGTERM)
-			_ = old.Wait(t) // it may be suspended just then
+			_ = old.Wait(t) // it may be suspended at that moment
 			next := tier.Limiters[n].Start()
-			processharness.Until(t, "a process that takes clients", next.Healthy)
+			processharness.Until(t, "a process that accepts clients", next.Healthy)
 			count(-1)
 			mu.Lock()
 			processes[n] = next
@@ -68,12 +68,12 @@
 	for round := 0; ; round++ {
 		select {
 		case <-done:
-			if worst > maxConcurrent {
-				t.Errorf("%d limiters restarted at once, %d may", worst, maxConcurrent)
+			if maxRestarting > maxConcurrent {
+				t.Errorf("%d limiters restarted at once, want at most %d", maxRestarting, maxConcurrent)
 			}
-			t.Logf("%d limiters restarted, %d at once at most", limiters, worst)
+			t.Logf("%d limiters restarted, %d at once at most", limiters, maxRestarting)
 			return
-		case <-time.After([]time.Duration{4 * time.Second, time.Second}[min(round, 1)]): // the first slot comes after two durations of one
+		case <-time.After([]time.Duration{4 * time.Second, time.Second}[min(round, 1)]): // the first slot is granted after the duration of two
 		}
 		for n := range limiters {
 			if v, ok := recoveryLease(t, process(n)); ok && v.Holds {
@@ -96,7 +96,7 @@
 	}
 }
 
-// A limiter without restart slots says so, and a slot that was released can be granted again.
+// The command reports that a limiter has no restart slots, and a slot that was released can be granted again.
 func TestRestartSlotCommand(t *testing.T) {
 	disabled := startAll(t, newTierWithLeases(t, 1, 1))[0]
 	if _, err := run(t, "restart-slot", "--console", disabled.Console); err == nil || !strings.Contains(err.Error(), "gives no turns") {
@@ -115,28 +115,28 @@
 	processes := startAll(t, tier)
 	for range 2 {
 		if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].Console); err != nil {
-			t.Fatalf("%q, %v", out, err)
+			t.Fatalf("got output %q, error %v; want a slot for limiter 0", out, err)
 		}
 		if _, err := run(t, "restart-slot", "--wait", "200ms", "--console", processes[1].Console); err == nil || !strings.Contains(err.Error(), "none came") {
-			t.Errorf("a second one restarts: %v", err)
+			t.Errorf("got %v while limiter 0 has the only slot, want an error that no slot was granted", err)
 		}
 		if _, err := run(t, "restart-slot", "--back", "--console", processes[0].Console); err != nil {
 			t.Error(err)
 		}
 	}
-	// One that was killed keeps its slot until an operator says that it will not come back.
+	// A limiter that was killed keeps its slot until an operator releases it with the forget flag.
 	if _, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].Console); err != nil {
 		t.Fatal(err)
 	}
 	processes[0].Signal(syscall.SIGKILL)
-	_ = processes[0].Wait(t) // it was killed
+	_ = processes[0].Wait(t) // fails, as the process was killed
 	if _, err := run(t, "restart-slot", "--wait", "3s", "--console", processes[1].Console); err == nil {
-		t.Error("two restart")
+		t.Error("limiter 1 was granted a slot while the killed limiter 0 had the only one")
 	}
 	if _, err := run(t, "restart-slot", "--forget", "0", "--console", processes[1].Console); err != nil {
 		t.Error(err)
 	}
 	if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[1].Console); err != nil {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("got output %q, error %v; want the slot that was released", out, err)
 	}
 }
--- a/cmd/lemongate/serve.go
+++ b/cmd/lemongate/serve.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// heapFraction is the fraction of the memory limit that the Go heap may use; the rest is for
-	// stacks, the program itself and buffers of the system.
+	// heapFraction is the fraction of the memory limit that the Go heap may use; the rest is for stacks, the
+	// program itself and buffers of the operating system.
 	heapFraction = 0.7
 	// clockRateVariable is the environment variable with which the process harness makes the clock
 	// of a limiter run faster or slower than the machine's.
@@ -32,7 +32,7 @@
 
 func serveCommand() *cli.Command {
 	level := &cli.StringFlag{
-		Name: "log-level", Value: "info", Usage: "least `LEVEL` of the log lines: debug, info, warn or error",
+		Name: "log-level", Value: "info", Usage: "minimum `LEVEL` of the log lines: debug, info, warn or error",
 	}
 	return &cli.Command{
 		Name:   "serve",
@@ -57,7 +57,7 @@
 		return err
 	}
 	clock := eventloop.NewClock(rate)
-	conf, err := loadConfig(clock.Zero(), cmd.String("operator"))
+	conf, err := loadConfig(clock.Origin(), cmd.String("operator"))
 	if err != nil {
 		return err
 	}
@@ -65,20 +65,20 @@
 	return eventloop.Run(conf, clock, log, eventloop.Controls{
 		Dump: dump, Stop: stop, Reload: reload,
 		SetResourceShare: func(fraction float64) { limitRuntime(conf.Limits, fraction) },
-		Load:             func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Zero()) },
+		LoadConfig:       func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Origin()) },
 	})
 }
 
-// notify returns a channel of the given signals, which holds one: while it is pending, further ones are
-// dropped.
+// notify returns a channel that receives the given signals. It holds one signal; further ones are dropped until that
+// one is received.
 func notify(signals ...os.Signal) chan os.Signal {
 	pending := make(chan os.Signal, 1)
 	signal.Notify(pending, signals...)
 	return pending
 }
 
-// loadConfig reads the platform's configuration, and the operators' file unless its path is empty. Origin is
-// the Unix time at which the program's clock was at zero.
+// loadConfig reads the platform's configuration, and the operators' file unless its path is empty. The program's clock
+// was at zero at the real time origin.
 func loadConfig(origin time.Time, operatorPath string) (*config.Config, error) {
 	conf, err := config.Load(os.Getenv, origin)
 	if err != nil {
@@ -90,8 +90,7 @@
 	return conf, nil
 }
 
-// parseClockRate reads how fast the program's clock runs, relative to the machine's: 1 for an empty
-// text.
+// parseClockRate parses the rate of the program's clock relative to the machine's. An empty text means 1.
 func parseClockRate(text string) (float64, error) {
 	if text == "" {
 		return 1, nil
@@ -103,8 +102,8 @@
 	return rate, nil
 }
 
-// limitRuntime keeps the Go runtime within a fraction of the platform's memory limit, and within its
-// limit of cores. A limit of zero is none.
+// limitRuntime limits the Go runtime to a fraction of the platform's memory limit, and to its limit of cores. A limit
+// of zero means that there is none.
 func limitRuntime(limits config.Limits, memoryFraction float64) {
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(limits.Cores), 1))
@@ -115,14 +114,14 @@
 	}
 }
 
-// newLogger returns a logger of JSON lines on standard error, from a least level on.
+// newLogger returns a logger that writes lines of at least the given level to standard error as JSON.
 func newLogger(level string) (*zap.Logger, error) {
-	least, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log-level: %w", err)
 	}
 	logConfig := zap.NewProductionConfig()
-	logConfig.Level = zap.NewAtomicLevelAt(least)
+	logConfig.Level = zap.NewAtomicLevelAt(minLevel)
 	logConfig.EncoderConfig.EncodeTime = zapcore.ISO8601TimeEncoder
 	logConfig.DisableStacktrace = true
 	log, err := logConfig.Build()
--- a/cmd/lemongate/shutdown_test.go
+++ b/cmd/lemongate/shutdown_test.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/processharness"
 )
 
-// A process is shut down again and again under load, with client connections in use, new and idle, and at
-// times it is suspended just then. Whatever it reads it answers, to the last.
+// A process is shut down repeatedly under load, with client connections that are in use, new and idle, and in every
+// second round it is suspended just then. It answers every request that it has read.
 func TestShutdownUnderLoad(t *testing.T) {
 	tier := newSingleLimiter(t)
 	for round := range 6 {
@@ -32,7 +32,7 @@
 		time.Sleep(300 * time.Millisecond) // clients retry for 0.4 s at most
 		results := load.End()
 		if err := p.Wait(t); err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the process ended with %v", err)
 		}
 		if unread := checkAllAnswered(t, results, p); unread > len(results)/50 {
 			t.Errorf("%d of %d requests were not read", unread, len(results))
@@ -40,8 +40,8 @@
 	}
 }
 
-// A limiter with many client connections is suspended for nearly as long as these may be idle, again and
-// again. What came meanwhile is answered.
+// A limiter with many client connections is repeatedly suspended for nearly as long as they may be idle. Requests that
+// were sent meanwhile are answered.
 func TestSuspendedUnderLoad(t *testing.T) {
 	tier := newSingleLimiter(t)
 	tier.Sockets = 256
@@ -50,7 +50,7 @@
 	load := tier.StartLoad(120, func(n int) processharness.Request {
 		return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 30)}
 	})
-	if err := load.Warm(0, 70); err != nil { // over a quarter of the bound
+	if err := load.Warm(0, 70); err != nil { // more than a quarter of the bound on connections
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -63,7 +63,7 @@
 	results := load.End()
 	p.Signal(syscall.SIGTERM)
 	if err := p.Wait(t); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the process ended with %v", err)
 	}
 	if unread := checkAllAnswered(t, results, p); unread > len(results)/50 {
 		t.Errorf("%d of %d requests were not read", unread, len(results))
--- a/cmd/lemongate/tier_test.go
+++ b/cmd/lemongate/tier_test.go
@@ -16,7 +16,7 @@
 	"lemongate/internal/processharness"
 )
 
-// newTier makes limiters with hot restart enabled.
+// newTier creates a tier of limiters with hot restart enabled.
 func newTier(t *testing.T, limiters, backends int) *processharness.Tier {
 	t.Helper()
 	operator := t.TempDir() + "/operator.json"
@@ -40,14 +40,14 @@
 	return list
 }
 
-// checkResults checks that each request got a complete response, of a backend or local, that nothing
-// had its effect twice, and that few requests were forwarded more than once. It returns how many were
-// served, and the longest time without one.
+// checkResults checks that each request got a complete response, of a backend or local, that nothing had its effect
+// twice, and that few requests reached backends more than once. It returns how many were served, and the longest time
+// without one that was served.
 func checkResults(t *testing.T, tier *processharness.Tier, results []processharness.Result) (served int, gap time.Duration) {
 	t.Helper()
 	attempts, _ := tier.Attempts()
 	// The settings allow three attempts; on a slow machine one may take so long that it is canceled
-	// for another. A hot restart that forwarded requests twice would do so with all in flight.
+	// and another is started. A hot restart that forwarded requests twice would do so with all in flight.
 	const maxAttempts = 3
 	var last time.Time
 	bad, repeated := 0, 0
@@ -57,7 +57,7 @@
 			t.Errorf("limiter %d: lost after %v: %s", r.Limiter, r.Took, r.Fault)
 			bad++
 		case r.Status == http.StatusOK && r.Body != fmt.Sprintf("%s %d", r.ID, r.Request.Body):
-			t.Errorf("served with %q", r.Body)
+			t.Errorf("got response %q, want the request's ID and the length of its body", r.Body)
 			bad++
 		case r.Status != http.StatusOK && r.Status != http.StatusTooManyRequests:
 			t.Errorf("limiter %d: status %d after %v", r.Limiter, r.Status, r.Took)
@@ -76,7 +76,7 @@
 			last = r.At.Add(r.Took)
 		}
 		if bad > 10 {
-			t.Fatal("further ones are not listed")
+			t.Fatal("more than 10 requests failed; further ones are not listed")
 		}
 	}
 	if n := tier.RepeatedRuns(); n > 0 {
@@ -88,11 +88,11 @@
 	return served, gap
 }
 
-// p99 is the 99th percentile of the time to the response.
-func p99(results []processharness.Result, of func(processharness.Result) bool) time.Duration {
+// p99 returns the 99th percentile of the time to the response, over the requests that were served and that include selects.
+func p99(results []processharness.Result, include func(processharness.Result) bool) time.Duration {
 	var latencies []time.Duration
 	for _, r := range results {
-		if of(r) && r.Status == http.StatusOK {
+		if include(r) && r.Status == http.StatusOK {
 			latencies = append(latencies, r.Took)
 		}
 	}
@@ -103,14 +103,14 @@
 	return latencies[len(latencies)*99/100]
 }
 
-// checkCeiling checks the first attempts of customer 7 against a token bucket: by the time they reached
-// a backend no more had come than its burst and what was refilled since. An attempt may be under way
-// for a moment, so the bucket is given what is refilled in that time.
+// checkCeiling checks the first attempts of customer 7 against a token bucket: at any time, no more of them have reached
+// a backend than the bucket's burst and the units refilled since. An attempt takes a moment to arrive, so the bucket is
+// given the units refilled in that time.
 func checkCeiling(t *testing.T, seen []processharness.Attempt, rate, burst float64) {
 	t.Helper()
-	const customer, underWaySeconds = "0000000000000007", 0.15
+	const customer, inFlightSeconds = "0000000000000007", 0.15
 	level, last, counted := burst, time.Time{}, map[string]bool{}
-	least, n := burst, 0
+	lowest, forwarded := burst, 0
 	for _, s := range seen {
 		if s.Customer != customer || counted[s.CallID] {
 			continue
@@ -121,19 +121,19 @@
 		}
 		last = s.At
 		level--
-		least = min(least, level)
-		n++
+		lowest = min(lowest, level)
+		forwarded++
 	}
-	if least < -rate*underWaySeconds {
-		t.Errorf("the ceiling is exceeded by %.1f units in %d", -least, n)
+	if lowest < -rate*inFlightSeconds {
+		t.Errorf("the ceiling was exceeded by %.1f units in %d requests", -lowest, forwarded)
 	}
-	if n < 100 {
-		t.Errorf("just %d of the customer's requests were forwarded", n)
+	if forwarded < 100 {
+		t.Errorf("%d of the customer's requests were forwarded, want at least 100", forwarded)
 	}
 }
 
-// startScript starts a process that plays one side of a hot restart and fails at a step.
-func startScript(t *testing.T, tier *processharness.Tier, role string) *processharness.Process {
+// startFailingProcess starts a process that acts as one side of a hot restart and fails at a step, both given by role.
+func startFailingProcess(t *testing.T, tier *processharness.Tier, role string) *processharness.Process {
 	t.Helper()
 	env := tier.Env
 	tier.Env = []string{"LEMONGATE_TEST=" + role}
@@ -141,7 +141,7 @@
 	return tier.Limiters[0].Start()
 }
 
-// newTierWithLeases makes limiters of which one makes the recovery attempts for all.
+// newTierWithLeases creates a tier in which the holder of a lease makes the recovery attempts for all limiters.
 func newTierWithLeases(t *testing.T, limiters, backends int) *processharness.Tier {
 	t.Helper()
 	operator := t.TempDir() + "/operator.json"
@@ -154,16 +154,16 @@
 	return tier
 }
 
-// recoveryLease returns the lease on recovery attempts as a limiter sees it, if that responds.
+// recoveryLease returns the lease on recovery attempts as a limiter sees it, and whether the limiter responded.
 func recoveryLease(t *testing.T, p *processharness.Process) (v lease.View, ok bool) {
 	t.Helper()
 	out, err := run(t, "leases", "--json", "--console", p.Console)
 	if err != nil {
-		return v, false // it may be suspended or killed
+		return v, false // the process may be suspended or killed
 	}
 	var views []lease.View
 	if err := jsoniter.UnmarshalFromString(out, &views); err != nil || len(views) != 1 {
-		t.Fatalf("%q, %v", out, err)
+		t.Fatalf("got leases %q, error %v; want one lease", out, err)
 	}
 	return views[0], true
 }
@@ -182,39 +182,39 @@
 	return holder
 }
 
-// checkTokens checks what reached the backends under a lease: fencing tokens never fall. It returns the
-// number of holders. An attempt that was under way when the next holder began would have a lower one,
-// but a lease ends before the first byte of an attempt that it would not cover.
-func checkTokens(t *testing.T, acts []processharness.LeasedAttempt) (holders int) {
+// checkFencingTokens checks that the fencing tokens of the attempts that reached backends under a lease never fall. It
+// returns the number of lease holders. An attempt in flight when the next lease holder began could have a lower token,
+// but a lease holder does not send the first byte of an attempt that its lease would not cover.
+func checkFencingTokens(t *testing.T, attempts []processharness.LeasedAttempt) (holders int) {
 	t.Helper()
-	for i, a := range acts {
-		if i > 0 && a.Token < acts[i-1].Token {
-			t.Errorf("attempt %d came with token %d, %v after one with %d", i, a.Token, a.At.Sub(acts[i-1].At), acts[i-1].Token)
+	for i, a := range attempts {
+		if i > 0 && a.Token < attempts[i-1].Token {
+			t.Errorf("attempt %d has token %d and came %v after one with token %d, want tokens that never fall", i, a.Token, a.At.Sub(attempts[i-1].At), attempts[i-1].Token)
 		}
-		if i == 0 || a.Token != acts[i-1].Token {
+		if i == 0 || a.Token != attempts[i-1].Token {
 			holders++
 		}
 	}
-	if !processharness.IsFencedLockHistory(acts) {
-		t.Error("not a history of a lock with fencing tokens")
+	if !processharness.IsFencedLockHistory(attempts) {
+		t.Error("the attempts are not a history of a lock with fencing tokens")
 	}
 	return holders
 }
 
-// counter returns a counter of a process that has ended.
+// counter returns a counter that a process logged last.
 func counter(t *testing.T, p *processharness.Process, name string) int {
 	t.Helper()
 	found := regexp.MustCompile(`"` + name + `":(\d+)`).FindStringSubmatch(p.LastLogged(`"msg":"counters"`))
 	if found == nil {
-		t.Fatal("no counter ", name)
+		t.Fatal("the process logged no counter ", name)
 	}
 	n, _ := strconv.Atoi(found[1])
 	return n
 }
 
-// checkAllAnswered checks that each request that a process counts as read, or as rejected for the bound
-// on connections, has one complete response, and that one without a response was not read. It returns
-// how many have none.
+// checkAllAnswered checks that each request that a process counts as read, or as rejected for the bound on connections,
+// has one complete response, and that a request without a response was not read. It returns how many requests have no
+// response.
 func checkAllAnswered(t *testing.T, results []processharness.Result, p *processharness.Process) (unread int) {
 	t.Helper()
 	answered, faults := 0, map[string]int{}
@@ -227,12 +227,12 @@
 		}
 	}
 	if n := counter(t, p, "received") + counter(t, p, "full"); n != answered {
-		t.Errorf("%d requests read, %d answered of %d; without a response: %v", n, answered, len(results), faults)
+		t.Errorf("%d requests were read, %d of %d were answered; errors of those without a response: %v", n, answered, len(results), faults)
 	}
 	return unread
 }
 
-// newSingleLimiter makes one limiter without hot restart, and two backends.
+// newSingleLimiter creates a tier of one limiter without hot restart, and two backends.
 func newSingleLimiter(t *testing.T) *processharness.Tier {
 	t.Helper()
 	tier := processharness.New(t, 1, 2, os.Args[0], "serve")
@@ -243,8 +243,8 @@
 	return tier
 }
 
-// mixedRequest is the nth request of a load over three limiters: two in five of customer 7 on the plan
-// "capped", one in five with an idempotency key.
+// mixedRequest returns the nth request of a load on three limiters: two in five are of customer 7 on the plan "capped",
+// one in five has an idempotency key.
 func mixedRequest(n int) processharness.Request {
 	request := processharness.Request{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(1000 + n%50), SetSize: 3}
 	switch n % 5 {
--- a/cmd/lemongate/usage.go
+++ b/cmd/lemongate/usage.go
@@ -15,12 +15,12 @@
 )
 
 var (
-	// errIncompleteUsage ends the command with exit code 1 after the faults were printed.
+	// errIncompleteUsage ends the command with exit code 1 after it has printed the faults.
 	errIncompleteUsage = errors.New("usage: incomplete")
 	errNoUsageFiles    = errors.New("usage: no files given")
 )
 
-// A usageSummary is the output of the command as JSON.
+// A usageSummary is the JSON output of the command.
 type usageSummary struct {
 	Periods int                   `json:"periods"`
 	Usage   []usage.CustomerUsage `json:"use"`
@@ -38,7 +38,7 @@
 	}
 }
 
-// mergeUsage prints the usage of all customers by all files given, and what is wrong with these.
+// mergeUsage prints the usage of all customers in the given files, and the faults of these files.
 func mergeUsage(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 0 {
 		return errNoUsageFiles
--- a/cmd/lemongate/usage_test.go
+++ b/cmd/lemongate/usage_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Usage files are merged; what is missing is reported, and then the command fails.
+// The usage command merges files, reports what is missing, and fails if anything is.
 func TestUsageCommand(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -18,16 +18,16 @@
 	a := write("use-1.jsonl", `{"period":4,"after":0,"token":1,"limiter":0,"at":"x","use":[{"customer":"c","plan":"gold","units":2.5}]}`+"\n")
 	b := write("use-2.jsonl", `{"period":5,"after":4,"token":2,"limiter":1,"at":"x","use":[{"customer":"c","plan":"gold","units":1}]}`+"\n"+`{"period":6,`)
 	if out, err := run(t, "usage", a); err != nil || !strings.Contains(out, "2.500") || !strings.Contains(out, "1 periods, 4 to 4") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("usage of one file: got %q, %v; want 2.500 units of 1 period", out, err)
 	}
 	out, err := run(t, "usage", "--json", a, b)
 	if err == nil || !strings.Contains(out, `"units":3.5`) || !strings.Contains(out, "line 2 cannot be read") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("usage of two files: got %q, %v; want 3.5 units, a line that cannot be read, and an error", out, err)
 	}
 	if _, err := run(t, "usage", "no such file"); err == nil {
-		t.Error("a file that does not exist is read")
+		t.Error("a missing file gives no error")
 	}
 	if out, err := run(t, "schema"); err != nil || !strings.Contains(out, `"rollup"`) {
-		t.Errorf("%v", err)
+		t.Errorf("the schema does not have the section of usage reports, or cannot be printed: %v", err)
 	}
 }
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// clockStart is what a clock shows at the start of the program. A backend that started before zero counts
-// as one that started long ago, so slow start must not last longer than this.
+// clockStart is the time that a new clock shows. A backend whose start time is before zero counts as one that
+// started long ago, so slow start must not last longer than clockStart.
 const clockStart = time.Hour
 
-// Clock shows the time since its zero.
+// Clock measures the time since its origin.
 type Clock struct {
-	zero  time.Time
-	setAt time.Time
-	rate  float64 // since it was set: clock time over real time
+	origin time.Time
+	setAt  time.Time
+	rate   float64 // clock time per real time since setAt
 }
 
-// NewClock returns a clock that runs at a rate, which is other than 1 only in tests.
+// NewClock returns a clock that runs at the given rate, which is other than 1 only in tests.
 func NewClock(rate float64) Clock { return newClockAt(clockStart, rate) }
 
-// newClockAt returns a clock that goes on from the time that another process's clock shows now.
+// newClockAt returns a clock that shows now. A successor continues the clock of its predecessor with it.
 func newClockAt(now time.Duration, rate float64) Clock {
 	setAt := time.Now()
-	return Clock{zero: setAt.Add(-now), setAt: setAt, rate: rate}
+	return Clock{origin: setAt.Add(-now), setAt: setAt, rate: rate}
 }
 
-// Zero returns the real time at which the clock shows zero, if it has always run at rate 1.
-func (c Clock) Zero() time.Time { return c.zero }
+// Origin returns the real time at which the clock shows zero, if it has always run at rate 1.
+func (c Clock) Origin() time.Time { return c.origin }
 
-// Now returns the time that the clock shows. It never goes back.
+// Now returns the time that the clock shows. It never decreases.
 func (c Clock) Now() time.Duration {
 	elapsed := time.Duration(float64(time.Since(c.setAt)) * c.rate)
-	return c.setAt.Sub(c.zero) + elapsed
+	return c.setAt.Sub(c.origin) + elapsed
 }
 
-// Until returns how long it takes, in real time, until the clock shows a time.
+// Until returns the real time that passes until the clock shows at.
 func (c Clock) Until(at time.Duration) time.Duration {
 	return time.Duration(float64(at-c.Now()) / c.rate)
 }
--- a/internal/eventloop/edges.go
+++ b/internal/eventloop/components.go
@@ -17,29 +17,30 @@
 	"lemongate/internal/upstream"
 )
 
-// This file starts the edges, and carries out the effects on those that serve clients and peers.
+// This file starts the I/O components, and performs the effects on those that serve clients and peers.
 
 const (
 	// clientConnFraction and backendConnFraction are the fractions of the socket limit for connections of
-	// clients and to backends. The rest is for discovery, peers, files, and for sockets that are closed
-	// here and not yet by the system.
+	// clients and to backends. The rest is for discovery, peers, files, and for sockets that this process
+	// has closed and the operating system has not released yet.
 	clientConnFraction  = 0.5
 	backendConnFraction = 0.25
 
 	// idleConnFraction is the fraction of the socket limit that is kept as idle connections per backend,
-	// at least minIdleConns. All limiters together keep maxIdleConnsOfTier at a backend, which has room
-	// for only so many, unless one each is more.
+	// at least minIdleConns. All limiters together keep at most maxIdleConnsOfTier at a backend, whose room
+	// for connections is limited; each limiter keeps at least one.
 	idleConnFraction   = 1.0 / 64
 	minIdleConns       = 4
 	maxIdleConnsOfTier = 128
 
-	// addressTimeout is how long a process that ends may keep a listening address.
+	// addressTimeout is the time to wait for a process that ends to release a listening address. The wait is
+	// logged after addressLogAfter.
 	addressTimeout       = 20 * time.Second
 	addressRetryInterval = 20 * time.Millisecond
 	addressLogAfter      = time.Second
 )
 
-// maxIdleConns is how many idle connections a limiter keeps per backend.
+// maxIdleConns returns how many idle connections a limiter keeps per backend.
 func maxIdleConns(maxSockets float64, limiters int) int {
 	own := max(int(maxSockets*idleConnFraction), minIdleConns)
 	return max(min(own, maxIdleConnsOfTier/max(limiters, 1)), 1)
@@ -59,8 +60,8 @@
 	})
 }
 
-// startAdmin starts the administration server, if there is one. Its goroutine ends when close closes
-// that server.
+// startAdmin starts the administration server if its address is configured. Its goroutine ends when close
+// closes that server.
 func (l *Loop) startAdmin() {
 	if l.config.AdminAddr == "" {
 		return
@@ -69,8 +70,8 @@
 	go l.admin.ListenAndServe(l.config.AdminAddr)
 }
 
-// openListeners opens the sockets that the configuration names, and serves on them. With wait, it waits
-// for a process that ends to give up their addresses. It blocks the loop, which has nothing else to do yet.
+// openListeners opens the sockets that the configuration names, and serves on them. If wait is set, it waits for
+// an ending process to release their addresses. It blocks the event loop, which has nothing else to do yet.
 func (l *Loop) openListeners(wait bool) error {
 	c := l.config
 	var listener net.Listener
@@ -103,7 +104,7 @@
 	return listener, nil
 }
 
-// openAddress calls open; with wait, again and again while another process has the address, for
+// openAddress calls open. If wait is set, it repeats the call while another process holds the address, for
 // addressTimeout at most.
 func (l *Loop) openAddress(wait bool, open func() error) error {
 	begin := time.Now()
@@ -120,8 +121,8 @@
 	}
 }
 
-// serve starts the edges that serve clients and peers, on sockets that are open. Requests are numbered
-// beyond lastRequest; endpoints are watched at discoveryAddr, from a generation of the list on.
+// serve starts the components that serve clients and peers, on sockets that are open. The IDs of requests begin
+// after lastRequest. Endpoints are watched at discoveryAddr, starting from the given generation of the list.
 func (l *Loop) serve(listener net.Listener, lastRequest core.RequestID, discoveryAddr string, generation int64) {
 	c := l.config
 	l.listener = listener
@@ -137,7 +138,7 @@
 	close(l.serving)
 	l.watcher = &discovery.Watcher{
 		Addr:       discoveryAddr,
-		Origin:     l.clock.Load().Zero(),
+		Origin:     l.clock.Load().Origin(),
 		Generation: generation,
 		Post:       l.post,
 		Log:        l.log,
@@ -151,8 +152,8 @@
 		zap.Int("peers", len(c.Peers)))
 }
 
-// startGoroutines starts the goroutines of the edges: those of the transport to peers end when close
-// closes it, that of the watcher with ctx, that of the server when the listener is closed.
+// startGoroutines starts the goroutines of the components. Those of the transport to peers end when close closes
+// the transport, that of the watcher ends with ctx, and that of the server ends when the listener is closed.
 func (l *Loop) startGoroutines(listener net.Listener) {
 	if l.peers != nil {
 		go l.peers.Read()
@@ -179,9 +180,9 @@
 	}
 }
 
-// setReady sets what health checks of this process report, by both servers. It is called when the process
-// begins to serve and when it begins to drain. The health check of the administration server is also set
-// by setAcceptingClients; the later call counts.
+// setReady sets the result of this process's health checks on both servers. It is called when the process begins
+// to serve and when it begins to drain. setAcceptingClients also sets the health check of the administration
+// server; the later of the two calls takes effect.
 func (l *Loop) setReady(ready bool) {
 	if l.server != nil {
 		l.server.SetReady(ready)
@@ -197,7 +198,7 @@
 	}
 }
 
-// closeServer closes the server, within a duration, and posts that it is closed. Its goroutine ends after
+// closeServer closes the server within the given duration, and then posts ServerClosed. Its goroutine ends after
 // that.
 func (l *Loop) closeServer(within time.Duration) {
 	server := l.server
--- a/internal/eventloop/frames.go
+++ b/internal/eventloop/frames.go
@@ -17,43 +17,43 @@
 	"lemongate/internal/usage"
 )
 
-// This file is the form of the frames between two processes of a limiter, and the one place where it is
-// mapped to the types of package core. Bodies are JSON, so that releases that know more fields than others
-// understand each other. Kinds and field tags are a format that other releases read.
+// This file defines the format of the frames that the two processes of a limiter exchange, and is the only place
+// that maps it to the types of package core. Bodies are JSON, so that releases whose frames have different fields
+// understand each other. Kinds and field tags are part of a format that other releases read.
 
 // frameFormat is the version of the format. A successor with another version is denied, and starts when the
 // listening address is free.
 const frameFormat = 1
 
-// The kinds of frames beside those of package hotrestart.
+// Kinds of frames, in addition to those of package hotrestart.
 const (
 	frameAttemptStarted uint8 = uint8(hotrestart.NumKinds) + iota
 	frameAttemptFinished
 	frameForwardedRequest
-	frameCanceledRequest // its body is the request's ID
+	frameCanceledRequest // the body is the request's ID
 	frameForwardedResponse
-	frameClientConn         // has no body, and the connection's socket
+	frameClientConn         // has no body, and carries the connection's socket
 	frameInheritedUsageSent // has no body; releases up to 0.9.0 log it as unknown
-	frameRequestEnded       // its body is the request's ID; releases up to 0.9.1 log it as unknown
+	frameRequestEnded       // the body is the request's ID; releases up to 0.9.1 log it as unknown
 )
 
 var (
 	errUnknownKind     = errors.New("unknown kind of frame")
-	errMissingResponse = errors.New("response of a backend without content")
+	errMissingResponse = errors.New("frame of a backend's response has no content")
 )
 
-// frameCodec encodes the bodies of frames.
+// frameCodec encodes and decodes the bodies of frames.
 var frameCodec = jsoniter.Config{CaseSensitive: true}.Froze()
 
-// prepareTransfer has the codecs look through the types of a state, which would otherwise be done with the state
-// of a hot restart, while no process admits.
-func prepareTransfer() {
+// initTransferCodecs makes the codecs analyze the types of a handover state in advance. Otherwise they would do so
+// with the state of a hot restart, while no process admits requests.
+func initTransferCodecs() {
 	admission.PrepareSnapshots()
 	body, _ := frameCodec.Marshal(newStateFrame(core.HandoverState{})) // an empty state can be encoded
-	_ = decodeTransfer(link.Frame{Body: body})                         // it is empty
+	_ = decodeTransfer(link.Frame{Body: body})                         // the decoded state is empty
 }
 
-// helloFrame is the body of Hello: who the successor is.
+// helloFrame is the body of Hello. It identifies the successor.
 type helloFrame struct {
 	Format int    `json:"Format"`
 	Name   string `json:"Name"`
@@ -61,7 +61,7 @@
 	Peers  string `json:"Peers"` // listening address for peers
 }
 
-// mismatch returns why a process cannot be the successor of this one, "" if it can.
+// mismatch returns why the process that sent f cannot be the successor of this one, or "" if it can.
 func (f helloFrame) mismatch(own helloFrame) string {
 	switch {
 	case f.Format != own.Format:
@@ -72,29 +72,29 @@
 	return ""
 }
 
-// requestFrame is an admission.Request.
+// requestFrame encodes an admission.Request.
 type requestFrame struct {
-	ID       admission.RequestID `json:"ID"`
-	Class    string              `json:"Class"`
-	Plan     string              `json:"Plan"`
-	Customer string              `json:"Customer"`
-	Units    float64             `json:"Units"`
-	Budget   time.Duration       `json:"Budget"`
-	First    int                 `json:"First"`
-	Spread   int                 `json:"Spread"`
-	Retry    bool                `json:"Retry"`
-}
-
-// attemptStartedFrame is a core.OpenAttempt.
+	ID           admission.RequestID `json:"ID"`
+	Class        string              `json:"Class"`
+	Plan         string              `json:"Plan"`
+	Customer     string              `json:"Customer"`
+	Units        float64             `json:"Units"`
+	Budget       time.Duration       `json:"Budget"`
+	FirstLimiter int                 `json:"First"`
+	SetSize      int                 `json:"Spread"`
+	IsRetry      bool                `json:"Retry"`
+}
+
+// attemptStartedFrame encodes a core.OpenAttempt.
 type attemptStartedFrame struct {
 	requestFrame
-	CallID  string `json:"CallID"`
-	Attempt int    `json:"Attempt"`
-	Backend string `json:"Backend"`
-	Booked  bool   `json:"Booked"`
+	CallID        string `json:"CallID"`
+	Attempt       int    `json:"Attempt"`
+	Backend       string `json:"Backend"`
+	UsageRecorded bool   `json:"Booked"`
 }
 
-// attemptFinishedFrame is a core.FinishedAttempt.
+// attemptFinishedFrame encodes a core.FinishedAttempt.
 type attemptFinishedFrame struct {
 	Attempt attemptIDFrame   `json:"Fetch"`
 	Backend string           `json:"Backend"`
@@ -103,20 +103,20 @@
 	Report  []float64        `json:"Report"`
 }
 
-// attemptIDFrame is a core.AttemptID.
+// attemptIDFrame encodes a core.AttemptID.
 type attemptIDFrame struct {
 	Request core.RequestID `json:"Req"`
 	Number  int            `json:"Attempt"`
 }
 
-// forwardedRequestFrame is a core.ForwardedRequest.
+// forwardedRequestFrame encodes a core.ForwardedRequest.
 type forwardedRequestFrame struct {
 	requestFrame
 	CallID  string               `json:"CallID"`
 	Content *requestContentFrame `json:"Content"`
 }
 
-// requestContentFrame is an upstream.Request.
+// requestContentFrame encodes an upstream.Request.
 type requestContentFrame struct {
 	Method string `json:"Method"`
 	URI    string `json:"URI"`
@@ -127,7 +127,7 @@
 	Body   []byte `json:"Body"`
 }
 
-// forwardedResponseFrame is a core.Respond.
+// forwardedResponseFrame encodes a core.Respond.
 type forwardedResponseFrame struct {
 	Request    core.RequestID        `json:"Req"`
 	Kind       core.ResponseKind     `json:"Kind"`
@@ -135,47 +135,47 @@
 	Content    *responseContentFrame `json:"Reply"`
 }
 
-// responseContentFrame is an upstream.Response.
+// responseContentFrame encodes an upstream.Response.
 type responseContentFrame struct {
 	Type string `json:"Type"`
 	Body []byte `json:"Body"`
 }
 
-// stateFrame is a core.HandoverState, the body of Transfer.
+// stateFrame encodes a core.HandoverState. It is the body of Transfer.
 type stateFrame struct {
 	Now            time.Duration         `json:"Now"`
 	Controller     []byte                `json:"Gate"`
 	Endpoints      []endpointFrame       `json:"Entries"`
 	Generation     int64                 `json:"Generation"`
-	Source         string                `json:"Source"`
+	Discovery      string                `json:"Source"`
 	LastRequest    core.RequestID        `json:"Last"`
 	OpenAttempts   []attemptStartedFrame `json:"Out"`
 	Usage          *usage.RecorderState  `json:"Use"`
 	LeaseAcceptors []lease.AcceptorState `json:"Keepers"`
 }
 
-// endpointFrame is a core.Endpoint.
+// endpointFrame encodes a core.Endpoint.
 type endpointFrame struct {
-	ID      string                 `json:"ID"`
-	Zone    string                 `json:"Zone"`
-	Cell    int                    `json:"Cell"`
-	State   admission.BackendState `json:"State"`
-	Size    float64                `json:"Size"`
-	Started time.Duration          `json:"Started"`
-	Addr    string                 `json:"Addr"`
+	ID               string                 `json:"ID"`
+	Zone             string                 `json:"Zone"`
+	Cell             int                    `json:"Cell"`
+	State            admission.BackendState `json:"State"`
+	RelativeCapacity float64                `json:"Size"`
+	StartedAt        time.Duration          `json:"Started"`
+	Addr             string                 `json:"Addr"`
 }
 
 func newRequestFrame(r admission.Request) requestFrame {
 	return requestFrame{
-		ID:       r.ID,
-		Class:    r.Class,
-		Plan:     r.Plan,
-		Customer: r.Customer,
-		Units:    r.Units,
-		Budget:   r.Budget,
-		First:    r.FirstLimiter,
-		Spread:   r.SetSize,
-		Retry:    r.IsRetry,
+		ID:           r.ID,
+		Class:        r.Class,
+		Plan:         r.Plan,
+		Customer:     r.Customer,
+		Units:        r.Units,
+		Budget:       r.Budget,
+		FirstLimiter: r.FirstLimiter,
+		SetSize:      r.SetSize,
+		IsRetry:      r.IsRetry,
 	}
 }
 
@@ -187,19 +187,19 @@
 		Customer:     f.Customer,
 		Units:        f.Units,
 		Budget:       f.Budget,
-		FirstLimiter: f.First,
-		SetSize:      f.Spread,
-		IsRetry:      f.Retry,
+		FirstLimiter: f.FirstLimiter,
+		SetSize:      f.SetSize,
+		IsRetry:      f.IsRetry,
 	}
 }
 
 func newAttemptStartedFrame(a core.OpenAttempt) attemptStartedFrame {
 	return attemptStartedFrame{
-		requestFrame: newRequestFrame(a.Request),
-		CallID:       a.CallID,
-		Attempt:      a.Attempt,
-		Backend:      a.Backend,
-		Booked:       a.UsageRecorded,
+		requestFrame:  newRequestFrame(a.Request),
+		CallID:        a.CallID,
+		Attempt:       a.Attempt,
+		Backend:       a.Backend,
+		UsageRecorded: a.UsageRecorded,
 	}
 }
 
@@ -209,7 +209,7 @@
 		CallID:        f.CallID,
 		Attempt:       f.Attempt,
 		Backend:       f.Backend,
-		UsageRecorded: f.Booked,
+		UsageRecorded: f.UsageRecorded,
 	}
 }
 
@@ -257,7 +257,7 @@
 	}
 }
 
-// content returns the content of a request, nil if it has none.
+// content returns the content of a request, or nil if it has none.
 func (f *requestContentFrame) content() *upstream.Request {
 	if f == nil {
 		return nil
@@ -281,7 +281,7 @@
 	return f
 }
 
-// respond returns the response, and errMissingResponse if a backend's response has no content.
+// respond returns the response. The error is errMissingResponse if a backend's response has no content.
 func (f forwardedResponseFrame) respond() (core.Respond, error) {
 	r := core.Respond{Request: f.Request, Kind: f.Kind, RetryAfter: f.RetryAfter, Response: f.Content.content()}
 	if f.Content == nil && f.Kind == core.Served {
@@ -290,7 +290,7 @@
 	return r, nil
 }
 
-// content returns the content of a response, nil if it has none.
+// content returns the content of a response, or nil if it has none.
 func (f *responseContentFrame) content() *upstream.Response {
 	if f == nil {
 		return nil
@@ -300,13 +300,13 @@
 
 func newEndpointFrame(e core.Endpoint) endpointFrame {
 	return endpointFrame{
-		ID:      e.ID,
-		Zone:    e.Zone,
-		Cell:    e.Cell,
-		State:   e.State,
-		Size:    e.RelativeCapacity,
-		Started: e.StartedAt,
-		Addr:    e.Addr,
+		ID:               e.ID,
+		Zone:             e.Zone,
+		Cell:             e.Cell,
+		State:            e.State,
+		RelativeCapacity: e.RelativeCapacity,
+		StartedAt:        e.StartedAt,
+		Addr:             e.Addr,
 	}
 }
 
@@ -317,8 +317,8 @@
 			Zone:             f.Zone,
 			Cell:             f.Cell,
 			State:            f.State,
-			RelativeCapacity: f.Size,
-			StartedAt:        f.Started,
+			RelativeCapacity: f.RelativeCapacity,
+			StartedAt:        f.StartedAt,
 		},
 		Addr: f.Addr,
 	}
@@ -330,7 +330,7 @@
 		Controller:     s.Controller,
 		Endpoints:      memento.List(s.Endpoints, newEndpointFrame),
 		Generation:     s.Generation,
-		Source:         s.Discovery,
+		Discovery:      s.Discovery,
 		LastRequest:    s.LastRequest,
 		OpenAttempts:   memento.List(s.OpenAttempts, newAttemptStartedFrame),
 		Usage:          s.Usage,
@@ -344,7 +344,7 @@
 		Controller:     f.Controller,
 		Endpoints:      memento.List(f.Endpoints, endpointFrame.endpoint),
 		Generation:     f.Generation,
-		Discovery:      f.Source,
+		Discovery:      f.Discovery,
 		LastRequest:    f.LastRequest,
 		OpenAttempts:   memento.List(f.OpenAttempts, attemptStartedFrame.attempt),
 		Usage:          f.Usage,
@@ -352,7 +352,7 @@
 	}
 }
 
-// decode returns the event of a frame: nil with an error, and nil for frameClientConn.
+// decode returns the event that a frame carries: nil with an error, and nil for frameClientConn.
 func decode(f link.Frame) (core.Event, error) {
 	ev, err := decodeBody(f)
 	if err != nil {
@@ -395,8 +395,8 @@
 	return &core.LinkMessageReceived{Kind: hotrestart.Kind(f.Kind)}, nil
 }
 
-// decodeTransfer returns the event of a Transfer. A state that cannot be read is left out: the successor
-// takes over without it.
+// decodeTransfer returns the event of a Transfer. A state that cannot be decoded is left out of the event, and the
+// successor takes over without it.
 func decodeTransfer(f link.Frame) core.Event {
 	ev := &core.LinkMessageReceived{Kind: hotrestart.Transfer, Sockets: f.Sockets}
 	body, err := unmarshal[stateFrame](f)
@@ -407,7 +407,7 @@
 	return ev
 }
 
-// unmarshal reads the body of a frame.
+// unmarshal decodes the body of a frame.
 func unmarshal[T any](f link.Frame) (body T, err error) {
 	err = frameCodec.Unmarshal(f.Body, &body)
 	return body, err
--- a/internal/eventloop/frames_codec_test.go
+++ b/internal/eventloop/frames_codec_test.go
@@ -9,13 +9,13 @@
 	"lemongate/internal/hotrestart/link"
 )
 
-// After prepareTransfer the first state that a process sends or receives costs what later ones do: while it is
-// under way no process admits, and every process does each but once.
+// After initTransferCodecs, the first state that a process encodes or decodes costs no more allocations than later
+// ones: no process admits requests during the transfer, and every process does each only once.
 func TestFirstTransferCostsNoMoreThanLater(t *testing.T) {
 	if !alloctest.InFreshProcess(t) {
 		return
 	}
-	prepareTransfer()
+	initTransferCodecs()
 	state := filled[core.HandoverState](1)
 	var body []byte
 	alloctest.CompareFirst(t, "encoding", func() { body, _ = frameCodec.Marshal(newStateFrame(state)) })
--- a/internal/eventloop/frames_test.go
+++ b/internal/eventloop/frames_test.go
@@ -14,15 +14,15 @@
 	"lemongate/internal/upstream"
 )
 
-// filled returns a value whose fields differ, and whose booleans follow a pattern.
+// filled returns a value whose fields differ from each other, and whose booleans follow a pattern.
 func filled[T any](pattern int) T {
 	var value T
 	(&golden.Filler{Pattern: pattern}).Fill(&value)
 	return value
 }
 
-// The frames that 0.8.0 wrote are read as the events that they were written from, and written as
-// they were then.
+// The frames that 0.8.0 wrote decode to the events that they were encoded from, and those events are encoded as
+// 0.8.0 encoded them.
 func TestFramesOfEarlierRelease(t *testing.T) {
 	for pattern := range 3 {
 		state := filled[core.HandoverState](pattern)
@@ -58,7 +58,7 @@
 				message.Sockets = nil
 			}
 			if err != nil || !reflect.DeepEqual(got, c.event) {
-				t.Errorf("%s: read as %+v, %v; want %+v", name, got, err, c.event)
+				t.Errorf("%s: decoded as %+v, %v; want %+v", name, got, err, c.event)
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 	golden.Equal(t, "frames/hello.json", data)
 }
 
-// The numbers of frames, and of the values in them, are those of 0.8.0.
+// The numbers of the kinds of frames, and of the enumerated values in them, are those of 0.8.0.
 func TestNumbersOfFrames(t *testing.T) {
 	var b strings.Builder
 	for kind := range hotrestart.NumKinds {
@@ -87,7 +87,7 @@
 	golden.Equal(t, "frames/numbers.txt", []byte(b.String()))
 }
 
-// The end of a predecessor's request is a frame of its own, which releases up to 0.9.1 do not send and log as unknown.
+// The end of a predecessor's request has a frame of its own, which releases up to 0.9.1 do not send and log as unknown.
 func TestFrameOfTheEndOfARequest(t *testing.T) {
 	data, err := frameCodec.Marshal(core.ReportRequestEnded{Request: 4711}.Request)
 	if err != nil {
@@ -95,9 +95,9 @@
 	}
 	got, err := decode(link.Frame{Kind: frameRequestEnded, Body: data})
 	if want := (core.PredecessorRequestEnded{Request: 4711}); err != nil || got != want {
-		t.Errorf("read as %+v, %v; want %+v", got, err, want)
+		t.Errorf("decoded as %+v, %v; want %+v", got, err, want)
 	}
 	if frameRequestEnded != frameInheritedUsageSent+1 || uint8(hotrestart.NumKinds)+7 != frameRequestEnded {
-		t.Errorf("frame %d, its number is a format", frameRequestEnded)
+		t.Errorf("frameRequestEnded is %d: its number is part of the format and must not change", frameRequestEnded)
 	}
 }
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -17,28 +17,27 @@
 	"lemongate/internal/peertransport"
 )
 
-// This file carries the events and effects of a hot restart over the link to the other process. The form
-// of frames is in frames.go, the protocol in internal/hotrestart.
+// This file exchanges the events and effects of a hot restart with the other process over the link. The format of
+// frames is in frames.go, the protocol in internal/hotrestart.
 
-// sharedResources is the fraction of its resources that a process uses while there are two.
-const sharedResources = 0.5
+// hotRestartResourceShare is the fraction of its resources that a process uses while two processes of a limiter run.
+const hotRestartResourceShare = 0.5
 
 var (
-	errNoListener   = errors.New("the predecessor sent no listener")
-	errNoClientConn = errors.New("no socket beside a client connection")
+	errNoListener   = errors.New("the predecessor sent no socket of a listener")
+	errNoClientConn = errors.New("frame of a client connection carries no socket")
 )
 
-// acceptRetryInterval is the pause after a successor that could not be accepted.
+// acceptRetryInterval is the time to wait after a failed accept of a successor's connection.
 const acceptRetryInterval = 100 * time.Millisecond
 
-// otherProcess is what a Loop has of the other process of a hot restart. It belongs to the goroutine of
-// Run.
+// otherProcess holds a Loop's link to the other process of a hot restart. It belongs to the goroutine of Run.
 //
-// The core learns of the end of a link by LinkClosed, in the same step in which link becomes nil here, or
-// closes it itself. It emits KillOtherProcess, TransferState and MoveClientConns only while there is a
-// link; these do not check it.
+// The core either learns of the end of a link by LinkClosed, in the same step in which link becomes nil here, or
+// closes the link itself. It emits KillOtherProcess, TransferState and MoveClientConns only while there is a link,
+// so the code that performs these effects does not check for one.
 type otherProcess struct {
-	link       *link.Conn     // the current one; nil for none
+	link       *link.Conn     // the current link; nil for none
 	successors *link.Listener // nil until successors may connect
 }
 
@@ -51,26 +50,27 @@
 	}
 }
 
-// linkEvent is an event that came over a link. It counts only while that link is the current one.
+// linkEvent is an event that was received over a link. Unless it brings a client connection, it is dropped if that
+// link is no longer the current one.
 type linkEvent struct {
 	core.Event // nil if the frame carried a client connection
 	from       *link.Conn
 	clientConn []*os.File
-	readAt     time.Time // when the frame had come completely; zero for the end of a link
+	readAt     time.Time // when the frame was received completely; zero for the end of a link
 }
 
-// receiveLinkEvent returns the event for the core that an event from the edges contains, and reports
-// whether there is one. An event that did not come over a link is returned as it is. Of those that did:
+// receiveLinkEvent returns the event for the core that a posted event contains, and reports whether there is one.
+// An event that was not received over a link is returned unchanged. Of those that were:
 //
-//   - a client connection is served here, and is not for the core;
-//   - an event of a former link is dropped, and its sockets closed;
-//   - the end of the current link makes it a former one.
+//   - a client connection is served here, and is not passed to the core;
+//   - an event of a former link is dropped, and its sockets are closed;
+//   - the end of the current link is passed to the core, and there is no current link after it.
 func (l *Loop) receiveLinkEvent(ev core.Event) (core.Event, bool) {
 	received, ok := ev.(linkEvent)
 	if !ok {
 		return ev, true
 	}
-	if received.clientConn != nil { // also from a former link: the client must not be dropped
+	if received.clientConn != nil { // also from a former link: the client must not be disconnected
 		l.adoptClientConns(received.clientConn)
 		return nil, false
 	}
@@ -85,8 +85,8 @@
 	return received.Event, true
 }
 
-// protocolMessage returns the kind of a message of the protocol that an event brings, and reports whether it
-// brings one other than a heartbeat.
+// protocolMessage returns the kind of the protocol message that an event contains, and reports whether it contains
+// one other than a heartbeat.
 func protocolMessage(ev core.Event) (kind hotrestart.Kind, ok bool) {
 	message, ok := ev.(*core.LinkMessageReceived)
 	if !ok || message.Kind == hotrestart.Heartbeat {
@@ -95,7 +95,7 @@
 	return message.Kind, true
 }
 
-// logDecoded logs how long it took to decode a message of the protocol. It may be called from any goroutine.
+// logDecoded logs how long it took to decode a protocol message. It may be called from any goroutine.
 func (l *Loop) logDecoded(received linkEvent) {
 	if kind, ok := protocolMessage(received.Event); ok {
 		l.log.Debug("message of the hot restart decoded", zap.Stringer("message", kind),
@@ -103,20 +103,20 @@
 	}
 }
 
-// stepMessage is step for a message of the protocol. It logs how long the message waited for the loop, how long
-// the core took to decide, and how long the effects took. Both processes log by the same clock, so that the
-// lines of both can be joined.
+// stepMessage is step for a protocol message. It logs how long the message was queued, how long the core took to
+// decide, and how long the effects took. Both processes take the times from the same system clock, so that the log
+// lines of both can be merged.
 func (l *Loop) stepMessage(kind hotrestart.Kind, ev core.Event, readAt time.Time) {
 	begun := time.Now()
 	effects := l.core.Step(l.now(), ev)
 	decided := time.Now()
-	l.carryOut(effects)
+	l.performEffects(effects)
 	l.log.Debug("message of the hot restart handled", zap.Stringer("message", kind),
 		zap.Int64("begun_us", begun.UnixMicro()), zap.Duration("waited", begun.Sub(readAt)),
 		zap.Duration("decided", decided.Sub(begun)), zap.Duration("carried_out", time.Since(decided)))
 }
 
-// closeSockets closes the sockets that came with an event which does not count.
+// closeSockets closes the sockets of an event that is dropped.
 func closeSockets(ev core.Event) {
 	message, ok := ev.(*core.LinkMessageReceived)
 	if ok && message.Sockets != nil {
@@ -130,13 +130,13 @@
 	}
 }
 
-// carryOutHotRestart carries out an effect that concerns the other process, or passes it to sendEffect.
-func (l *Loop) carryOutHotRestart(e core.Effect) {
+// performHotRestartEffect performs an effect on the other process, or passes it to sendEffect.
+func (l *Loop) performHotRestartEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.ConnectPredecessor:
 		l.connectPredecessor()
 	case core.ListenForSuccessors:
-		l.acceptSuccessors()
+		l.listenForSuccessors()
 	case core.AcceptSuccessor:
 		l.other.link = e.Link.(*link.Conn)
 	case core.DenySuccessor:
@@ -148,9 +148,9 @@
 	case core.KillOtherProcess:
 		l.other.link.Kill()
 	case core.OpenListeners:
-		l.failOn(l.openListeners(e.Wait))
+		l.failOnError(l.openListeners(e.Wait))
 	case core.AdoptSockets:
-		l.failOn(l.adoptSockets(e))
+		l.failOnError(l.adoptSockets(e))
 	case core.PauseListeners:
 		l.pauseListeners()
 	case core.ResumeListeners:
@@ -168,7 +168,7 @@
 	}
 }
 
-// sendEffect sends the other process an effect that is nothing but a frame.
+// sendEffect performs an effect that only sends a frame to the other process.
 func (l *Loop) sendEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.SendLinkMessage:
@@ -190,15 +190,15 @@
 	}
 }
 
-// failOn ends the program on an error.
-func (l *Loop) failOn(err error) {
+// failOnError ends the program if there is an error.
+func (l *Loop) failOnError(err error) {
 	if err != nil {
 		l.fail(err)
 	}
 }
 
-// sendFrame sends a frame with a body, nil for none. If it cannot be sent, the link has ended, and the
-// goroutine that reads from it posts LinkClosed.
+// sendFrame sends a frame with a body, or without one if body is nil. If it cannot be sent, the link has ended, and
+// the goroutine that reads from the link posts LinkClosed.
 func (l *Loop) sendFrame(kind uint8, body any) {
 	if l.other.link == nil {
 		return
@@ -215,7 +215,8 @@
 	l.other.link.Send(kind, data)
 }
 
-// closeLink closes the link after what was sent. Events that still come over it do not count.
+// closeLink closes the link once the frames that were sent before are written. Events received over it after that
+// are dropped.
 func (l *Loop) closeLink() {
 	if l.other.link != nil {
 		l.other.link.CloseAfterFlush()
@@ -233,15 +234,15 @@
 	}
 }
 
-// connectPredecessor connects to the process that runs, if there is one, and sends Hello. The goroutine
-// that reads from it ends once the link has ended and that is posted. If no process can be connected to,
-// it posts LinkClosed.
+// connectPredecessor connects to the running process of this limiter, if there is one, and sends Hello. The
+// goroutine that reads from the link ends after it has posted the end of the link. If the connection fails,
+// connectPredecessor posts LinkClosed.
 func (l *Loop) connectPredecessor() {
 	c, err := link.Dial(l.successorPath())
 	if err != nil { // at the first start there is no predecessor, so this is no warning
 		l.log.Debug("no process to take over from", zap.Error(err))
-		// In a goroutine of its own, which ends once the event is queued: the loop, which reads the queue,
-		// is in this call.
+		// Posted from another goroutine, which ends once the event is queued: post waits while the queue is
+		// full, and the loop, which empties the queue, is in this call.
 		go l.post(linkEvent{Event: core.LinkClosed{Epoch: config.NewEpoch()}})
 		return
 	}
@@ -251,12 +252,12 @@
 	go l.readLink(c)
 }
 
-// successorPath is where successors connect to a process of this limiter.
+// successorPath returns the path of the socket at which successors connect to a process of this limiter.
 func (l *Loop) successorPath() string { return l.config.HotRestart.SocketPath(l.config.Name) }
 
-// acceptSuccessors lets successors connect to this process. If it cannot listen, this process serves
-// without. Its goroutine ends when otherProcess is closed.
-func (l *Loop) acceptSuccessors() {
+// listenForSuccessors lets successors connect to this process. If it cannot listen, the process goes on without hot
+// restarts. The goroutine that it starts ends when otherProcess is closed.
+func (l *Loop) listenForSuccessors() {
 	if l.config.HotRestart == nil || l.other.successors != nil {
 		return
 	}
@@ -266,31 +267,31 @@
 		return
 	}
 	l.other.successors = successors
-	go l.greetSuccessors(successors)
+	go l.acceptSuccessors(successors)
 }
 
-// greetSuccessors greets each successor that connects, until the listener is closed.
-func (l *Loop) greetSuccessors(successors *link.Listener) {
+// acceptSuccessors accepts connections of successors until the listener is closed.
+func (l *Loop) acceptSuccessors(successors *link.Listener) {
 	for {
 		c, err := successors.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case err != nil: // such as no free descriptor
-			l.log.Warn("successor not accepted, tried again", zap.Error(err))
+		case err != nil: // for example, no free file descriptor
+			l.log.Warn("failed to accept the connection of a successor, retrying", zap.Error(err))
 			time.Sleep(acceptRetryInterval)
 		default:
-			go l.greetSuccessor(c) // ends once its link has ended and that is posted
+			go l.handleSuccessor(c) // ends once its link has ended and LinkClosed is posted
 		}
 	}
 }
 
-// greetSuccessor reads the Hello of a process that has connected, posts SuccessorConnected, and reads on.
-func (l *Loop) greetSuccessor(c *link.Conn) {
+// handleSuccessor reads the Hello of a process that has connected, posts SuccessorConnected, and reads further frames.
+func (l *Loop) handleSuccessor(c *link.Conn) {
 	f, err := c.Read()
 	var hello helloFrame
 	if err != nil || f.Kind != uint8(hotrestart.Hello) || frameCodec.Unmarshal(f.Body, &hello) != nil {
-		c.Close() // not a successor, or dead already: nobody to send Deny
+		c.Close() // not a successor, or one that has ended already: there is no process to send Deny to
 		return
 	}
 	l.post(&core.SuccessorConnected{Link: c, Reason: hello.mismatch(l.hello())})
@@ -304,7 +305,7 @@
 	c.CloseAfterFlush()
 }
 
-// readLink posts what the other process sends until the link ends.
+// readLink posts the events that the other process sends, until the link ends.
 func (l *Loop) readLink(c *link.Conn) {
 	for {
 		f, err := c.Read()
@@ -326,7 +327,7 @@
 	}
 }
 
-// receiveFrame returns what a frame brings. Sockets beside a frame that has none are closed.
+// receiveFrame decodes a frame. It closes sockets that came with a frame that must have none.
 func receiveFrame(f link.Frame) (linkEvent, error) {
 	switch f.Kind {
 	case frameClientConn:
@@ -342,8 +343,8 @@
 	return linkEvent{Event: ev}, err
 }
 
-// transferState sends a successor the state, the listener of clients and the socket of peers. A successor
-// that cannot read the state takes over without it.
+// transferState sends a successor the state, the listener for clients and the socket for peers. A successor that
+// cannot decode the state takes over without it.
 func (l *Loop) transferState(state core.HandoverState) {
 	begun := time.Now()
 	body, err := frameCodec.Marshal(newStateFrame(state))
@@ -358,9 +359,9 @@
 	l.other.link.Send(uint8(hotrestart.Transfer), body, sockets...)
 }
 
-// adoptSockets serves on the sockets that the predecessor sent, by its clock.
+// adoptSockets serves on the sockets that the predecessor sent, and continues the predecessor's clock.
 func (l *Loop) adoptSockets(e core.AdoptSockets) error {
-	files, _ := e.Sockets.([]*os.File) // none is errNoListener below
+	files, _ := e.Sockets.([]*os.File) // adoptListeners returns errNoListener if there are none
 	defer closeFiles(files)
 	listener, err := l.adoptListeners(files)
 	if err != nil {
@@ -369,12 +370,12 @@
 	clock := newClockAt(e.Now, l.clock.Load().rate)
 	l.clock.Store(&clock)
 	l.serve(listener, e.LastRequest, e.Discovery, e.Generation)
-	l.server.SetResourceShare(sharedResources)
+	l.server.SetResourceShare(hotRestartResourceShare)
 	return nil
 }
 
-// adoptListeners returns the listener of clients, the first of the files, and keeps the socket of peers,
-// the second.
+// adoptListeners returns the listener for clients, which is the first of the files, and stores a transport on the
+// socket for peers, which is the second.
 func (l *Loop) adoptListeners(files []*os.File) (net.Listener, error) {
 	if len(files) == 0 {
 		return nil, errNoListener
@@ -409,14 +410,14 @@
 	}
 }
 
-// moveClientConns moves the idle client connections to the successor, now and as they become idle.
+// moveClientConns moves client connections to the successor: the idle ones at once, the others as they become idle.
 func (l *Loop) moveClientConns() {
 	successor := l.other.link
 	l.server.MoveConns(func(c syscall.Conn) error { return successor.SendSync(frameClientConn, nil, c) })
 }
 
-// adoptClientConns serves client connections that the predecessor moved here, once the server is there.
-// The goroutine for each ends after that, or with the loop.
+// adoptClientConns serves client connections that the predecessor moved to this process, once the server exists.
+// The goroutine of each connection ends after that, or with the loop.
 func (l *Loop) adoptClientConns(files []*os.File) {
 	for _, f := range files {
 		conn, err := net.FileConn(f)
@@ -436,9 +437,9 @@
 	}
 }
 
-// setAcceptingClients sets whether the health check of this process's administration server is ready, by
-// which operators see which of two processes accepts clients. The server for clients stays as setReady left
-// it: a predecessor still serves the connections that it has.
+// setAcceptingClients sets the result of the administration server's health check, which shows operators which of
+// two processes accepts clients. The health check of the server for clients stays as setReady left it: a
+// predecessor still serves the connections that it has.
 func (l *Loop) setAcceptingClients(accepting bool) {
 	if l.admin != nil {
 		l.admin.SetReady(accepting)
@@ -451,7 +452,7 @@
 	if l.server != nil {
 		l.server.SetResourceShare(fraction)
 	}
-	if l.setShare != nil {
-		l.setShare(fraction)
+	if l.limitResources != nil {
+		l.limitResources(fraction)
 	}
 }
--- a/internal/eventloop/hotrestart_test.go
+++ b/internal/eventloop/hotrestart_test.go
@@ -16,7 +16,7 @@
 	"lemongate/internal/hotrestart/link"
 )
 
-// Whatever the other process sends is decoded as an event, or is an error.
+// Any frame from the other process decodes to either an event or an error.
 func FuzzDecode(f *testing.F) {
 	for k := range uint8(frameClientConn + 2) {
 		f.Add(k, []byte(`{"ID":7,"Class":"read","Budget":5,"Content":{"Method":"GET","Body":"eA=="},"Reply":{"Type":"t"},"Kind":0}`))
@@ -25,13 +25,13 @@
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
 		ev, err := decode(link.Frame{Kind: kind, Body: body})
 		if (ev == nil) == (err == nil) && kind != frameClientConn {
-			t.Errorf("%v, %v", ev, err)
+			t.Errorf("decoded as event %v with error %v, want exactly one of them", ev, err)
 		}
 	})
 }
 
-// A successor finds this process also after a connection could not be accepted, here for want of a
-// descriptor: the first error of Accept ended hot restarts for good.
+// A process still accepts successors after Accept has failed, here for lack of a file descriptor. The first error of
+// Accept used to end hot restarts for good.
 func TestSuccessorIsAcceptedAfterAcceptError(t *testing.T) {
 	logs, lines := observer.New(zap.WarnLevel)
 	l := &Loop{
@@ -41,7 +41,7 @@
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	defer l.cancel()
-	l.acceptSuccessors()
+	l.listenForSuccessors()
 	defer l.other.close()
 
 	socket, err := syscall.Socket(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -58,7 +58,7 @@
 		}
 	})
 	if lines.Len() == 0 {
-		t.Error("no log line of the error")
+		t.Error("the error of Accept was not logged")
 	}
 
 	successor, err := link.Dial(l.successorPath())
@@ -70,14 +70,14 @@
 	select {
 	case ev := <-l.events:
 		if _, ok := ev.(*core.SuccessorConnected); !ok {
-			t.Errorf("%T, want that the successor connected", ev)
+			t.Errorf("got event %T, want *core.SuccessorConnected", ev)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the successor was not accepted")
+		t.Error("the successor was not accepted within 5 s")
 	}
 }
 
-// withoutDescriptors calls a function while this process can open no descriptor.
+// withoutDescriptors calls a function while this process cannot open a file descriptor.
 func withoutDescriptors(t *testing.T, call func()) {
 	t.Helper()
 	var limit syscall.Rlimit
@@ -97,8 +97,8 @@
 	call()
 }
 
-// A frame that hands over a client connection without its socket reaches the core as no event, and sockets
-// beside a frame that has none are closed: they stayed open until the garbage collector came.
+// A frame for a client connection that comes without its socket gives the core no event, and sockets that come with
+// a frame that must have none are closed. They used to stay open until the garbage collector ran.
 func TestFramesWithWrongSockets(t *testing.T) {
 	l := &Loop{log: zap.NewNop(), events: make(chan core.Event, maxQueuedEvents)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
@@ -128,16 +128,16 @@
 	if err := other.SendSync(uint8(hotrestart.Heartbeat), nil, socket.(*net.TCPListener)); err != nil {
 		t.Fatal(err)
 	}
-	_ = socket.Close() // the copy that was sent is the only one left
+	_ = socket.Close() // the other process now has the only copy
 	other.Send(uint8(hotrestart.Heartbeat), nil)
 	for range 2 {
 		received, _ := (<-l.events).(linkEvent)
 		if message, ok := received.Event.(*core.LinkMessageReceived); !ok || message.Kind != hotrestart.Heartbeat {
-			t.Errorf("%+v, want heartbeats alone", received)
+			t.Errorf("got %+v, want only heartbeats", received)
 		}
 	}
 	if c, err := net.Dial("tcp", socket.Addr().String()); err == nil {
-		_ = c.Close() // only whether it connects counts
-		t.Error("the socket beside a heartbeat is still open")
+		_ = c.Close() // the test only checks whether it connects
+		t.Error("the socket that was sent with a heartbeat is still open")
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,11 +1,11 @@
-// Package eventloop runs the program: one goroutine hands the events that the edges post to the core, and
-// has the edges carry out the effects that come back. The edges are the server for clients, the client
-// of the backends, the transport to the other limiters, endpoint discovery, the administration server
-// and the link to the other process of a hot restart.
+// Package eventloop runs the program: one goroutine passes the events that the I/O components post to the core, and
+// has the components perform the effects that the core returns. The I/O components are the server for clients, the
+// client of the backends, the transport to the other limiters, endpoint discovery, the administration server and the
+// link to the other process of a hot restart.
 //
-// Events and effects are described in package core. All state belongs to the goroutine of Run, but for
-// what a comment says otherwise. No effect keeps it waiting for a socket or a disk, except opening the
-// listening addresses at the start, when there is nothing else to do.
+// Events and effects are described in package core. All state belongs to the goroutine of Run, except where a
+// comment says otherwise. No effect makes that goroutine wait for a socket or a disk, except opening the listening
+// addresses at the start, when there is nothing else to do.
 package eventloop
 
 import (
@@ -27,24 +27,24 @@
 	"lemongate/internal/upstream"
 )
 
-// maxQueuedEvents is how many events wait for the loop. Edges that post more wait themselves.
+// maxQueuedEvents is the capacity of the event queue. A component that posts an event to a full queue waits.
 const maxQueuedEvents = 1024
 
 // Loop is the running program.
 type Loop struct {
-	config    *config.Config
-	log       *zap.Logger
-	loadAgain func() (*config.Config, error)
-	setShare  func(fraction float64) // see Controls.Share; may be nil
+	config         *config.Config
+	log            *zap.Logger
+	loadConfig     func() (*config.Config, error)
+	limitResources func(fraction float64) // see Controls.SetResourceShare; may be nil
 
 	clock  atomic.Pointer[Clock] // replaced in a hot restart; read from any goroutine
 	core   *core.Machine
 	events chan core.Event
 	timer  *time.Timer
-	exit   bool       // core.Exit came
-	failed chan error // why the program has to stop
+	exit   bool       // the core returned core.Exit
+	failed chan error // receives the error that ends the program
 
-	// ctx is done once the loop has ended: edges post nothing any longer.
+	// ctx is done once the loop has ended: components post no events after that.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -52,7 +52,7 @@
 	admin    *admin.Server // nil if there is none
 	other    otherProcess  // of a hot restart
 
-	// What serves clients, once the sockets are open. Serving is closed then.
+	// The components that serve clients and peers, set once the sockets are open. serving is closed then.
 	serving    chan struct{}
 	server     *httpserver.Server
 	listener   net.Listener
@@ -63,25 +63,25 @@
 
 // Controls control a running program.
 type Controls struct {
-	Dump             <-chan os.Signal // logs the counters
+	Dump             <-chan os.Signal // makes the program log its counters
 	Stop             <-chan os.Signal // starts the shutdown
-	Reload           <-chan os.Signal // has Load called
-	Load             func() (*config.Config, error)
+	Reload           <-chan os.Signal // makes the program call LoadConfig
+	LoadConfig       func() (*config.Config, error)
 	SetResourceShare func(fraction float64) // limits the program to a fraction of its resources; may be nil
 }
 
-// Run serves until a shutdown is complete, and then returns nil. It returns an error if the program
-// could not begin to serve, or had to stop.
+// Run serves until a shutdown is complete, and then returns nil. It returns an error if the program could not begin
+// to serve, or if an error ended it.
 func Run(c *config.Config, clock Clock, log *zap.Logger, controls Controls) error {
 	l := &Loop{
-		config:    c,
-		log:       log,
-		loadAgain: controls.Load,
-		setShare:  controls.SetResourceShare,
-		events:    make(chan core.Event, maxQueuedEvents),
-		timer:     time.NewTimer(time.Hour),
-		failed:    make(chan error, 1),
-		serving:   make(chan struct{}),
+		config:         c,
+		log:            log,
+		loadConfig:     controls.LoadConfig,
+		limitResources: controls.SetResourceShare,
+		events:         make(chan core.Event, maxQueuedEvents),
+		timer:          time.NewTimer(time.Hour),
+		failed:         make(chan error, 1),
+		serving:        make(chan struct{}),
 	}
 	l.clock.Store(&clock)
 	l.ctx, l.cancel = context.WithCancel(context.Background())
@@ -108,20 +108,20 @@
 	return nil
 }
 
-// start starts the edges that need no socket of clients or peers, and the core. The core opens those
-// next, or connects to a predecessor.
+// start starts the core and the components that need no sockets for clients or peers. The effects of the core then
+// open these sockets or connect to a predecessor.
 func (l *Loop) start() {
 	l.startUpstream()
 	l.startAdmin()
 	if l.config.HotRestart != nil {
-		prepareTransfer()
+		initTransferCodecs()
 	}
 	var effects []core.Effect
 	l.core, effects = core.New(l.now(), l.config.Core())
-	l.carryOut(effects)
+	l.performEffects(effects)
 }
 
-// close ends all goroutines that post events, and closes all edges.
+// close ends all goroutines that post events, and closes all components.
 func (l *Loop) close() {
 	l.cancel()
 	l.background.Wait()
@@ -131,15 +131,15 @@
 		l.admin.Close()
 	}
 	if l.peers != nil {
-		_ = l.peers.Close() // what could not be sent is lost as in transit
+		_ = l.peers.Close() // datagrams that could not be sent are lost, as they may be on the network
 	}
 }
 
 // now returns the time of the program's clock. It may be called from any goroutine.
 func (l *Loop) now() time.Duration { return l.clock.Load().Now() }
 
-// post hands an event to the loop, and waits while the queue is full. It may be called from any goroutine
-// but the loop's, and returns without handing it over once the loop has ended.
+// post queues an event for the loop, and waits while the queue is full. It may be called from any goroutine but the
+// loop's. Once the loop has ended, it returns without queueing the event.
 func (l *Loop) post(ev core.Event) {
 	select {
 	case l.events <- ev:
@@ -147,7 +147,7 @@
 	}
 }
 
-// fail ends the program. Only the first error counts. It may be called from any goroutine.
+// fail ends the program with an error. Only the first error counts. It may be called from any goroutine.
 func (l *Loop) fail(err error) {
 	select {
 	case l.failed <- err:
@@ -155,7 +155,7 @@
 	}
 }
 
-// stepQueued handles the events that are queued already, so that one wake-up serves a batch.
+// stepQueued handles the events that are already queued, so that the loop handles a batch each time it wakes up.
 func (l *Loop) stepQueued() {
 	for range maxQueuedEvents {
 		select {
@@ -167,9 +167,9 @@
 	}
 }
 
-// step hands an event to the core, and carries out what it returns.
+// step passes an event to the core, and performs the effects that the core returns.
 func (l *Loop) step(ev core.Event) {
-	received, _ := ev.(linkEvent) // the zero one if it did not come over a link
+	received, _ := ev.(linkEvent) // the zero value if the event was not received over a link
 	ev, ok := l.receiveLinkEvent(ev)
 	if !ok {
 		return
@@ -178,17 +178,17 @@
 		l.stepMessage(kind, ev, received.readAt)
 		return
 	}
-	l.carryOut(l.core.Step(l.now(), ev))
+	l.performEffects(l.core.Step(l.now(), ev))
 }
 
-func (l *Loop) carryOut(effects []core.Effect) {
+func (l *Loop) performEffects(effects []core.Effect) {
 	for _, e := range effects {
-		l.carryOutOne(e)
+		l.performEffect(e)
 	}
 }
 
-// carryOutOne has the edges carry out an effect.
-func (l *Loop) carryOutOne(e core.Effect) {
+// performEffect has the components perform an effect.
+func (l *Loop) performEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.SetTimer:
 		l.timer.Reset(l.clock.Load().Until(e.At))
@@ -215,12 +215,12 @@
 	case core.Exit:
 		l.exit = true
 	default:
-		l.carryOutUpstream(e)
+		l.performUpstreamEffect(e)
 	}
 }
 
-// carryOutUpstream carries out an effect on the backends, or passes it to carryOutHotRestart.
-func (l *Loop) carryOutUpstream(e core.Effect) {
+// performUpstreamEffect performs an effect on the backends, or passes it to performHotRestartEffect.
+func (l *Loop) performUpstreamEffect(e core.Effect) {
 	switch e := e.(type) {
 	case core.StartAttempt:
 		l.upstream.StartAttempt(e)
@@ -233,14 +233,14 @@
 	case core.CloseBackendConns:
 		l.upstream.CloseBackendConns(e.Backend)
 	default:
-		l.carryOutHotRestart(e)
+		l.performHotRestartEffect(e)
 	}
 }
 
-// reload reads the configuration again and posts the address of discovery, all that may change while the
-// program runs.
+// reload reads the configuration again and posts the address of discovery, the only setting that can change while
+// the program runs.
 func (l *Loop) reload() {
-	c, err := l.loadAgain()
+	c, err := l.loadConfig()
 	if err != nil {
 		l.post(&core.ConfigReloaded{Err: err})
 		return
@@ -248,7 +248,7 @@
 	l.post(&core.ConfigReloaded{Discovery: c.DiscoveryAddr})
 }
 
-// logCounters logs the line that scripts read: its message and its keys stay.
+// logCounters logs a line that scripts read: its message and its keys must not change.
 func (l *Loop) logCounters() {
 	clientConns := 0
 	if l.server != nil {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// The complete program, from its start to its exit: it is ready once discovery has sent a list, forwards
-// a request, rejects what is beyond the quota, logs its counters at SIGUSR1, watches endpoints where
-// SIGHUP moves discovery and stays with the old address if the file is bad, and after SIGTERM completes
+// The complete program, from its start to its exit: it is ready once discovery has sent a list, forwards a request,
+// and rejects a request beyond the quota. It logs its counters at SIGUSR1. At SIGHUP it watches endpoints at the
+// new address of discovery, and keeps the old address if the configuration is invalid. After SIGTERM it completes
 // the requests that it has and ends.
 func TestRun(t *testing.T) {
 	received, proceed := make(chan bool, 1), make(chan bool)
@@ -78,7 +78,7 @@
 	go func() {
 		ended <- Run(testConfig(strings.TrimPrefix(discovery.URL, "http://"), address), NewClock(1), log, Controls{
 			Dump: dump, Stop: stop, Reload: reload,
-			Load: func() (*config.Config, error) {
+			LoadConfig: func() (*config.Config, error) {
 				if loads++; loads == 1 {
 					return nil, errors.New("bad JSON")
 				}
@@ -111,17 +111,17 @@
 	answered := make(chan bool)
 	go func() {
 		if status, body := get("id7"); status != 200 || body != "answer to id7" {
-			t.Errorf("%d %q", status, body)
+			t.Errorf("got status %d and body %q, want 200 and the backend's response", status, body)
 		}
 		answered <- true
 	}()
 	<-received
 	if status, _ := get("id8"); status != 429 {
-		t.Errorf("beyond the quota: %d", status)
+		t.Errorf("request beyond the quota: got status %d, want 429", status)
 	}
 	dump <- syscall.SIGUSR1
 	<-counted
-	reload <- syscall.SIGHUP // a bad file
+	reload <- syscall.SIGHUP // the configuration is invalid
 	reload <- syscall.SIGHUP
 	<-watched
 	stop <- syscall.SIGTERM
@@ -135,29 +135,29 @@
 	c := all[len(all)-1].ContextMap()["counts"].(core.Counters)
 	if c.Received != 2 || c.Served != 1 || c.Rejected != 1 || c.AttemptsStarted != 1 || len(all) != 2 ||
 		c.Reloads == 0 || c.ReloadsFailed != 1 || len(lines.FilterMessage("kept the configuration that runs: bad JSON").All()) != 1 {
-		t.Errorf("%d dumps, last %+v", len(all), c)
+		t.Errorf("%d log lines of counters, want 2; the last has %+v", len(all), c)
 	}
 }
 
-// An address that cannot be listened on is an error.
+// Run returns an error if it cannot listen on an address.
 func TestRunFails(t *testing.T) {
 	taken := httptest.NewServer(nil)
 	defer taken.Close()
 	c := testConfig("127.0.0.1:1", "127.0.0.1:1")
 	c.ListenAddr = strings.TrimPrefix(taken.URL, "http://")
 	if err := Run(c, NewClock(1), zap.NewNop(), Controls{}); err == nil || !strings.Contains(err.Error(), "listen") {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want an error of listen", err)
 	}
 }
 
-// All limiters together keep no more idle connections at a backend than it is assumed to have room for,
-// however many limiters there are; a few keep as many as they use.
+// All limiters together keep no more idle connections at a backend than it is assumed to have room for, except that
+// each limiter may keep one. A small tier is limited by the fraction of its socket limits instead.
 func TestMaxIdleConns(t *testing.T) {
 	for _, c := range []struct{ sockets, limiters, want int }{
 		{256, 0, 4}, {256, 3, 4}, {1024, 3, 16}, {1024, 20, 6}, {384, 80, 1}, {1024, 1000, 1},
 	} {
 		if got := maxIdleConns(float64(c.sockets), c.limiters); got != c.want {
-			t.Errorf("%d limiters of %d sockets: %d, want %d", c.limiters, c.sockets, got, c.want)
+			t.Errorf("%d limiters with %d sockets each: got %d idle connections per backend, want %d", c.limiters, c.sockets, got, c.want)
 		}
 	}
 }
--- a/internal/eventloop/usagefile.go
+++ b/internal/eventloop/usagefile.go
@@ -14,16 +14,16 @@
 // usageFileMode lets all users read the files of usage reports.
 const usageFileMode = 0o644
 
-// usageFile returns the file of the reports under a fencing token. Each lease has a file of its own, so
+// usageFile returns the path of the file for the reports under a fencing token. Each lease has a file of its own, so
 // that a report that is written after its lease has ended cannot damage those of a later lease holder.
 func usageFile(dir string, token uint64) string {
 	return filepath.Join(dir, fmt.Sprintf("use-%020d.jsonl", token))
 }
 
-// errLeaseExpired means that a report was not written, as its lease had ended.
+// errLeaseExpired means that a report was not written because its lease had expired.
 var errLeaseExpired = errors.New("lease has expired")
 
-// writeUsage writes a usage report, unless its lease has ended, and posts the outcome.
+// writeUsage writes a usage report, unless its lease has expired, and posts the outcome.
 func (l *Loop) writeUsage(e core.WriteUsage) {
 	isExpired := func() bool { return l.now() >= e.StartBefore }
 	err := appendReport(usageFile(l.config.Usage.Dir, e.Token), e.Report, isExpired)
@@ -34,8 +34,8 @@
 	l.post(outcome)
 }
 
-// appendReport appends a report to a file and waits for the disk. Once the file is open, it writes nothing
-// if the lease has expired.
+// appendReport appends a report to a file and syncs the file to disk. It checks the lease once the file is open, and
+// writes nothing if the lease has expired.
 func appendReport(path string, report []byte, isExpired func() bool) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, usageFileMode)
 	if err != nil {
@@ -49,7 +49,7 @@
 		err = f.Sync()
 	}
 	if err != nil && seekErr == nil {
-		_ = f.Truncate(size) // half a line would spoil the next one; the error that counts is the first
+		_ = f.Truncate(size) // a partial line would corrupt the next one; only the first error is returned
 	}
 	return errors.Join(err, f.Close())
 }
--- a/internal/eventloop/usagefile_test.go
+++ b/internal/eventloop/usagefile_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Reports of a token are appended to its file, unless the lease has expired once the file is open.
+// Reports under a token are appended to its file, unless the lease has expired by the time the file is open.
 func TestAppendReport(t *testing.T) {
 	dir := t.TempDir()
 	path := usageFile(dir, 12)
@@ -17,13 +17,13 @@
 		}
 	}
 	if err := appendReport(path, []byte("late\n"), expired); !errors.Is(err, errLeaseExpired) {
-		t.Errorf("a report after the end of its lease: %v", err)
+		t.Errorf("report after the end of its lease: got error %v, want errLeaseExpired", err)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil || string(data) != "first\nsecond\n" {
-		t.Errorf("%q, %v", data, err)
+		t.Errorf("the file contains %q (error %v), want the reports that were written during the lease", data, err)
 	}
 	if err := appendReport(usageFile(dir+"/none", 12), nil, expired); err == nil || errors.Is(err, errLeaseExpired) {
-		t.Errorf("a file in no directory: %v", err)
+		t.Errorf("file in a missing directory: got error %v, want one other than errLeaseExpired", err)
 	}
 }
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/admission"
 )
 
-// This file writes the actions of an admission controller. The comment of each function names the parts
-// of its line.
+// This file encodes the actions of an admission controller. The comment of each function names the parts of its
+// line.
 
 // reply is the text of the reply to a batch.
 type reply struct{ text []byte }
@@ -24,32 +24,32 @@
 	r.endLine()
 }
 
-// add adds an action of a limiter.
+// add appends the line of an action of a limiter.
 func (r *reply) add(limiter string, action admission.Action) {
 	switch a := action.(type) {
 	case admission.StartAttempt:
-		r.attempt(limiter, a)
+		r.startAttempt(limiter, a)
 	case admission.CancelAttempt:
-		r.stopAttempt(limiter, a)
+		r.cancelAttempt(limiter, a)
 	case admission.Reject:
-		r.deny(limiter, a)
+		r.reject(limiter, a)
 	case admission.Fail:
-		r.dropRequest(limiter, a)
+		r.fail(limiter, a)
 	case admission.SetTimer:
-		r.deferUntil(limiter, a)
+		r.setTimer(limiter, a)
 	case admission.ProbeBackend:
-		r.inspect(limiter, a)
+		r.probeBackend(limiter, a)
 	case admission.SendToPeer:
-		r.say(limiter, a)
+		r.sendToPeer(limiter, a)
 	case admission.PollEndpoints:
-		r.listen(limiter)
+		r.pollEndpoints(limiter)
 	case admission.Log:
-		r.remark(limiter, a)
+		r.log(limiter, a)
 	}
 }
 
-// attempt forwards a request: attempt, limiter, request, backend, clock time at which the attempt ends.
-func (r *reply) attempt(limiter string, a admission.StartAttempt) {
+// startAttempt sends a request to a backend: attempt, limiter, request, backend, clock time at which the attempt ends.
+func (r *reply) startAttempt(limiter string, a admission.StartAttempt) {
 	r.startLine(verbAttempt, limiter)
 	r.request(a.Request)
 	r.part(a.Backend)
@@ -57,67 +57,67 @@
 	r.endLine()
 }
 
-// stopAttempt cancels an attempt: stop_attempt, limiter, request, attempt.
-func (r *reply) stopAttempt(limiter string, a admission.CancelAttempt) {
+// cancelAttempt cancels an attempt: stop_attempt, limiter, request, attempt.
+func (r *reply) cancelAttempt(limiter string, a admission.CancelAttempt) {
 	r.startLine(verbStopAttempt, limiter)
 	r.request(a.Request)
 	r.integer(int64(a.Attempt))
 	r.endLine()
 }
 
-// deny rejects a request: deny, limiter, request, how long the client should stay away.
-func (r *reply) deny(limiter string, a admission.Reject) {
+// reject rejects a request: deny, limiter, request, time after which the client may retry.
+func (r *reply) reject(limiter string, a admission.Reject) {
 	r.startLine(verbDeny, limiter)
 	r.request(a.Request)
 	r.seconds(a.RetryAfter)
 	r.endLine()
 }
 
-// dropRequest fails a request: drop_request, limiter, request.
-func (r *reply) dropRequest(limiter string, a admission.Fail) {
+// fail fails a request: drop_request, limiter, request.
+func (r *reply) fail(limiter string, a admission.Fail) {
 	r.startLine(verbDropRequest, limiter)
 	r.request(a.Request)
 	r.endLine()
 }
 
-// deferUntil sets the timer: defer, limiter, clock time, token.
-func (r *reply) deferUntil(limiter string, a admission.SetTimer) {
+// setTimer sets the timer: defer, limiter, clock time, token.
+func (r *reply) setTimer(limiter string, a admission.SetTimer) {
 	r.startLine(verbDefer, limiter)
 	r.seconds(a.At)
 	r.part(timerToken)
 	r.endLine()
 }
 
-// inspect probes a backend: inspect, limiter, backend.
-func (r *reply) inspect(limiter string, a admission.ProbeBackend) {
+// probeBackend probes a backend: inspect, limiter, backend.
+func (r *reply) probeBackend(limiter string, a admission.ProbeBackend) {
 	r.startLine(verbInspect, limiter)
 	r.part(a.Backend)
 	r.endLine()
 }
 
-// say sends a message to another limiter: say, limiter, number of the other one, data.
-func (r *reply) say(limiter string, a admission.SendToPeer) {
+// sendToPeer sends a message to another limiter: say, limiter, number of the receiver, data.
+func (r *reply) sendToPeer(limiter string, a admission.SendToPeer) {
 	r.startLine(verbSay, limiter)
 	r.integer(int64(a.Peer))
 	r.part(base64.StdEncoding.EncodeToString(a.Data))
 	r.endLine()
 }
 
-// listen starts a poll for changes of the endpoint list: listen, limiter, 1.
-func (r *reply) listen(limiter string) {
+// pollEndpoints starts a poll for changes of the endpoint list: listen, limiter, 1.
+func (r *reply) pollEndpoints(limiter string) {
 	r.startLine(verbListen, limiter)
 	r.part("1")
 	r.endLine()
 }
 
-// remark writes to the simulator's report: remark, limiter, text.
-func (r *reply) remark(limiter string, a admission.Log) {
+// log writes a text to the simulator's report: remark, limiter, text.
+func (r *reply) log(limiter string, a admission.Log) {
 	r.startLine(verbRemark, limiter)
 	r.part(oneLine.Replace(a.Text))
 	r.endLine()
 }
 
-// oneLine makes a text one part of one line.
+// oneLine replaces the characters that would end a part or a line.
 var oneLine = strings.NewReplacer("\t", " ", "\n", " ")
 
 func (r *reply) startLine(name verb, limiter string) {
@@ -139,7 +139,7 @@
 
 func (r *reply) request(id admission.RequestID) { r.integer(int64(id)) }
 
-// seconds adds a time, to the microsecond that the simulator counts in.
+// seconds appends a time with a resolution of 1 microsecond, which is the simulator's.
 func (r *reply) seconds(value time.Duration) {
 	r.text = append(r.text, separator...)
 	r.text = strconv.AppendFloat(r.text, value.Seconds(), 'f', 6, 64)
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -6,43 +6,43 @@
 	"lemongate/internal/admission"
 )
 
-// This file reads the events that are for an admission controller. The comment of each function names the
-// parts of its line. Parts that no decision uses are checked all the same.
+// This file decodes the events that are for an admission controller. The comment of each function names the parts of
+// its line. Parts that no decision uses are validated too.
 
-// decodeEvent returns the event of a line; nil for one that no controller needs to know.
+// decodeEvent returns the event of a line, or nil for an event that no controller needs.
 func (s *server) decodeEvent(l *line) (admission.Event, error) {
 	if l.verb == verbMembership {
-		return s.decodeMembership(l)
+		return s.decodeEndpointList(l)
 	}
 	event := decodeSimpleEvent(l)
 	return event, l.err
 }
 
-// decodeSimpleEvent returns an event that is complete in its line.
+// decodeSimpleEvent returns an event that consists of a single line.
 func decodeSimpleEvent(l *line) admission.Event {
 	switch l.verb {
 	case verbAccept:
-		return decodeAccept(l)
+		return decodeRequest(l)
 	case verbFirst:
-		return decodeFirst(l)
+		return decodeResponseStarted(l)
 	case verbAnswer:
-		return decodeAnswer(l)
+		return decodeAttemptFinished(l)
 	case verbAborted:
-		return decodeAborted(l)
+		return decodeRequestEnded(l)
 	case verbFired:
-		return decodeFired(l)
+		return decodeTimerFired(l)
 	case verbProbed:
-		return decodeProbed(l)
+		return decodeProbeResult(l)
 	case verbMessage:
-		return decodeMessage(l)
+		return decodePeerMessage(l)
 	case verbReckoned:
-		return decodeReckoned(l)
+		return decodeCounterReply(l)
 	}
 	return nil
 }
 
-// decodeMembership reads an endpoint list and its rows: membership, limiter, version, kind, number of rows.
-func (s *server) decodeMembership(l *line) (admission.Event, error) {
+// decodeEndpointList decodes an endpoint list and its rows: membership, limiter, version, kind, number of rows.
+func (s *server) decodeEndpointList(l *line) (admission.Event, error) {
 	list := &admission.EndpointList{Kind: choice(l, 3, listKinds)}
 	_ = l.integer(2)
 	rows := l.integer(4)
@@ -54,7 +54,7 @@
 		if !ok {
 			return nil, fmt.Errorf("%s: input ends after %d of %d rows", l.verb, i, rows)
 		}
-		backend, err := decodeRow(text)
+		backend, err := decodeEndpoint(text)
 		if err != nil {
 			return nil, err
 		}
@@ -63,9 +63,9 @@
 	return list, nil
 }
 
-// decodeRow reads an entry of an endpoint list: row, backend, zone, kind of machine, cell, state,
+// decodeEndpoint decodes an entry of an endpoint list: row, backend, zone, kind of machine, cell, state,
 // relative capacity, clock time of the start.
-func decodeRow(text string) (admission.Backend, error) {
+func decodeEndpoint(text string) (admission.Backend, error) {
 	l := splitLine(verbRow, text)
 	if err := l.checkVerb(); err != nil {
 		return admission.Backend{}, fmt.Errorf("%s: %w", verbMembership, err)
@@ -84,10 +84,9 @@
 	return backend, l.err
 }
 
-// decodeAccept reads a client's request: accept, limiter, request, budget, first limiter of the
-// customer's set, whether it changes data, size of the set, whether it is a retry, plan, units, customer,
-// class.
-func decodeAccept(l *line) admission.Event {
+// decodeRequest decodes a client's request: accept, limiter, request, budget, first limiter of the customer's set,
+// whether it changes data, size of the set, whether it is a retry, plan, units, customer, class.
+func decodeRequest(l *line) admission.Event {
 	request := &admission.Request{
 		ID:           l.request(),
 		Budget:       l.seconds(3),
@@ -103,16 +102,16 @@
 	return request
 }
 
-// decodeFirst reads that a response started: first, limiter, request, latency, backend, attempt.
-func decodeFirst(l *line) admission.Event {
+// decodeResponseStarted decodes the start of a response: first, limiter, request, latency, backend, attempt.
+func decodeResponseStarted(l *line) admission.Event {
 	started := &admission.ResponseStarted{Request: l.request(), Attempt: int(l.integer(5))}
 	_ = l.seconds(3)
 	return started
 }
 
-// decodeAnswer reads the end of an attempt: answer, limiter, request, attempt, backend, result, latency,
+// decodeAttemptFinished decodes the end of an attempt: answer, limiter, request, attempt, backend, result, latency,
 // whether the request is over, two figures on quotas, load report.
-func decodeAnswer(l *line) admission.Event {
+func decodeAttemptFinished(l *line) admission.Event {
 	finished := &admission.AttemptFinished{
 		Request: l.request(),
 		Attempt: int(l.integer(3)),
@@ -127,22 +126,22 @@
 	return finished
 }
 
-// decodeAborted reads the end of a request by its client or its deadline: aborted, limiter, request.
-func decodeAborted(l *line) admission.Event {
+// decodeRequestEnded decodes the end of a request by its client or its deadline: aborted, limiter, request.
+func decodeRequestEnded(l *line) admission.Event {
 	return &admission.RequestEnded{Request: l.request()}
 }
 
-// decodeFired reads that a timer is due: fired, limiter, token. A token that no controller sets says only that
+// decodeTimerFired decodes the end of a timer: fired, limiter, token. A token that no controller sets only means that
 // time has passed.
-func decodeFired(l *line) admission.Event {
+func decodeTimerFired(l *line) admission.Event {
 	if l.parts[2] != timerToken {
 		return admission.TimePassed{}
 	}
 	return admission.TimerFired{}
 }
 
-// decodeProbed reads the end of a probe: probed, limiter, backend, result, latency, load report.
-func decodeProbed(l *line) admission.Event {
+// decodeProbeResult decodes the end of a probe: probed, limiter, backend, result, latency, load report.
+func decodeProbeResult(l *line) admission.Event {
 	return &admission.ProbeResult{
 		Backend: l.parts[2],
 		Result:  choice(l, 3, results),
@@ -151,14 +150,14 @@
 	}
 }
 
-// decodeMessage reads a message of another limiter: message, limiter, number of the sender, data.
-func decodeMessage(l *line) admission.Event {
+// decodePeerMessage decodes a message of another limiter: message, limiter, number of the sender, data.
+func decodePeerMessage(l *line) admission.Event {
 	return &admission.PeerMessage{From: int(l.integer(2)), Data: l.bytes(3)}
 }
 
-// decodeReckoned reads a reply of the platform's counter service, which a controller does not use:
-// reckoned, limiter, count, result, latency, name of the count.
-func decodeReckoned(l *line) admission.Event {
+// decodeCounterReply decodes a reply of the platform's counter service, which a controller does not use: reckoned,
+// limiter, count, result, latency, name of the count.
+func decodeCounterReply(l *line) admission.Event {
 	_ = l.number(2)
 	return nil
 }
--- a/internal/simprotocol/line.go
+++ b/internal/simprotocol/line.go
@@ -15,21 +15,21 @@
 const (
 	separator = "\t"
 	absent    = "-" // a part without a value
-	// maxSeconds bounds times, on both sides of zero; a time.Duration has room for more.
+	// maxSeconds bounds the absolute value of times; a time.Duration can hold more.
 	maxSeconds = 1e9
 )
 
-// Parts that have the same index on all lines of events that have them.
+// Indexes of the parts that stand at the same place on all lines of events that have them.
 const (
 	limiterIndex = 1
 	requestIndex = 2
 )
 
-// partError says which part of a line is malformed.
+// partError reports which part of a line is malformed.
 type partError struct {
 	verb  verb
-	index int    // of the part; the verb is 0
-	want  string // what the part should be
+	index int    // of the part; the verb has index 0
+	want  string // describes a valid part
 	got   string
 }
 
@@ -37,15 +37,15 @@
 	return fmt.Sprintf("%s: part %d: want %s, got %q", e.verb, e.index, e.want, settings.Excerpt(e.got))
 }
 
-// line reads the parts of a line of input by their index. A part that is absent reads as zero, where its
-// kind has one. The first error is kept in err; after it all parts read as absent.
+// line decodes the parts of a line of input by their index. A part that is absent decodes to zero, if its type allows
+// that. The first error is kept in err; after it, all parts count as absent.
 type line struct {
 	verb  verb
-	parts []string // the verb included
+	parts []string // including the verb
 	err   error
 }
 
-// splitEvent splits the line of an event. The last part may hold tabs.
+// splitEvent splits the line of an event. The last part may contain tabs.
 func splitEvent(text string) (line, error) {
 	name, _, _ := strings.Cut(text, separator)
 	count, known := eventPartCounts[verb(name)]
@@ -56,7 +56,7 @@
 	return l, l.checkPartCount(count)
 }
 
-// splitLine splits a line that should have a certain verb; checkVerb reports whether it has.
+// splitLine splits a line that should have a given verb; checkVerb reports whether it has.
 func splitLine(want verb, text string) line {
 	return line{verb: want, parts: strings.Split(text, separator)}
 }
@@ -75,17 +75,17 @@
 	return nil
 }
 
-// limiter is the name of the limiter that an event is for.
+// limiter returns the name of the limiter that an event is for.
 func (l *line) limiter() string { return l.parts[limiterIndex] }
 
-// fail keeps the first error: the part at an index is not what it should be.
+// fail records that the part at an index is not what it should be, unless there was an error before.
 func (l *line) fail(index int, want string) {
 	if l.err == nil {
 		l.err = &partError{verb: l.verb, index: index, want: want, got: l.parts[index]}
 	}
 }
 
-// value returns a part, empty if it is absent.
+// value returns a part, or an empty text if it is absent.
 func (l *line) value(index int) string {
 	if l.err != nil || l.parts[index] == absent {
 		return ""
@@ -93,7 +93,7 @@
 	return l.parts[index]
 }
 
-// number reads a finite number.
+// number decodes a finite number.
 func (l *line) number(index int) float64 {
 	text := l.value(index)
 	if text == "" {
@@ -106,14 +106,14 @@
 	return number
 }
 
-// parseNumber returns a number and whether the text is one, and finite.
+// parseNumber returns the number that a text contains, and reports whether it is one, and finite.
 func parseNumber(text string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	finite := !math.IsNaN(number) && !math.IsInf(number, 0)
 	return number, err == nil && finite
 }
 
-// seconds reads a time.
+// seconds decodes a time.
 func (l *line) seconds(index int) time.Duration {
 	number := l.number(index)
 	if math.Abs(number) > maxSeconds {
@@ -123,7 +123,7 @@
 	return settings.Duration(number)
 }
 
-// integer reads a signed integer of 64 bits.
+// integer decodes a signed 64-bit integer.
 func (l *line) integer(index int) int64 {
 	text := l.value(index)
 	if text == "" {
@@ -136,7 +136,7 @@
 	return number
 }
 
-// request reads the number of the request that an event is about, which is below 2^32 and never absent.
+// request decodes the ID of the request that an event is about, which is below 2^32 and never absent.
 func (l *line) request() admission.RequestID {
 	id, err := strconv.ParseUint(l.value(requestIndex), 10, 32)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return admission.RequestID(id)
 }
 
-// seed reads an integer of 64 bits with or without a sign, which is never absent.
+// seed decodes a signed or unsigned 64-bit integer, which is never absent.
 func (l *line) seed(index int) uint64 {
 	text := l.value(index)
 	if signed, err := strconv.ParseInt(text, 10, 64); err == nil {
@@ -158,7 +158,7 @@
 	return seed
 }
 
-// flag reads 0 or 1.
+// flag decodes 0 or 1.
 func (l *line) flag(index int) bool {
 	switch l.value(index) {
 	case "", "0":
@@ -170,7 +170,7 @@
 	return false
 }
 
-// bytes reads base64 with padding.
+// bytes decodes base64 with padding.
 func (l *line) bytes(index int) []byte {
 	data, err := base64.StdEncoding.DecodeString(l.value(index))
 	if err != nil {
@@ -179,7 +179,7 @@
 	return data
 }
 
-// loadReport reads numbers set apart by commas, 0 for those that are absent; nil if there is no report.
+// loadReport decodes numbers separated by commas, 0 for those that are absent; nil if there is no report.
 func (l *line) loadReport(index int) []float64 {
 	text := l.value(index)
 	if text == "" {
@@ -189,7 +189,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		number, ok := parseNumber(part)
 		if !ok && part != absent {
-			l.fail(index, "numbers set apart by commas")
+			l.fail(index, "numbers separated by commas")
 			return nil
 		}
 		report = append(report, number)
@@ -197,7 +197,7 @@
 	return report
 }
 
-// choice reads one of a set of names, which is never absent.
+// choice decodes one of a set of names, which is never absent.
 func choice[T any](l *line, index int, values map[string]T) T {
 	value, known := values[l.value(index)]
 	if !known {
--- a/internal/simprotocol/mapping_test.go
+++ b/internal/simprotocol/mapping_test.go
@@ -48,7 +48,7 @@
 
 // A row of an endpoint list decodes with every part in its field.
 func TestRow(t *testing.T) {
-	got, err := decodeRow("row\tb_one\thall-a\tstd-2c\t7\tquiescing\t1.5\t6.1")
+	got, err := decodeEndpoint("row\tb_one\thall-a\tstd-2c\t7\tquiescing\t1.5\t6.1")
 	want := admission.Backend{
 		ID: "b_one", Zone: "hall-a", Cell: 7, State: admission.Draining, RelativeCapacity: 1.5, StartedAt: 6100 * ms,
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-// Each action is the line that release 0.8.0 writes for it.
+// Each action is encoded as the line that release 0.8.0 writes for it.
 func TestLineOfEachAction(t *testing.T) {
 	for _, test := range []struct {
 		action admission.Action
--- a/internal/simprotocol/protocol.go
+++ b/internal/simprotocol/protocol.go
@@ -1,11 +1,11 @@
-// Package simprotocol speaks the simulator's line protocol on behalf of simulated limiters: it reads
-// batches of events, lets the admission controller of the limiter concerned decide, and writes its
-// actions. It decides nothing itself. This is the one place where the protocol's names are mapped to
-// the events and actions of package admission.
+// Package simprotocol implements the simulator's line protocol for simulated limiters: it reads batches of events,
+// passes each event to the admission controller of its limiter, and writes the controller's actions. It decides
+// nothing itself. This is the only place that maps the protocol's names to the events and actions of package
+// admission.
 //
-// The text is UTF-8. A line's parts are set apart by tabs; the first is its verb, and on all lines but
-// those that frame a batch the second is the limiter. An absent part is "-". Times are in seconds with
-// fractions, clock times included; the clock starts at no special value and only goes forward.
+// The text is UTF-8. The parts of a line are separated by tabs. The first part is the verb, and on all lines but those
+// that frame a batch the second part is the limiter. An absent part is "-". Times, clock times included, are in
+// seconds with fractions; the clock starts at an arbitrary value and only goes forward.
 //
 // A batch is a line "frame", lines of events and a line "your_turn". Its reply is a line for each action
 // and a line "ok". All of a batch's events and actions happen at the clock time of its frame.
@@ -52,14 +52,14 @@
 	verbRemark      verb = "remark"
 )
 
-// How many parts a line has, its verb included.
+// Numbers of parts of a line, including its verb.
 const (
 	framePartCount = 3
 	rowPartCount   = 8
 )
 
-// eventPartCounts is how many parts the line of an event has, its verb included. The last part is the rest
-// of the line.
+// eventPartCounts maps the verb of an event to the number of parts of its line, including the verb. The last part is
+// the rest of the line.
 var eventPartCounts = map[verb]int{
 	verbPowerOn:    4,
 	verbHalt:       2,
@@ -74,7 +74,7 @@
 	verbReckoned:   6,
 }
 
-// timerToken names the one timer that a controller sets.
+// timerToken is the token of the only timer that a controller sets.
 const timerToken = "beat"
 
 var listKinds = map[string]admission.ListKind{
--- a/internal/simprotocol/server.go
+++ b/internal/simprotocol/server.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// maxLineBytes bounds a line of input; settings and long lists fit well inside.
+	// maxLineBytes is the maximum length of a line of input; settings and long lists are much shorter.
 	maxLineBytes = 16 << 20
-	// bufferBytes is the size of the buffer for replies, and of the first one for lines.
+	// bufferBytes is the size of the buffer for replies, and the initial size of the buffer for lines.
 	bufferBytes = 1 << 16
 )
 
-// LineError says which line of the input could not be read.
+// LineError reports which line of the input could not be read.
 type LineError struct {
 	Line int // from 1
 	Err  error
@@ -26,23 +26,23 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the error that the line caused.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// server serves the limiters of one process. They share nothing but the clock of the batch.
+// server serves the limiters of one process. They share only the clock of the batch.
 type server struct {
 	input       *bufio.Scanner
 	output      *bufio.Writer
 	line        int                              // number of the line read last, from 1
-	now         time.Duration                    // clock time of the batch in hand
+	now         time.Duration                    // clock time of the current batch
 	controllers map[string]*admission.Controller // by the limiters' names
-	actions     []admission.Action               // of the event in hand; kept for its memory
-	reply       reply                            // to the batch in hand
+	actions     []admission.Action               // of the current event; reused to save allocations
+	reply       reply                            // to the current batch
 }
 
-// Serve replies on w to the batches that it reads from r, until r ends between two batches. Each reply is
-// written at once. It fails with a *LineError if the input is malformed or cannot be read, or if the
-// reply to the batch that ended there cannot be written.
+// Serve writes replies on w to the batches that it reads from r, until r ends between two batches. Each reply is
+// written at once. Serve fails with a *LineError if the input is malformed or cannot be read, or if the reply to the
+// batch that ended at that line cannot be written.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{
 		input:       bufio.NewScanner(r),
@@ -115,8 +115,8 @@
 	}
 }
 
-// handleEvent reads one event, lets the controller of its limiter decide, and adds the actions to the
-// reply. An event for a limiter that is not running has no effect.
+// handleEvent decodes one event, passes it to the controller of its limiter, and adds the actions to the reply. An
+// event for a limiter that is not running has no effect.
 func (s *server) handleEvent(text string) error {
 	l, err := splitEvent(text)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// startLimiter starts a limiter, anew if it is running: power_on, limiter, seed, settings.
+// startLimiter starts a limiter, with a new controller if it is running already: power_on, limiter, seed, settings.
 func (s *server) startLimiter(l *line) error {
 	decoded, err := settings.Decode([]byte(l.parts[3]))
 	if err != nil {
--- a/internal/simprotocol/server_test.go
+++ b/internal/simprotocol/server_test.go
@@ -26,7 +26,7 @@
 	`"tiers_of_service":[{"name":"small","refill":2,"depth":1}],` +
 	`"allowed":{"max_attempts":2,"retry_after":true,"max_retry_after_s":1}}`
 
-// A request is forwarded and served, and the next one is rejected: it is beyond its quota.
+// A request is sent to a backend and served, and the next one is rejected because it is beyond the quota.
 func TestTranscript(t *testing.T) {
 	got, err := serve(t, start+
 		"frame\t1.6\t2\n"+
@@ -53,8 +53,8 @@
 	}
 }
 
-// Events of a limiter that was halted or never started have no effect, and a halted one may start again in
-// the same batch.
+// Events for a limiter that was halted or never started have no effect, and a halted limiter may start again in the
+// same batch.
 func TestHaltAndRestart(t *testing.T) {
 	got, err := serve(t, start+
 		"frame\t2\t2\n"+
@@ -65,7 +65,7 @@
 		"membership\tdoor_0\t3\tC\t0\n"+
 		"your_turn\n")
 	if err != nil || !strings.HasSuffix(got, "defer\tdoor_0\t2.250000\tbeat\nok\t2\n") {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("got replies %q, error %v", got, err)
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// The error has the number of the malformed line, also behind a batch that was served.
+// The error has the number of the malformed line, also if that follows a batch that was served.
 func TestLineError(t *testing.T) {
 	replies, err := serve(t, start+"frame\t2\t2\naborted\tdoor_0\tx\n")
 	var malformed *LineError
@@ -107,7 +107,7 @@
 	}
 }
 
-// No input makes Serve panic or fail without a message.
+// No input makes Serve panic or return an error without a message.
 func FuzzServe(f *testing.F) {
 	f.Add(start)
 	f.Add("frame\t1\t1\nyour_turn\n")
