--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -29,7 +29,7 @@
 const (
 	Prepare       Kind = iota // proposer: promise this ballot
 	Promise                   // acceptor: promised, unless the message reports another proposer's lease
-	Reject                    // acceptor: not accepted, as the greater ballot in this message is promised
+	Reject                    // acceptor: no vote, as the greater ballot in this message is promised
 	Propose                   // proposer: accept this ballot, and with it the lease
 	Accept                    // acceptor: accepted
 	Release                   // lease holder: the lease is released
--- a/internal/rollingrestart/payload.go
+++ b/internal/rollingrestart/payload.go
@@ -15,8 +15,8 @@
 
 // DecodePayload returns the limiters that have a slot in a payload.
 func DecodePayload(payload uint64) (restarting []Limiter) {
-	for slot := range MaxSlots {
-		field := payload >> (slot * slotBits) & slotMask
+	for index := range MaxSlots {
+		field := payload >> (index * slotBits) & slotMask
 		if field > 0 {
 			restarting = append(restarting, Limiter(field-1))
 		}
@@ -28,8 +28,8 @@
 func nextPayload(payload uint64, restarting []Limiter) uint64 {
 	sequence := payload>>sequenceShift + 1
 	next := sequence << sequenceShift
-	for slot, n := range restarting {
-		next |= (uint64(n) + 1) << (slot * slotBits)
+	for index, n := range restarting {
+		next |= (uint64(n) + 1) << (index * slotBits)
 	}
 	return next
 }
