--- a/cmd/lemongate-experiment/demo.go
+++ b/cmd/lemongate-experiment/demo.go
@@ -101,7 +101,7 @@
 	printf(d.out, "%8s %8s %8s %8s %8s %6s %8s %8s %5s\n",
 		"second", "req/s", "served", "rejected", "failed", "lost", "p50 ms", "p99 ms", "up")
 	load := d.tier.StartLoad(d.rate, demoRequest)
-	load.Each(d.record)
+	load.OnResult(d.record)
 	begin := time.Now()
 	d.printSeconds(ctx, begin)
 	load.End()
@@ -152,11 +152,11 @@
 		d.printSecond(n)
 		switch n {
 		case killAt:
-			d.tier.Backends[0].Down(true)
+			d.tier.Backends[0].SetDown(true)
 			d.up--
 			printf(d.out, "         a backend is killed\n")
 		case restartAt:
-			d.tier.Backends[0].Down(false)
+			d.tier.Backends[0].SetDown(false)
 			d.up++
 			printf(d.out, "         it is back\n")
 		}
--- a/cmd/lemongate-experiment/run.go
+++ b/cmd/lemongate-experiment/run.go
@@ -135,7 +135,7 @@
 	if !cmd.IsSet("seeds") && !cmd.IsSet("seed") {
 		seeds.last = seeds.first
 	}
-	if err := e.CheckSupported(processharness.CheckPlayable); err != nil {
+	if err := e.CheckSupported(processharness.CheckSupported); err != nil {
 		return nil, err
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
@@ -154,7 +154,7 @@
 	return func(sc simulation.Scenario, seed uint64) simulation.Result {
 		child := h.newChild()
 		defer child.end()
-		return processharness.Play(child, sc, seed, program, "serve", "--log-level", "error")
+		return processharness.RunScenario(child, sc, seed, program, "serve", "--log-level", "error")
 	}
 }
 
--- a/cmd/lemongate-experiment/soak.go
+++ b/cmd/lemongate-experiment/soak.go
@@ -72,9 +72,9 @@
 	}
 	child := h.newChild()
 	defer child.end()
-	result := soak.Play(child, seed, duration, program, "serve", "--log-level", "info")
+	result := soak.Run(child, seed, duration, program, "serve", "--log-level", "info")
 	printf(out, "seed %d: %d requests, %d served, %d restarts (%d hot), %d killed while they shut down, %d clients left, %d long attempts, %d rules broken\n",
-		seed, result.Requests, result.Served, result.Restarts, result.Hot, result.Killed, result.Left, result.LongAttempts, len(result.Breaches))
+		seed, result.Requests, result.Served, result.Restarts, result.HotRestarts, result.Killed, result.Disconnected, result.LongAttempts, len(result.Breaches))
 	for _, breach := range result.Breaches[:min(len(result.Breaches), breachesShown)] {
 		printf(out, "  %s\n", breach)
 	}
--- a/cmd/lemongate/admin_test.go
+++ b/cmd/lemongate/admin_test.go
@@ -18,7 +18,7 @@
 		return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 20)}
 	})
 	for i := range 100 {
-		c, err := net.Dial("tcp", p.Console)
+		c, err := net.Dial("tcp", p.AdminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/lemongate/crossrelease_test.go
+++ b/cmd/lemongate/crossrelease_test.go
@@ -35,7 +35,7 @@
 		b.Delay(15 * time.Millisecond)
 	}
 	load := tier.StartLoad(500, mixedRequest)
-	if err := load.Warm(0, 30); err != nil {
+	if err := load.OpenIdle(0, 30); err != nil {
 		t.Fatal(err)
 	}
 	predecessor := processes[0]
@@ -46,7 +46,7 @@
 		}
 		successor := tier.Limiters[0].Start()
 		successor.Await(t)
-		processharness.Until(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
+		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		if successor.HasLogged("without the state") || predecessor.HasLogged("with no state") {
 			t.Errorf("restart %d: the state was not transferred", i)
 		}
@@ -101,7 +101,7 @@
 		tier.Program[0] = releases[(n+i/3+1)%2]
 		successor := tier.Limiters[n].Start()
 		successor.Await(t)
-		processharness.Until(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
+		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		processes[n].Signal(syscall.SIGTERM)
 		if err := processes[n].Wait(t); err != nil {
 			t.Errorf("restart %d: the predecessor ended with %v", i, err)
--- a/cmd/lemongate/hotrestart_test.go
+++ b/cmd/lemongate/hotrestart_test.go
@@ -27,14 +27,14 @@
 		b.Delay(15 * time.Millisecond)
 	}
 	load := tier.StartLoad(500, mixedRequest)
-	if err := load.Warm(0, 30); err != nil {
+	if err := load.OpenIdle(0, 30); err != nil {
 		t.Fatal(err)
 	}
 	old := processes[0]
 	for i := range restarts {
 		next := tier.Limiters[0].Start()
 		next.Await(t)
-		processharness.Until(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
+		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
 		if i%3 == 0 { // leave the successor in probation for a while
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -73,9 +73,9 @@
 				})
 				time.Sleep(100 * time.Millisecond) // some connections and requests are open
 				successor := startFailingProcess(t, tier, "successor:"+step+":"+failure)
-				processharness.Until(t, "the step", func() bool { return successor.HasLogged("at " + step) })
+				processharness.WaitUntil(t, "the step", func() bool { return successor.HasLogged("at " + step) })
 				before := time.Now()
-				processharness.Until(t, "a predecessor that accepts clients", predecessor.Healthy)
+				processharness.WaitUntil(t, "a predecessor that accepts clients", predecessor.Healthy)
 				recovery := time.Since(before)
 				time.Sleep(700 * time.Millisecond) // all timeouts of the hot restart have passed after it
 				if !predecessor.Healthy() {
@@ -93,7 +93,7 @@
 					successor.Signal(syscall.SIGKILL)
 				}
 				next := tier.Limiters[0].Start()
-				processharness.Until(t, "a working successor", next.Healthy)
+				processharness.WaitUntil(t, "a working successor", next.Healthy)
 				predecessor.Signal(syscall.SIGTERM)
 				if err := predecessor.Wait(t); err != nil {
 					t.Error(err)
@@ -116,11 +116,11 @@
 			t.Parallel()
 			tier := newTier(t, 1, 2)
 			predecessor := startFailingProcess(t, tier, "predecessor:"+c.step+":"+c.failure)
-			processharness.Until(t, "the predecessor", func() bool { return predecessor.HasLogged("ready") })
+			processharness.WaitUntil(t, "the predecessor", func() bool { return predecessor.HasLogged("ready") })
 			successor := tier.Limiters[0].Start()
 			waits := c.failure == "stop" && c.step != "transfer" && c.step != "taken" && c.step != "commit"
 			if waits {
-				processharness.Until(t, "the step", func() bool { return predecessor.HasLogged("at " + c.step) })
+				processharness.WaitUntil(t, "the step", func() bool { return predecessor.HasLogged("at " + c.step) })
 				time.Sleep(800 * time.Millisecond)
 				if successor.Healthy() {
 					t.Error("the successor accepts clients although the predecessor may accept them too")
@@ -154,14 +154,14 @@
 				tier := newTier(t, 1, 2)
 				predecessor := startAll(t, tier)[0]
 				successor := tier.Limiters[0].Start()
-				processharness.Until(t, "the hot restart", func() bool { return successor.HasLogged("takes over") || successor.HasLogged("listening") })
+				processharness.WaitUntil(t, "the hot restart", func() bool { return successor.HasLogged("takes over") || successor.HasLogged("listening") })
 				time.Sleep(after)
 				victim, other := predecessor, successor
 				if side == "successor" {
 					victim, other = successor, predecessor
 				}
 				victim.Signal(sig)
-				processharness.Until(t, "a process that serves", func() bool {
+				processharness.WaitUntil(t, "a process that serves", func() bool {
 					if sig == syscall.SIGSTOP && side == "predecessor" && !other.Healthy() {
 						victim.Signal(syscall.SIGKILL) // it was suspended before it handed over anything, and an operator kills it
 					}
@@ -205,7 +205,7 @@
 		if err := successor.Wait(t); err != nil {
 			t.Error(err)
 		}
-		processharness.Until(t, "a predecessor that serves again", predecessor.Healthy)
+		processharness.WaitUntil(t, "a predecessor that serves again", predecessor.Healthy)
 	})
 	t.Run("SIGHUP during the hot restart", func(t *testing.T) {
 		t.Parallel()
@@ -234,7 +234,7 @@
 		successor := tier.Limiters[0].Start()
 		successor.Await(t) // it is in probation now
 		third := tier.Limiters[0].Start()
-		processharness.Until(t, "a reply to the third process", func() bool {
+		processharness.WaitUntil(t, "a reply to the third process", func() bool {
 			return predecessor.HasLogged("another takeover is under way") || predecessor.HasLogged("is handed")
 		})
 		if third.Healthy() || !successor.Healthy() {
@@ -257,7 +257,7 @@
 			c["settings"].(map[string]any)["tiers_of_service"] = []map[string]any{{"name": "free"}, {"name": "more", "refill": 3, "depth": 9}}
 		})
 		successor.Await(t)
-		processharness.Until(t, "rejection of the state of other settings", func() bool { return successor.HasLogged("of other settings") })
+		processharness.WaitUntil(t, "rejection of the state of other settings", func() bool { return successor.HasLogged("of other settings") })
 		predecessor.Signal(syscall.SIGTERM)
 		if err := predecessor.Wait(t); err != nil || !successor.Healthy() {
 			t.Error(err)
@@ -268,7 +268,7 @@
 		tier := newTier(t, 1, 1)
 		predecessor := startAll(t, tier)[0]
 		tier.Limiters[0].Start(func(c map[string]any) { c["listen"] = "127.0.0.1:1" })
-		processharness.Until(t, "denial of the other limiter", func() bool { return predecessor.HasLogged("listens elsewhere") })
+		processharness.WaitUntil(t, "denial of the other limiter", func() bool { return predecessor.HasLogged("listens elsewhere") })
 		if !predecessor.Healthy() {
 			t.Error("the running process no longer serves")
 		}
@@ -286,7 +286,7 @@
 		next.Await(t)
 		again := tier.Limiters[0].Start()
 		again.Await(t)
-		processharness.Until(t, "a takeover from the process that replaced the socket of the killed one", func() bool { return again.HasLogged("takes over") })
+		processharness.WaitUntil(t, "a takeover from the process that replaced the socket of the killed one", func() bool { return again.HasLogged("takes over") })
 		next.Signal(syscall.SIGTERM)
 		_ = next.Wait(t)
 		again.Signal(syscall.SIGTERM)
@@ -305,7 +305,7 @@
 		startAll(t, tier)
 		next := tier.Limiters[0].Start()
 		next.Await(t)
-		processharness.Until(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
+		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
 	})
 }
 
@@ -356,7 +356,7 @@
 	successor := tier.Limiters[0].Start()
 	successor.Await(t)
 	predecessor.Signal(syscall.SIGTERM)
-	processharness.Until(t, "a predecessor in phase closing", func() bool { return predecessor.HasLogged("phase closing") })
+	processharness.WaitUntil(t, "a predecessor in phase closing", func() bool { return predecessor.HasLogged("phase closing") })
 	for _, c := range partial {
 		_, _ = fmt.Fprint(c, "an: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n") // an error shows in the response
 	}
@@ -391,7 +391,7 @@
 	time.Sleep(300 * time.Millisecond)
 	successor := tier.Limiters[0].Start()
 	successor.Await(t)
-	tier.Backends[0].Break() // while requests are in flight to it
+	tier.Backends[0].AbortConns() // while requests are in flight to it
 	predecessor.Signal(syscall.SIGTERM)
 	if err := predecessor.Wait(t); err != nil {
 		t.Error(err)
@@ -400,14 +400,14 @@
 	results := load.End()
 	served := 0
 	for _, r := range results {
-		if r.Fault != "" {
-			t.Errorf("lost after %v: %s", r.Took, r.Fault)
+		if r.ConnError != "" {
+			t.Errorf("lost after %v: %s", r.Took, r.ConnError)
 		}
 		if r.Status == http.StatusOK {
 			served++
 		}
 	}
-	if n := tier.RepeatedRuns(); n > 0 {
+	if n := tier.RepeatedExecutions(); n > 0 {
 		t.Errorf("requests with %d keys ran twice outside of their idempotency window", n)
 	}
 	if served < len(results)/2 {
@@ -452,7 +452,7 @@
 	predecessor.Signal(syscall.SIGTERM)
 	late := tier.Limiters[0].Start()
 	late.Await(t) // it listens once the address is free
-	processharness.Until(t, "the late process in phase serving", func() bool { return late.HasLogged("phase serving") })
+	processharness.WaitUntil(t, "the late process in phase serving", func() bool { return late.HasLogged("phase serving") })
 	if late.HasLogged("without the state") {
 		t.Error("the late process took over from one that shut down")
 	}
--- a/cmd/lemongate/lease_test.go
+++ b/cmd/lemongate/lease_test.go
@@ -50,11 +50,11 @@
 					select {
 					case <-stop:
 						if i%2 == 1 {
-							tier.Backends[0].Down(false)
+							tier.Backends[0].SetDown(false)
 						}
 						return
 					case <-time.After([]time.Duration{1500, 300}[i%2] * time.Millisecond):
-						tier.Backends[0].Down(i%2 == 0)
+						tier.Backends[0].SetDown(i%2 == 0)
 					}
 				}
 			}()
@@ -135,14 +135,14 @@
 			select {
 			case <-stop:
 				if down {
-					tier.Backends[0].Down(false)
+					tier.Backends[0].SetDown(false)
 				}
 				return
 			case <-time.After(4 * time.Millisecond):
 			}
 			if wantDown := i%300 >= 100 && i%300 < 200; wantDown != down {
 				down = wantDown
-				tier.Backends[0].Down(down)
+				tier.Backends[0].SetDown(down)
 			}
 			from := rng.IntN(3)
 			to := (from + 1 + rng.IntN(2)) % 3
@@ -205,7 +205,7 @@
 	tier := newTierWithLeases(t, 1, 1)
 	p := startAll(t, tier)[0]
 	awaitHolder(t, []*processharness.Process{p})
-	out, err := run(t, "leases", "--console", p.Console)
+	out, err := run(t, "leases", "--console", p.AdminAddr)
 	if err != nil || !strings.Contains(out, "trials") || !strings.Contains(out, "yes") {
 		t.Errorf("got table %q, %v; want one with the task and a lease that is held", out, err)
 	}
@@ -213,7 +213,7 @@
 		t.Error(err)
 	}
 	disabled := startAll(t, newTier(t, 1, 1))[0]
-	if out, err := run(t, "leases", "--json", "--console", disabled.Console); err != nil || strings.TrimSpace(out) != "[]" {
+	if out, err := run(t, "leases", "--json", "--console", disabled.AdminAddr); err != nil || strings.TrimSpace(out) != "[]" {
 		t.Errorf("limiter without leases: got %q, %v; want an empty list", out, err)
 	}
 }
--- a/cmd/lemongate/main_test.go
+++ b/cmd/lemongate/main_test.go
@@ -31,9 +31,9 @@
 		os.Args = append([]string{"lemongate"}, os.Args[1:]...)
 		main()
 	case "successor":
-		processharness.PlayFailingSuccessor(script)
+		processharness.RunFailingSuccessor(script)
 	case "predecessor":
-		processharness.PlayFailingPredecessor(script)
+		processharness.RunFailingPredecessor(script)
 	default:
 		os.Exit(m.Run())
 	}
--- a/cmd/lemongate/restartslot_test.go
+++ b/cmd/lemongate/restartslot_test.go
@@ -43,7 +43,7 @@
 	var operators sync.WaitGroup
 	for n := range limiters {
 		operators.Go(func() {
-			output, err := run(t, "restart-slot", "--wait", "50s", "--console", process(n).Console)
+			output, err := run(t, "restart-slot", "--wait", "50s", "--console", process(n).AdminAddr)
 			if err != nil || !strings.HasPrefix(output, "restart within ") {
 				t.Errorf("limiter %d: got output %q, error %v; want a slot", n, output, err)
 				return
@@ -53,7 +53,7 @@
 			old.Signal(syscall.SIGTERM)
 			_ = old.Wait(t) // it may be suspended at that moment
 			next := tier.Limiters[n].Start()
-			processharness.Until(t, "a process that accepts clients", next.Healthy)
+			processharness.WaitUntil(t, "a process that accepts clients", next.Healthy)
 			count(-1)
 			mu.Lock()
 			processes[n] = next
@@ -99,7 +99,7 @@
 // The command reports that a limiter has no restart slots, and a slot that was released can be granted again.
 func TestRestartSlotCommand(t *testing.T) {
 	disabled := startAll(t, newTierWithLeases(t, 1, 1))[0]
-	if _, err := run(t, "restart-slot", "--console", disabled.Console); err == nil || !strings.Contains(err.Error(), "gives no turns") {
+	if _, err := run(t, "restart-slot", "--console", disabled.AdminAddr); err == nil || !strings.Contains(err.Error(), "gives no turns") {
 		t.Error(err)
 	}
 	if _, err := run(t, "restart-slot", "--console", "127.0.0.1:1"); err == nil || !strings.HasPrefix(err.Error(), "console: ") {
@@ -114,29 +114,29 @@
 	tier.Env = []string{"LEMONGATE_TEST=serve"}
 	processes := startAll(t, tier)
 	for range 2 {
-		if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].Console); err != nil {
+		if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].AdminAddr); err != nil {
 			t.Fatalf("got output %q, error %v; want a slot for limiter 0", out, err)
 		}
-		if _, err := run(t, "restart-slot", "--wait", "200ms", "--console", processes[1].Console); err == nil || !strings.Contains(err.Error(), "none came") {
+		if _, err := run(t, "restart-slot", "--wait", "200ms", "--console", processes[1].AdminAddr); err == nil || !strings.Contains(err.Error(), "none came") {
 			t.Errorf("got %v while limiter 0 has the only slot, want an error that no slot was granted", err)
 		}
-		if _, err := run(t, "restart-slot", "--back", "--console", processes[0].Console); err != nil {
+		if _, err := run(t, "restart-slot", "--back", "--console", processes[0].AdminAddr); err != nil {
 			t.Error(err)
 		}
 	}
 	// A limiter that was killed keeps its slot until an operator releases it with the forget flag.
-	if _, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].Console); err != nil {
+	if _, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[0].AdminAddr); err != nil {
 		t.Fatal(err)
 	}
 	processes[0].Signal(syscall.SIGKILL)
 	_ = processes[0].Wait(t) // fails, as the process was killed
-	if _, err := run(t, "restart-slot", "--wait", "3s", "--console", processes[1].Console); err == nil {
+	if _, err := run(t, "restart-slot", "--wait", "3s", "--console", processes[1].AdminAddr); err == nil {
 		t.Error("limiter 1 was granted a slot while the killed limiter 0 had the only one")
 	}
-	if _, err := run(t, "restart-slot", "--forget", "0", "--console", processes[1].Console); err != nil {
+	if _, err := run(t, "restart-slot", "--forget", "0", "--console", processes[1].AdminAddr); err != nil {
 		t.Error(err)
 	}
-	if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[1].Console); err != nil {
+	if out, err := run(t, "restart-slot", "--wait", "20s", "--console", processes[1].AdminAddr); err != nil {
 		t.Errorf("got output %q, error %v; want the slot that was released", out, err)
 	}
 }
--- a/cmd/lemongate/shutdown_test.go
+++ b/cmd/lemongate/shutdown_test.go
@@ -19,7 +19,7 @@
 		load := tier.StartLoad(500, func(n int) processharness.Request {
 			return processharness.Request{Class: []string{"read", "post"}[n%2], Key: []string{"", strconv.Itoa(round) + "k" + strconv.Itoa(n)}[n%2], Plan: "free", Customer: uint64(n % 30), Body: n % 2 * 3000}
 		})
-		if err := load.Warm(0, 20); err != nil {
+		if err := load.OpenIdle(0, 20); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -50,7 +50,7 @@
 	load := tier.StartLoad(120, func(n int) processharness.Request {
 		return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 30)}
 	})
-	if err := load.Warm(0, 70); err != nil { // more than a quarter of the bound on connections
+	if err := load.OpenIdle(0, 70); err != nil { // more than a quarter of the bound on connections
 		t.Fatal(err)
 	}
 	for range 3 {
--- a/cmd/lemongate/tier_test.go
+++ b/cmd/lemongate/tier_test.go
@@ -53,8 +53,8 @@
 	bad, repeated := 0, 0
 	for _, r := range results {
 		switch {
-		case r.Fault != "":
-			t.Errorf("limiter %d: lost after %v: %s", r.Limiter, r.Took, r.Fault)
+		case r.ConnError != "":
+			t.Errorf("limiter %d: lost after %v: %s", r.Limiter, r.Took, r.ConnError)
 			bad++
 		case r.Status == http.StatusOK && r.Body != fmt.Sprintf("%s %d", r.ID, r.Request.Body):
 			t.Errorf("got response %q, want the request's ID and the length of its body", r.Body)
@@ -79,7 +79,7 @@
 			t.Fatal("more than 10 requests failed; further ones are not listed")
 		}
 	}
-	if n := tier.RepeatedRuns(); n > 0 {
+	if n := tier.RepeatedExecutions(); n > 0 {
 		t.Errorf("%d keys had their effect twice", n)
 	}
 	if repeated > 2+len(results)/8 {
@@ -157,7 +157,7 @@
 // recoveryLease returns the lease on recovery attempts as a limiter sees it, and whether the limiter responded.
 func recoveryLease(t *testing.T, p *processharness.Process) (v lease.View, ok bool) {
 	t.Helper()
-	out, err := run(t, "leases", "--json", "--console", p.Console)
+	out, err := run(t, "leases", "--json", "--console", p.AdminAddr)
 	if err != nil {
 		return v, false // the process may be suspended or killed
 	}
@@ -171,7 +171,7 @@
 // awaitHolder waits for a limiter that holds the lease on recovery attempts, and returns its number.
 func awaitHolder(t *testing.T, processes []*processharness.Process) int {
 	holder := -1
-	processharness.Until(t, "a lease holder", func() bool {
+	processharness.WaitUntil(t, "a lease holder", func() bool {
 		for i, p := range processes {
 			if v, ok := recoveryLease(t, p); ok && v.Holds {
 				holder = i
@@ -222,7 +222,7 @@
 		if r.Status != 0 {
 			answered++
 		} else {
-			faults[regexp.MustCompile(`[0-9.]+:[0-9]+`).ReplaceAllString(r.Fault, "")]++
+			faults[regexp.MustCompile(`[0-9.]+:[0-9]+`).ReplaceAllString(r.ConnError, "")]++
 			unread++
 		}
 	}
--- a/internal/processharness/backend.go
+++ b/internal/processharness/backend.go
@@ -164,8 +164,8 @@
 	return b.abortsConns
 }
 
-// Down stops listening and closes all connections if down is true; otherwise it listens again at the same address.
-func (b *Backend) Down(down bool) {
+// SetDown stops listening and closes all connections if down is true; otherwise it listens again at the same address.
+func (b *Backend) SetDown(down bool) {
 	if down {
 		_ = b.server.Listener.Close() // it may be closed already
 		b.server.CloseClientConnections()
@@ -179,8 +179,8 @@
 	b.serve(listener)
 }
 
-// Break closes all connections of the backend. From then on it closes the connection instead of sending a response.
-func (b *Backend) Break() {
+// AbortConns closes all connections of the backend. From then on it closes the connection instead of sending a response.
+func (b *Backend) AbortConns() {
 	b.mu.Lock()
 	b.abortsConns = true
 	b.mu.Unlock()
--- a/internal/processharness/checker.go
+++ b/internal/processharness/checker.go
@@ -27,7 +27,7 @@
 		units[result.ID] = float64(max(result.Units, 1))
 		r.checkResult(result)
 	}
-	r.result.Doubled = r.RepeatedRuns()
+	r.result.Doubled = r.RepeatedExecutions()
 	if r.result.Doubled > 0 {
 		r.breach("%d requests with an idempotency key were executed twice", r.result.Doubled)
 	}
@@ -53,7 +53,7 @@
 	case 0:
 		if !r.excused(q) {
 			counts.Lost++
-			r.breach("limiter %d, %.3f s: no response after %v: %s", q.Limiter, r.sinceStart(q.At).Seconds(), q.Took, q.Fault)
+			r.breach("limiter %d, %.3f s: no response after %v: %s", q.Limiter, r.sinceStart(q.At).Seconds(), q.Took, q.ConnError)
 		}
 	case http.StatusOK:
 		counts.Served++
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -13,7 +13,7 @@
 // leaseQueryTimeout limits the time that a limiter takes to report its leases.
 const leaseQueryTimeout = 100 * time.Millisecond
 
-// faultInjectors injects each kind of fault from its start to its end. The other kinds that CheckPlayable allows are
+// faultInjectors injects each kind of fault from its start to its end. The other kinds that CheckSupported allows are
 // in effect from the start of the processes.
 var faultInjectors = map[simulation.FaultKind]func(*tierRun, simulation.Fault){
 	simulation.FaultPartition:      (*tierRun).injectBlockedDirections,
@@ -81,7 +81,7 @@
 
 // holdsLease reports whether a process says that it holds the lease of the first task.
 func (p *Process) holdsLease() bool {
-	resp, err := adminClient(leaseQueryTimeout).Get("http://" + p.Console + "/leases")
+	resp, err := adminClient(leaseQueryTimeout).Get("http://" + p.AdminAddr + "/leases")
 	if err != nil {
 		return false
 	}
@@ -232,13 +232,13 @@
 
 func (r *tierRun) stopBackends(numbers []int) {
 	for _, n := range numbers {
-		r.Backends[n].Down(true)
+		r.Backends[n].SetDown(true)
 	}
 }
 
 func (r *tierRun) restoreBackends(numbers []int) {
 	for _, n := range numbers {
-		r.Backends[n].Down(false)
+		r.Backends[n].SetDown(false)
 		r.SetListed(r.Backends[n], true)
 	}
 }
--- a/internal/processharness/host.go
+++ b/internal/processharness/host.go
@@ -20,15 +20,15 @@
 }
 
 const (
-	// waitTimeout is how long Until and Process.Wait wait.
+	// waitTimeout is how long WaitUntil and Process.Wait wait.
 	waitTimeout = 20 * time.Second
-	// waitPoll is the interval at which Until checks its condition.
+	// waitPoll is the interval at which WaitUntil checks its condition.
 	waitPoll = 5 * time.Millisecond
 )
 
-// Until waits until a condition holds, and ends the test if it does not hold within waitTimeout. what describes the
+// WaitUntil waits until a condition holds, and ends the test if it does not hold within waitTimeout. what describes the
 // condition in the failure text.
-func Until(t Host, what string, holds func() bool) {
+func WaitUntil(t Host, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(waitPoll) {
 		if time.Now().After(end) {
--- a/internal/processharness/limiter.go
+++ b/internal/processharness/limiter.go
@@ -109,9 +109,9 @@
 func (l *Limiter) Start(change ...func(map[string]any)) *Process {
 	host := l.tier.Host
 	host.Helper()
-	p := &Process{Console: freeAddr(host, "tcp"), Ended: make(chan error, 1), log: &lockedBuffer{}}
+	p := &Process{AdminAddr: freeAddr(host, "tcp"), Ended: make(chan error, 1), log: &lockedBuffer{}}
 	config := l.Config()
-	config["console"] = p.Console
+	config["console"] = p.AdminAddr
 	for _, f := range change {
 		f(config)
 	}
--- a/internal/processharness/limiter_test.go
+++ b/internal/processharness/limiter_test.go
@@ -37,7 +37,7 @@
 	_ = program.Process.Kill()                                   // it runs until it is killed
 	_ = program.Wait()                                           // returns that it was killed
 	t.Cleanup(func() { _ = syscall.Kill(pid, syscall.SIGKILL) }) // in case it has not ended
-	Until(t, "the end of the limiter", func() bool {
+	WaitUntil(t, "the end of the limiter", func() bool {
 		line, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
 		return err != nil || len(line) == 0 // empty once the process has ended and has not been waited for
 	})
--- a/internal/processharness/linkpeer.go
+++ b/internal/processharness/linkpeer.go
@@ -26,7 +26,7 @@
 const (
 	// linkFormat is the version of the link's messages.
 	linkFormat = 1
-	// heartbeatCount is how many heartbeats PlayFailingSuccessor sends before its last step, heartbeatInterval apart.
+	// heartbeatCount is how many heartbeats RunFailingSuccessor sends before its last step, heartbeatInterval apart.
 	heartbeatCount    = 5
 	heartbeatInterval = 20 * time.Millisecond
 	// flushDelay is the time allowed for a queued message to be written.
@@ -119,9 +119,9 @@
 	_ = p.conn.SendSync(uint8(kind), body, sockets...) // the next read fails if the link is closed
 }
 
-// PlayFailingSuccessor acts as a successor that fails at a step: hello, offer, prepared, transfer, taken, commit or
+// RunFailingSuccessor acts as a successor that fails at a step: hello, offer, prepared, transfer, taken, commit or
 // beats.
-func PlayFailingSuccessor(script string) {
+func RunFailingSuccessor(script string) {
 	addresses := readAddresses()
 	conn, err := link.Dial(addresses.linkPath())
 	if err != nil {
@@ -150,9 +150,9 @@
 	p.failAt("beats")
 }
 
-// PlayFailingPredecessor acts as a predecessor that listens at the address for clients without accepting any, and
+// RunFailingPredecessor acts as a predecessor that listens at the address for clients without accepting any, and
 // fails at a step: listening, hello, offer, prepared, transfer, taken or commit. It prints "ready" once it listens.
-func PlayFailingPredecessor(script string) {
+func RunFailingPredecessor(script string) {
 	addresses := readAddresses()
 	clients, err := net.Listen("tcp", addresses.Listen)
 	if err != nil {
--- a/internal/processharness/load.go
+++ b/internal/processharness/load.go
@@ -72,7 +72,7 @@
 	At             time.Time // when its last byte was written
 	Took           time.Duration
 	Status         int    // 0 without a complete response
-	Fault          string // error of the connection, "" for none
+	ConnError      string // error of the connection, "" for none
 	Body           string
 	DisconnectedAt time.Time // when the client closed the connection; zero if it did not disconnect
 
@@ -100,8 +100,8 @@
 	l.mu.Unlock()
 }
 
-// Each passes each result to f as it arrives instead of keeping it. f is called from any goroutine.
-func (l *Load) Each(f func(Result)) {
+// OnResult passes each result to f as it arrives instead of keeping it. f is called from any goroutine.
+func (l *Load) OnResult(f func(Result)) {
 	l.mu.Lock()
 	l.onResult = f
 	l.mu.Unlock()
@@ -132,7 +132,7 @@
 	return l.resendEnabled
 }
 
-// record appends a result to Results, or passes it to the function that was given to Each.
+// record appends a result to Results, or passes it to the function that was given to OnResult.
 func (l *Load) record(result Result) {
 	l.mu.Lock()
 	onResult := l.onResult
@@ -164,7 +164,7 @@
 	id := fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, n)
 	conn, kept, err := l.connection(request.Limiter)
 	if err != nil {
-		l.record(Result{Request: request, ID: id, At: time.Now(), Fault: "connect: " + err.Error()})
+		l.record(Result{Request: request, ID: id, At: time.Now(), ConnError: "connect: " + err.Error()})
 		return
 	}
 	if request.Mode == Pipelining {
@@ -195,8 +195,8 @@
 	}
 	at, err := conn.write(requestText(first, id) + requestText(second, secondID))
 	if err != nil {
-		l.finish(Result{Request: first, ID: id, At: at, Fault: err.Error()}, kept)
-		l.finish(Result{Request: second, ID: secondID, At: at, Fault: err.Error()}, kept)
+		l.finish(Result{Request: first, ID: id, At: at, ConnError: err.Error()}, kept)
+		l.finish(Result{Request: second, ID: secondID, At: at, ConnError: err.Error()}, kept)
 		return
 	}
 	result, state := receive(Result{Request: first, ID: id, At: at}, conn)
@@ -216,7 +216,7 @@
 	at, err := conn.write(requestText(request, id))
 	if err != nil {
 		conn.close()
-		return Result{Request: request, ID: id, At: at, Fault: err.Error()}, true
+		return Result{Request: request, ID: id, At: at, ConnError: err.Error()}, true
 	}
 	switch request.Mode {
 	case Disconnecting:
@@ -252,10 +252,10 @@
 	result.Took = time.Since(result.At)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		result.Fault, result.timedOut = "read: "+err.Error(), true
+		result.ConnError, result.timedOut = "read: "+err.Error(), true
 		return result, connEnded
 	case err != nil:
-		result.Fault = "read: " + err.Error()
+		result.ConnError = "read: " + err.Error()
 		if firstByteErr != nil {
 			return result, connUnanswered
 		}
@@ -305,8 +305,8 @@
 	return b.String()
 }
 
-// Warm opens connections to a limiter and keeps them idle.
-func (l *Load) Warm(limiter, count int) error {
+// OpenIdle opens connections to a limiter and keeps them idle.
+func (l *Load) OpenIdle(limiter, count int) error {
 	for range count {
 		conn, err := l.connect(limiter)
 		if err != nil {
--- a/internal/processharness/process.go
+++ b/internal/processharness/process.go
@@ -13,10 +13,10 @@
 
 // Process is a process of a limiter.
 type Process struct {
-	Cmd     *exec.Cmd
-	Console string     // address of the administration server
-	Ended   chan error // receives the error with which the process ended, once
-	log     *lockedBuffer
+	Cmd       *exec.Cmd
+	AdminAddr string     // address of the administration server
+	Ended     chan error // receives the error with which the process ended, once
+	log       *lockedBuffer
 
 	mu        sync.Mutex // protects the start of Cmd and the field below
 	hostEnded bool       // the process must not be started any more
@@ -75,7 +75,7 @@
 
 // Healthy reports whether the process accepts clients, according to its administration server.
 func (p *Process) Healthy() bool {
-	resp, err := adminClient(time.Second).Get("http://" + p.Console + "/healthcheck")
+	resp, err := adminClient(time.Second).Get("http://" + p.AdminAddr + "/healthcheck")
 	if err != nil {
 		return false
 	}
@@ -91,7 +91,7 @@
 // Await waits until the process accepts clients, and ends the test if it does not within waitTimeout.
 func (p *Process) Await(t Host) {
 	t.Helper()
-	Until(t, "a process that accepts clients", p.Healthy)
+	WaitUntil(t, "a process that accepts clients", p.Healthy)
 }
 
 // Wait waits for the end of the process and returns the error with which it ended. It ends the test if the process
--- a/internal/processharness/run.go
+++ b/internal/processharness/run.go
@@ -44,8 +44,8 @@
 // interval is the time from one instant to another. It has not ended while to is zero.
 type interval struct{ from, to time.Time }
 
-// CheckPlayable returns the reason why a fault cannot be injected on processes, nil if it can.
-func CheckPlayable(f simulation.Fault) error {
+// CheckSupported returns the reason why a fault cannot be injected on processes, nil if it can.
+func CheckSupported(f simulation.Fault) error {
 	switch {
 	case f.Kind == simulation.FaultHotRestart || f.Kind == simulation.FaultRollingRestart:
 		return fmt.Errorf("kind: %q is not supported on processes; see cmd/lemongate", f.Kind)
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// Play runs a scenario once, with limiters that are started by running program.
-func Play(h Host, sc simulation.Scenario, seed uint64, program ...string) simulation.Result {
+// RunScenario runs a scenario once, with limiters that are started by running program.
+func RunScenario(h Host, sc simulation.Scenario, seed uint64, program ...string) simulation.Result {
 	usageDir := h.TempDir()
 	if sc.Leases != nil {
 		program = append(slices.Clone(program), "--operator", writeOperatorFile(h, sc.Leases, usageDir))
--- a/internal/processharness/run_test.go
+++ b/internal/processharness/run_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/simulation"
 )
 
-// CheckPlayable returns an error for each fault that cannot be injected on processes.
+// CheckSupported returns an error for each fault that cannot be injected on processes.
 func TestFaultsOfVirtualTimeAreUnsupported(t *testing.T) {
 	for _, c := range []struct {
 		fault     simulation.Fault
@@ -21,7 +21,7 @@
 		{simulation.Fault{Kind: simulation.FaultBackendUnresponsive}, false},
 		{simulation.Fault{Kind: simulation.FaultBackendRefuses, Zone: 1}, false},
 	} {
-		if err := CheckPlayable(c.fault); (err == nil) != c.supported {
+		if err := CheckSupported(c.fault); (err == nil) != c.supported {
 			t.Errorf("fault %+v: error %v", c.fault, err)
 		}
 	}
@@ -51,7 +51,7 @@
 		simulation.FaultBackendCrash, simulation.FaultBackendRefuses, simulation.FaultBackendUnresponsive,
 	}
 	for _, kind := range kinds {
-		playable := CheckPlayable(simulation.Fault{Kind: kind}) == nil && kind != simulation.FaultClock
+		playable := CheckSupported(simulation.Fault{Kind: kind}) == nil && kind != simulation.FaultClock
 		if hasInjector := faultInjectors[kind] != nil; hasInjector != playable {
 			t.Errorf("%q: supported %v, has an injector %v", kind, playable, hasInjector)
 		}
--- a/internal/processharness/tier.go
+++ b/internal/processharness/tier.go
@@ -107,8 +107,8 @@
 	return spans
 }
 
-// RepeatedRuns returns how many times a request with an idempotency key was executed again after the window.
-func (tier *Tier) RepeatedRuns() int {
+// RepeatedExecutions returns how many times a request with an idempotency key was executed again after the window.
+func (tier *Tier) RepeatedExecutions() int {
 	tier.keys.mu.Lock()
 	defer tier.keys.mu.Unlock()
 	return tier.keys.repeats
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -145,15 +145,15 @@
 		if out.hot || out.limiter != r.Limiter || r.At.Add(r.Took).Before(out.from) || r.At.After(out.to) {
 			continue
 		}
-		isRefused := strings.HasPrefix(r.Fault, "connect:")
+		isRefused := strings.HasPrefix(r.ConnError, "connect:")
 		isUnread := o.attempts[r.ID] == 0 && r.Took < longestDeadline
 		isLate := out.killed && r.At.After(out.from.Add(answerWindow))
 		if isRefused || isUnread || isLate {
 			return ""
 		}
-		return fmt.Sprintf("no response during the shutdown after %v: %s; it reached backends %d times", r.Took, r.Fault, o.attempts[r.ID])
+		return fmt.Sprintf("no response during the shutdown after %v: %s; it reached backends %d times", r.Took, r.ConnError, o.attempts[r.ID])
 	}
-	return fmt.Sprintf("no response after %v: %s; it reached backends %d times", r.Took, r.Fault, o.attempts[r.ID])
+	return fmt.Sprintf("no response after %v: %s; it reached backends %d times", r.Took, r.ConnError, o.attempts[r.ID])
 }
 
 // duringCrash reports whether the limiter of a request crashed while the request was in flight, or within
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -78,24 +78,24 @@
 
 // Result is the result of a run.
 type Result struct {
-	Requests int
-	Served   int
-	Restarts int // of all kinds, crashes included
-	Hot      int // hot restarts, including those that failed as intended
-	Killed   int // processes that SIGKILL ended after SIGTERM
-	Left     int // clients that disconnected before their response
+	Requests     int
+	Served       int
+	Restarts     int // of all kinds, crashes included
+	HotRestarts  int // hot restarts, including those that failed as intended
+	Killed       int // processes that SIGKILL ended after SIGTERM
+	Disconnected int // clients that disconnected before their response
 	// LongAttempts counts the attempts on a plan with a limit of attempts in flight that took longer than a slot is lent.
 	LongAttempts int
 	Breaches     []string // of rules, one line each
 }
 
-// Play runs the schedule of a seed, with limiters that are started by running program.
-func Play(host processharness.Host, seed uint64, duration time.Duration, program ...string) Result {
+// Run runs the schedule of a seed, with limiters that are started by running program.
+func Run(host processharness.Host, seed uint64, duration time.Duration, program ...string) Result {
 	r := newRun(host, program)
 	load := r.startLoad()
 	if seed%3 == 0 { // every third run has many idle connections
 		for n := range limiters {
-			if err := load.Warm(n, extraIdleConns); err != nil {
+			if err := load.OpenIdle(n, extraIdleConns); err != nil {
 				host.Errorf("opening idle connections: %v", err)
 			}
 		}
@@ -383,7 +383,7 @@
 	o := &r.observed
 	o.attempts, _ = r.tier.Attempts()
 	o.arrivals = r.tier.BackendAttempts()
-	o.repeatedKeys = r.tier.RepeatedRuns()
+	o.repeatedKeys = r.tier.RepeatedExecutions()
 	o.startedAt, o.maxInFlight = r.startedAt, maxInFlight
 	for _, f := range r.tier.AttemptSpans() {
 		if isLimited(f.Attempt) {
@@ -398,7 +398,7 @@
 	}
 	for _, answered := range o.results {
 		if !answered.DisconnectedAt.IsZero() {
-			result.Left++
+			result.Disconnected++
 		}
 		if answered.Status == http.StatusOK {
 			result.Served++
@@ -409,7 +409,7 @@
 			result.Killed++
 		}
 		if out.hot {
-			result.Hot++
+			result.HotRestarts++
 		}
 	}
 	return result
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -83,17 +83,17 @@
 		fault func(o *observations)
 		want  string // "" for no breach
 	}{
-		{"no response", func(o *observations) { o.results[0].Status, o.results[0].Fault = 0, "read: EOF" }, "no response after"},
+		{"no response", func(o *observations) { o.results[0].Status, o.results[0].ConnError = 0, "read: EOF" }, "no response after"},
 		{"sent to a backend and unanswered during a shutdown", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].Fault = at(5100), 0, "read: EOF"
+			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5100), 0, "read: EOF"
 		}, "no response during the shutdown"},
 		{"unread during a shutdown", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].Fault = at(5100), 0, "read: EOF"
+			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5100), 0, "read: EOF"
 			o.attempts["a"] = 0
 		}, ""},
 		{"unanswered at SIGKILL, sent soon after SIGTERM", func(o *observations) {
 			o.outages[0].killed = true
-			o.results[0].At, o.results[0].Status, o.results[0].Fault = at(5500), 0, "read: EOF"
+			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5500), 0, "read: EOF"
 		}, "no response during the shutdown"},
 		{"unanswered in a crash", func(o *observations) {
 			o.results[0].Limiter, o.results[0].At, o.results[0].Status = 1, at(9990), 0
@@ -153,23 +153,23 @@
 			o.attempts["a"] = 2
 		}, "must not be repeated"},
 		{"no response to a client that closed its sending side", func(o *observations) {
-			o.results[0].Mode, o.results[0].Status, o.results[0].Fault = processharness.HalfClosing, 0, "read: EOF"
+			o.results[0].Mode, o.results[0].Status, o.results[0].ConnError = processharness.HalfClosing, 0, "read: EOF"
 		}, "no response after"},
 		{"response to the other one of two requests sent together", func(o *observations) {
 			o.results[0].Mode, o.results[0].Body = processharness.Pipelining, "f 0"
 		}, "unexpected body"},
 		{"no response in a hot restart", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].Fault = at(12100), 0, "read: EOF"
+			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(12100), 0, "read: EOF"
 			o.attempts["a"] = 0
 		}, "no response after"},
 		{"connection refused in a hot restart", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].Fault = at(12100), 0, "connect: refused"
+			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(12100), 0, "connect: refused"
 		}, "connect: refused"},
 		{"no response when a successor is killed that may have had clients", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].Fault = at(14000), 0, "read: reset"
+			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(14000), 0, "read: reset"
 		}, ""},
 		{"no response when a successor is killed that had no clients", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].Fault = at(14000), 0, "read: reset"
+			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(14000), 0, "read: reset"
 			o.outages[3].crash = false
 		}, "no response after"},
 		{"exit code of a predecessor", func(o *observations) { o.outages[2].exit = errors.New("exit status 1") }, "exit status 1"},
@@ -197,7 +197,7 @@
 func TestLateRequestAtSIGKILLNeedsNoResponse(t *testing.T) {
 	o := withoutBreach()
 	o.outages[0].killed = true
-	o.results[0].At, o.results[0].Status, o.results[0].Fault = at(5900), 0, "read: EOF"
+	o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5900), 0, "read: EOF"
 	if breaches := o.check(); len(breaches) != 1 || !strings.Contains(breaches[0], "when SIGKILL was sent") {
 		t.Errorf("breaches %q, want only one that SIGKILL was sent", breaches)
 	}
