--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -93,8 +93,8 @@
 // queueDelay estimates the queueing time, in seconds, of a request that joins the queue of a class: the length of the
 // queue divided by the attempt rate of the class, which is taken to be at least one per second.
 func (ctl *Controller) queueDelay(c *requestClass) float64 {
-	served := ctl.window.attemptRate.Value(ctl.now, ctl.control.memorySeconds) * c.share
-	return float64(len(c.queue)) / max(served, 1)
+	attemptRate := ctl.window.attemptRate.Value(ctl.now, ctl.control.memorySeconds) * c.share
+	return float64(len(c.queue)) / max(attemptRate, 1)
 }
 
 // requiredTime returns the time in seconds that a queued request must have left to be worth an attempt.
--- a/internal/admission/attempts.go
+++ b/internal/admission/attempts.go
@@ -38,8 +38,8 @@
 		return // not the attempt in flight
 	}
 	b := r.finishAttempt()
-	if r.retryPrepaid { // return the reserved tokens; a retry is charged separately
-		r.retryPrepaid = false
+	if r.retryTokenReserved { // return the reserved tokens; a retry is charged separately
+		r.retryTokenReserved = false
 		ctl.retries.tokens++
 	}
 	ctl.onLoadReport(b, ev.Report)
@@ -114,7 +114,7 @@
 			}
 			if ctl.cancelable(r) && b.silentSince(r) && ctl.shouldRetry(r, retryCost) {
 				// Reserve the token until the result arrives, so that several cancellations do not rely on the same one.
-				r.retryPrepaid = true
+				r.retryTokenReserved = true
 				ctl.retries.tokens -= retryCost
 				ctl.cancelAttempt(r)
 			}
--- a/internal/admission/attempts_test.go
+++ b/internal/admission/attempts_test.go
@@ -38,7 +38,8 @@
 // A single fast response does not cause attempts of ordinary latency to be canceled.
 func TestFirstLatencyDoesNotCancelAttempts(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
-	attemptAfter := func(latency time.Duration) (canceled int) {
+	// attemptWithLatency returns the number of cancellations of an attempt before its response.
+	attemptWithLatency := func(latency time.Duration) (canceled int) {
 		f.request("read", "free", "x")
 		attempt := actionsOf[StartAttempt](f.takeActions())[0]
 		f.advance(latency)
@@ -46,9 +47,9 @@
 		f.finish(attempt.Request, 0, attempt.Backend, Succeeded, latency)
 		return canceled
 	}
-	attemptAfter(8 * ms)
+	attemptWithLatency(8 * ms)
 	for range 5 {
-		if attemptAfter(100*ms) > 0 {
+		if attemptWithLatency(100*ms) > 0 {
 			t.Error("an attempt with a latency of 100 ms was canceled after one response in 8 ms")
 		}
 	}
@@ -70,7 +71,8 @@
 		f.advance(120 * ms)
 		canceled := len(actionsOf[CancelAttempt](f.takeActions()))
 		if (canceled > 0) != (failureRate > 0) {
-			t.Errorf("%d attempts canceled after another limiter observed a failure rate of %d/255", canceled, failureRate)
+			t.Errorf("%d attempts canceled after another limiter observed a failure rate of %d/255, want some if and only if it is above 0",
+				canceled, failureRate)
 		}
 	}
 }
@@ -103,7 +105,7 @@
 			return cancel.Request == id
 		})
 		if canceled != test.canceled {
-			t.Errorf("class %s, idempotency window %v: canceled is %v for %+v",
+			t.Errorf("class %s, idempotency window %v: canceled is %v for attempt %+v, want the opposite",
 				test.class, test.idempotencyWindow, canceled, attempt)
 		}
 	}
@@ -144,6 +146,6 @@
 	f.takeActions()
 	f.request("read", "concurrent", "x")
 	if len(actionsOf[StartAttempt](f.actions)) != 1 {
-		t.Error("no attempt was started on a freed slot")
+		t.Error("no attempt was started although a slot was free, want one")
 	}
 }
--- a/internal/admission/classes.go
+++ b/internal/admission/classes.go
@@ -177,15 +177,15 @@
 // size of the group.
 func mostCommon(values []time.Duration, tolerance time.Duration) (time.Duration, int) {
 	sorted := slices.Sorted(slices.Values(values))
-	var least time.Duration
+	var lowest time.Duration
 	largest, from := 0, 0
 	for i, v := range sorted {
 		for v-sorted[from] > tolerance {
 			from++
 		}
 		if size := i - from + 1; size > largest {
-			least, largest = sorted[from], size
+			lowest, largest = sorted[from], size
 		}
 	}
-	return least, largest
+	return lowest, largest
 }
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -67,16 +67,16 @@
 	ctl.recordLateAttempts()
 
 	totals := periodTotals{headroom: math.Inf(1)}
-	wanted, modelled := make([]float64, len(ctl.classes.byWeight)), make([]float64, len(ctl.classes.byWeight))
+	wanted, modeled := make([]float64, len(ctl.classes.byWeight)), make([]float64, len(ctl.classes.byWeight))
 	for i, c := range ctl.classes.byWeight {
 		c.updateArrivalRate(ctl.control.periodSeconds)
-		wanted[i], modelled[i] = c.wantedShare(window)
+		wanted[i], modeled[i] = c.wantedShare(window)
 		totals.shares += wanted[i]
 		ctl.addPeriod(&totals, c, i == 0)
 		c.startPeriod()
 	}
 	if totals.shares > 1 {
-		fitShares(wanted, modelled)
+		fitShares(wanted, modeled)
 	}
 	for i, share := range normalize(wanted) {
 		ctl.classes.byWeight[i].share = share
@@ -122,20 +122,20 @@
 	c.arrivalRate += arrivalWeight * (perSecond - c.arrivalRate)
 }
 
-// wantedShare returns the share of a window (in attempts) that meets the latency objective of a class: modelled is the
+// wantedShare returns the share of a window (in attempts) that meets the latency objective of a class: modeled is the
 // share by the queueing model, wanted adds the correction for the error of the last period. The model treats the window
 // as a single server with a service time of the attempt latency divided by the window size.
-func (c *requestClass) wantedShare(window float64) (wanted, modelled float64) {
+func (c *requestClass) wantedShare(window float64) (wanted, modeled float64) {
 	service := queueing.ServiceTime{
 		Mean:   c.meanLatency / window,
 		Square: c.meanSquaredLatency / (window * window),
 	}
-	modelled = clampShare(queueing.Share(c.arrivalRate, service, c.LatencyObjective.Seconds()))
+	modeled = clampShare(queueing.Share(c.arrivalRate, service, c.LatencyObjective.Seconds()))
 	if c.completed == 0 {
-		return modelled, modelled
+		return modeled, modeled
 	}
 	slack := c.LatencyObjective.Seconds() - c.latencySum/float64(c.completed)
-	return clampShare(modelled + shareCorrection(slack, c.arrivalRate, service, modelled)), modelled
+	return clampShare(modeled + shareCorrection(slack, c.arrivalRate, service, modeled)), modeled
 }
 
 // startPeriod updates the idle latency and clears the measurements of the last control period.
@@ -156,15 +156,15 @@
 	return min(max(step, -maxShareStep), maxShareStep)
 }
 
-// fitShares reduces shares, given in descending order of weight, whose sum exceeds one. A share that exceeds what the
-// classes with more weight left loses its correction and is limited to what they left.
-func fitShares(wanted, modelled []float64) {
-	left := 1.0
+// fitShares reduces shares, given in descending order of weight, whose sum exceeds one. A share that exceeds what remains
+// after the classes with more weight loses its correction and is limited to what remains.
+func fitShares(wanted, modeled []float64) {
+	remaining := 1.0
 	for i := range wanted {
-		if wanted[i] > left {
-			wanted[i] = clampShare(min(modelled[i], left))
+		if wanted[i] > remaining {
+			wanted[i] = clampShare(min(modeled[i], remaining))
 		}
-		left = max(left-wanted[i], 0)
+		remaining = max(remaining-wanted[i], 0)
 	}
 }
 
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -87,7 +87,7 @@
 	allocationsOfFew, timersOfFew := cost(4)
 	allocationsOfMany, timersOfMany := cost(400)
 	if allocationsOfMany > 1.5*allocationsOfFew+2 || float64(timersOfMany) > 1.5*float64(timersOfFew)+10 {
-		t.Errorf("%.0f allocations and %d timers with 400 limiters, %.0f and %d with 4",
+		t.Errorf("%.0f allocations and %d timers with 400 limiters, %.0f and %d with 4, want at most about half as many again",
 			allocationsOfMany, timersOfMany, allocationsOfFew, timersOfFew)
 	}
 }
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -101,10 +101,10 @@
 }
 
 // reserveQuota asks the ledger whether the customer's quota covers a request, and applies the decision. It returns
-// false if the decision has to wait for a grant of other limiters. If last is set, the ledger decides at once by the
-// local state.
-func (ctl *Controller) reserveQuota(r *request, last bool) (decided bool) {
-	decision, wait := ctl.customers.ledger.Reserve(r.customer.account, r.Units, last, ctl.now)
+// false if the decision has to wait for a grant of other limiters. If decideNow is set, the ledger decides at once by
+// the local state.
+func (ctl *Controller) reserveQuota(r *request, decideNow bool) (decided bool) {
+	decision, wait := ctl.customers.ledger.Reserve(r.customer.account, r.Units, decideNow, ctl.now)
 	if decision == quota.Pending {
 		return false
 	}
--- a/internal/admission/customers_test.go
+++ b/internal/admission/customers_test.go
@@ -45,7 +45,8 @@
 	f.attemptOf(f.request("read", "concurrent", "x"))
 }
 
-// Each limiter admits its allocation of a ceiling, and a limiter that starts assumes that the burst is spent.
+// Each limiter admits at most its allocation of a ceiling. At its start it admits less, as it assumes that the burst is
+// spent.
 func TestCeilingOfOneLimiter(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c")...)
 	forwarded := 0
@@ -57,8 +58,8 @@
 			f.finish(attempt.Request, 0, attempt.Backend, Succeeded, 5*ms)
 		}
 	}
-	if limit := 10*10/2 + 20/2; forwarded > limit || forwarded < limit/2 {
-		t.Errorf("%d forwarded in 10 s, want at most %d and at least half of that", forwarded, limit)
+	if limit := 10*10/2 + 20/2; forwarded > limit || forwarded < limit/2 { // half of what the ceiling allows in 10 s
+		t.Errorf("%d requests forwarded in 10 s, want at most %d and at least half of that", forwarded, limit)
 	}
 }
 
@@ -68,7 +69,7 @@
 	f := newFixture(t, testSettings()) // without a backend, all requests are queued
 	f.request("read", "capped", "x")
 	f.advance(200 * ms)
-	f.now = 10 * time.Second
+	f.now = 10 * time.Second // the bucket of the ceiling is full by then
 	f.takeActions()
 	for range 30 {
 		f.request("read", "capped", "x")
@@ -114,7 +115,7 @@
 	customers := &f.ctl.customers
 	accounts := customers.ledger.Counters(f.now).Accounts
 	if n := len(customers.byKey) + len(customers.order) + len(f.ctl.requests) + accounts; n != 0 {
-		t.Errorf("%d entries of idle customers remain, want 0", n)
+		t.Errorf("%d entries of customers, requests and accounts remain, want 0 after the customers were idle", n)
 	}
 }
 
@@ -124,18 +125,18 @@
 	for range 10 {
 		f.request("read", "small", "x")
 	}
-	f.advance(seconds(grantTimeoutFraction*0.4) + 20*ms)
+	f.advance(seconds(grantTimeoutFraction*0.4) + 20*ms) // 0.4 s is the shortest objective
 	actions := f.takeActions()
 	forwarded, rejected := len(actionsOf[StartAttempt](actions)), len(actionsOf[Reject](actions))
 	if forwarded+rejected != 10 || forwarded < 4 || forwarded > 8 {
-		t.Errorf("%d forwarded and %d rejected of 10, want between half of the burst, which is allocated here, and all of it",
+		t.Errorf("%d forwarded and %d rejected of 10, want all decided and 4 to 8 forwarded: half of the burst, which is allocated here, to all of it",
 			forwarded, rejected)
 	}
 }
 
 // A request is subject to the plan that it names, regardless of other plans of its customer, of a customer name with the
 // same hash, and of messages of another limiter: no customer gets the limits of another one.
-func TestRequestIsJudgedByItsOwnPlan(t *testing.T) {
+func TestRequestIsSubjectToItsOwnPlan(t *testing.T) {
 	other, customer := customersWithEqualHash(t)
 	for name, before := range map[string]func(f *fixture){
 		"no earlier request":             func(*fixture) {},
@@ -156,7 +157,7 @@
 		f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
 		before(f)
 		f.advance(200 * ms)
-		f.now = 10 * time.Second
+		f.now = 10 * time.Second // the bucket of the ceiling is full by then
 		f.takeActions()
 		for range 30 {
 			f.request("read", "capped", customer)
@@ -193,7 +194,7 @@
 			tr.request(int(tr.now/(20*ms))%3, "small")
 		}
 	}
-	if limit := 8 + 2*20 + 8; tr.forwarded > limit || tr.forwarded < 8+2*20-3 {
+	if limit := 8 + 2*20 + 8; tr.forwarded > limit || tr.forwarded < 8+2*20-3 { // burst, rate for 20 s, one more burst
 		t.Errorf("%d forwarded in 20 s without messages between limiters, want about 48 and at most %d", tr.forwarded, limit)
 	}
 }
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -84,15 +84,15 @@
 // chargeCredit charges a class for one dispatch and distributes the credit of one dispatch among this class and the
 // classes with queued requests, by their shares. In the long run, classes are dispatched in proportion to their shares.
 func (ctl *Controller) chargeCredit(dispatched *requestClass) {
-	waiting := func(c *requestClass) bool { return len(c.queue) > 0 || c == dispatched }
+	competes := func(c *requestClass) bool { return len(c.queue) > 0 || c == dispatched }
 	sum := 0.0
 	for _, c := range ctl.classes.all {
-		if waiting(c) {
+		if competes(c) {
 			sum += c.share
 		}
 	}
 	for _, c := range ctl.classes.all {
-		if waiting(c) {
+		if competes(c) {
 			c.credit = min(c.credit+c.share/sum, maxCredit)
 		}
 	}
--- a/internal/admission/dispatch_test.go
+++ b/internal/admission/dispatch_test.go
@@ -46,7 +46,8 @@
 	}
 	for _, class := range f.ctl.classes.all {
 		if got := dispatched[class.Name]; math.Abs(float64(got)-class.share*dispatches) > 2*maxCredit {
-			t.Errorf("%s: %d of %d dispatches with a share of %.1f, want them in proportion to the share", class.Name, got, dispatches, class.share)
+			t.Errorf("%s: %d of %d dispatches with a share of %.1f, want them in proportion to the share",
+				class.Name, got, dispatches, class.share)
 		}
 	}
 }
--- a/internal/admission/endpoints.go
+++ b/internal/admission/endpoints.go
@@ -148,8 +148,8 @@
 }
 
 // rendezvousRank returns the sort key of a backend for this limiter, whose subset is the first backends in that order.
-// When the list changes, the relative order of the other backends stays the same, and each backend is used by about as
-// many limiters.
+// The order of two backends does not change when others are added or removed, and each backend is used by about the same
+// number of limiters.
 func (ctl *Controller) rendezvousRank(b *backend) uint64 {
 	return quota.Mix64(uint64(hashOf(b.ID))<<32 | uint64(uint32(ctl.settings.Self)))
 }
--- a/internal/admission/endpoints_test.go
+++ b/internal/admission/endpoints_test.go
@@ -12,7 +12,7 @@
 
 // A draining or removed backend gets no attempt after the endpoint list reports its state. If no backend is left, a
 // request is rejected.
-func TestUnavailableBackendsGetNothing(t *testing.T) {
+func TestUnavailableBackendsGetNoAttempts(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
 	draining := Backend{ID: "a", Zone: "north", State: Draining}
 	f.handle(&EndpointList{Kind: ListDelta, Backends: []Backend{draining}})
--- a/internal/admission/gossip.go
+++ b/internal/admission/gossip.go
@@ -35,7 +35,7 @@
 	// another limiter could not connect to it.
 	peerEjectFailureRate = 0.95
 	// urgentFailureChange is the change of a failure rate above which an observation is urgent. For the next
-	// urgentObjectives longest objectives, messages with observations only do not wait for observationPauses.
+	// urgentObjectives longest objectives, messages with observations only do not wait for nextObservationsAt.
 	urgentFailureChange = 0.25
 	urgentObjectives    = 0.3
 )
--- a/internal/admission/gossip_test.go
+++ b/internal/admission/gossip_test.go
@@ -10,10 +10,12 @@
 // Malformed messages and messages from nonexistent limiters are ignored.
 func TestInvalidPeerMessages(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
+	// An empty message, and messages of unknown versions.
 	for _, data := range [][]byte{nil, {3}, {2, 0, 0, 0, 0, 0, 0, 0, 0, 0}, {3, 17: 9}, make([]byte, 400)} {
 		f.handle(&PeerMessage{From: 1, Data: data})
 	}
 	valid := gossip.Message{Epoch: 5, Seq: 1, Observations: make([]gossip.Observation, 2)}.Append(nil)
+	// Truncated messages, and one with a byte too many.
 	for length := range valid {
 		f.handle(&PeerMessage{From: 1, Data: valid[:length]})
 	}
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -213,7 +213,8 @@
 	return list
 }
 
-// assertNear checks that a value differs from the expected one by at most a thousandth.
+// assertNear checks that a value differs from the expected one by at most a thousandth of it, or by at most 0.001 if the
+// expected one is between -1 and 1.
 func assertNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-3*math.Max(1, math.Abs(want)) {
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -18,8 +18,8 @@
 	// minUsableFraction is the fraction of the listed backends that must remain in use when a backend is ejected
 	// by its failure rate. Backends that this or another limiter found unreachable are ejected in any case.
 	minUsableFraction = 0.5
-	// rejectionLatencyFactor: after a rejection, a kind of request avoids the backend for the mean latency of its
-	// class plus this many times the latency of the rejection.
+	// rejectionLatencyFactor: after a rejection, a kind of request (see rejectionKind) avoids the backend for the mean
+	// latency of its class plus this many times the latency of the rejection.
 	rejectionLatencyFactor = 4
 )
 
--- a/internal/admission/heldslots.go
+++ b/internal/admission/heldslots.go
@@ -7,7 +7,7 @@
 )
 
 // This file holds the slots of requests of another process of this limiter that have no attempt in flight here but may
-// still have one there: a retry decided by that process, or an attempt at a backend that remains after that process died.
+// still have one there: a retry decided by that process, or an attempt that a backend still runs after that process died.
 
 // heldSlotState is the stored form of a held slot.
 type heldSlotState struct {
@@ -93,6 +93,7 @@
 	return list
 }
 
+// heldSlot returns the stored form of a request's slot, which is held until the given clock time.
 func (r *request) heldSlot(until time.Duration) heldSlotState {
 	return heldSlotState{
 		Request: r.ID, Customer: r.Customer, Plan: r.Plan, FirstLimiter: r.FirstLimiter, SetSize: r.SetSize, Until: until,
--- a/internal/admission/heldslots_test.go
+++ b/internal/admission/heldslots_test.go
@@ -43,7 +43,7 @@
 		"nothing more was reported": func(s *slotLimiter) { s.advance(s.ctl.longestAttempt() + 50*ms) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSingleSlotLimiter(t)
+			s := newSlotLimiterWithoutPeers(t)
 			s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Backend: "a"})
 			s.handle(&AttemptFinished{Request: 1000, Backend: "a", Result: Unreachable, Final: true})
 			if got := s.slotsInUse(); got != 1 {
@@ -64,9 +64,10 @@
 	}
 }
 
-// A waiting request is admitted as soon as a held slot is freed, also when it expires, and not before.
+// A held slot is not available to another request before the time by which every attempt of the other process must have
+// ended; after that time, it is.
 func TestHeldSlotIsHeldForTheLongestAttempt(t *testing.T) {
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	for id := range RequestID(2) {
 		s.handle(&AttemptAdopted{Request: adoptedRequest(1000 + id), Backend: "a"})
 		s.handle(&AttemptFinished{Request: 1000 + id, Backend: "a", Result: Canceled, Final: true})
@@ -83,7 +84,7 @@
 
 // No slot is held for a plan without slots.
 func TestNoSlotIsHeldForAPlanWithoutSlots(t *testing.T) {
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	for id, plan := range []string{"free", "unknown"} {
 		request := adoptedRequest(RequestID(1000 + id))
 		request.Plan = plan
@@ -99,7 +100,7 @@
 
 // An attempt of a class that is unknown here has a slot until it ends.
 func TestAdoptedAttemptOfUnknownClassHasASlot(t *testing.T) {
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	request := adoptedRequest(1000)
 	request.Class = "gone"
 	s.handle(&AttemptAdopted{Request: request, Backend: "a"})
@@ -114,7 +115,7 @@
 
 // Held slots are kept, until the same time, by a Controller that resumes from a snapshot and after a new epoch.
 func TestHeldSlotsSurviveSnapshotAndEpochRenewal(t *testing.T) {
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Backend: "a"})
 	s.handle(&AttemptFinished{Request: 1000, Backend: "a", Result: Unreachable, Final: true})
 	data, err := s.ctl.Snapshot()
@@ -147,7 +148,7 @@
 	backends := []string{"a", "b", "gone", ""}
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		s := newSingleSlotLimiter(t)
+		s := newSlotLimiterWithoutPeers(t)
 		ids := map[RequestID]bool{}
 		for range 60 {
 			id := RequestID(1000 + random.IntN(5))
@@ -168,7 +169,7 @@
 				t.Fatalf("seed %d: %d slots in use, want 0 to %d, the number of requests", seed, got, limit)
 			}
 		}
-		for id := range ids { // the end of the link ends the attempts in flight
+		for id := range ids { // the link to the predecessor closes, which ends its attempts in flight
 			for attempt := range 3 {
 				s.handle(&AttemptFinished{Request: id, Attempt: attempt, Result: Canceled, Final: true})
 			}
@@ -184,7 +185,7 @@
 // The slot of a retry that waits for a backend is in the snapshot, until the end of its request. A request that is
 // withdrawn before the snapshot has none.
 func TestSlotOfAWaitingRetryIsInTheSnapshot(t *testing.T) {
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	first := s.start()
 	s.handle(&EndpointList{Kind: ListCached})
 	s.end(first, ConnectFailed)
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -22,7 +22,7 @@
 	zones            map[string]string        // by backend
 	unavailableAt    map[string]time.Duration // clock time at which the Controller was notified, by backend
 	attemptsInFlight []RequestID
-	answered         int
+	answered         int // requests that were answered or whose clients disconnected
 }
 
 // requestRecord is the state of a request according to the actions so far.
@@ -82,7 +82,7 @@
 	r, now := checker.requests[attempt.Request], checker.now
 	switch {
 	case r == nil || r.ended:
-		checker.t.Fatalf("%v: attempt of request %d started after its end", now, attempt.Request)
+		checker.t.Fatalf("%v: attempt started for request %d, which has ended or is unknown", now, attempt.Request)
 	case r.backend != "":
 		checker.t.Fatalf("%v: two attempts of request %d in flight", now, attempt.Request)
 	case r.attempts >= checker.settings.MaxAttempts:
@@ -109,7 +109,8 @@
 	return checker.zones[r.mayHaveRunOn] == checker.zones[backend] && checker.now-r.mayHaveRunFrom < r.class.IdempotencyWindow
 }
 
-// checkEnd checks that a request may be answered without a response of a backend, and records the answer.
+// checkEnd checks that a request may be answered without a response of a backend, and records the answer. An answer may
+// be late by two timer steps, which are 8 ms.
 func (checker *ruleChecker) checkEnd(id RequestID) *requestRecord {
 	r := checker.requests[id]
 	if r == nil || r.ended {
--- a/internal/admission/loadreports.go
+++ b/internal/admission/loadreports.go
@@ -19,8 +19,8 @@
 
 	// utilizationMargin is the fraction of its capacity that a fully utilized backend is assumed to have left.
 	utilizationMargin = 0.15
-	// maxRelativeLoad bounds a relative load and its inverse. With a lower bound, busy backends could not be
-	// distinguished.
+	// maxRelativeLoad bounds a relative load and its inverse. With a lower maximum, busy backends could not be
+	// distinguished from each other.
 	maxRelativeLoad = 16.0
 	// latencyLoadWeight is the weight of a single latency in the relative load if no load is reported.
 	latencyLoadWeight = 0.3
@@ -133,17 +133,17 @@
 		return
 	}
 	b.initialReportSeen = true
-	seen := append(ctl.reports.initialUtilizations, utilization)
-	ctl.reports.initialUtilizations = seen
-	if len(seen) < min(initialReports, len(ctl.endpoints.listed)) {
+	utilizations := append(ctl.reports.initialUtilizations, utilization)
+	ctl.reports.initialUtilizations = utilizations
+	if len(utilizations) < min(initialReports, len(ctl.endpoints.listed)) {
 		return
 	}
 	sum := 0.0
-	for _, v := range seen {
+	for _, v := range utilizations {
 		sum += v
 	}
 	state := quota.TierStarted
-	if sum > newTierUtilization*float64(len(seen)) {
+	if sum > newTierUtilization*float64(len(utilizations)) {
 		state = quota.TierRestarted
 	}
 	ctl.customers.ledger.ResolveStartState(state, ctl.now)
--- a/internal/admission/loadreports_test.go
+++ b/internal/admission/loadreports_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A load report with an invalid value is ignored.
+// A load report with an invalid value, or without a value of a known field, is ignored.
 func TestInvalidLoadReports(t *testing.T) {
 	fields := []string{"inflight", "new", "util"}
 	for _, values := range [][]float64{nil, {-1}, {math.NaN()}, {1, 2, math.Inf(1)}} {
--- a/internal/admission/pacing.go
+++ b/internal/admission/pacing.go
@@ -26,9 +26,9 @@
 	activePeers = 6
 	// messageBurst is the number of messages that may be sent to a limiter without a pause.
 	messageBurst = 4
-	// observationPauses is the number of totalIntervals after any message before a message with observations
-	// only is sent. Most observations are carried by messages that are sent anyway.
-	observationPauses = 6
+	// observationPauseIntervals is the time in totalIntervals between any message and a later message with
+	// observations only. Most observations are carried by messages that are sent anyway.
+	observationPauseIntervals = 6
 )
 
 // gossipState contains the other limiters and what has to be sent to them. The clock times ...PacedUntil act as token
@@ -78,10 +78,10 @@
 	}
 }
 
-// queueMessage schedules a message to another limiter within a time, given as a fraction of the shortest objective.
+// queueMessage schedules a message to another limiter within a time, withinFraction of the shortest objective.
 // The content of the message is determined when it is sent.
-func (ctl *Controller) queueMessage(p *peer, within float64) {
-	at := ctl.now + seconds(within*ctl.classes.shortestObjective.Seconds())
+func (ctl *Controller) queueMessage(p *peer, withinFraction float64) {
+	at := ctl.now + seconds(withinFraction*ctl.classes.shortestObjective.Seconds())
 	if !p.queued {
 		p.queued, p.dueAt = true, at
 		ctl.gossip.queued = append(ctl.gossip.queued, p)
@@ -143,7 +143,7 @@
 		return false
 	}
 	g.messagesPacedUntil = max(g.messagesPacedUntil, ctl.now-fullBurst) + g.totalInterval
-	g.nextObservationsAt = ctl.now + observationPauses*g.totalInterval
+	g.nextObservationsAt = ctl.now + observationPauseIntervals*g.totalInterval
 	if !grants {
 		g.requestsPacedUntil = max(g.requestsPacedUntil, ctl.now-fullBurst) + g.totalInterval
 	}
--- a/internal/admission/pacing_test.go
+++ b/internal/admission/pacing_test.go
@@ -18,11 +18,11 @@
 }
 
 // hasCapacity counts a message and reports whether the bucket has a token for it.
-func (in *receiver) hasCapacity(now time.Duration, perSecond, burst float64) bool {
-	in.messages++
-	in.tokens = min(in.tokens+(now-in.refilledAt).Seconds()*perSecond, burst)
-	in.refilledAt = now
-	return in.tokens >= 1
+func (r *receiver) hasCapacity(now time.Duration, perSecond, burst float64) bool {
+	r.messages++
+	r.tokens = min(r.tokens+(now-r.refilledAt).Seconds()*perSecond, burst)
+	r.refilledAt = now
+	return r.tokens >= 1
 }
 
 // No limiter of a large tier is sent more messages by all others together than it accepts, and requests within the
@@ -90,8 +90,9 @@
 			tr.requestOf(random.IntN(limiters), "small", fmt.Sprint("c", random.IntN(60)))
 		}
 	}
-	// The pace is 35 messages per second, of which one in observationPauses, plus a tenth for random variation.
-	maxMessages := int(limiters * duration.Seconds() * 35 / observationPauses * 1.1)
+	// The pace is 35 messages per second: paceFraction of PeerMessagesPerSecond. At most one in observationPauseIntervals
+	// carries observations only, plus a tenth for random variation.
+	maxMessages := int(limiters * duration.Seconds() * 35 / observationPauseIntervals * 1.1)
 	if observationsOnly > maxMessages || observationsOnly == 0 {
 		t.Errorf("%d messages with observations only, want at least one and at most %d", observationsOnly, maxMessages)
 	}
--- a/internal/admission/recovery_test.go
+++ b/internal/admission/recovery_test.go
@@ -31,7 +31,7 @@
 	}
 	backoff := f.ctl.endpoints.byID[id].nextRecoveryAt - f.now
 	if minBackoff := 2 * f.ctl.classes.longestObjective; backoff < minBackoff {
-		t.Errorf("recovery attempt after %v; with 80 limiters that is more than one per %v/80", backoff, minBackoff)
+		t.Errorf("first recovery attempt after %v, want it after at least %v with 80 limiters", backoff, minBackoff)
 	}
 	other := newFixture(t, settings, backendList("a", "b", "c", "d")...)
 	other.now = f.now + time.Second
@@ -81,7 +81,8 @@
 			}
 		}
 		if (recoveryAttempts > 0) != leaseHeld || ejected.ejected() == leaseHeld {
-			t.Errorf("lease held %v: %d recovery attempts, still ejected %v", leaseHeld, recoveryAttempts, ejected.ejected())
+			t.Errorf("lease held %v: %d recovery attempts, still ejected %v; want attempts and recovery only with the lease",
+				leaseHeld, recoveryAttempts, ejected.ejected())
 		}
 	}
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -33,7 +33,7 @@
 	// request of this process.
 	adoptedUntil time.Duration
 
-	retryPrepaid bool // a retry token is reserved during the cancellation, see cancelStuckAttempts
+	retryTokenReserved bool // a retry token is reserved during the cancellation, see cancelStuckAttempts
 
 	// mayHaveRunOn is the backend of the first attempt that may have run, nil for none, and
 	// mayHaveRunFrom the clock time at which it was sent.
--- a/internal/admission/retry.go
+++ b/internal/admission/retry.go
@@ -90,26 +90,26 @@
 // deduplicatedUntil returns the clock time from which backends may no longer drop a repeat of a request with an
 // idempotency key that may have run.
 func (r *request) deduplicatedUntil() time.Duration {
-	first := r.mayHaveRunFrom
+	firstSentAt := r.mayHaveRunFrom
 	if r.mayHaveRunOn == nil {
-		first = r.sentAt
+		firstSentAt = r.sentAt
 	}
 	window := r.class.IdempotencyWindow
-	return first + window - window/deduplicationMarginDivisor
+	return firstSentAt + window - window/deduplicationMarginDivisor
 }
 
 // deduplicates reports whether a backend would drop a repeat of a request: a request with an idempotency key that may
 // have run is restricted to the scope that remembers the key.
 func (ctl *Controller) deduplicates(r *request, b *backend) bool {
-	first := r.mayHaveRunOn
-	if first == nil || r.class.Idempotency == Idempotent {
+	firstBackend := r.mayHaveRunOn
+	if firstBackend == nil || r.class.Idempotency == Idempotent {
 		return true
 	}
 	switch r.class.IdempotencyScope {
 	case ScopeAll:
 		return true
 	case ScopeZone:
-		return b.Zone == first.Zone
+		return b.Zone == firstBackend.Zone
 	}
-	return b.Zone == first.Zone && b.Cell == first.Cell
+	return b.Zone == firstBackend.Zone && b.Cell == firstBackend.Cell
 }
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A request whose attempt failed is retried only if it never ran or may run again. If it may have run and must not run
-// twice, it fails instead of being rejected, as a rejection invites the client to retry.
+// A request whose attempt failed is retried only if the attempt never ran or the request may run more than once.
+// Otherwise it fails instead of being rejected, as a rejection invites the client to retry.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, test := range []struct {
 		class   string
@@ -31,12 +31,13 @@
 		retries, failures := actionsOf[StartAttempt](f.actions), actionsOf[Fail](f.actions)
 		rejections := len(actionsOf[Reject](f.actions))
 		if (len(retries) == 1) != test.retried || (len(failures) == 1) != test.failed || rejections > 0 {
-			t.Errorf("class %s after result %d: unexpected actions %v", test.class, test.result, f.actions)
+			t.Errorf("class %s after result %d: actions %v, want one retry or one Fail according to the test case",
+				test.class, test.result, f.actions)
 		}
 		if test.class == "post" && len(retries) == 1 {
 			backends := f.ctl.endpoints.byID
 			if backends[retries[0].Backend].Zone != backends[first.Backend].Zone {
-				t.Errorf("a request with an idempotency key was retried in another zone")
+				t.Errorf("a request with an idempotency key was retried in another zone, want the zone of its first attempt")
 			}
 		}
 	}
--- a/internal/admission/selection.go
+++ b/internal/admission/selection.go
@@ -64,26 +64,26 @@
 
 // selectBackend returns the backend for the next attempt of a request, or nil if none may be used now.
 func (ctl *Controller) selectBackend(r *request) *backend {
-	c := backendSearch{cost: math.Inf(1)}
-	c.usable, c.capacity = ctl.usableSubset()
-	c.choices = ctl.choices(c.usable)
-	from := ctl.random.IntN(max(c.usable, 1))
+	search := backendSearch{cost: math.Inf(1)}
+	search.usable, search.capacity = ctl.usableSubset()
+	search.choices = ctl.choices(search.usable)
+	from := ctl.random.IntN(max(search.usable, 1))
 	for i := range ctl.endpoints.listed {
-		if i >= c.choices && c.warm && c.cost <= goodEnoughCost {
+		if i >= search.choices && search.warm && search.cost <= goodEnoughCost {
 			break
 		}
 		b := ctl.endpoints.listed[i]
-		if i < c.usable { // the usable backends in rotation from a random start, then the others in list order
-			b = ctl.endpoints.listed[(from+i)%c.usable]
+		if i < search.usable { // the usable backends in rotation from a random start, then the others in list order
+			b = ctl.endpoints.listed[(from+i)%search.usable]
 		}
-		if ctl.eligible(r, b) && ctl.considerWarmUp(&c, b, i < c.choices) {
-			ctl.consider(&c, r, b)
+		if ctl.eligible(r, b) && ctl.considerWarmUp(&search, b, i < search.choices) {
+			ctl.consider(&search, r, b)
 		}
 	}
-	if !c.warm && c.warmest != nil {
-		return ctl.selectWarmingUp(c.warmest, c.usable, c.capacity)
+	if !search.warm && search.warmest != nil {
+		return ctl.selectWarmingUp(search.warmest, search.usable, search.capacity)
 	}
-	return c.best
+	return search.best
 }
 
 // choices returns the number of usable backends that are considered before the best of them is taken.
@@ -99,20 +99,20 @@
 
 // considerWarmUp records whether an eligible backend is warming up, and reports whether it may be considered. A backend
 // that is warming up is considered only among the first choices, and only as often as slow start allows.
-func (ctl *Controller) considerWarmUp(c *backendSearch, b *backend, amongFirst bool) bool {
+func (ctl *Controller) considerWarmUp(search *backendSearch, b *backend, amongFirst bool) bool {
 	fraction := ctl.warmUpFraction(b)
 	if fraction == 1 {
-		c.warm = true
+		search.warm = true
 		return true
 	}
-	if c.warmest == nil || ctl.warmUpFraction(c.warmest) < fraction {
-		c.warmest = b
+	if search.warmest == nil || ctl.warmUpFraction(search.warmest) < fraction {
+		search.warmest = b
 	}
-	return amongFirst && ctl.admitsWarmingUp(b, c.choices, c.usable, c.capacity)
+	return amongFirst && ctl.admitsWarmingUp(b, search.choices, search.usable, search.capacity)
 }
 
 // consider makes a backend the best so far if its cost is lower.
-func (ctl *Controller) consider(c *backendSearch, r *request, b *backend) {
+func (ctl *Controller) consider(search *backendSearch, r *request, b *backend) {
 	cost := ctl.backendCost(b) * ctl.costNoise()
 	switch {
 	case ctl.recoveryDue(b) && len(b.inFlight) == 0 && r.class.Idempotency == Idempotent && r.attempts == 0:
@@ -122,8 +122,8 @@
 	case slices.Contains(r.attemptedBackends, b):
 		cost += triedCost
 	}
-	if cost < c.cost {
-		c.best, c.cost = b, cost
+	if cost < search.cost {
+		search.best, search.cost = b, cost
 	}
 }
 
@@ -149,8 +149,8 @@
 		return 1
 	}
 	oldest := b.inFlight[0]
-	late := lateLatencies * max(oldest.class.meanLatency, minLateSeconds)
-	return max((ctl.now-oldest.sentAt).Seconds()/late, 1)
+	lateSeconds := lateLatencies * max(oldest.class.meanLatency, minLateSeconds)
+	return max((ctl.now-oldest.sentAt).Seconds()/lateSeconds, 1)
 }
 
 // costNoise returns a random factor for costs: 1 with at most maxLimitersWithoutNoise limiters, and exponentially
--- a/internal/admission/slots_cases_test.go
+++ b/internal/admission/slots_cases_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// newSingleSlotLimiter returns a limiter without peers.
-func newSingleSlotLimiter(t *testing.T) *slotLimiter {
+// newSlotLimiterWithoutPeers returns the only limiter of a tier, which has both slots of its customers.
+func newSlotLimiterWithoutPeers(t *testing.T) *slotLimiter {
 	settings := testSettings()
 	settings.Limiters, settings.GossipEnabled = 1, false
 	return newSlotLimiter(t, settings, "a", "b", "c")
@@ -20,7 +20,7 @@
 // Guards against a retry of a predecessor without a slot: the predecessor reports the end of the first attempt before
 // the start of the second, and the successor gives the slot to its next request.
 func TestPredecessorRetryKeepsItsSlot(t *testing.T) {
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Backend: "a"})
 	s.start()
 	s.start() // waits, or is rejected, as no slot is free
@@ -36,7 +36,7 @@
 
 // Guards against a successor that does not count the slot of a retry that waits at the predecessor during the handover.
 func TestPredecessorRetryThatWaitsAtTheHandover(t *testing.T) {
-	predecessor := newSingleSlotLimiter(t)
+	predecessor := newSlotLimiterWithoutPeers(t)
 	first := predecessor.start()
 	predecessor.handle(&EndpointList{Kind: ListCached})
 	predecessor.end(first, ConnectFailed) // its retry waits for a backend
@@ -69,18 +69,18 @@
 func TestCustomersWithEqualHashesShareNoCount(t *testing.T) {
 	const one, other = "costarring", "liquid"
 	if hashOf(one) != hashOf(other) {
-		t.Fatal("the names have different hashes")
+		t.Fatal("the names have different hashes, want equal ones")
 	}
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	start := func(customer string) RequestID {
 		id := s.request("read", "concurrent", customer)
 		s.collectActions()
 		return id
 	}
 	start(one)
-	shared := start(other)
+	requestOfOther := start(other)
 	start(one)
-	s.end(shared, Succeeded)
+	s.end(requestOfOther, Succeeded)
 	start(one)
 	start(one)
 	if inFlight := len(s.inFlight); inFlight > 2 {
@@ -90,7 +90,7 @@
 
 // Guards against an attempt of a predecessor that has no slot because its backend is not in the endpoint list here.
 func TestAdoptedAttemptAtUnknownBackendHasASlot(t *testing.T) {
-	s := newSingleSlotLimiter(t)
+	s := newSlotLimiterWithoutPeers(t)
 	s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Backend: "gone"})
 	s.start()
 	s.start()
@@ -134,17 +134,17 @@
 	}
 }
 
-// Guards against a lender that takes a slot back while an attempt that started at the end of the loan is in flight, until
-// its deadline and slightly beyond.
+// Guards against a lender that takes a slot back too early: an attempt that started at the end of the loan may be in
+// flight until its deadline and slightly beyond.
 func TestAttemptOfTheLongestDeadlineKeepsItsSlot(t *testing.T) {
 	borrower, lender, limiters := newBorrowerAndLender(t)
 	exchangeMessages(limiters, 94) // 1.9 s since the request, shortly before the end of the loan
-	var own RequestID
+	var latest RequestID
 	for id := range borrower.inFlight {
-		own = max(own, id)
+		latest = max(latest, id)
 	}
 	borrower.start() // waits for a slot and gets the one that is freed next
-	borrower.end(own, Succeeded)
+	borrower.end(latest, Succeeded)
 	if len(borrower.inFlight) != 2 {
 		t.Fatalf("%d attempts in flight at the borrower, want 2: the freed slot was not used at once", len(borrower.inFlight))
 	}
@@ -188,6 +188,6 @@
 	lender.handle(&EndpointList{Kind: ListCached, Backends: backendList("a", "b")})
 	lender.start()
 	if len(lender.inFlight) != 1 {
-		t.Error("the lender cannot use its slot 60 ms after the borrower's request ended")
+		t.Error("the lender started no attempt 60 ms after the borrower's requests ended, want one on its returned slot")
 	}
 }
--- a/internal/admission/slowstart.go
+++ b/internal/admission/slowstart.go
@@ -6,8 +6,8 @@
 // Capacities are in warm backends: the sum of warmUpFraction over the usable backends.
 
 const (
-	// slowStartMargin is the fraction of its fair share that a backend is sent while it is warming up.
-	slowStartMargin = 0.9
+	// fairShareFraction is the fraction of its fair share that a backend is sent while it is warming up.
+	fairShareFraction = 0.9
 	// minWarmFraction is the capacity, per usable backend, below which the backends are not sent the full rate of
 	// attempts.
 	minWarmFraction = 0.5
@@ -24,8 +24,8 @@
 	if b.StartedAt <= 0 || age >= ctl.settings.SlowStartDuration {
 		return 1
 	}
-	from := max(ctl.settings.SlowStartFraction, minWarmUpFraction)
-	return from + (1-from)*max(age.Seconds(), 0)/ctl.settings.SlowStartDuration.Seconds()
+	initial := max(ctl.settings.SlowStartFraction, minWarmUpFraction)
+	return initial + (1-initial)*max(age.Seconds(), 0)/ctl.settings.SlowStartDuration.Seconds()
 }
 
 // admitsWarmingUp decides at random whether a backend that is warming up is considered, when choices backends are
@@ -34,9 +34,9 @@
 // otherwise the warm backends would be overloaded while others are idle.
 func (ctl *Controller) admitsWarmingUp(b *backend, choices, usable int, capacity float64) bool {
 	size := float64(usable)
-	idle := min(max(1/b.relativeLoad, 1), maxIdleFactor)
-	factor := 1 + ctl.gossipFreshness(b)*(idle-1)
-	fairShare := factor * slowStartMargin * ctl.warmUpFraction(b) * size / max(capacity, minWarmFraction*size)
+	idleFactor := min(max(1/b.relativeLoad, 1), maxIdleFactor)
+	factor := 1 + ctl.gossipFreshness(b)*(idleFactor-1)
+	fairShare := factor * fairShareFraction * ctl.warmUpFraction(b) * size / max(capacity, minWarmFraction*size)
 	return ctl.random.Float64() < fairShare/float64(choices)
 }
 
@@ -44,7 +44,7 @@
 // backends does not allow another attempt now.
 func (ctl *Controller) selectWarmingUp(warmest *backend, usable int, capacity float64) *backend {
 	attempts := ctl.window.attemptRate.Value(ctl.now, ctl.control.memorySeconds)
-	perSecond := slowStartMargin * attempts * capacity / (minWarmFraction * float64(max(usable, 1)))
+	perSecond := fairShareFraction * attempts * capacity / (minWarmFraction * float64(max(usable, 1)))
 	if ctl.slowStart.Refill(ctl.now, perSecond, 1) < 1 {
 		return nil
 	}
--- a/internal/admission/slowstart_test.go
+++ b/internal/admission/slowstart_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// If all backends start at once, no warm backend shows what rate they can serve, and they are sent less than before.
+// If all backends start at once, there is no warm backend to estimate the capacity from, and the limiter forwards less
+// than before.
 func TestSlowStartOfAllBackends(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b", "c", "d")...)
 	respond := func(StartAttempt) (Result, time.Duration) { return Succeeded, 30 * ms }
@@ -40,14 +41,14 @@
 		forwarded += attempts
 	}
 	if forwarded == 0 || forwarded > 60 {
-		t.Errorf("%d of 100 forwarded to backends at a fifth of their capacity, want 1 to 60", forwarded)
+		t.Errorf("%d of 100 requests forwarded while all backends are starting, want 1 to 60", forwarded)
 	}
 }
 
 // A backend that is warming up and observed to be idle gets more than its minimum share, yet far less than overloads it;
 // one that is observed to be busy does not get more.
 func TestIdleBackendThatWarmsUpGetsMore(t *testing.T) {
-	const trials, choices, usable = 20000, 1, 10
+	const trials, choicesPerRequest, usableBackends = 20000, 1, 10
 	settings := testSettings()
 	settings.Limiters = 80
 	list := backendList("a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
@@ -62,11 +63,11 @@
 		admitted := 0
 		for range trials {
 			b.observedAt, b.relativeLoad = f.now, relativeLoad
-			if f.ctl.admitsWarmingUp(b, choices, usable, capacity) {
+			if f.ctl.admitsWarmingUp(b, choicesPerRequest, usableBackends, capacity) {
 				admitted++
 			}
 		}
-		return float64(admitted) / trials / usable / f.ctl.warmUpFraction(b) * capacity
+		return float64(admitted) / trials / usableBackends / f.ctl.warmUpFraction(b) * capacity
 	}
 	idle, busy := fractionOfFairShare(0.25), fractionOfFairShare(2)
 	if idle < 1.8 || idle > 2.5 || busy > 1 {
@@ -76,10 +77,12 @@
 
 // warmUpScenario is a tier of limiters, some of whose backends start.
 type warmUpScenario struct {
-	name     string
-	limiters int
-	starting int           // number of backends that start
-	within   time.Duration // in which they start one after the other, under new IDs; 0 for all at once, under the same IDs
+	name             string
+	limiters         int
+	startingBackends int
+	// startSpread is the time in which they start one after the other, under new IDs; 0 for all at once, under the same
+	// IDs.
+	startSpread time.Duration
 }
 
 // The limiters together do not overload a backend that is warming up: a zone with 20 of 60 backends starts at once, or 36
@@ -94,14 +97,14 @@
 		{"replaced", 300, 36, 7 * time.Second},
 	} {
 		run := newWarmUpRun(scenario)
-		for run.now = warmUpBegin; run.now < warmUpBegin+12*time.Second; run.now += 2 * ms {
+		for run.now = warmUpStartTime; run.now < warmUpStartTime+12*time.Second; run.now += 2 * ms {
 			run.updateLists()
 			run.deliverResults()
 			if run.random.IntN(500*1000/warmUpRequestsPerSecond) < 1000 {
 				run.request()
 			}
 		}
-		for i := range scenario.starting {
+		for i := range scenario.startingBackends {
 			run.checkOverload(t, i)
 		}
 	}
@@ -110,9 +113,9 @@
 const (
 	warmUpBackends          = 60
 	warmUpRequestsPerSecond = 600
-	warmUpBegin             = time.Hour
+	warmUpStartTime         = time.Hour
 	warmUpLatency           = 150 * ms
-	warmUpFrom              = 0.17 // fraction of its capacity that a backend has at its start
+	warmUpInitialFraction   = 0.17 // fraction of its capacity that a backend has at its start
 	warmUpDuration          = 17 * time.Second
 	warmUpOverload          = 4 // multiple of its capacity that overloads a backend
 	warmUpOverloadDuration  = 1500 * ms
@@ -149,31 +152,31 @@
 	}
 	run.settings.Limiters, run.settings.GossipEnabled = scenario.limiters, false
 	run.settings.LoadReportFields = []string{"latency_ms", "util"}
-	run.settings.SlowStartFraction, run.settings.SlowStartDuration = warmUpFrom, warmUpDuration
+	run.settings.SlowStartFraction, run.settings.SlowStartDuration = warmUpInitialFraction, warmUpDuration
 	for i := range warmUpBackends {
 		run.backends = append(run.backends, Backend{ID: fmt.Sprintf("b%02d", i), Zone: "a"})
 	}
-	for i := range scenario.starting {
-		run.startsAt = append(run.startsAt, warmUpBegin+time.Duration(i)*scenario.within/time.Duration(scenario.starting))
+	for i := range scenario.startingBackends {
+		run.startsAt = append(run.startsAt, warmUpStartTime+time.Duration(i)*scenario.startSpread/time.Duration(scenario.startingBackends))
 	}
 	for number := range scenario.limiters {
-		ctl := run.newLimiter(number, uint64(number))
-		ctl.Handle(warmUpBegin-time.Minute, &EndpointList{Kind: ListComplete, Backends: run.backends}, nil)
+		ctl := run.newController(number, uint64(number))
+		ctl.Handle(warmUpStartTime-time.Minute, &EndpointList{Kind: ListComplete, Backends: run.backends}, nil)
 		run.controllers = append(run.controllers, ctl)
 		run.listDelays = append(run.listDelays, time.Duration(run.random.IntN(1000))*ms)
 	}
 	return run
 }
 
-// newLimiter returns a limiter without state.
-func (run *warmUpRun) newLimiter(number int, seed uint64) *Controller {
+// newController returns the Controller of a limiter, without state.
+func (run *warmUpRun) newController(number int, seed uint64) *Controller {
 	run.settings.Self = number
 	return New(run.settings, seed)
 }
 
 // startedID returns the ID of a backend after its start.
 func (run *warmUpRun) startedID(i int) string {
-	if run.scenario.within > 0 {
+	if run.scenario.startSpread > 0 {
 		return fmt.Sprintf("new%02d", i)
 	}
 	return run.backends[i].ID
@@ -193,7 +196,7 @@
 // updateLists passes the endpoint list to each limiter, ten times per second and with the delay of the limiter. After
 // 2 s, one limiter in eight restarts.
 func (run *warmUpRun) updateLists() {
-	elapsed := run.now - warmUpBegin
+	elapsed := run.now - warmUpStartTime
 	if elapsed%(100*ms) != 0 {
 		return
 	}
@@ -202,7 +205,7 @@
 			continue
 		}
 		if elapsed == 2*time.Second && number%8 == 0 {
-			run.controllers[number] = run.newLimiter(number, uint64(1000+number))
+			run.controllers[number] = run.newController(number, uint64(1000+number))
 		}
 		list := &EndpointList{Kind: ListComplete, Backends: run.backendsAt(run.now - delay)}
 		run.controllers[number].Handle(run.now, list, nil)
@@ -250,7 +253,7 @@
 				attempts++
 			}
 		}
-		fraction := warmUpFrom + (1-warmUpFrom)*(from-startedAt).Seconds()/warmUpDuration.Seconds()
+		fraction := warmUpInitialFraction + (1-warmUpInitialFraction)*(from-startedAt).Seconds()/warmUpDuration.Seconds()
 		limit := warmUpOverload * fraction * warmUpCapacity * warmUpOverloadDuration.Seconds()
 		if float64(attempts) > limit {
 			t.Fatalf("%s, %d limiters: %d attempts at %s in %v, starting %v after its start, but more than %.0f overload it",
--- a/internal/admission/snapshot.go
+++ b/internal/admission/snapshot.go
@@ -95,7 +95,7 @@
 func fingerprint(settings Settings) uint64 {
 	settings.Epoch = 0
 	h := fnv.New64a()
-	// Writing to a hash never fails, and settings come from JSON.
+	// Writing to a hash never fails, and settings, which come from JSON, can always be encoded.
 	_ = stateCodec.NewEncoder(h).Encode(newSettingsState(settings))
 	return h.Sum64()
 }
--- a/internal/admission/snapshot_codec_test.go
+++ b/internal/admission/snapshot_codec_test.go
@@ -6,8 +6,8 @@
 	"lemongate/internal/alloctest"
 )
 
-// After PrepareSnapshots, the first Snapshot and the first Resume of a process cost no more than later ones: no process
-// admits requests during either of them, and every process does each only once.
+// After PrepareSnapshots, the first Snapshot and the first Resume of a process allocate no more than repeated calls. Each
+// happens once in the life of a process, while no process admits requests, so that first call has to be fast.
 func TestFirstSnapshotCostsNoMoreThanLater(t *testing.T) {
 	if !alloctest.InFreshProcess(t) {
 		return
--- a/internal/admission/snapshot_state.go
+++ b/internal/admission/snapshot_state.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/rate"
 )
 
-// This file defines the stored form of a Controller, and is the only place that maps it to the live types. The field
-// tags are a format that other releases read; live fields may be renamed freely.
+// This file defines the stored form of a Controller, and is the only place that maps it to the types of the Controller.
+// The field tags are a format that other releases read; the Go fields, on both sides, may be renamed freely.
 
 func ledgerState(l *quota.Ledger) *quota.LedgerState {
 	if l == nil {
@@ -22,34 +22,34 @@
 // limiterState is the stored form of a Controller. It contains neither what follows from the settings or from other
 // state, nor requests, which stay in their process.
 type limiterState struct {
-	Now                        time.Duration           `json:"now"`
-	Started                    bool                    `json:"running"`
-	Classes                    []classState            `json:"classes"`
-	Backends                   map[string]backendState `json:"known"`
-	MeanLoad                   float64                 `json:"meanLoad"`
-	Ledger                     *quota.LedgerState      `json:"ledger"`
-	Customers                  []customerState         `json:"order"`
-	FirstRequestAt             time.Duration           `json:"first"`
-	Leaving                    bool                    `json:"left"`
-	InitialUtilizations        []float64               `json:"starting"`
-	Peers                      map[int]peerState       `json:"peers"`
-	TransferRequestsPacedUntil time.Duration           `json:"paced"`
-	MessagesPacedUntil         time.Duration           `json:"pacedAll"`
-	NextObservationsAt         time.Duration           `json:"nextNews"`
-	UrgentUntil                time.Duration           `json:"alarm"`
-	ProbeAllowance             allowanceState          `json:"probes"`
-	Rejections                 rejectionsState         `json:"turned"`
-	NextControlAt              time.Duration           `json:"nextPeriod"`
-	FractionalWindow           allowanceState          `json:"carry"`
-	SlowStartAllowance         allowanceState          `json:"cold"`
-	WindowScale                float64                 `json:"scale"`
-	UpstreamPressure           float64                 `json:"strain"`
-	QuotaRate                  float64                 `json:"quotas"`
-	MedianLatencyPerAttempt    float64                 `json:"typical"`
-	WindowWasFull              bool                    `json:"bound"`
-	RetryTokens                float64                 `json:"retryTokens"`
-	AttemptRate                rateState               `json:"sendRate"`
-	PollDue                    bool                    `json:"watch"`
+	Now                     time.Duration           `json:"now"`
+	Started                 bool                    `json:"running"`
+	Classes                 []classState            `json:"classes"`
+	Backends                map[string]backendState `json:"known"`
+	MeanLoad                float64                 `json:"meanLoad"`
+	Ledger                  *quota.LedgerState      `json:"ledger"`
+	Customers               []customerState         `json:"order"`
+	FirstRequestAt          time.Duration           `json:"first"`
+	ShuttingDown            bool                    `json:"left"`
+	InitialUtilizations     []float64               `json:"starting"`
+	Peers                   map[int]peerState       `json:"peers"`
+	RequestsPacedUntil      time.Duration           `json:"paced"`
+	MessagesPacedUntil      time.Duration           `json:"pacedAll"`
+	NextObservationsAt      time.Duration           `json:"nextNews"`
+	UrgentUntil             time.Duration           `json:"alarm"`
+	ProbeAllowance          allowanceState          `json:"probes"`
+	Rejections              rejectionsState         `json:"turned"`
+	NextControlAt           time.Duration           `json:"nextPeriod"`
+	FractionalWindow        allowanceState          `json:"carry"`
+	SlowStartAllowance      allowanceState          `json:"cold"`
+	WindowScale             float64                 `json:"scale"`
+	UpstreamPressure        float64                 `json:"strain"`
+	QuotaRate               float64                 `json:"quotas"`
+	MedianLatencyPerAttempt float64                 `json:"typical"`
+	WindowWasFull           bool                    `json:"bound"`
+	RetryTokens             float64                 `json:"retryTokens"`
+	AttemptRate             rateState               `json:"sendRate"`
+	PollDue                 bool                    `json:"watch"`
 }
 
 // classState is the stored form of a requestClass.
@@ -75,7 +75,7 @@
 // classSettingsState is the stored form of a Class of the settings.
 type classSettingsState struct {
 	Name              string           `json:"Name"`
-	Effect            Idempotency      `json:"Effect"`
+	Idempotency       Idempotency      `json:"Effect"`
 	IdempotencyScope  IdempotencyScope `json:"Group"`
 	IdempotencyWindow time.Duration    `json:"Window"`
 	LatencyObjective  time.Duration    `json:"Aim"`
@@ -90,7 +90,7 @@
 	Samples              float64               `json:"answers"`
 	LastResponseAt       time.Duration         `json:"seen"`
 	FailureRate          float64               `json:"fails"`
-	EjectedUntil         time.Duration         `json:"until"`
+	NextRecoveryAt       time.Duration         `json:"until"`
 	ConsecutiveEjections int                   `json:"doubts"`
 	RejectedUntil        map[int]time.Duration `json:"turned"`
 	Unavailable          bool                  `json:"gone"`
@@ -143,15 +143,15 @@
 
 // rejectionsState is the stored form of RejectionCounts.
 type rejectionsState struct {
-	OverQuota        uint64 `json:"beyond"`
-	WindowFull       uint64 `json:"full"`
-	QueueTimeout     uint64 `json:"held"`
-	RetriesExhausted uint64 `json:"tried"`
+	OverQuota    uint64 `json:"beyond"`
+	WindowFull   uint64 `json:"full"`
+	QueueTimeout uint64 `json:"held"`
+	NotRetried   uint64 `json:"tried"`
 }
 
 // rateState is the stored form of a rate.Decaying.
 type rateState struct {
-	Rate      float64       `json:"rate"`
+	PerSecond float64       `json:"rate"`
 	UpdatedAt time.Duration `json:"at"`
 }
 
@@ -194,36 +194,36 @@
 	CeilingBurst   float64 `json:"CeilingBurst"`
 }
 
-func newLimiterState(x *Controller) limiterState {
+func newLimiterState(ctl *Controller) limiterState {
 	return limiterState{
-		Now:                        x.now,
-		Started:                    x.started,
-		Classes:                    memento.List(x.classes.all, newClassState),
-		Backends:                   memento.Values(x.endpoints.byID, newBackendState),
-		MeanLoad:                   x.reports.meanLoad,
-		Ledger:                     ledgerState(x.customers.ledger),
-		Customers:                  memento.List(x.customers.order, newCustomerState),
-		FirstRequestAt:             x.customers.firstRequestAt,
-		Leaving:                    x.customers.shuttingDown,
-		InitialUtilizations:        x.reports.initialUtilizations,
-		Peers:                      memento.Values(x.gossip.peers, newPeerState),
-		TransferRequestsPacedUntil: x.gossip.requestsPacedUntil,
-		MessagesPacedUntil:         x.gossip.messagesPacedUntil,
-		NextObservationsAt:         x.gossip.nextObservationsAt,
-		UrgentUntil:                x.gossip.urgentUntil,
-		ProbeAllowance:             newAllowanceState(x.reports.probes),
-		Rejections:                 newRejectionsState(x.rejections),
-		NextControlAt:              x.control.nextAt,
-		FractionalWindow:           newAllowanceState(x.window.fraction),
-		SlowStartAllowance:         newAllowanceState(x.slowStart),
-		WindowScale:                x.window.scale,
-		UpstreamPressure:           x.window.pressure,
-		QuotaRate:                  x.window.quotaRate,
-		MedianLatencyPerAttempt:    x.endpoints.medianLatencyPerAttempt,
-		WindowWasFull:              x.window.wasFull,
-		RetryTokens:                x.retries.tokens,
-		AttemptRate:                newRateState(x.window.attemptRate),
-		PollDue:                    x.endpoints.pollDue,
+		Now:                     ctl.now,
+		Started:                 ctl.started,
+		Classes:                 memento.List(ctl.classes.all, newClassState),
+		Backends:                memento.Values(ctl.endpoints.byID, newBackendState),
+		MeanLoad:                ctl.reports.meanLoad,
+		Ledger:                  ledgerState(ctl.customers.ledger),
+		Customers:               memento.List(ctl.customers.order, newCustomerState),
+		FirstRequestAt:          ctl.customers.firstRequestAt,
+		ShuttingDown:            ctl.customers.shuttingDown,
+		InitialUtilizations:     ctl.reports.initialUtilizations,
+		Peers:                   memento.Values(ctl.gossip.peers, newPeerState),
+		RequestsPacedUntil:      ctl.gossip.requestsPacedUntil,
+		MessagesPacedUntil:      ctl.gossip.messagesPacedUntil,
+		NextObservationsAt:      ctl.gossip.nextObservationsAt,
+		UrgentUntil:             ctl.gossip.urgentUntil,
+		ProbeAllowance:          newAllowanceState(ctl.reports.probes),
+		Rejections:              newRejectionsState(ctl.rejections),
+		NextControlAt:           ctl.control.nextAt,
+		FractionalWindow:        newAllowanceState(ctl.window.fraction),
+		SlowStartAllowance:      newAllowanceState(ctl.slowStart),
+		WindowScale:             ctl.window.scale,
+		UpstreamPressure:        ctl.window.pressure,
+		QuotaRate:               ctl.window.quotaRate,
+		MedianLatencyPerAttempt: ctl.endpoints.medianLatencyPerAttempt,
+		WindowWasFull:           ctl.window.wasFull,
+		RetryTokens:             ctl.retries.tokens,
+		AttemptRate:             newRateState(ctl.window.attemptRate),
+		PollDue:                 ctl.endpoints.pollDue,
 	}
 }
 
@@ -236,10 +236,10 @@
 	ctl.reports.meanLoad = s.MeanLoad
 	ctl.customers.order = memento.List(s.Customers, customerState.restore)
 	ctl.customers.firstRequestAt = s.FirstRequestAt
-	ctl.customers.shuttingDown = s.Leaving
+	ctl.customers.shuttingDown = s.ShuttingDown
 	ctl.reports.initialUtilizations = s.InitialUtilizations
 	ctl.gossip.peers = memento.Values(s.Peers, peerState.restore)
-	ctl.gossip.requestsPacedUntil = s.TransferRequestsPacedUntil
+	ctl.gossip.requestsPacedUntil = s.RequestsPacedUntil
 	ctl.gossip.messagesPacedUntil = s.MessagesPacedUntil
 	ctl.gossip.nextObservationsAt = s.NextObservationsAt
 	ctl.gossip.urgentUntil = s.UrgentUntil
@@ -258,24 +258,24 @@
 	ctl.endpoints.pollDue = s.PollDue
 }
 
-func newClassState(x *requestClass) classState {
+func newClassState(class *requestClass) classState {
 	return classState{
-		classSettingsState: newClassSettingsState(x.Class),
-		Share:              x.share,
-		Credit:             x.credit,
-		RecentBudgets:      x.recentBudgets,
-		BudgetsSeen:        x.budgetsSeen,
-		UsualBudget:        x.usualBudget,
-		Arrivals:           x.arrivals,
-		Completed:          x.completed,
-		LatencySum:         x.latencySum,
-		AttemptsMeasured:   x.attemptsMeasured,
-		AttemptLatencySum:  x.attemptLatencySum,
-		ArrivalRate:        x.arrivalRate,
-		MeanLatency:        x.meanLatency,
-		MeanSquaredLatency: x.meanSquaredLatency,
-		LatencySamples:     x.latencySamples,
-		IdleLatency:        x.idleLatency,
+		classSettingsState: newClassSettingsState(class.Class),
+		Share:              class.share,
+		Credit:             class.credit,
+		RecentBudgets:      class.recentBudgets,
+		BudgetsSeen:        class.budgetsSeen,
+		UsualBudget:        class.usualBudget,
+		Arrivals:           class.arrivals,
+		Completed:          class.completed,
+		LatencySum:         class.latencySum,
+		AttemptsMeasured:   class.attemptsMeasured,
+		AttemptLatencySum:  class.attemptLatencySum,
+		ArrivalRate:        class.arrivalRate,
+		MeanLatency:        class.meanLatency,
+		MeanSquaredLatency: class.meanSquaredLatency,
+		LatencySamples:     class.latencySamples,
+		IdleLatency:        class.idleLatency,
 	}
 }
 
@@ -300,22 +300,22 @@
 	}
 }
 
-func newClassSettingsState(x Class) classSettingsState {
+func newClassSettingsState(class Class) classSettingsState {
 	return classSettingsState{
-		Name:              x.Name,
-		Effect:            x.Idempotency,
-		IdempotencyScope:  x.IdempotencyScope,
-		IdempotencyWindow: x.IdempotencyWindow,
-		LatencyObjective:  x.LatencyObjective,
-		Deadline:          x.Deadline,
-		Weight:            x.Weight,
+		Name:              class.Name,
+		Idempotency:       class.Idempotency,
+		IdempotencyScope:  class.IdempotencyScope,
+		IdempotencyWindow: class.IdempotencyWindow,
+		LatencyObjective:  class.LatencyObjective,
+		Deadline:          class.Deadline,
+		Weight:            class.Weight,
 	}
 }
 
 func (s classSettingsState) restore() Class {
 	return Class{
 		Name:              s.Name,
-		Idempotency:       s.Effect,
+		Idempotency:       s.Idempotency,
 		IdempotencyScope:  s.IdempotencyScope,
 		IdempotencyWindow: s.IdempotencyWindow,
 		LatencyObjective:  s.LatencyObjective,
@@ -324,24 +324,24 @@
 	}
 }
 
-func newBackendState(x *backend) backendState {
+func newBackendState(b *backend) backendState {
 	return backendState{
-		backendEntryState:    newBackendEntryState(x.Backend),
-		LatencyPerAttempt:    x.latencyPerAttempt,
-		Samples:              x.samples,
-		LastResponseAt:       x.lastResponseAt,
-		FailureRate:          x.failureRate,
-		EjectedUntil:         x.nextRecoveryAt,
-		ConsecutiveEjections: x.consecutiveEjections,
-		RejectedUntil:        x.rejectedUntil,
-		Unavailable:          x.unavailable,
-		RemovedAt:            x.removedAt,
-		GossipKey:            x.gossipKey,
-		RelativeLoad:         x.relativeLoad,
-		ObservedAt:           x.observedAt,
-		GossipRepeats:        x.gossipRepeats,
-		AnnouncedFailureRate: x.announcedFailureRate,
-		InitialReportSeen:    x.initialReportSeen,
+		backendEntryState:    newBackendEntryState(b.Backend),
+		LatencyPerAttempt:    b.latencyPerAttempt,
+		Samples:              b.samples,
+		LastResponseAt:       b.lastResponseAt,
+		FailureRate:          b.failureRate,
+		NextRecoveryAt:       b.nextRecoveryAt,
+		ConsecutiveEjections: b.consecutiveEjections,
+		RejectedUntil:        b.rejectedUntil,
+		Unavailable:          b.unavailable,
+		RemovedAt:            b.removedAt,
+		GossipKey:            b.gossipKey,
+		RelativeLoad:         b.relativeLoad,
+		ObservedAt:           b.observedAt,
+		GossipRepeats:        b.gossipRepeats,
+		AnnouncedFailureRate: b.announcedFailureRate,
+		InitialReportSeen:    b.initialReportSeen,
 	}
 }
 
@@ -352,7 +352,7 @@
 		samples:              s.Samples,
 		lastResponseAt:       s.LastResponseAt,
 		failureRate:          s.FailureRate,
-		nextRecoveryAt:       s.EjectedUntil,
+		nextRecoveryAt:       s.NextRecoveryAt,
 		consecutiveEjections: s.ConsecutiveEjections,
 		rejectedUntil:        s.RejectedUntil,
 		unavailable:          s.Unavailable,
@@ -366,14 +366,14 @@
 	}
 }
 
-func newBackendEntryState(x Backend) backendEntryState {
+func newBackendEntryState(entry Backend) backendEntryState {
 	return backendEntryState{
-		ID:               x.ID,
-		Zone:             x.Zone,
-		Cell:             x.Cell,
-		State:            x.State,
-		RelativeCapacity: x.RelativeCapacity,
-		StartedAt:        x.StartedAt,
+		ID:               entry.ID,
+		Zone:             entry.Zone,
+		Cell:             entry.Cell,
+		State:            entry.State,
+		RelativeCapacity: entry.RelativeCapacity,
+		StartedAt:        entry.StartedAt,
 	}
 }
 
@@ -388,14 +388,14 @@
 	}
 }
 
-func newCustomerState(x *customer) customerState {
+func newCustomerState(c *customer) customerState {
 	return customerState{
-		Name:         x.name,
-		PlanIndex:    x.planIndex,
-		FirstLimiter: x.firstLimiter,
-		SetSize:      x.setSize,
-		LastSeen:     x.lastSeen,
-		MeanUnits:    x.meanUnits,
+		Name:         c.name,
+		PlanIndex:    c.planIndex,
+		FirstLimiter: c.firstLimiter,
+		SetSize:      c.setSize,
+		LastSeen:     c.lastSeen,
+		MeanUnits:    c.meanUnits,
 	}
 }
 
@@ -410,16 +410,16 @@
 	}
 }
 
-func newPeerState(x *peer) peerState {
+func newPeerState(p *peer) peerState {
 	return peerState{
-		Number:          x.number,
-		Epoch:           x.epoch,
-		Known:           x.known,
-		LastReceivedSeq: x.lastReceivedSeq,
-		LastSentSeq:     x.lastSentSeq,
-		DueAt:           x.dueAt,
-		PacedUntil:      x.pacedUntil,
-		Queued:          x.queued,
+		Number:          p.number,
+		Epoch:           p.epoch,
+		Known:           p.known,
+		LastReceivedSeq: p.lastReceivedSeq,
+		LastSentSeq:     p.lastSentSeq,
+		DueAt:           p.dueAt,
+		PacedUntil:      p.pacedUntil,
+		Queued:          p.queued,
 	}
 }
 
@@ -436,10 +436,10 @@
 	}
 }
 
-func newAllowanceState(x rate.Allowance) allowanceState {
+func newAllowanceState(allowance rate.Allowance) allowanceState {
 	return allowanceState{
-		Amount:    x.Amount,
-		UpdatedAt: x.UpdatedAt,
+		Amount:    allowance.Amount,
+		UpdatedAt: allowance.UpdatedAt,
 	}
 }
 
@@ -450,12 +450,12 @@
 	}
 }
 
-func newRejectionsState(x RejectionCounts) rejectionsState {
+func newRejectionsState(counts RejectionCounts) rejectionsState {
 	return rejectionsState{
-		OverQuota:        x.OverQuota,
-		WindowFull:       x.WindowFull,
-		QueueTimeout:     x.QueueTimeout,
-		RetriesExhausted: x.NotRetried,
+		OverQuota:    counts.OverQuota,
+		WindowFull:   counts.WindowFull,
+		QueueTimeout: counts.QueueTimeout,
+		NotRetried:   counts.NotRetried,
 	}
 }
 
@@ -464,61 +464,61 @@
 		OverQuota:    s.OverQuota,
 		WindowFull:   s.WindowFull,
 		QueueTimeout: s.QueueTimeout,
-		NotRetried:   s.RetriesExhausted,
+		NotRetried:   s.NotRetried,
 	}
 }
 
-func newRateState(x rate.Decaying) rateState {
+func newRateState(decaying rate.Decaying) rateState {
 	return rateState{
-		Rate:      x.PerSecond,
-		UpdatedAt: x.UpdatedAt,
+		PerSecond: decaying.PerSecond,
+		UpdatedAt: decaying.UpdatedAt,
 	}
 }
 
 func (s rateState) restore() rate.Decaying {
 	return rate.Decaying{
-		PerSecond: s.Rate,
+		PerSecond: s.PerSecond,
 		UpdatedAt: s.UpdatedAt,
 	}
 }
 
-func newSettingsState(x Settings) settingsState {
+func newSettingsState(settings Settings) settingsState {
 	return settingsState{
-		Epoch:                 x.Epoch,
-		Self:                  x.Self,
-		Limiters:              x.Limiters,
-		Zone:                  x.Zone,
-		ClockResolution:       x.ClockResolution,
-		Classes:               memento.List(x.Classes, newClassSettingsState),
-		Plans:                 memento.List(x.Plans, newPlanState),
-		ClientsMarkRetries:    x.ClientsMarkRetries,
-		MaxAttempts:           x.MaxAttempts,
-		MayCancel:             x.MayCancel,
-		MayProbe:              x.MayProbe,
-		GossipEnabled:         x.GossipEnabled,
-		PeerMessagesPerSecond: x.PeerMessagesPerSecond,
-		MaxRetryAfter:         x.MaxRetryAfter,
-		LoadReportFields:      x.LoadReportFields,
-		CapacitiesKnown:       x.CapacitiesKnown,
-		PollEndpoints:         x.PollEndpoints,
-		DrainGrace:            x.DrainGrace,
-		SlowStartFraction:     x.SlowStartFraction,
-		SlowStartDuration:     x.SlowStartDuration,
-		OverloadMultiple:      x.OverloadMultiple,
-		OverloadDuration:      x.OverloadDuration,
+		Epoch:                 settings.Epoch,
+		Self:                  settings.Self,
+		Limiters:              settings.Limiters,
+		Zone:                  settings.Zone,
+		ClockResolution:       settings.ClockResolution,
+		Classes:               memento.List(settings.Classes, newClassSettingsState),
+		Plans:                 memento.List(settings.Plans, newPlanState),
+		ClientsMarkRetries:    settings.ClientsMarkRetries,
+		MaxAttempts:           settings.MaxAttempts,
+		MayCancel:             settings.MayCancel,
+		MayProbe:              settings.MayProbe,
+		GossipEnabled:         settings.GossipEnabled,
+		PeerMessagesPerSecond: settings.PeerMessagesPerSecond,
+		MaxRetryAfter:         settings.MaxRetryAfter,
+		LoadReportFields:      settings.LoadReportFields,
+		CapacitiesKnown:       settings.CapacitiesKnown,
+		PollEndpoints:         settings.PollEndpoints,
+		DrainGrace:            settings.DrainGrace,
+		SlowStartFraction:     settings.SlowStartFraction,
+		SlowStartDuration:     settings.SlowStartDuration,
+		OverloadMultiple:      settings.OverloadMultiple,
+		OverloadDuration:      settings.OverloadDuration,
 	}
 }
 
-func newPlanState(x Plan) planState {
+func newPlanState(plan Plan) planState {
 	return planState{
-		Name:           x.Name,
-		Rate:           x.Rate,
-		Burst:          x.Burst,
-		MaxConcurrent:  x.MaxConcurrent,
-		WeightFactor:   x.WeightFactor,
-		ExcessFraction: x.ExcessFraction,
-		OverQuotaCost:  x.OverQuotaCost,
-		CeilingRate:    x.CeilingRate,
-		CeilingBurst:   x.CeilingBurst,
+		Name:           plan.Name,
+		Rate:           plan.Rate,
+		Burst:          plan.Burst,
+		MaxConcurrent:  plan.MaxConcurrent,
+		WeightFactor:   plan.WeightFactor,
+		ExcessFraction: plan.ExcessFraction,
+		OverQuotaCost:  plan.OverQuotaCost,
+		CeilingRate:    plan.CeilingRate,
+		CeilingBurst:   plan.CeilingBurst,
 	}
 }
--- a/internal/admission/snapshot_state_test.go
+++ b/internal/admission/snapshot_state_test.go
@@ -20,7 +20,7 @@
 	return s, ctl
 }
 
-// Each field of a snapshot of release 0.8.0 is decoded into the live field from which it was written.
+// Each field of a snapshot of release 0.8.0 is decoded into the field of the Controller from which it was written.
 func TestSnapshotOfEarlierReleaseIsDecoded(t *testing.T) {
 	for pattern := range golden.Patterns {
 		data := golden.Read(t, fmt.Sprintf("snapshot/snapshot-%d.json", pattern))
--- a/internal/admission/snapshot_test.go
+++ b/internal/admission/snapshot_test.go
@@ -35,7 +35,7 @@
 				t.Errorf("limiter %d of %d: snapshots before (%d bytes) and after Resume (%d bytes) differ, or error: %v",
 					number, limiters, len(first), len(second), err)
 			}
-			if !sameDerivedState(ctl, resumed) {
+			if !derivedSizesEqual(ctl, resumed) {
 				t.Errorf("limiter %d of %d: derived state differs after Resume", number, limiters)
 			}
 			other := ctl.settings
@@ -48,9 +48,9 @@
 	}
 }
 
-// sameDerivedState reports whether the state that a resumed Controller derives from its snapshot has the same size as in
-// the original.
-func sameDerivedState(original, resumed *Controller) bool {
+// derivedSizesEqual reports whether the collections that a resumed Controller derives from its snapshot have the same
+// sizes as in the original, and whether the epochs are equal.
+func derivedSizesEqual(original, resumed *Controller) bool {
 	return resumed.settings.Epoch == original.settings.Epoch &&
 		len(resumed.customers.byKey) == len(original.customers.byKey) &&
 		len(resumed.customers.order) == len(resumed.customers.byKey) &&
@@ -92,6 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	// A snapshot does not contain the state of the random generator.
 	original.random, resumed.random = New(original.settings, 3).random, New(original.settings, 3).random
 	now := original.now
 	for i := range 600 {
--- a/internal/admission/window_test.go
+++ b/internal/admission/window_test.go
@@ -40,7 +40,7 @@
 
 // A window smaller than one attempt still admits some attempts: otherwise no attempt would ever start at low request
 // rates.
-func TestWindowBelowOneOpens(t *testing.T) {
+func TestWindowBelowOneAdmitsAttempts(t *testing.T) {
 	settings := testSettings()
 	settings.Limiters, settings.GossipEnabled = 100, false
 	f := newFixture(t, settings, backendList("a", "b", "c", "d")...)
