--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -16,8 +16,9 @@
 	underLease bool // a recovery attempt, made under the lease of TaskRecovery
 }
 
-// startAttempt starts an attempt, or notifies the admission controller that it was not sent: if its deadline has
-// passed, the request may have no further attempt, the backend takes none, or the lease of a recovery attempt has ended.
+// startAttempt starts an attempt, unless its deadline has passed, the request may have no further attempt, the backend
+// takes none, or the lease of a recovery attempt has ended. In these cases it counts the attempt as not sent, and
+// notifies the admission controller of that.
 func (m *Machine) startAttempt(action admission.StartAttempt) {
 	r := m.requests.byID[action.Request]
 	if r == nil {
@@ -29,9 +30,9 @@
 	if action.Deadline > 0 {
 		endsAt = min(endsAt, action.Deadline)
 	}
-	token, startBefore, leased := m.startConditions(action)
-	if !leased || endsAt <= m.now || !m.mayAttempt(r) || !m.takesAttempts(action.Backend) {
-		m.refuseAttempt(r, id, action.Backend)
+	token, startBefore, mayStart := m.startConditions(action)
+	if !mayStart || endsAt <= m.now || !m.mayAttempt(r) || !m.takesAttempts(action.Backend) {
+		m.recordNotSent(r, id, action.Backend)
 		return
 	}
 	m.recordAttempt(r, id, action)
@@ -58,7 +59,7 @@
 	return token, until, ok
 }
 
-// mayAttempt reports whether a request may have the attempt that was just counted.
+// mayAttempt reports whether a request may have its latest attempt, which r.attempts includes.
 func (m *Machine) mayAttempt(r *request) bool {
 	return !r.answered && r.attempts <= max(m.config.Settings.MaxAttempts, 1)
 }
@@ -69,8 +70,8 @@
 	return endpoint != nil && endpoint.State == admission.Live && endpoint.Addr != ""
 }
 
-// refuseAttempt counts an attempt as not sent and notifies the admission controller.
-func (m *Machine) refuseAttempt(r *request, id AttemptID, backend string) {
+// recordNotSent counts an attempt as not sent and notifies the admission controller.
+func (m *Machine) recordNotSent(r *request, id AttemptID, backend string) {
 	m.counters.NotSent++
 	m.stepController(&admission.AttemptFinished{
 		Request: r.ID, Attempt: id.Number, Backend: backend, Result: admission.NotSent, Final: r.answered,
@@ -86,8 +87,8 @@
 	m.attempts[id] = &attempt{request: r, backend: action.Backend, startedAt: m.now, underLease: action.Recovery}
 }
 
-// onAttemptFinished handles the result of an attempt. It ignores an attempt that was canceled or timed out before:
-// its result has been reported already.
+// onAttemptFinished handles the result of an attempt. It ignores an attempt that was canceled or timed out before: the
+// admission controller has been notified of that result.
 func (m *Machine) onAttemptFinished(ev *AttemptFinished) {
 	a := m.attempts[ev.Attempt]
 	if a == nil {
@@ -160,7 +161,7 @@
 	r.openAttempts--
 	if !r.mayHaveRun && !result.NeverRan() {
 		r.mayHaveRun = true
-		m.recordUsage(&r.Request) // also after the state was sent: this process may admit again
+		m.recordUsage(&r.Request) // also after the state was sent to a successor: this process may admit requests again
 	}
 	if m.hotRestart.stateSent {
 		m.emit(ReportAttemptFinished{FinishedAttempt{
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -16,7 +16,7 @@
 		backend string
 	}{
 		"past its deadline": {request{deadline: time.Hour}, "b1"},
-		"too many":          {request{deadline: 2 * time.Hour, attempts: 3}, "b1"},
+		"beyond the limit":  {request{deadline: 2 * time.Hour, attempts: 3}, "b1"},
 		"answered":          {request{deadline: 2 * time.Hour, answered: true, openAttempts: 1}, "b1"},
 		"draining":          {request{deadline: 2 * time.Hour}, "b2"},
 		"never listed":      {request{deadline: 2 * time.Hour}, "b3"},
@@ -39,10 +39,10 @@
 	got := m.Step(time.Hour+500*time.Millisecond-responseMargin, TimerFired{})
 	canceled, responses := effectsOf[CancelAttempt](got), effectsOf[Respond](got)
 	if len(canceled) != 1 || len(responses) != 1 || responses[0].Kind != Rejected {
-		t.Errorf("%+v, want a canceled attempt and a rejection", got)
+		t.Errorf("at the deadline: effects %+v, want one canceled attempt and one rejection", got)
 	}
 	late := m.Step(time.Hour+time.Second, &AttemptFinished{Attempt: AttemptID{1, 0}, Result: admission.Succeeded})
 	if len(effectsOf[Respond](late)) != 0 {
-		t.Errorf("a late result caused a response: %+v", late)
+		t.Errorf("a late result caused effects %+v, want no response", late)
 	}
 }
--- a/internal/core/closing_test.go
+++ b/internal/core/closing_test.go
@@ -9,24 +9,24 @@
 	"lemongate/internal/hotrestart"
 )
 
-// closingModel is a predecessor in a hot restart, and what the test observed of its server.
+// closingModel is the machine of a predecessor in a hot restart, and the state of its server as the test observes it.
 type closingModel struct {
 	t       *rapid.T
 	machine *Machine
 	now     time.Duration
-	timerAt time.Duration
-	paused  bool // PauseListeners was the last of PauseListeners and ResumeListeners
-	closed  bool // CloseServer was emitted
+	timerAt time.Duration // clock time of the last SetTimer
+	paused  bool          // PauseListeners was the last of PauseListeners and ResumeListeners
+	closed  bool          // CloseServer was emitted
 }
 
-// step sends an event to the machine, and checks that listeners are not paused or resumed after CloseServer.
+// step sends an event to the machine, and checks that no listener is paused or resumed after CloseServer.
 func (m *closingModel) step(ev Event) {
 	for _, e := range m.machine.Step(m.now, ev) {
 		switch e := e.(type) {
 		case PauseListeners, ResumeListeners:
 			_, m.paused = e.(PauseListeners)
 			if m.closed {
-				m.t.Fatalf("%T after CloseServer", e)
+				m.t.Fatalf("%T emitted after CloseServer", e)
 			}
 		case CloseServer:
 			if m.closed {
@@ -39,7 +39,7 @@
 	}
 }
 
-// advance advances the clock, and fires the timer at the end if it is due: a suspended process handles it late.
+// advance advances the clock, and then fires the timer if it is due: it may fire late, as in a suspended process.
 func (m *closingModel) advance(by time.Duration) {
 	m.now += by
 	if m.timerAt <= m.now {
@@ -49,9 +49,9 @@
 }
 
 // Listeners are neither paused nor resumed after the server was closed, whatever the other process of a hot restart
-// sends, and whenever that process ends or a shutdown is requested.
+// sends, whenever that process ends, and whenever a shutdown is requested.
 func TestListenersStayAsTheyAreAfterClose(t *testing.T) {
-	closedWhilePaused, closedAccepting := 0, 0
+	closedWhilePaused, closedWhileAccepting := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		limits := hotrestart.DefaultLimits()
 		m := &closingModel{t: t, now: time.Hour, timerAt: 2 * time.Hour}
@@ -78,11 +78,11 @@
 		case m.closed && m.paused:
 			closedWhilePaused++
 		case m.closed:
-			closedAccepting++
+			closedWhileAccepting++
 		}
 	})
-	if closedWhilePaused == 0 || closedAccepting == 0 {
-		t.Errorf("closed %d times while paused, %d times while accepting; want both at least once", closedWhilePaused, closedAccepting)
+	if closedWhilePaused == 0 || closedWhileAccepting == 0 {
+		t.Errorf("closed %d times while paused, %d times while accepting; want both at least once", closedWhilePaused, closedWhileAccepting)
 	}
-	t.Logf("closed %d times while paused, %d times while accepting", closedWhilePaused, closedAccepting)
+	t.Logf("closed %d times while paused, %d times while accepting", closedWhilePaused, closedWhileAccepting)
 }
--- a/internal/core/collection.go
+++ b/internal/core/collection.go
@@ -16,8 +16,8 @@
 	writeRetryDelay = time.Second
 	// writeTimeoutLeaseDurations is how many lease durations a write may take. After that the lease is released.
 	writeTimeoutLeaseDurations = 4
-	// usageReplyFraction is the fraction of the messages a limiter may receive that replies to usage queries may
-	// make up.
+	// usageReplyFraction is the fraction of Settings.PeerMessagesPerSecond, the rate of the messages that a limiter may
+	// receive, that replies to usage queries may make up.
 	usageReplyFraction = 0.2
 )
 
@@ -25,12 +25,12 @@
 type collectionPhase uint8
 
 const (
-	collectionIdle       collectionPhase = iota // waits until the next collection is due
-	collectionOpening                           // sets the payload: the period is being collected
-	collectionQuerying                          // queries all limiters
-	collectionClaiming                          // sets the payload: the report is being written
-	collectionWriting                           // waits for the report to be written
-	collectionConfirming                        // sets the payload: the report is written
+	collectionIdle          collectionPhase = iota // waits until the next collection is due
+	collectionOpening                              // has the acceptors store that the period is being collected
+	collectionQuerying                             // queries all limiters
+	collectionStartingWrite                        // has the acceptors store that the report is being written
+	collectionWriting                              // waits for the report to be written
+	collectionConfirming                           // has the acceptors store that the report is written
 )
 
 // collection is the lease holder's work on one period.
@@ -38,10 +38,10 @@
 	phase         collectionPhase
 	collector     *usage.Collector // of the period; nil while idle
 	token         uint64           // of the lease under which the period is collected; 0 for none
-	reportedUpTo  []uint32         // by limiter: the last period that has a known report with its usage
+	reportedUpTo  []uint32         // by limiter: the last period that is known to have a report with its usage
 	startedAt     time.Duration    // clock time at which the collection of the period began
 	nextAt        time.Duration    // clock time of the phase's next action: a collection, a retry, or the write's time-out
-	writeTimedOut bool             // a write did not finish in time, and the lease was released for it
+	writeTimedOut bool             // a write did not finish in time, and the lease was released because of that
 }
 
 // periodStage is the progress of the report of a period. The values are part of the payload.
@@ -93,8 +93,8 @@
 	return m.leases.agent.SetPayload(m.now, TaskUsage, payload.encode())
 }
 
-// runUsage does what is due while this limiter holds the lease, and returns the clock time at which it is to run
-// again, 0 for never.
+// runUsage collects usage while this limiter holds the lease of TaskUsage, and returns the clock time at which it is to
+// run again, 0 for never.
 func (m *Machine) runUsage() (due time.Duration) {
 	if m.usage.recorder == nil {
 		return 0
@@ -111,16 +111,16 @@
 		m.onUsageLeaseWon(token)
 	}
 	for {
-		before := c.phase
+		previousPhase := c.phase
 		due = m.stepCollection(until)
-		if c.phase == before {
+		if c.phase == previousPhase {
 			return due
 		}
 	}
 }
 
-// stepCollection does the work of one phase, under a lease that is held until a clock time. It returns the clock time
-// at which it is to run again if the phase does not change, 0 for never.
+// stepCollection does the work of one phase. until is the clock time at which the lease ends. due is the
+// clock time at which it is to run again if the phase does not change, 0 for never.
 func (m *Machine) stepCollection(until time.Duration) (due time.Duration) {
 	switch m.usage.collection.phase {
 	case collectionIdle:
@@ -129,8 +129,8 @@
 		m.openPeriod()
 	case collectionQuerying:
 		return m.queryUsage()
-	case collectionClaiming:
-		return m.claimPeriod(until)
+	case collectionStartingWrite:
+		return m.startWrite(until)
 	case collectionWriting:
 		return m.checkWriteTimeout()
 	case collectionConfirming:
@@ -180,11 +180,11 @@
 	c.startedAt = m.now
 	c.nextAt = m.now
 	c.collector = usage.NewCollector(period, previous, c.reportedUpTo, mayBeReported, c.token, m.usageQueryInterval(), m.now)
-	// Without a payload no earlier lease holder is known.
+	// If the acceptors store no payload, it is not known what earlier lease holders have reported.
 	c.collector.KnowsAllReports = m.leases.agent.Payload(TaskUsage) > 0
 }
 
-// usageQueryInterval is the time between two queries, chosen so that the replies do not exceed usageReplyFraction.
+// usageQueryInterval returns the time between two queries at which the replies do not exceed usageReplyFraction.
 func (m *Machine) usageQueryInterval() time.Duration {
 	perSecond := m.config.Settings.PeerMessagesPerSecond
 	if perSecond <= 0 {
@@ -205,9 +205,9 @@
 	}
 }
 
-// queryUsage queries the limiters that are due, this one included, and enters the next phase once every limiter has
-// replied or counts as missing. A limiter may have a pending report of an earlier period that the acceptors no longer
-// know because all of them lost their memory: that period is collected first.
+// queryUsage queries the limiters that are due, this one included. Once every limiter has replied or counts as missing,
+// it enters the next phase. A limiter may have a pending report of an earlier period that the acceptors no longer know
+// because all of them lost their memory: that period is collected first.
 func (m *Machine) queryUsage() (due time.Duration) {
 	c := &m.usage.collection
 	queries, due := c.collector.Tick(m.now)
@@ -219,7 +219,7 @@
 		return m.now
 	}
 	if c.collector.Complete() {
-		c.phase = collectionClaiming
+		c.phase = collectionStartingWrite
 	}
 	return due
 }
@@ -234,8 +234,9 @@
 	}
 }
 
-// claimPeriod requests the write of the report once the acceptors have stored that the report may exist.
-func (m *Machine) claimPeriod(until time.Duration) (due time.Duration) {
+// startWrite requests the write of the report once the acceptors have stored that there may be a report. until is the
+// clock time at which the lease ends.
+func (m *Machine) startWrite(until time.Duration) (due time.Duration) {
 	c := &m.usage.collection
 	if m.now < c.nextAt {
 		return c.nextAt
@@ -264,7 +265,7 @@
 	return append(data, '\n')
 }
 
-// checkWriteTimeout releases the lease to other limiters if the report is not written in time.
+// checkWriteTimeout releases the lease if the report is not written in time, so that another limiter can write it.
 func (m *Machine) checkWriteTimeout() (due time.Duration) {
 	c := &m.usage.collection
 	if m.now < c.nextAt {
@@ -288,7 +289,7 @@
 		m.setLeaseWanted(TaskUsage, true)
 	}
 	if ev.Token != c.token || c.phase != collectionWriting {
-		return // another limiter holds the lease by now and writes the period again
+		return // the lease was lost or released meanwhile: its next holder writes the report of the period again
 	}
 	switch {
 	case ev.LeaseExpired:
@@ -307,7 +308,7 @@
 }
 
 func (m *Machine) retryWriteAt(at time.Duration) {
-	m.usage.collection.phase = collectionClaiming
+	m.usage.collection.phase = collectionStartingWrite
 	m.usage.collection.nextAt = at
 }
 
--- a/internal/core/controller.go
+++ b/internal/core/controller.go
@@ -14,7 +14,7 @@
 	controller *admission.Controller
 	timerAt    time.Duration      // clock time for which its timer is set; 0 for none
 	events     []admission.Event  // queued; the first is being handled
-	actions    []admission.Action // for the event that is being handled
+	actions    []admission.Action // of the event that is being handled
 }
 
 // stepController passes an event to the admission controller and applies its actions. An event that results from an
@@ -24,7 +24,7 @@
 	c := &m.admission
 	c.events = append(c.events, ev)
 	if len(c.events) > 1 {
-		return // called from an action: the loop further up the stack handles the event
+		return // called while an action is applied: the loop of the outer call handles the event
 	}
 	for len(c.events) > 0 {
 		c.actions = c.controller.Handle(m.now, c.events[0], c.actions[:0])
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -157,10 +157,10 @@
 // ReportAttemptFinished notifies the successor that an attempt of this process has ended.
 type ReportAttemptFinished struct{ FinishedAttempt }
 
-// ForwardRequest forwards a request to the successor, which decides it. ForwardedResponseReceived follows.
+// ForwardRequest forwards a request to the successor, which admits or rejects it. ForwardedResponseReceived follows.
 type ForwardRequest struct{ ForwardedRequest }
 
-// CancelForwardedRequest notifies the successor that a forwarded request needs no decision any more.
+// CancelForwardedRequest notifies the successor that it need not answer a forwarded request any more.
 type CancelForwardedRequest struct{ Request RequestID }
 
 // ReportRequestEnded notifies the successor that a request which had attempts in this process will have no more. It is
@@ -192,7 +192,7 @@
 // PauseListeners stops accepting client connections and receiving from other limiters.
 type PauseListeners struct{}
 
-// ResumeListeners ends PauseListeners.
+// ResumeListeners accepts client connections and receives from other limiters again, after PauseListeners.
 type ResumeListeners struct{}
 
 // MoveClientConns moves each client connection to the successor once no request is open on it.
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -35,8 +35,8 @@
 }
 
 // applyEndpoints updates the list. It closes the idle connections to a backend that drains, was removed, restarted, or
-// moved to another address, so that no new attempt uses them. Removed backends are deleted here: most are
-// replaced under new IDs, and one that returns is listed again. The admission controller remembers them for longer.
+// moved to another address, so that no new attempt uses them. Removed backends are deleted here: most are replaced under
+// new IDs, and one that returns is listed again. The admission controller keeps their state for longer.
 func (m *Machine) applyEndpoints(ev *EndpointsUpdated) {
 	m.counters.EndpointUpdates++
 	m.endpoints.generation = ev.Generation
@@ -61,25 +61,25 @@
 		delete(m.endpoints.byID, endpoint.ID)
 		return
 	}
-	kept := *endpoint
-	m.endpoints.byID[endpoint.ID] = &kept
+	stored := *endpoint
+	m.endpoints.byID[endpoint.ID] = &stored
 }
 
 // removeUnlisted removes the backends that are missing from a complete list.
 func (m *Machine) removeUnlisted(listed []Endpoint) {
-	named := map[string]bool{}
+	listedIDs := map[string]bool{}
 	for i := range listed {
-		named[listed[i].ID] = true
+		listedIDs[listed[i].ID] = true
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.endpoints.byID)) { // sorted, so that the order of effects is deterministic
-		if !named[id] {
+		if !listedIDs[id] {
 			delete(m.endpoints.byID, id)
 			m.emit(CloseBackendConns{Backend: id})
 		}
 	}
 }
 
-// liveBackends is the number of backends that the list has as live.
+// liveBackends returns the number of backends that are listed as live.
 func (m *Machine) liveBackends() int {
 	live := 0
 	for _, endpoint := range m.endpoints.byID {
--- a/internal/core/endpoints_test.go
+++ b/internal/core/endpoints_test.go
@@ -27,23 +27,23 @@
 		m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0), newEndpoint("b2", "h:2", admission.Live, 0))
 		got := effectsOf[CloseBackendConns](m.Step(time.Hour, &EndpointsUpdated{Kind: c.kind, Endpoints: c.update}))
 		if !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: closed the connections of %v, want %v", name, got, c.want)
 		}
 	}
 }
 
 // Backends are often replaced under new IDs. Removed ones must be deleted, whether they are listed as removed or are
 // missing from a complete list.
-func TestRemovedBackendsAreForgotten(t *testing.T) {
+func TestRemovedBackendsAreDeleted(t *testing.T) {
 	m := newTestMachine(t)
 	for i := range 50 {
-		a, b := fmt.Sprint("a", i), fmt.Sprint("b", i)
+		removed, kept := fmt.Sprint("a", i), fmt.Sprint("b", i)
 		m.Step(time.Hour, &EndpointsUpdated{Kind: admission.ListComplete, Endpoints: []Endpoint{
-			newEndpoint(a, "h:1", admission.Live, 0), newEndpoint(b, "h:2", admission.Live, 0),
+			newEndpoint(removed, "h:1", admission.Live, 0), newEndpoint(kept, "h:2", admission.Live, 0),
 		}})
-		removal := &EndpointsUpdated{Kind: admission.ListDelta, Endpoints: []Endpoint{newEndpoint(a, "", admission.Removed, 0)}}
+		removal := &EndpointsUpdated{Kind: admission.ListDelta, Endpoints: []Endpoint{newEndpoint(removed, "", admission.Removed, 0)}}
 		got := effectsOf[CloseBackendConns](m.Step(time.Hour, removal))
-		if len(got) != 1 || got[0].Backend != a {
+		if len(got) != 1 || got[0].Backend != removed {
 			t.Fatalf("closed the connections of %v, want those of the removed backend", got)
 		}
 	}
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -35,8 +35,8 @@
 	Disconnected bool // the client disconnected before the request was read
 }
 
-// ClientDisconnected reports that the client of a request disconnected, or closed its sending side.
-// The request ends with a local reply and no further attempts. The ID may be that of any request.
+// ClientDisconnected reports that the client of a request disconnected, or closed its sending side. The request ends
+// with a local reply and no further attempts. An ID that belongs to no request without a response is ignored.
 type ClientDisconnected struct{ Request RequestID }
 
 // RequestMalformed reports an invalid request that was answered with 4xx.
@@ -120,12 +120,10 @@
 
 // Events of the process.
 
-// TimerFired reports that the clock time of the last SetTimer has been reached. One that is early or late
-// does no harm.
+// TimerFired reports that the clock time of the last SetTimer has been reached. An early or late event does no harm.
 type TimerFired struct{}
 
-// ShutdownRequested reports that the process is to end, because of SIGTERM. A repeated one changes
-// nothing.
+// ShutdownRequested reports that the process is to end, because of SIGTERM. A repeated event changes nothing.
 type ShutdownRequested struct{}
 
 // ReloadRequested reports that the configuration is to be reread, because of SIGHUP. ReloadConfig follows.
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -10,7 +10,7 @@
 	"lemongate/internal/rapidtest"
 )
 
-// TestMain fixes the seed of the model test, so that its result is the same every time.
+// TestMain fixes the seed of the rapid tests, so that their results are the same every time.
 func TestMain(m *testing.M) { os.Exit(rapidtest.Main(m, "20261201", nil)) }
 
 var testSettings = admission.Settings{
--- a/internal/core/format_test.go
+++ b/internal/core/format_test.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/golden"
 )
 
-// The counters and the view of the rolling restart have the JSON fields of 0.8.0, which scripts read.
+// Counters and RestartSlotView are encoded with the JSON fields of release 0.8.0, which scripts read.
 func TestCountersOfEarlierRelease(t *testing.T) {
 	var counters Counters
 	(&golden.Filler{}).Fill(&counters)
@@ -28,7 +28,7 @@
 	}
 }
 
-// The phases have the names of 0.8.0.
+// The phases have the names of release 0.8.0.
 func TestPhaseNamesOfEarlierRelease(t *testing.T) {
 	var names []byte
 	for phase := Starting; phase <= Stopped; phase++ {
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -20,8 +20,8 @@
 	Content           Content
 }
 
-// forwardRequests forwards the undecided requests, and all that arrive from now on. The client connections stay with
-// this process: if they moved and the successor failed in its probation, all requests on them would be lost.
+// forwardRequests forwards the undecided requests, and starts to forward all that arrive. The client connections stay
+// with this process: if they moved and the successor failed in its probation, all requests on them would be lost.
 func (m *Machine) forwardRequests() {
 	m.hotRestart.forwarding = true
 	m.emit(SetAcceptingClients{Accepting: false})
@@ -32,8 +32,8 @@
 	m.hotRestart.undecided = nil
 }
 
-// forward forwards a request to the successor, which decides it. As this process cannot tell whether the request ran,
-// it counts as one that may have run until the response arrives.
+// forward forwards a request to the successor, which admits or rejects it. As this process cannot tell whether the
+// request ran, the request counts as one that may have run until the response arrives.
 func (m *Machine) forward(r *request) {
 	if r.answered {
 		return
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -23,7 +23,7 @@
 // successor continues.
 type HandoverState struct {
 	Now            time.Duration
-	Controller     []byte // admission.Controller.Snapshot; empty if there is none or it failed
+	Controller     []byte // admission.Controller.Snapshot; empty if there is none or taking it failed
 	Endpoints      []Endpoint
 	Generation     int64     // of Endpoints
 	Discovery      string    // address at which the endpoint list is watched
@@ -60,8 +60,8 @@
 	}
 }
 
-// stopAdmitting stops admitting requests. It keeps those without an attempt for the process that admits next; units
-// reserved for them are returned.
+// stopAdmitting stops admitting requests. It keeps the requests without an attempt for the process that admits next;
+// units reserved for them are returned.
 func (m *Machine) stopAdmitting() {
 	m.releaseLeases()
 	m.emit(PauseListeners{})
@@ -252,8 +252,9 @@
 	})
 }
 
-// removeReceivedAttempt removes an attempt that ended before the received state is applied from that state, and adds
-// its units to the usage there.
+// removeReceivedAttempt removes an attempt that ended before the received state was applied: it is deleted from that
+// state, and its units are added to the usage there if it may have run and they were not recorded. An attempt that
+// did not succeed may be retried, so it is kept in endedAttempts.
 func (m *Machine) removeReceivedAttempt(finished *FinishedAttempt) {
 	state := m.hotRestart.received
 	state.OpenAttempts = slices.DeleteFunc(state.OpenAttempts, func(open OpenAttempt) bool {
@@ -283,7 +284,7 @@
 }
 
 // reportRequestEnded notifies the successor that a request will have no more attempts, so that its slot is free. Only
-// plans with slots need this, and only if no attempt succeeded: of a success the successor has been notified.
+// plans with slots need this, and only if no attempt succeeded: ReportAttemptFinished notifies the successor of a success.
 func (m *Machine) reportRequestEnded(r *request) {
 	if !m.hotRestart.stateSent || r.attempts == 0 || r.succeeded || m.requests.byID[r.ID] != r {
 		return
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -30,15 +30,15 @@
 	if !slices.IsSortedFunc(state.OpenAttempts, func(a, b OpenAttempt) int {
 		return compareAttemptIDs(a.attemptID(), b.attemptID())
 	}) {
-		t.Errorf("handed over out of order: %+v", state.OpenAttempts)
+		t.Errorf("attempts handed over out of order: %+v, want them ordered by request, then by number", state.OpenAttempts)
 	}
 }
 
-// Attempts of a predecessor that died must end in a deterministic order. Iteration over the map that holds them gave
-// two processes with the same events different orders, and with them different effects.
+// Attempts of a predecessor that died must end in a deterministic order. If the machine ended them in the order of
+// iteration over a map, two processes with the same events could have different effects.
 func TestPredecessorAttemptsEndInOrder(t *testing.T) {
 	const runs, attempts = 20, 60
-	effectsOfRun := func() string {
+	runEffects := func() string {
 		var endpoints []Endpoint
 		for i := range 10 {
 			endpoints = append(endpoints, newEndpoint(fmt.Sprintf("b%d", i), "h:1", admission.Live, 0))
@@ -60,9 +60,9 @@
 		effects = append(effects, m.Step(time.Hour, LinkClosed{})...)
 		return fmt.Sprintf("%+v", effects)
 	}
-	first := effectsOfRun()
+	first := runEffects()
 	for range runs {
-		if got := effectsOfRun(); got != first {
+		if got := runEffects(); got != first {
 			t.Fatalf("the same events caused different effects:\n%s\n%s", first, got)
 		}
 	}
--- a/internal/core/heldslots_test.go
+++ b/internal/core/heldslots_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// startRequests sends requests to a successor and returns how many attempts it starts.
-func startRequests(successor *Machine, first RequestID, requests int) (started int) {
+// sendRequests sends requests to a successor and returns how many attempts it starts.
+func sendRequests(successor *Machine, first RequestID, requests int) (started int) {
 	for i := range requests {
 		started += len(effectsOf[StartAttempt](successor.Step(time.Hour, newReadRequest(first+RequestID(i), time.Hour, time.Second))))
 	}
@@ -34,8 +34,8 @@
 // and held while the request may be retried, also if the reports arrive before the successor has applied the state.
 func TestSlotOfPredecessorIsFreedWithItsRequest(t *testing.T) {
 	for name, test := range map[string]struct {
-		end  func(predecessor *Machine, first AttemptID) []Effect
-		free int
+		endFirstAttempt func(predecessor *Machine, first AttemptID) []Effect
+		freeSlots       int
 	}{
 		"succeeded": {func(predecessor *Machine, first AttemptID) []Effect {
 			return predecessor.Step(time.Hour, &AttemptFinished{Attempt: first, Result: admission.Succeeded})
@@ -63,20 +63,20 @@
 			return append(effects, predecessor.Step(time.Hour, &ClientDisconnected{Request: first.Request})...)
 		}, 2},
 	} {
-		for _, early := range []bool{false, true} {
+		for _, reportedFirst := range []bool{false, true} {
 			predecessor, successor := newSlotMachine(), newSlotMachine()
 			first := effectsOf[StartAttempt](predecessor.Step(time.Hour, newReadRequest(1, time.Hour, time.Second)))[0]
 			state := predecessor.buildHandoverState()
 			successor.hotRestart.received = &state
-			if !early {
+			if !reportedFirst {
 				successor.startAdmitting()
 			}
-			deliverReports(successor, test.end(predecessor, first.Attempt))
-			if early {
+			deliverReports(successor, test.endFirstAttempt(predecessor, first.Attempt))
+			if reportedFirst {
 				successor.startAdmitting()
 			}
-			if got := startRequests(successor, requestIDGap*2, 3); got != test.free {
-				t.Errorf("%s, reported before the state is applied: %v: %d attempts started, want %d, one for each free slot", name, early, got, test.free)
+			if got := sendRequests(successor, requestIDGap*2, 3); got != test.freeSlots {
+				t.Errorf("%s, reported before the state is applied: %v: %d attempts started, want %d, one for each free slot", name, reportedFirst, got, test.freeSlots)
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 		effects = append(effects, m.Step(time.Hour, &AttemptFinished{Attempt: first.Attempt, Result: admission.NotSent})...)
 		effects = append(effects, m.Step(time.Hour, &AttemptFinished{Attempt: first.Attempt, Result: admission.NotSent})...)
 		if got := effectsOf[ReportRequestEnded](effects); len(got) != want {
-			t.Errorf("%s: %v, want %d reports", plan, got, want)
+			t.Errorf("plan %s: ends of requests reported: %v, want %d", plan, got, want)
 		}
 	}
 }
--- a/internal/core/hotrestart.go
+++ b/internal/core/hotrestart.go
@@ -11,10 +11,10 @@
 )
 
 // This file connects the machine to the hot restart protocol. Of the two processes of one limiter, one admits requests.
-// Package hotrestart decides which one, and this file carries the decisions out. Requests with an
-// attempt of the predecessor stay with the predecessor until they are answered. It forwards other requests, and those
-// that it receives after it has stopped admitting, to the successor, which decides them, and passes the
-// responses on to its clients.
+// Package hotrestart decides which one, and this file carries out the decisions. Requests with an attempt of the
+// predecessor stay with the predecessor until they are answered. It forwards other requests, and those that it receives
+// after it has stopped admitting, to the successor, which admits or rejects them, and passes the responses on to its
+// clients.
 
 // sharedFraction is the fraction of the platform's limits that each of the two processes may use.
 const sharedFraction = 0.5
@@ -28,7 +28,7 @@
 	// State of a predecessor.
 	stateSent      bool                  // the successor exchanges messages with other limiters, and follows attempts here
 	forwarding     bool                  // the successor admits requests: they are forwarded to it
-	undecided      []*request            // requests to be decided by the process that admits next
+	undecided      []*request            // requests to be admitted or rejected by the process that admits next
 	leaseAcceptors []lease.AcceptorState // to be sent with the state
 
 	// State of a successor.
@@ -77,7 +77,7 @@
 	}
 }
 
-// onSuccessorConnected accepts a successor, unless it does not fit or this process cannot have one now.
+// onSuccessorConnected accepts a successor, unless it cannot be one of this process or this process cannot have one now.
 func (m *Machine) onSuccessorConnected(ev *SuccessorConnected) {
 	reason := ev.Reason
 	if reason == "" && m.phase != Serving {
@@ -181,8 +181,8 @@
 
 // finishHotRestart ends this process after the successor has passed its probation.
 func (m *Machine) finishHotRestart() {
-	silence := m.hotRestart.protocol.LongestHeartbeatGap().Round(time.Millisecond)
-	m.logf("successor committed, longest time between two of its heartbeats: %v", silence)
+	longestGap := m.hotRestart.protocol.LongestHeartbeatGap().Round(time.Millisecond)
+	m.logf("successor committed, longest time between two of its heartbeats: %v", longestGap)
 	if m.phase < Closing {
 		m.enterPhase(Closing)
 	}
--- a/internal/core/leases.go
+++ b/internal/core/leases.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/lease"
 )
 
-// This file manages the leases of this limiter, for tasks that one limiter of the tier does at a time,
-// and makes recovery attempts under one of them. See docs/design/leases.md.
+// This file manages the leases of this limiter, for tasks that one limiter of the tier does at a time, and makes
+// recovery attempts under one of them. See docs/design/leases.md.
 
 // TaskRecovery is the task of making recovery attempts at ejected backends. One limiter makes them for all limiters;
 // the others receive its observations by gossip.
@@ -178,8 +178,8 @@
 	}
 }
 
-// recoveryLease returns the token for a recovery attempt and the clock time before which it must begin. ok is false
-// if the lease has ended meanwhile.
+// recoveryLease returns the token for a recovery attempt and the clock time before which it must begin. ok is false if
+// this limiter does not hold the lease any more.
 func (m *Machine) recoveryLease() (token uint64, until time.Duration, ok bool) {
 	if m.leases.agent == nil {
 		return 0, 0, false
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -8,17 +8,17 @@
 
 // This file implements the life cycle of the process: its phases, and the effects with which each begins.
 
-// Phase is a stage in the life of the process. The order of the values matters: conditions compare phases
-// by < and >=. Package hotrestart ends the phases of a hot restart, within the times of hotrestart.Limits. A shutdown
-// request ends any of the phases before Draining.
+// Phase is a stage in the life of the process. The order of the values matters: conditions compare phases by < and >=.
+// Package hotrestart ends the phases of a hot restart, within the times of hotrestart.Limits. A shutdown request ends
+// any of the phases before Draining.
 type Phase uint8
 
 const (
 	// Starting waits for the first endpoint list, at most for discoveryTimeout or cachedListTimeout.
 	Starting Phase = iota
 	// AwaitingPredecessor connects to a running process and takes over from it. Starting follows if there is none,
-	// Serving otherwise. Limits: HelloTimeout until a predecessor has
-	// replied, then its PrepareTimeout and TransferTimeout, and CommitTimeout once its state has arrived.
+	// Serving otherwise. Limits: HelloTimeout until a predecessor has replied, then its PrepareTimeout and
+	// TransferTimeout, and CommitTimeout once its state has arrived.
 	AwaitingPredecessor
 	// Serving accepts clients and admits their requests, until a hot restart or a shutdown.
 	Serving
@@ -26,50 +26,47 @@
 	// Serving if the successor fails. Limit: TransferTimeout.
 	TransferringState
 	// HandedOver forwards requests to the successor, which admits them. Attempts in flight here continue. Closing
-	// follows, or Serving if the successor fails. Limits: ProbationDuration, or
-	// HeartbeatTimeout without a heartbeat.
+	// follows, or Serving if the successor fails. Limits: ProbationDuration, or HeartbeatTimeout without a heartbeat.
 	HandedOver
 	// Draining begins the shutdown: for acceptGrace the process still accepts connections, and closes client
 	// connections between requests.
 	Draining
-	// Closing accepts no more connections and answers the requests received. It ends with the server's
-	// ServerClosed, within CloseServer.Within.
+	// Closing accepts no more connections and answers the requests received. It ends with ServerClosed, within
+	// CloseServer.Within.
 	Closing
 	// Stopped is the end of the process.
 	Stopped
 )
 
-// String returns the name that the log, the counters and the operators' tools use. The names are those of
-// 0.8.0: awaiting is AwaitingPredecessor, handing is TransferringState, handed is HandedOver.
+// String returns the name that the log, the counters and the operators' tools use. The names are those of 0.8.0:
+// awaiting is AwaitingPredecessor, handing is TransferringState, handed is HandedOver.
 func (p Phase) String() string {
 	return [...]string{"starting", "awaiting", "serving", "handing", "handed", "draining", "closing", "stopped"}[p]
 }
 
 // Time limits of the life cycle. The platform determines them; operators cannot set them.
 const (
-	// discoveryTimeout is the time after which a limiter without an endpoint list becomes ready even if
-	// discovery has not replied, and cachedListTimeout the time for one with a known list, which may still have
-	// backends that drain.
+	// discoveryTimeout is the time after which a limiter without an endpoint list becomes ready even if discovery has
+	// not replied. cachedListTimeout is that time for a limiter with a known list, which may still have backends that
+	// drain.
 	discoveryTimeout  = 2 * time.Second
 	cachedListTimeout = time.Second
-	// acceptGrace is how long new connections are accepted after SIGTERM: clients continue to open connections
-	// for 0.4 s.
+	// acceptGrace is how long new connections are accepted after SIGTERM: clients continue to open connections for 0.4 s.
 	acceptGrace = 500 * time.Millisecond
-	// The platform sends SIGKILL the longest deadline of a class, at least minLongestDeadline, and killAfter after
-	// SIGTERM; killMargin is how long before SIGKILL the process ends.
+	// After SIGTERM the platform waits for the longest deadline of a class, at least minLongestDeadline, plus killAfter
+	// before it sends SIGKILL. killMargin is how long before SIGKILL the process ends.
 	killAfter          = 700 * time.Millisecond
 	minLongestDeadline = 3 * time.Second
 	killMargin         = 200 * time.Millisecond
-	// exitMargin is how long before its end the process has answered all requests, so that the responses can
-	// leave the sockets.
+	// exitMargin is how long before its end the process has answered all requests, so that the responses can leave the
+	// sockets.
 	exitMargin = 50 * time.Millisecond
 )
 
 // Phase returns the phase of the process.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// startFresh starts without a predecessor. With wait, a process that is ending may still hold the
-// addresses.
+// startFresh starts without a predecessor. With wait, a process that is ending may still hold the addresses.
 func (m *Machine) startFresh(wait bool) {
 	m.emit(OpenListeners{Wait: wait})
 	m.emit(ListenForSuccessors{})
@@ -112,7 +109,7 @@
 	case Draining:
 		m.emit(SetReady{Ready: false})
 		m.emit(DrainClientConns{})
-		m.timers.add(timer{at: m.now + acceptGrace, kind: graceTimer})
+		m.timers.add(timer{at: m.now + acceptGrace, kind: acceptGraceTimer})
 	case Closing:
 		m.startClosing()
 	case Stopped:
@@ -133,7 +130,7 @@
 	m.emit(CloseServer{Within: within})
 }
 
-// longestDeadline is the longest time for which any client may wait.
+// longestDeadline returns the longest time for which any client may wait.
 func (m *Machine) longestDeadline() time.Duration {
 	longest := minLongestDeadline
 	for _, class := range m.config.Settings.Classes {
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -7,16 +7,16 @@
 	"lemongate/internal/admission"
 )
 
-// The phases follow one another, each with its initial effects.
+// The phases follow one another, each with the effects with which it begins.
 func TestPhases(t *testing.T) {
 	m := newTestMachine(t)
 	ready := effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout-1, TimerFired{}))
 	if len(ready) != 0 || m.Phase() != Starting {
-		t.Errorf("ready before discovery sent a list: %v", ready)
+		t.Errorf("before discoveryTimeout, without a list: %v, want no SetReady and phase starting", ready)
 	}
 	ready = effectsOf[SetReady](m.Step(time.Hour+discoveryTimeout, TimerFired{}))
 	if len(ready) != 1 || !ready[0].Ready || m.Phase() != Serving {
-		t.Errorf("not ready after discoveryTimeout without a list: %v", ready)
+		t.Errorf("at discoveryTimeout, without a list: %v, want one SetReady true and phase serving", ready)
 	}
 	at := time.Hour + 10*time.Second
 	got := m.Step(at, ShutdownRequested{})
@@ -25,7 +25,7 @@
 		t.Errorf("the shutdown request caused %+v, want SetReady false, DrainClientConns and phase draining", got)
 	}
 	if got := m.Step(at+acceptGrace-1, ShutdownRequested{}); len(effectsOf[CloseServer](got)) != 0 {
-		t.Errorf("server closed while clients may still connect: %+v", got)
+		t.Errorf("before the end of acceptGrace: effects %+v, want no CloseServer", got)
 	}
 	closing := effectsOf[CloseServer](m.Step(at+acceptGrace, TimerFired{}))
 	if want := 5*time.Second + killAfter - acceptGrace - killMargin; len(closing) != 1 || closing[0].Within != want {
@@ -36,8 +36,8 @@
 	}
 }
 
-// A limiter with known endpoints becomes ready soon, without waiting for discovery: after a release
-// discovery replies late, and clients wait for the limiter.
+// A limiter with known endpoints becomes ready soon, without waiting for discovery: after a release discovery replies
+// late, and clients wait for the limiter.
 func TestReadySoonWithKnownEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		known   []Endpoint
@@ -71,13 +71,13 @@
 	for _, at := range []time.Duration{time.Hour + 3*time.Millisecond, time.Hour + acceptGrace - time.Millisecond} {
 		got := m.Step(at, ShutdownRequested{})
 		if len(effectsOf[DrainClientConns](got))+len(effectsOf[CloseServer](got)) > 0 || m.Phase() != Draining {
-			t.Errorf("repeated shutdown request caused %v in phase %v, want phase draining", got, m.Phase())
+			t.Errorf("repeated shutdown request caused %v in phase %v, want no DrainClientConns, no CloseServer and phase draining", got, m.Phase())
 		}
 	}
 	m.Step(time.Hour+acceptGrace, TimerFired{})
 	got := m.Step(time.Hour+acceptGrace+time.Millisecond, ShutdownRequested{})
 	if len(effectsOf[CloseServer](got)) > 0 || m.Phase() != Closing {
-		t.Errorf("repeated shutdown request caused %v in phase %v, want phase closing", got, m.Phase())
+		t.Errorf("repeated shutdown request caused %v in phase %v, want no CloseServer and phase closing", got, m.Phase())
 	}
 	finished := &AttemptFinished{Attempt: started[0].Attempt, Result: admission.Succeeded}
 	responses := effectsOf[Respond](m.Step(time.Hour+acceptGrace+2*time.Millisecond, finished))
@@ -104,7 +104,7 @@
 		for len(effectsOf[Respond](effects)) == 0 {
 			timer := effectsOf[SetTimer](effects)
 			if len(timer) == 0 || timer[0].At > exitBy-exitMargin {
-				t.Fatalf("request %d, received %v before the exit, is not answered in time: %v", i, exitBy-at, effects)
+				t.Fatalf("request %d, received %v before the exit: effects %v, want a response or a timer before exitMargin", i, exitBy-at, effects)
 			}
 			effects = m.Step(timer[0].At, TimerFired{})
 		}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -1,19 +1,17 @@
 // Package core is the pure state machine of lemongate: it holds the complete state of the running program and makes
 // every change to that state.
 //
-// A caller creates one Machine, passes every event to Step in the order of its clock, and carries out
-// the effects that Step returns. A Machine starts no goroutine, does no I/O and reads no clock: the same
-// configuration and events give the same effects. A Machine does not deal with HTTP or sockets; the callers that raise
-// the events and carry out the effects encode and decode what is on the wire. Clock times are durations
-// since an origin of the caller's choice.
+// A caller creates one Machine, passes every event to Step in the order of its clock, and carries out the effects that
+// Step returns. A Machine starts no goroutine, does no I/O and reads no clock: the same configuration and events give
+// the same effects. A Machine does not deal with HTTP or sockets; the callers that raise the events and carry out the
+// effects encode and decode what is on the wire. Clock times are durations since an origin of the caller's choice.
 //
-// Each concern has its own file, with its state: the life cycle of the process (lifecycle.go),
-// requests (requests.go), attempts (attempts.go), the endpoint list (endpoints.go), the reload of the
-// configuration (reload.go), timers (timers.go), messages of other limiters (peers.go), the admission
-// controller, which makes the decisions (controller.go), leases (leases.go) and the tasks done under
-// them (usage.go, collection.go, restartslots.go), hot restart (hotrestart.go, handover.go,
-// forwarding.go), and counters and metrics (counters.go, metrics.go). Events are in
-// events.go, effects in effects.go.
+// Each concern has its own file, with its state: the life cycle of the process (lifecycle.go), requests (requests.go),
+// attempts (attempts.go), the endpoint list (endpoints.go), the reload of the configuration (reload.go), timers
+// (timers.go), messages of other limiters (peers.go), the admission controller, which decides which requests are
+// forwarded, when and to which backend (controller.go), leases (leases.go) and the tasks done under them (usage.go,
+// collection.go, restartslots.go), hot restart (hotrestart.go, handover.go, forwarding.go), and counters and metrics
+// (counters.go, metrics.go). Events are in events.go, effects in effects.go.
 package core
 
 import (
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -10,8 +10,8 @@
 
 // This file counts responses by request class and publishes metrics.
 
-// metricsInterval is how old published metrics may be while events occur. Readers allow half a
-// second, and publishing at each event would cost a pass over the backends.
+// metricsInterval is how old published metrics may be while events occur. Readers accept metrics that are half a second
+// old, and publishing at each event would cost a pass over the backends.
 const metricsInterval = 100 * time.Millisecond
 
 // ClassCounts counts how the requests of one class have ended since the start of the process.
@@ -32,11 +32,11 @@
 	RestartSlots   RestartSlotView // of the rolling restart
 }
 
-// metricsState is the counts by class, and the time at which metrics were last published.
+// metricsState is the counts by class, and when metrics were last published.
 type metricsState struct {
 	classes      []ClassCounts // in the order of the settings
-	publishedAt  time.Duration
-	timerPending bool // a timer is set to publish the changes since
+	publishedAt  time.Duration // clock time
+	timerPending bool          // a timer is set to publish the changes since publishedAt
 }
 
 func newMetricsState(classes []admission.Class, now time.Duration) metricsState {
--- a/internal/core/metrics_test.go
+++ b/internal/core/metrics_test.go
@@ -10,20 +10,20 @@
 // Metrics count how each request ended under its class, include the last change even if no event follows,
 // and do not wake an idle program.
 func TestMetrics(t *testing.T) {
-	m, first := New(time.Hour, Config{
+	m, initialEffects := New(time.Hour, Config{
 		Settings: testSettings, Seed: 1, PublishesMetrics: true,
 		KnownEndpoints: []Endpoint{newEndpoint("b1", "h:1", admission.Live, 0), newEndpoint("b2", "h:2", admission.Draining, 0)},
 	})
 	now := time.Hour
-	last := func(effects []Effect) *Metrics {
+	lastMetrics := func(effects []Effect) *Metrics {
 		if p := effectsOf[PublishMetrics](effects); len(p) > 0 {
 			return &p[len(p)-1].Metrics
 		}
 		return nil
 	}
-	got := last(m.Step(now, &EndpointsUpdated{Kind: admission.ListDelta}))
+	got := lastMetrics(m.Step(now, &EndpointsUpdated{Kind: admission.ListDelta}))
 	if got == nil || got.ListedBackends != 2 || got.Unavailable != 1 {
-		t.Errorf("first metrics %+v, want 2 backends, 1 of them unavailable; first effects %v", got, first)
+		t.Errorf("first metrics %+v, want 2 backends, 1 of them unavailable; initial effects %v", got, initialEffects)
 	}
 	started := effectsOf[StartAttempt](m.Step(now, newReadRequest(1, now, time.Second)))
 	if len(started) != 1 {
@@ -33,7 +33,7 @@
 	m.Step(now+time.Millisecond, &AttemptFinished{Attempt: started[0].Attempt, Result: admission.Succeeded, Response: "x"})
 	var published *Metrics
 	for at := now; at <= now+metricsInterval; at += time.Millisecond {
-		if got := last(m.Step(at, TimerFired{})); got != nil && published == nil {
+		if got := lastMetrics(m.Step(at, TimerFired{})); got != nil && published == nil {
 			published = got
 		}
 	}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -12,19 +12,19 @@
 
 // model is the state of clients and attempts as the test observes it.
 type model struct {
-	t             *rapid.T
-	machine       *Machine
-	now           time.Duration
-	timerAt       time.Duration
-	open          map[RequestID]time.Duration // deadlines of the requests without a response
-	inFlight      []AttemptID
-	started       map[RequestID]int // number of attempts started
-	live          map[string]bool   // backends that are live
-	callIDs       map[RequestID]string
-	nonIdempotent map[RequestID]bool
-	mayHaveRun    map[RequestID]bool
-	lastRequest   RequestID
-	exited        bool
+	t               *rapid.T
+	machine         *Machine
+	now             time.Duration
+	timerAt         time.Duration               // clock time of the last SetTimer
+	openDeadlines   map[RequestID]time.Duration // deadlines of the requests without a response
+	inFlight        []AttemptID
+	attemptsStarted map[RequestID]int // by request
+	live            map[string]bool   // backends that are live
+	callIDs         map[RequestID]string
+	nonIdempotent   map[RequestID]bool
+	mayHaveRun      map[RequestID]bool
+	lastRequest     RequestID
+	exited          bool
 
 	// Of the current step; 0 for none.
 	disconnected RequestID // the request whose client disconnected
@@ -32,7 +32,7 @@
 	duplicate    RequestID // the request that arrived with the call ID of an open one
 }
 
-// step sends an event to the machine and checks the effects.
+// step sends an event to the machine and checks the effects that it causes.
 func (m *model) step(ev Event) { m.checkEffects(m.machine.Step(m.now, ev)) }
 
 func (m *model) checkEffects(effects []Effect) {
@@ -43,7 +43,7 @@
 		case StartAttempt:
 			m.checkStart(e)
 		case CancelAttempt:
-			m.finish(e.Attempt)
+			m.removeInFlight(e.Attempt)
 			m.mayHaveRun[e.Attempt.Request] = true
 		case WithdrawAttempt:
 			if !slices.Contains(m.inFlight, e.Attempt) || e.Attempt.Request != m.disconnected {
@@ -55,7 +55,7 @@
 			m.exited = true
 		}
 	}
-	if _, open := m.open[m.disconnected]; open {
+	if _, open := m.openDeadlines[m.disconnected]; open {
 		m.t.Fatalf("the client of request %d disconnected, but the request is still open", m.disconnected)
 	}
 	m.succeeded, m.duplicate, m.disconnected = 0, 0, 0
@@ -63,27 +63,27 @@
 
 func (m *model) checkResponse(e Respond) {
 	duplicate := e.Kind == DuplicateID // sent if and only if the request has the call ID of an open one
-	_, open := m.open[e.Request]
+	_, open := m.openDeadlines[e.Request]
 	if !open || (e.Kind == Served) != (e.Request == m.succeeded) || duplicate != (e.Request == m.duplicate) {
-		m.t.Fatalf("response %+v: request open: %v; request that succeeded: %v", e, open, m.succeeded)
+		m.t.Fatalf("response %+v: request open: %v; request that succeeded: %v; want it open, Served if its attempt succeeded, DuplicateID if its call ID is in use", e, open, m.succeeded)
 	}
 	if e.Kind == Rejected && m.mustNotRunAgain(e.Request) {
 		m.t.Fatalf("response %+v to a non-idempotent request that may run or have run", e)
 	}
-	delete(m.open, e.Request)
+	delete(m.openDeadlines, e.Request)
 }
 
 func (m *model) checkStart(e StartAttempt) {
 	id := e.Attempt.Request
-	deadline, open := m.open[id]
-	numbered := e.Attempt.Number == m.started[id] && e.Attempt.Number < testSettings.MaxAttempts
-	if !open || !numbered || !m.live[e.Backend] || e.Timeout <= 0 || m.now+e.Timeout >= deadline {
-		m.t.Fatalf("attempt %+v: request open: %v; attempts started before: %d", e, open, m.started[id])
+	deadline, open := m.openDeadlines[id]
+	numberValid := e.Attempt.Number == m.attemptsStarted[id] && e.Attempt.Number < testSettings.MaxAttempts
+	if !open || !numberValid || !m.live[e.Backend] || e.Timeout <= 0 || m.now+e.Timeout >= deadline {
+		m.t.Fatalf("attempt %+v: request open: %v; attempts started before: %d; want it open, the next number, below MaxAttempts, a live backend, a timeout before the deadline", e, open, m.attemptsStarted[id])
 	}
 	if m.mustNotRunAgain(id) {
 		m.t.Fatalf("attempt %+v of a non-idempotent request that may run or have run", e)
 	}
-	m.started[id]++
+	m.attemptsStarted[id]++
 	m.inFlight = append(m.inFlight, e.Attempt)
 }
 
@@ -97,9 +97,9 @@
 	return slices.ContainsFunc(m.inFlight, func(attempt AttemptID) bool { return attempt.Request == id })
 }
 
-// callIDInUse reports whether a request that is open or has an attempt in flight has a call ID.
+// callIDInUse reports whether a call ID is that of a request that is open or has an attempt in flight.
 func (m *model) callIDInUse(callID string) bool {
-	for id := range m.open {
+	for id := range m.openDeadlines {
 		if m.callIDs[id] == callID {
 			return true
 		}
@@ -112,8 +112,8 @@
 	return false
 }
 
-// finish removes an attempt from those in flight.
-func (m *model) finish(id AttemptID) {
+// removeInFlight removes an attempt from those in flight.
+func (m *model) removeInFlight(id AttemptID) {
 	i := slices.Index(m.inFlight, id)
 	if i < 0 {
 		m.t.Fatalf("attempt %+v ended, but is not in flight", id)
@@ -135,9 +135,9 @@
 }
 
 func (m *model) checkDeadlines(*rapid.T) {
-	for id, deadline := range m.open {
+	for id, deadline := range m.openDeadlines {
 		if m.now >= deadline {
-			m.t.Fatalf("request %d has no response at its deadline", id)
+			m.t.Fatalf("request %d has no response, want one before its deadline", id)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	} else if callID != "" {
 		m.callIDs[m.lastRequest] = callID
 	}
-	m.open[m.lastRequest] = m.now + budget
+	m.openDeadlines[m.lastRequest] = m.now + budget
 	m.nonIdempotent[m.lastRequest] = class.Idempotency == admission.NonIdempotent
 	m.step(&RequestReceived{ReceivedAt: m.now, CallID: callID, Request: admission.Request{
 		ID: m.lastRequest, Class: class.Name, Plan: "small", Units: 1, Budget: budget, SetSize: 1,
@@ -168,9 +168,9 @@
 	}
 	id := rapid.SampledFrom(m.inFlight).Draw(t, "attempt")
 	result := admission.Result(rapid.IntRange(0, int(admission.ConnectionLost)).Draw(t, "result"))
-	m.finish(id)
+	m.removeInFlight(id)
 	m.mayHaveRun[id.Request] = m.mayHaveRun[id.Request] || !result.NeverRan()
-	if _, open := m.open[id.Request]; open && result == admission.Succeeded {
+	if _, open := m.openDeadlines[id.Request]; open && result == admission.Succeeded {
 		m.succeeded = id.Request
 	}
 	m.step(&AttemptFinished{
@@ -187,20 +187,20 @@
 	m.step(&EndpointsUpdated{Kind: admission.ListDelta, Endpoints: []Endpoint{newEndpoint(id, "h:9", state, startedAt)}})
 }
 
-// Whatever events arrive, every request gets exactly one response before its deadline. Attempts are made only while
-// it has none, at live backends, and no more than allowed.
+// Whatever events arrive, every request gets exactly one response, before its deadline. Attempts are made only while the
+// request has no response, at live backends, and no more than MaxAttempts.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			t: t, now: time.Hour, open: map[RequestID]time.Duration{}, started: map[RequestID]int{}, callIDs: map[RequestID]string{},
+			t: t, now: time.Hour, openDeadlines: map[RequestID]time.Duration{}, attemptsStarted: map[RequestID]int{}, callIDs: map[RequestID]string{},
 			live: map[string]bool{"b1": true, "b2": true}, nonIdempotent: map[RequestID]bool{}, mayHaveRun: map[RequestID]bool{},
 		}
 		settings := testSettings
 		settings.MayCancel = rapid.Bool().Draw(t, "may cancel")
 		known := []Endpoint{newEndpoint("b1", "h:1", admission.Live, 0), newEndpoint("b2", "h:2", admission.Live, 0)}
-		var first []Effect
-		m.machine, first = New(m.now, Config{Settings: settings, Seed: 1, KnownEndpoints: known})
-		m.checkEffects(first)
+		var initialEffects []Effect
+		m.machine, initialEffects = New(m.now, Config{Settings: settings, Seed: 1, KnownEndpoints: known})
+		m.checkEffects(initialEffects)
 		t.Repeat(map[string]func(*rapid.T){ // rapid draws actions by the order of their keys, which renaming must not change
 			"":       m.checkDeadlines,
 			"arrive": m.receiveRequest,
@@ -234,9 +234,9 @@
 		m.advance(6 * time.Second)
 		m.checkDeadlines(t)
 		m.step(ServerClosed{})
-		if len(m.open) > 0 || len(m.machine.requests.byID) > len(m.inFlight) || m.machine.Phase() != Stopped || !m.exited {
-			t.Fatalf("at the end: %d requests without a response, %d requests kept, phase %v",
-				len(m.open), len(m.machine.requests.byID), m.machine.Phase())
+		if len(m.openDeadlines) > 0 || len(m.machine.requests.byID) > len(m.inFlight) || m.machine.Phase() != Stopped || !m.exited {
+			t.Fatalf("at the end: %d requests without a response, %d requests kept, phase %v; want 0 without a response, 0 kept without an attempt in flight, phase stopped with Exit",
+				len(m.openDeadlines), len(m.machine.requests.byID), m.machine.Phase())
 		}
 	})
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -8,7 +8,7 @@
 	"lemongate/internal/usage"
 )
 
-// This file sends datagrams to other limiters, and passes received ones to the concern of their message.
+// This file sends datagrams to other limiters, and passes each received datagram to the file that handles its kind.
 
 // isLimiter reports whether a number is the number of a limiter of the tier.
 func (m *Machine) isLimiter(number int) bool {
@@ -20,8 +20,8 @@
 	return m.isLimiter(number) && number != m.config.Settings.Self
 }
 
-// onPeerMessage passes a datagram to the concern of its message. The data is not validated before: the concerns count
-// and drop what is invalid.
+// onPeerMessage passes a datagram to the handler of its kind of message. The data is not validated before: the handlers
+// count and drop what is invalid.
 func (m *Machine) onPeerMessage(ev *PeerMessageReceived) {
 	switch {
 	case lease.IsMessage(ev.Data):
--- a/internal/core/reload.go
+++ b/internal/core/reload.go
@@ -1,29 +1,28 @@
 package core
 
-// This file reloads the configuration on request. Only the discovery address may change while the
-// program runs.
+// This file reloads the configuration on request. Only the discovery address may change while the program runs.
 
 // reloadState is the state of the reload in progress, if there is one.
 type reloadState struct {
-	running bool
-	again   bool // requested again meanwhile: the file may have changed since it was read
+	inProgress     bool
+	requestedAgain bool // requested again meanwhile: the file may have changed since it was read
 }
 
 // reloadConfig requests that the configuration is reread; one read is in progress at a time. It may be called in any
 // phase but the last: a process that shuts down still needs the endpoint list.
 func (m *Machine) reloadConfig() {
-	m.reload.again = m.reload.running
-	if m.reload.running || m.phase == Stopped {
+	m.reload.requestedAgain = m.reload.inProgress
+	if m.reload.inProgress || m.phase == Stopped {
 		return
 	}
-	m.reload.running = true
+	m.reload.inProgress = true
 	m.emit(ReloadConfig{})
 }
 
 // onConfigReloaded watches the endpoint list at the address of the new configuration. The list does not change
 // until the new address has sent one. A configuration that could not be read changes nothing.
 func (m *Machine) onConfigReloaded(ev *ConfigReloaded) {
-	m.reload.running = false
+	m.reload.inProgress = false
 	switch {
 	case ev.Err != nil:
 		m.counters.ReloadsFailed++
@@ -37,7 +36,7 @@
 		m.counters.Reloads++
 		m.logf("configuration reloaded, discovery address unchanged")
 	}
-	if m.reload.again {
+	if m.reload.requestedAgain {
 		m.reloadConfig()
 	}
 }
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -10,8 +10,8 @@
 
 // This file sends exactly one response to each request, by its deadline at the latest.
 
-// responseMargin is how long before the end of its budget a request is answered at the latest, so that
-// the response reaches the client in time. With D the end of the budget:
+// responseMargin is how long before the end of its budget a request is answered at the latest, so that the response
+// reaches the client in time. With D the end of the budget:
 //
 //	D - responseMargin - forwardMargin  the successor has answered a forwarded request
 //	D - responseMargin                  the process with the client connection has answered it
@@ -33,7 +33,7 @@
 	succeeded       bool          // an attempt got a response
 	answered        bool          // a response was sent, or the client has disconnected
 	fromPredecessor bool          // the predecessor received it, and answers its client
-	forwarded       bool          // it was forwarded to the successor, which decides it
+	forwarded       bool          // it was forwarded to the successor, which admits or rejects it
 }
 
 // requestSet is the set of requests without a response or with an attempt in flight.
@@ -57,7 +57,7 @@
 	return list
 }
 
-// remainingBudget is how long the client, or for a forwarded request the predecessor, still waits.
+// remainingBudget returns how long the client, or for a forwarded request the predecessor, still waits.
 func (r *request) remainingBudget(now time.Duration) time.Duration {
 	return r.deadline + responseMargin - now
 }
@@ -81,8 +81,8 @@
 	m.acceptRequest(ev, false)
 }
 
-// acceptRequest records a request, sets a timer for its deadline and has it decided. A request with the call ID of an
-// open one is rejected: backends and clients would confuse the responses of the two.
+// acceptRequest records a request, sets a timer for its deadline, and submits, forwards or keeps it. A request with the
+// call ID of an open one is rejected: backends and clients would confuse the responses of the two.
 func (m *Machine) acceptRequest(ev *RequestReceived, fromPredecessor bool) {
 	if !m.claimCallID(ev) {
 		m.counters.Malformed[DuplicateCallID]++
@@ -106,7 +106,7 @@
 	}
 }
 
-// claimCallID reserves the call ID of a request, if it has one. It returns false if an open request has the same ID.
+// claimCallID records the call ID of a request, if it has one, as in use. It returns false if another request uses it.
 func (m *Machine) claimCallID(ev *RequestReceived) bool {
 	if ev.CallID == "" {
 		return true
@@ -125,7 +125,7 @@
 		deadline:        min(ev.ReceivedAt, m.now) + ev.Budget - responseMargin,
 		fromPredecessor: fromPredecessor,
 	}
-	if m.phase >= Closing { // on a connection accepted earlier; the process ends by exitBy
+	if m.phase >= Closing { // the request arrived on a connection accepted earlier; the process ends by exitBy
 		r.deadline = min(r.deadline, m.exitBy-exitMargin)
 	}
 	if fromPredecessor {
--- a/internal/core/requests_test.go
+++ b/internal/core/requests_test.go
@@ -22,7 +22,7 @@
 	m := newTestMachine(t, newEndpoint("b1", "h:1", admission.Live, 0))
 	got := effectsOf[Respond](m.Step(time.Hour, newReadRequest(1, time.Hour-time.Second, 900*time.Millisecond)))
 	if c := m.Counters(); len(got) != 1 || got[0].Kind != Rejected || c.NotSent+c.Overdue != 0 {
-		t.Errorf("%+v, counters %+v; want one rejection, and no attempt or deadline counted", got, c)
+		t.Errorf("responses %+v, counters %+v; want one rejection, and no attempt or deadline counted", got, c)
 	}
 }
 
@@ -44,7 +44,7 @@
 		}
 		got := effectsOf[Respond](m.Step(at, TimerFired{}))
 		if len(got) != 1 || got[0].Kind != c.want || m.Counters().Overdue != 1 || len(m.requests.byID) != 0 {
-			t.Errorf("%s: responses %+v, want one of kind %d, and the request removed", class, got, c.want)
+			t.Errorf("%s: responses %+v, want one of kind %d, one request counted as overdue, and none kept", class, got, c.want)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	send(1)
 	second := send(2)
 	if len(second) != 1 || second[0] != (Respond{Request: 2, Kind: DuplicateID}) || len(m.requests.byID) != 1 {
-		t.Errorf("the second request caused %+v, want DuplicateID", second)
+		t.Errorf("the second request caused %+v, want only DuplicateID, and one request kept", second)
 	}
 	finished := &AttemptFinished{Attempt: AttemptID{1, 0}, Result: admission.Succeeded}
 	first := effectsOf[Respond](m.Step(time.Hour, finished))
@@ -70,7 +70,7 @@
 	}
 	third := effectsOf[StartAttempt](send(3))
 	if len(third) != 1 || m.Counters().Malformed[DuplicateCallID] != 1 || len(m.requests.byCallID) != 1 {
-		t.Errorf("the third request started %+v, want one attempt", third)
+		t.Errorf("the third request started %+v, want one attempt, one duplicate counted, one call ID in use", third)
 	}
 }
 
--- a/internal/core/restartslots.go
+++ b/internal/core/restartslots.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/rollingrestart"
 )
 
-// This file implements the rolling restart: a limiter restarts only with a restart slot, which the lease
-// holder of TaskRestarts grants. See docs/design/leases.md.
+// This file implements the rolling restart: a limiter restarts only with a restart slot, which the lease holder of
+// TaskRestarts grants. See docs/design/leases.md.
 
 // TaskRestarts is the task of granting restart slots.
 const TaskRestarts = "restarts"
@@ -31,7 +31,7 @@
 	Coordinator int           `json:"holder"`        // the lease holder, as far as this limiter knows; -1 for none
 }
 
-// restartSlotState is the state of this limiter as a requester of slots, and as the coordinator if it is that.
+// restartSlotState is the state of this limiter as a requester of slots, and as the coordinator if it holds the lease.
 type restartSlotState struct {
 	enabled     bool
 	requester   rollingrestart.Requester
@@ -58,15 +58,15 @@
 		view.ValidFor = until - m.now
 	}
 	restarting := rollingrestart.DecodePayload(m.leases.agent.Payload(TaskRestarts))
-	view.Restarting = append(view.Restarting, numbers(restarting)...)
+	view.Restarting = append(view.Restarting, limiterNumbers(restarting)...)
 	if coordinator, known := m.leases.agent.Holder(TaskRestarts); known {
 		view.Coordinator = int(coordinator)
 	}
 	return view
 }
 
-// numbers converts limiters to the numbers that events and settings use.
-func numbers(limiters []rollingrestart.Limiter) []int {
+// limiterNumbers converts limiters to the numbers that events and settings use.
+func limiterNumbers(limiters []rollingrestart.Limiter) []int {
 	var list []int
 	for _, limiter := range limiters {
 		list = append(list, int(limiter))
@@ -74,7 +74,7 @@
 	return list
 }
 
-// onRestartSlotRequested handles that an operator wants a slot, or no longer wants one.
+// onRestartSlotRequested records whether an operator wants a slot for this limiter.
 func (m *Machine) onRestartSlotRequested(ev RestartSlotRequested) {
 	if !m.restartSlots.enabled {
 		return
@@ -151,13 +151,14 @@
 	}
 }
 
-// isLastHolder reports whether this limiter is the last one that holds the quota of some customer while
-// others restart: the last one of owner and backup owners, or of a small set.
+// isLastHolder reports whether this limiter is the last one that holds the quota of some customer while others restart:
+// the last one of owner and backup owners, or of a small set.
 func (m *Machine) isLastHolder(restarting []rollingrestart.Limiter) bool {
-	return m.admission.controller.IsLastHolder(numbers(restarting))
+	return m.admission.controller.IsLastHolder(limiterNumbers(restarting))
 }
 
-// runRestartSlots does what is due, and returns the clock time at which it must run again, 0 for never.
+// runRestartSlots runs the requester and the coordinator, and returns the clock time at which it must run again, 0 for
+// never.
 func (m *Machine) runRestartSlots() (due time.Duration) {
 	if !m.restartSlots.enabled {
 		return 0
@@ -167,8 +168,8 @@
 	return earlier(requesterDue, m.runCoordinator())
 }
 
-// updateCoordinator makes this limiter the coordinator while it holds the lease. Each lease begins with
-// a new coordinator, created from the payload that the acceptors store.
+// updateCoordinator makes this limiter the coordinator while it holds the lease. Each lease begins with a new
+// coordinator, created from the payload that the acceptors store.
 func (m *Machine) updateCoordinator() {
 	s := &m.restartSlots
 	token, _, holds := m.leases.agent.Holds(m.now, TaskRestarts)
@@ -196,8 +197,8 @@
 	return due
 }
 
-// runCoordinator grants slots once the acceptors have stored which limiters restart. It runs a second time if these
-// change, as the acceptors may store the change at once.
+// runCoordinator grants slots once the acceptors have stored which limiters restart. It runs the coordinator a second
+// time if that set changes, as the acceptors may store the change at once.
 func (m *Machine) runCoordinator() (due time.Duration) {
 	coordinator := m.restartSlots.coordinator
 	if coordinator == nil {
--- a/internal/core/slots_cases_test.go
+++ b/internal/core/slots_cases_test.go
@@ -28,24 +28,24 @@
 		successor.Step(time.Hour, &PredecessorAttemptStarted{open})
 	}
 	inFlight := 1
-	start := func(id RequestID) {
+	sendRequest := func(id RequestID) {
 		inFlight += len(effectsOf[StartAttempt](successor.Step(time.Hour, newReadRequest(id, time.Hour, time.Second))))
 	}
-	start(1000)
+	sendRequest(1000)
 	ended := &AttemptFinished{Attempt: first.Attempt, Result: admission.Unreachable}
 	for _, effect := range predecessor.Step(time.Hour, ended) {
 		switch effect := effect.(type) {
 		case ReportAttemptFinished:
 			inFlight--
 			successor.Step(time.Hour, &PredecessorAttemptFinished{effect.FinishedAttempt})
-			start(1001)
+			sendRequest(1001)
 		case ReportAttemptStarted:
 			inFlight++
 			successor.Step(time.Hour, &PredecessorAttemptStarted{effect.OpenAttempt})
 		}
 	}
 	if inFlight > 2 {
-		t.Errorf("%d attempts in flight, 2 slots", inFlight)
+		t.Errorf("%d attempts in flight, want at most 2, one for each slot", inFlight)
 	}
 }
 
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -22,14 +22,14 @@
 type timerKind uint8
 
 const (
-	controllerTimer timerKind = iota // the admission controller has something due
-	deadlineTimer                    // the deadline of a request
-	attemptTimer                     // the time limit of an attempt
-	discoveryTimer                   // the process becomes ready even if discovery has sent no list
-	graceTimer                       // after SIGTERM: no more connections are accepted
-	leaseTimer                       // a lease or a task under one has something due
-	hotRestartTimer                  // the hot restart protocol has something due
-	metricsTimer                     // metrics changed since they were last published
+	controllerTimer  timerKind = iota // the admission controller has something due
+	deadlineTimer                     // the deadline of a request
+	attemptTimer                      // the time limit of an attempt
+	discoveryTimer                    // the process becomes ready even if discovery has sent no list
+	acceptGraceTimer                  // after SIGTERM: no more connections are accepted
+	leaseTimer                        // a lease or a task under one has something due
+	hotRestartTimer                   // the hot restart protocol has something due
+	metricsTimer                      // metrics changed since they were last published
 )
 
 // timerQueue is the queue of all timers, including those that are no longer valid.
@@ -100,7 +100,7 @@
 		m.onAttemptTimeout(t.id)
 	case discoveryTimer:
 		m.enterPhase(Serving)
-	case graceTimer:
+	case acceptGraceTimer:
 		m.enterPhase(Closing)
 	case leaseTimer:
 		m.leases.dueAt = 0
--- a/internal/core/usage.go
+++ b/internal/core/usage.go
@@ -98,15 +98,15 @@
 	m.sendToPeer(to, reply)
 }
 
-// reportInheritedUsage notifies the predecessor, if there is one, before this process sends or writes usage that the
-// predecessor has too. If this process then dies, the predecessor must not report that usage again.
+// reportInheritedUsage notifies the predecessor, if there is one, before this process sends or writes usage that it
+// inherited from the predecessor. If this process then dies, the predecessor must not report that usage again.
 func (m *Machine) reportInheritedUsage() {
 	if m.usage.recorder.TakeInheritedSent() {
 		m.emit(ReportInheritedUsageSent{})
 	}
 }
 
-// onInheritedUsageSent drops the usage that was handed over: it is left to the successor's reports.
+// onInheritedUsageSent drops the usage that was handed over: only the successor reports it.
 func (m *Machine) onInheritedUsageSent() {
 	if m.usage.recorder != nil {
 		m.usage.recorder.DropHandedOver()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings decodes the settings that the platform gives a limiter: the classes and plans of
-// the service, the size of the tier, and what the site allows. The simulator sends them at the start
-// of a limiter; a limiter on sockets reads them from its configuration file. Only this package
-// maps the platform's names to the terms of package admission.
+// Package settings decodes the settings that the platform gives a limiter: the classes and plans of the service, the
+// size of the tier, and what the site allows. The simulator sends them at the start of a limiter; a limiter on sockets
+// reads them from its configuration file. Only this package maps the platform's names to the terms of package admission.
 package settings
 
 import (
@@ -25,9 +24,9 @@
 	MaxUnits       float64       // units that one request takes from a quota at most; 0 if not known
 }
 
-// Decode decodes the settings from a JSON object. It skips unknown keys, and missing keys leave a field at
-// zero. It fails if the JSON is malformed, if there is no class, or if a class has an
-// unknown effect or group; the error is a single line.
+// Decode decodes the settings from a JSON object. It skips unknown keys, and missing keys leave a field at zero. It
+// fails if the JSON is malformed, if there is no class, or if a class has an unknown effect or group; the error is a
+// single line.
 //
 // The Epoch is not in the settings: the caller sets it.
 func Decode(text []byte) (Settings, error) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// everyField leaves out no field: all but the epoch, which is not in the settings, are not zero,
-// and each field of list entries is set in at least one entry.
+// everyFieldDecoded has no zero field but the epoch, which is not in the settings: everyField leaves out no field. Each
+// field of list entries is set in at least one entry.
 func TestEveryFieldIsSet(t *testing.T) {
 	zero := map[string]bool{}
 	recordZeroFields(zero, "", reflect.ValueOf(everyFieldDecoded))
@@ -126,8 +126,8 @@
 			recordZeroFields(zero, name+"[]", value.Index(i))
 		}
 	default:
-		before, seen := zero[name]
-		zero[name] = value.IsZero() && (before || !seen)
+		zeroBefore, seen := zero[name]
+		zero[name] = value.IsZero() && (zeroBefore || !seen)
 	}
 }
 
@@ -179,10 +179,10 @@
 	} {
 		got, err := Decode([]byte(text))
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want one line that begins with %s", text, err, want)
 		}
 		if !reflect.DeepEqual(got, Settings{}) {
-			t.Errorf("%q: want zero settings with an error, got %+v", text, got)
+			t.Errorf("%q: got settings %+v with the error, want zero settings", text, got)
 		}
 	}
 }
