--- a/internal/gossip/decode.go
+++ b/internal/gossip/decode.go
@@ -2,9 +2,9 @@
 
 import "encoding/binary"
 
-// Parse decodes a message, and reports whether the data is one of this version.
+// Parse decodes a message, and reports whether the data is a complete message of this version.
 func Parse(data []byte) (Message, bool) {
-	if len(data) < headerSize || len(data) > maxSize || data[0] != version {
+	if len(data) < headerSize || len(data) > maxMessageSize || data[0] != version {
 		return Message{}, false
 	}
 	d := decoder{data: data[1:]}
@@ -28,7 +28,7 @@
 // decoder takes numbers from the start of its data, which has to be long enough.
 type decoder struct{ data []byte }
 
-// header decodes the header of a message up to the numbers of its entries.
+// header decodes the header of a message, except for the numbers of its requests, grants and observations.
 func (d *decoder) header() Message {
 	return Message{
 		Epoch:         d.uint32(),
--- a/internal/gossip/encode.go
+++ b/internal/gossip/encode.go
@@ -11,7 +11,8 @@
 	requestSize     = 23
 	grantSize       = 17
 	observationSize = 6
-	maxSize         = 256
+	// maxMessageSize bounds the messages that Parse accepts: one with the maximum numbers of entries has 254 bytes.
+	maxMessageSize = 256
 )
 
 // Append appends the encoded message to data. The message has at most MaxRequests, MaxGrants and
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -4,8 +4,8 @@
 // A message that is lost, repeated or reordered does no harm: a grant names the request that it replies to
 // and counts once, and a receiver drops a message that arrives after one with a later Seq.
 //
-// Limiters with different versions of the format reject each other's messages. Each then has the even
-// allocation of every quota that it would have in this version too, and no part of it is moved.
+// Limiters with different versions of the format reject each other's messages. Each then uses its even
+// allocation of every quota, and nothing is moved between them.
 package gossip
 
 import "time"
@@ -94,7 +94,7 @@
 	Age         uint8  // of what is observed, in 32nds of the shortest latency objective
 }
 
-// backendKeyBits is how much of a backend's hash an Observation has room for.
+// backendKeyBits is the number of bits of a backend's hash that an Observation carries.
 const backendKeyBits = 24
 
 // BackendKey returns the part of a backend's hash that names it in an Observation.
--- a/internal/gossip/message_test.go
+++ b/internal/gossip/message_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// A message with the maximum number of entries fits into a datagram. One that is cut off, of another version,
-// or with too many entries is rejected.
+// A message with the maximum number of entries fits into 256 bytes. One that is truncated, of another version, or
+// with too many entries is rejected.
 func TestFullMessageFits(t *testing.T) {
 	m := Message{Requests: make([]TransferRequest, MaxRequests), Grants: make([]Grant, MaxGrants), Observations: make([]Observation, MaxObservations)}
 	data := m.Append(nil)
--- a/internal/queueing/queueing_test.go
+++ b/internal/queueing/queueing_test.go
@@ -43,8 +43,8 @@
 	assertNear(t, "share", got, l*y/(-z+math.Sqrt(z*z+2*d*l*y)))
 }
 
-// latency is the mean latency of an M/G/1 queue with a share of the capacity: service, and the wait by
-// Pollaczek and Khinchine.
+// latency returns the mean latency of an M/G/1 queue with a share of the capacity: the service time, and the mean
+// wait by the Pollaczek-Khinchine formula.
 func latency(arrivalRate float64, service queueing.ServiceTime, share float64) float64 {
 	spare := share - arrivalRate*service.Mean
 	return service.Mean/share + arrivalRate*service.Square/(2*share*spare)
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -14,8 +14,8 @@
 // largestRequestDecay divides the difference by which a smaller request lowers largestRequest.
 const largestRequestDecay = 16
 
-// Account is this limiter's part of one customer's buckets, and what it knows of the other parts. Levels are as
-// of the last call with a clock time.
+// Account is this limiter's allocations of one customer's buckets, and what it knows of the other limiters'
+// allocations. Levels are as of the last call with a clock time.
 type Account struct {
 	CustomerHash uint32 // hash of the customer's name
 	PlanIndex    int    // in Config.Plans
@@ -28,7 +28,7 @@
 	advancedTo   time.Duration // clock time of the levels
 	lastSeen     time.Duration // clock time of the last request
 
-	// Levels here, in units. The quota's level is below zero while there is debt.
+	// Levels of the allocations here, in units. The quota's level is below zero while there is debt.
 	quotaLevel    float64
 	ceilingLevel  float64
 	reservedUnits float64 // reserved and not sent yet: they count against the ceiling's capacity
@@ -39,7 +39,7 @@
 	//	                 small set     owner                backup owner         other
 	//	baseFraction     evenFraction  1                    1                    0
 	//	ceilingFraction  evenFraction  ceilingFractions[0]  ceilingFractions[i]  0
-	//	baseSlots        even part     all                  0                    0
+	//	baseSlots        even number   all                  0                    0
 	//
 	// A limiter outside of a small set has nothing.
 	baseFraction    float64 // of the quota
@@ -57,7 +57,7 @@
 
 	// State that depends on the start state, see StartState.
 	unresolvedUnits         float64 // added to quotaLevel if the tier turns out to be new
-	admittedWhileUnresolved bool    // a request was admitted without a grant; counts while the start state is unknown
+	admittedWhileUnresolved bool    // a request was admitted without a grant; used only while the start state is unknown
 	startedFull             bool    // the bucket was full when the tier started: peers' counts start at 0
 
 	// The customer's complete quota as far as known here, see reconcile.go.
@@ -84,13 +84,13 @@
 	ceilingUnitsInTransit float64     // sum of ceilingInTransit
 }
 
-// inSmallSet reports whether the customer's set is small: every limiter of the set has an allocation of both
+// hasSmallSet reports whether the customer's set is small: every limiter of the set has an allocation of both
 // buckets. In a large set the owner and its backup owners have them.
-func (a *Account) inSmallSet() bool { return a.setSize <= SmallSetSize }
+func (a *Account) hasSmallSet() bool { return a.setSize <= SmallSetSize }
 
 func (a *Account) plan() *Plan { return &a.ledger.Plans[a.PlanIndex] }
 
-// demandRate is the demand here in units per second.
+// demandRate returns the demand here in units per second.
 func (a *Account) demandRate(now time.Duration) float64 {
 	return a.demand.Value(now, demandMemorySeconds)
 }
@@ -101,7 +101,7 @@
 	l.totalDemand.Add(now, units, demandMemorySeconds)
 	a.largestRequest = max(units, a.largestRequest+(units-a.largestRequest)/largestRequestDecay)
 	a.lastSeen = now
-	if !a.inSmallSet() && a.ownerRank != 0 {
+	if !a.hasSmallSet() && a.ownerRank != 0 {
 		a.unreportedDemand += units
 	}
 }
@@ -123,7 +123,7 @@
 	}
 }
 
-// evenSlots is the number of slots of the limiter at an index if slots are divided evenly among the limiters;
+// evenSlots returns the number of slots of the limiter at an index if slots are divided evenly among the limiters;
 // the first limiters get one more each of those that are left over.
 func evenSlots(slots, limiters, index int) int {
 	n := slots / limiters
--- a/internal/quota/debt.go
+++ b/internal/quota/debt.go
@@ -9,7 +9,7 @@
 // probability that the customer's bucket has the units elsewhere, and by a bound on its debt.
 
 const (
-	// maxDebtFraction bounds the debt of a limiter, as a fraction of its even part of the burst.
+	// maxDebtFraction bounds the debt of a limiter, as a fraction of its even allocation of the burst.
 	maxDebtFraction = 1.0
 	// debtRepaymentTime is the time in which grants and refills are expected to repay a debt.
 	debtRepaymentTime = 500 * time.Millisecond
@@ -21,7 +21,7 @@
 	finalProbability       = 0.5
 	finalProbabilityFactor = 0.6
 	// unknownLevelFraction is the assumed level of a peer that has reported nothing, as a fraction of its
-	// allocation; unknownDemandFraction bounds its assumed demand, as a fraction of its part of the rate.
+	// allocation; unknownDemandFraction bounds its assumed demand, as a fraction of its allocation of the rate.
 	unknownLevelFraction  = 0.8
 	unknownDemandFraction = 0.5
 	// reportDelay is the assumed age of a report when it arrives.
@@ -30,18 +30,18 @@
 	// consumption of a lost peer is assumed for a shorter time, see maxUnreportedSeconds.
 	unseenMaxAge = 5 * time.Second
 	// unseenMinFraction is the minimum rate at which a peer is assumed to consume without a report, as a
-	// fraction of its part of the rate.
+	// fraction of its allocation of the rate.
 	unseenMinFraction = 0.05
 	// minUnseenUnits keeps the expected unseen consumption, a divisor, above zero.
 	minUnseenUnits = 1e-6
 )
 
-// maxDebt is how far below zero the quota's level may go here without a grant, in units.
+// maxDebt returns how far below zero the quota's level may go here without a grant, in units.
 func (a *Account) maxDebt() float64 {
 	return max(maxDebtFraction*a.plan().Quota.Burst*a.evenFraction, a.largestRequest)
 }
 
-// admissionProbability is the probability that the customer's bucket has a request's units, of which shortfall
+// admissionProbability returns the probability that the customer's bucket has a request's units, of which shortfall
 // are missing in the allocation here. If all peers have reported, the bucket's level is the total level known
 // here; otherwise it is estimated from the peers' expected levels. The peers' consumption since their reports
 // is assumed to be exponentially distributed.
@@ -63,7 +63,7 @@
 	return 1 - math.Exp(-(spare-shortfall)/max(unseen, minUnseenUnits))
 }
 
-// peerDemand is the demand at a peer in units per second: the reported one if there is a report, else the
+// peerDemand returns the demand at a peer in units per second: the reported one if there is a report, else the
 // estimated one. Unlike in estimatePeer, the report of a silent peer counts as well.
 func peerDemand(lk *link, estimated float64) float64 {
 	if lk.known {
@@ -72,7 +72,7 @@
 	return estimated
 }
 
-// unseenConsumption is the units that a peer is expected to have consumed since its last report, or, if
+// unseenConsumption returns the units that a peer is expected to have consumed since its last report, or, if
 // it never reported, to consume until a debt is repaid.
 func (a *Account) unseenConsumption(lk *link, demand float64, now time.Duration) float64 {
 	plan := a.plan()
--- a/internal/quota/encoding.go
+++ b/internal/quota/encoding.go
@@ -48,7 +48,7 @@
 	return float64(steps) / gossip.LevelSteps * a.plan().Quota.Burst
 }
 
-// relativeToBurst is a level as a fraction of the quota's burst.
+// relativeToBurst returns a level as a fraction of the quota's burst.
 func (a *Account) relativeToBurst(level float64) float64 {
 	return level / max(a.plan().Quota.Burst, minDivisor)
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -30,7 +30,7 @@
 	PeersDeclaredDead    uint64  `json:"dead"`      // times that a silent peer was declared dead
 }
 
-// Ledger is one limiter's part of all customers' quotas and ceilings, and what it knows of the other parts.
+// Ledger is one limiter's allocations of all customers' buckets, and what it knows of the other limiters' allocations.
 type Ledger struct {
 	Config
 	Counts Counters
@@ -107,7 +107,7 @@
 	l.accounts[hash] = append(l.accounts[hash], a)
 	l.accountOrder = append(l.accountOrder, a)
 	a.evenFraction = 1 / float64(a.setSize)
-	if !a.inSmallSet() {
+	if !a.hasSmallSet() {
 		a.initLargeSet()
 		a.advance(now)
 		return a
@@ -145,11 +145,11 @@
 // IsLastHolder reports whether, if the limiters in out are out of service, this limiter is the last that
 // holds any of some customer's buckets: in a large set the last of owner and backup owners, else the last of
 // the set. A customer of this limiter alone does not count, as no other limiter could ever have its buckets.
-func (l *Ledger) IsLastHolder(out []int) bool {
-	isIn := func(limiter int) bool { return !slices.Contains(out, limiter) }
+func (l *Ledger) IsLastHolder(outOfService []int) bool {
+	isInService := func(limiter int) bool { return !slices.Contains(outOfService, limiter) }
 	for _, a := range l.accountOrder {
 		others := a.otherHolders()
-		if len(others) > 0 && !slices.ContainsFunc(others, isIn) {
+		if len(others) > 0 && !slices.ContainsFunc(others, isInService) {
 			return true
 		}
 	}
@@ -159,7 +159,7 @@
 // otherHolders returns the other limiters that hold any of the account's buckets, none in a large set if this
 // limiter holds none.
 func (a *Account) otherHolders() []int {
-	if a.inSmallSet() {
+	if a.hasSmallSet() {
 		return a.lenders
 	}
 	if a.ownerRank == notOwner {
@@ -168,8 +168,8 @@
 	return slices.DeleteFunc(slices.Clone(a.owners), func(limiter int) bool { return limiter == a.ledger.Self })
 }
 
-// Sweep evicts accounts that were not used for the idle time, if no state is lost by that. A customer that
-// sends a request again gets a new account. One call examines up to accountsPerSweep accounts.
+// Sweep evicts accounts that have not been used for longer than the idle time, if their eviction loses no state. A
+// customer that sends a request again gets a new account. One call examines up to accountsPerSweep accounts.
 func (l *Ledger) Sweep(idle, now time.Duration) {
 	for range min(accountsPerSweep, len(l.accountOrder)) {
 		if l.sweepIndex >= len(l.accountOrder) {
@@ -219,7 +219,7 @@
 func (l *Ledger) addRestored(a *Account) {
 	a.ledger, a.transferOutstanding, a.ownerDecision = l, false, ownerUndecided
 	l.accountOrder = append(l.accountOrder, a)
-	if a.ownerRank == 0 && !a.inSmallSet() {
+	if a.ownerRank == 0 && !a.hasSmallSet() {
 		l.ownedAccounts = append(l.ownedAccounts, a)
 	}
 	for _, lk := range a.links {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -60,17 +60,17 @@
 		l.ObservePeer(peerID, 5, true, 9, 9, now)
 	}
 	a := l.Account(1, 0, 0, 3, now)
-	share := func() float64 { return a.fractions(true).quota }
-	if got := share(); got != 1.0/3 {
-		t.Fatalf("share %.2f with all limiters in service, want a third", got)
+	quotaFraction := func() float64 { return a.fractions(true).quota }
+	if got := quotaFraction(); got != 1.0/3 {
+		t.Fatalf("fraction %.2f of the quota with all limiters in service, want a third", got)
 	}
 	l.ObservePeer(2, 5, true, 255, 9, now)
-	if got := share(); got != 0.5 {
-		t.Errorf("share %.2f with one of three limiters shut down, want half", got)
+	if got := quotaFraction(); got != 0.5 {
+		t.Errorf("fraction %.2f of the quota with one of three limiters shut down, want half", got)
 	}
 	l.ObservePeer(2, 6, true, 0, 9, now)
-	if got := share(); got != 1.0/3 {
-		t.Errorf("share %.2f when it is back, want a third", got)
+	if got := quotaFraction(); got != 1.0/3 {
+		t.Errorf("fraction %.2f of the quota when the third limiter is back, want a third", got)
 	}
 }
 
@@ -82,8 +82,8 @@
 	}
 }
 
-// Idle accounts are evicted once nothing is lost by that.
-func TestSweepForgetsIdleAccounts(t *testing.T) {
+// Idle accounts are evicted once their eviction loses no state.
+func TestSweepEvictsIdleAccounts(t *testing.T) {
 	l := newLedger(TierStarted)
 	for i := range uint32(500) {
 		a := l.Account(i, 0, 0, 3, time.Hour)
--- a/internal/quota/lending.go
+++ b/internal/quota/lending.go
@@ -74,7 +74,7 @@
 	return slices.ContainsFunc(a.links, func(lk *link) bool { return lk.borrowed.expiresWithin(loanRenewalMargin, now) })
 }
 
-// lentShare is the share that the peer may be using.
+// lentShare returns the share that the peer may be using.
 func (lk *link) lentShare() float64 {
 	share := 0.0
 	for i := range lk.lent {
@@ -120,12 +120,12 @@
 	}
 }
 
-// earlierLoansEndedAt is the clock time from which on no peer can still use what an earlier epoch of this
+// earlierLoansEndedAt returns the clock time from which on no peer can still use what an earlier epoch of this
 // limiter lent it: all peers of the set know of this epoch, or every loan has ended.
 func (a *Account) earlierLoansEndedAt() time.Duration {
 	l := a.ledger
 	latest := l.startedAt + lenderLoanDuration
-	if a.advancedTo >= latest || !a.inSmallSet() {
+	if a.advancedTo >= latest || !a.hasSmallSet() {
 		return l.startedAt
 	}
 	endedAt := l.startedAt
@@ -143,8 +143,8 @@
 	return endedAt
 }
 
-// lending holds the inputs of a decision about a transfer request.
-type lending struct {
+// lendingDecision holds the inputs of a decision about a transfer request.
+type lendingDecision struct {
 	account           *Account
 	link              *link
 	request           gossip.TransferRequest
@@ -157,8 +157,8 @@
 	lentToPeer        float64
 }
 
-func (a *Account) newLending(lk *link, request gossip.TransferRequest, now time.Duration) lending {
-	g := lending{
+func (a *Account) newLendingDecision(lk *link, request gossip.TransferRequest, now time.Duration) lendingDecision {
+	d := lendingDecision{
 		account:           a,
 		link:              lk,
 		request:           request,
@@ -168,21 +168,21 @@
 		demandWeight:      1,
 		lentToPeer:        lk.lentShare(),
 	}
-	if sum := g.ownDemand + g.peerDemand; sum > 0 {
-		g.demandWeight = g.peerDemand / sum
+	if sum := d.ownDemand + d.peerDemand; sum > 0 {
+		d.demandWeight = d.peerDemand / sum
 	}
-	g.fractions = a.fractions(g.earlierLoansEnded)
+	d.fractions = a.fractions(d.earlierLoansEnded)
 	for _, other := range a.links {
 		if other != lk {
-			g.lentToOthers += other.lentShare()
+			d.lentToOthers += other.lentShare()
 		}
 	}
-	return g
+	return d
 }
 
 // lend moves units and lends a share and slots to a peer, and returns the grant to send.
 func (l *Ledger) lend(a *Account, lk *link, request gossip.TransferRequest, now time.Duration) gossip.Grant {
-	decision := a.newLending(lk, request, now)
+	decision := a.newLendingDecision(lk, request, now)
 	record := grantRecord{
 		nonce:       request.Nonce,
 		loan:        loan{expiresAt: now + lenderLoanDuration},
@@ -206,14 +206,14 @@
 
 // share returns the share to lend: what the peer needs beyond its own share for its demand, up to what this
 // limiter can spare, and 0 if that is less than minLoanShare.
-func (g *lending) share() float64 {
-	rate := g.account.plan().Quota.Rate
+func (d *lendingDecision) share() float64 {
+	rate := d.account.plan().Quota.Rate
 	spare := 0.0
-	if g.earlierLoansEnded {
-		notNeeded := g.fractions.quota + g.lentToPeer - g.ownDemand*lenderDemandFactor/rate
-		spare = min(notNeeded, MaxLentFraction*g.account.baseFraction-g.lentToOthers)
+	if d.earlierLoansEnded {
+		notNeeded := d.fractions.quota + d.lentToPeer - d.ownDemand*lenderDemandFactor/rate
+		spare = min(notNeeded, MaxLentFraction*d.account.baseFraction-d.lentToOthers)
 	}
-	shortfall := min(g.peerDemand*borrowerDemandFactor/rate, 1) - decodeShare(g.request.Share)
+	shortfall := min(d.peerDemand*borrowerDemandFactor/rate, 1) - decodeShare(d.request.Share)
 	share := math.Floor(min(spare, shortfall)*gossip.ShareSteps) / gossip.ShareSteps
 	if share < minLoanShare {
 		return 0
@@ -221,15 +221,15 @@
 	return share
 }
 
-// quotaUnits returns the units of the quota to move: as many as bring the levels of both limiters to the
-// proportion of their demands, or, if a share is lent, at least those beyond what the smaller allocation
-// can hold.
-func (g *lending) quotaUnits(share float64) float64 {
-	a := g.account
-	both := a.quotaLevel + max(g.link.level, -a.quotaLevel)
-	units := min(both*g.demandWeight-g.link.level, decodeUnits(g.request.QuotaWanted))
+// quotaUnits returns the units of the quota to move: as many as make the levels of both limiters proportional to
+// their demands, up to the units that the peer wants. If a share is lent, it moves at least the units that the
+// remaining allocation cannot hold.
+func (d *lendingDecision) quotaUnits(share float64) float64 {
+	a := d.account
+	levelSum := a.quotaLevel + max(d.link.level, -a.quotaLevel)
+	units := min(levelSum*d.demandWeight-d.link.level, decodeUnits(d.request.QuotaWanted))
 	if share > 0 {
-		remaining := g.fractions.quota + g.lentToPeer - max(g.lentToPeer, share)
+		remaining := d.fractions.quota + d.lentToPeer - max(d.lentToPeer, share)
 		units = max(units, a.quotaLevel-remaining*a.plan().Quota.Burst)
 	}
 	return roundToParts(min(units, a.quotaLevel))
@@ -237,13 +237,13 @@
 
 // ceilingUnits returns the units of the ceiling to move: those not needed here, up to the headroom. The units
 // lent and in transit together stay within MaxLentFraction, the fraction that is left unused after a restart.
-func (g *lending) ceilingUnits(share float64) float64 {
-	a, ceiling := g.account, g.account.plan().Ceiling
-	lent := (g.lentToOthers + max(share, g.lentToPeer)) * ceiling.Burst
-	headroom := MaxLentFraction*a.evenFraction*ceiling.Burst - lent - g.fractions.ceilingInTransit
-	ownNeed := g.ownDemand / max(g.ownDemand+g.fractions.ceiling*ceiling.Rate, minDemandSum)
-	spare := a.ceilingLevel * max(g.demandWeight, 1-ownNeed)
-	return roundToParts(min(spare, decodeUnits(g.request.CeilingWanted), max(headroom, 0)))
+func (d *lendingDecision) ceilingUnits(share float64) float64 {
+	a, ceiling := d.account, d.account.plan().Ceiling
+	lent := (d.lentToOthers + max(share, d.lentToPeer)) * ceiling.Burst
+	headroom := MaxLentFraction*a.evenFraction*ceiling.Burst - lent - d.fractions.ceilingInTransit
+	ownNeed := d.ownDemand / max(d.ownDemand+d.fractions.ceiling*ceiling.Rate, minDemandSum)
+	spare := a.ceilingLevel * max(d.demandWeight, 1-ownNeed)
+	return roundToParts(min(spare, decodeUnits(d.request.CeilingWanted), max(headroom, 0)))
 }
 
 // buildGrant returns the message of a grant, with a report of the account here.
--- a/internal/quota/link.go
+++ b/internal/quota/link.go
@@ -90,7 +90,7 @@
 // owner. In a small set resetStaleLinks does that.
 func (a *Account) resetStaleOwnerLink(lk *link) {
 	peer := a.ledger.peers[lk.peerID]
-	if a.inSmallSet() || peer == nil || peer.epoch == lk.epoch {
+	if a.hasSmallSet() || peer == nil || peer.epoch == lk.epoch {
 		return
 	}
 	if lk.epoch == 0 { // no message was received before: the last transfer request stays valid
--- a/internal/quota/liveness.go
+++ b/internal/quota/liveness.go
@@ -104,10 +104,10 @@
 // Tick declares silent peers dead if the demand shows that they are, and returns borrowed slots that are not in
 // use. The caller calls it every fraction of a second.
 //
-// The clients of a peer that died send their requests to the other limiters, and the demand here rises by one
-// part in as many as are left; the clients of a peer that is cut off do not. If half of the tier or more is
-// silent, this limiter counts as the one that is cut off. If the expected rise would not stand out from the
-// usual variation, the peer counts as cut off, and its allocations of quotas stay with it.
+// The clients of a peer that died send their requests to the other limiters, and the demand here rises by 1/n, with
+// n limiters left; the clients of a peer that is cut off do not. If half of the tier or more is silent, this limiter
+// counts as the one that is cut off. If the expected rise would not stand out from the usual variation, the peer
+// counts as cut off, and its allocations of quotas stay with it.
 func (l *Ledger) Tick(now time.Duration) {
 	l.ReturnUnusedSlots(now)
 	silent := l.countSilent(now)
@@ -159,7 +159,7 @@
 	return rise >= significantDeviations*deviation && demand-l.meanDemand >= rise/2
 }
 
-// activeAccounts is one more than the number of accounts with a request within demandMemory.
+// activeAccounts returns one more than the number of accounts with a request within demandMemory.
 func (l *Ledger) activeAccounts(now time.Duration) int {
 	active := 1
 	for _, a := range l.accountOrder {
--- a/internal/quota/lostpeers.go
+++ b/internal/quota/lostpeers.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// unreportedSeconds is the time that a peer may have served after its last report.
+// unreportedSeconds returns the time that a peer may have served after its last report.
 func (a *Account) unreportedSeconds(lk *link) float64 {
 	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnreportedSeconds)
 }
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -39,8 +39,8 @@
 	hotCustomerDuration  = 2 * time.Second
 )
 
-// ceilingFractions are the owners' parts of a ceiling, by rank. As a ceiling is well above the quota, the
-// owner's part is the quota's rate and more.
+// ceilingFractions are the fractions of a ceiling that the owners have as allocations, by rank. As a ceiling is well
+// above the quota, the owner's allocation refills at the quota's rate or faster.
 var ceilingFractions = [ownerCount]float64{0.6, 0.3, 0.1}
 
 // An ownerDecision is the owner's reply to a transfer request.
@@ -61,8 +61,8 @@
 }
 
 // inTransit is units of a ceiling that an owner or a backup owner granted, until they have arrived or never
-// will. They count against the capacity of its part: else the part would refill meanwhile, and all parts
-// together could hold more than the ceiling.
+// will. They count against the capacity of its allocation: else the allocation would refill meanwhile, and all
+// allocations together could hold more than the ceiling.
 type inTransit struct {
 	units     float64
 	arrivesBy time.Duration
@@ -93,7 +93,7 @@
 	}
 }
 
-// advanceLargeSet refills the parts of an owner or a backup owner, step by step, from the end of one transit to
+// advanceLargeSet refills the allocations of an owner or a backup owner, step by step, from the end of one transit to
 // the next. Only slots are lent.
 func (a *Account) advanceLargeSet(now time.Duration) {
 	for a.advancedTo < now {
@@ -127,7 +127,7 @@
 	return a.ownerRank == 0 || a.ownerRank > 0 && l.firstLiveOwner(a, now) == notOwner
 }
 
-// firstLiveOwner is the rank of the first owner or backup owner before this limiter that is not silent,
+// firstLiveOwner returns the rank of the first owner or backup owner before this limiter that is not silent,
 // notOwner if there is none.
 func (l *Ledger) firstLiveOwner(a *Account, now time.Duration) int {
 	for i, owner := range a.owners {
--- a/internal/quota/owner_ceiling.go
+++ b/internal/quota/owner_ceiling.go
@@ -3,15 +3,15 @@
 import "time"
 
 // This file lets an owner use the complete ceiling of a customer. The owner and its backup owners have fixed
-// parts of the ceiling, whichever of them are silent. An owner whose part runs short borrows from its backup
-// owners.
+// allocations of the ceiling, whichever of them are silent. An owner whose allocation runs short borrows from its
+// backup owners.
 
 // minBorrowedCeiling is the minimum that an owner requests of a backup owner, in units.
 const minBorrowedCeiling = 1.0
 
 // borrowCeiling requests of the backup owners their refill of the ceiling since the last request: while the
-// owner is alive they have no use for it. This creates no units: a unit leaves one part before it is added to
-// another, and the owner requests no more than its own part can hold.
+// owner is alive they have no use for it. This creates no units: a unit leaves one allocation before it is added to
+// another, and the owner requests no more than its own allocation can hold.
 func (l *Ledger) borrowCeiling(a *Account, now time.Duration) {
 	if a.ownerRank != 0 || a.plan().Ceiling.Rate <= 0 {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// ceilingNeed is the units of the ceiling that an owner can use beyond its level: what its demand takes, as
-// far as its part can hold it and the quota does not limit it first.
+// ceilingNeed returns the units of the ceiling that an owner can use beyond its level: what its demand takes, as
+// far as its allocation can hold it and the quota does not limit it first.
 func (a *Account) ceilingNeed(now time.Duration) float64 {
 	plan := a.plan()
 	target := a.demandRate(now)*prefetchDuration.Seconds() + a.largestRequest
--- a/internal/quota/owner_reserve.go
+++ b/internal/quota/owner_reserve.go
@@ -6,14 +6,14 @@
 // that request the units from it, and at those that get no decision.
 
 const (
-	// creditRateFactor times its even part of the rate is what a limiter may consume without a decision.
+	// creditRateFactor times its even allocation of the rate is what a limiter may consume without a decision.
 	creditRateFactor = 2.0
 	// hotTransferFactor times the rate is what all limiters together request for a hot customer: a little
 	// more than its owner may grant.
 	hotTransferFactor = 1.3
 )
 
-// reserveWithOwner is Reserve for a customer with an owner. Its decisions in their order:
+// reserveWithOwner is the part of Reserve for a customer with an owner. It decides in this order:
 //
 //  1. Nothing is lacking here, and this limiter decides, has only units that were granted to it, or just
 //     received the owner's grant: granted.
@@ -58,9 +58,9 @@
 }
 
 // skipsTransferRequest reports whether a client request of a hot customer is rejected without a transfer
-// request, which its owner would reject too. For the rest all limiters together send as many transfer requests
-// as the owner can grant, and more as its last report grows older, as the demand may have ended: one for each
-// client request when the report is ownerViewDuration old.
+// request, which its owner would reject too. The client requests that are not skipped, at all limiters together,
+// request about as many units as the owner can grant. Fewer are skipped as the owner's last report grows older, as
+// the demand may have ended since: none when the report is ownerViewDuration old.
 func (a *Account) skipsTransferRequest(view ownerView, units float64, now time.Duration) bool {
 	target := hotTransferFactor * a.plan().Quota.Rate
 	if !view.known || a.transferOutstanding || view.level >= units || view.demand <= target {
@@ -77,7 +77,7 @@
 
 // takeCredit takes the units of a client request without a decision from the credit, and reports whether the
 // request is admitted. Either no decision arrived or there is no owner to make one. The units are reported to
-// the owner as debt. There is no credit for a ceiling and for slots.
+// the owner as debt. There is no credit for a customer whose plan has a ceiling or slots.
 func (a *Account) takeCredit(view ownerView, units float64, now time.Duration) bool {
 	plan := a.plan()
 	if plan.Ceiling.Rate > 0 || plan.Slots > 0 {
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -13,7 +13,7 @@
 type ledgerTier struct {
 	ledgers  []*Ledger
 	now      time.Duration
-	cut      map[int]bool // limiters that are cut off
+	cutOff   map[int]bool // limiters that are cut off
 	loss     float64      // fraction of all messages
 	rng      *rand.Rand
 	requests int // transfer requests sent by all limiters
@@ -21,7 +21,7 @@
 
 // newLedgerTier starts a tier with full buckets.
 func newLedgerTier(n int, plan Plan) *ledgerTier {
-	t := &ledgerTier{now: time.Hour, cut: map[int]bool{}, rng: rand.New(rand.NewPCG(5, 6))}
+	t := &ledgerTier{now: time.Hour, cutOff: map[int]bool{}, rng: rand.New(rand.NewPCG(5, 6))}
 	for i := range n {
 		l := New(Config{Self: i, Limiters: n, GossipEnabled: true, Plans: []Plan{plan}, Epoch: uint32(i + 1)}, t.now)
 		l.ResolveStartState(TierStarted, t.now)
@@ -34,28 +34,28 @@
 	return t.ledgers[i].Account(7, 0, 0, len(t.ledgers), t.now)
 }
 
-// owner is the number of the owner with a rank.
+// owner returns the number of the owner with a rank.
 func (t *ledgerTier) owner(rank int) int { return t.account(0).owners[rank] }
 
 // exchange delivers messages until none is left.
 func (t *ledgerTier) exchange() {
-	for again := true; again; {
-		again = false
+	for delivered := true; delivered; {
+		delivered = false
 		for i, l := range t.ledgers {
 			for _, to := range l.TakeReadyPeers() {
 				requests, grants, _ := l.Compose(to, t.now)
 				t.requests += len(requests)
-				if t.cut[i] || t.cut[to] || t.rng.Float64() < t.loss {
+				if t.cutOff[i] || t.cutOff[to] || t.rng.Float64() < t.loss {
 					continue
 				}
-				again = true
+				delivered = true
 				other := t.ledgers[to]
 				other.ObservePeer(i, l.Epoch, true, 9, 9, t.now)
-				for _, m := range requests {
-					other.HandleRequest(i, m, t.now)
+				for _, request := range requests {
+					other.HandleRequest(i, request, t.now)
 				}
-				for _, m := range grants {
-					other.HandleGrant(i, m, t.now)
+				for _, grant := range grants {
+					other.HandleGrant(i, grant, t.now)
 				}
 			}
 		}
@@ -98,9 +98,9 @@
 				sum++
 			}
 		}
-		due := 24 + 5*(tr.now-time.Hour).Seconds()
-		if got := float64(sum); got < min(due, 60)-2 || got > due {
-			t.Errorf("%d limiters: %d of 60 requests granted, want no more than %.1f and at most 2 fewer", n, sum, due)
+		allowed := 24 + 5*(tr.now-time.Hour).Seconds()
+		if got := float64(sum); got < min(allowed, 60)-2 || got > allowed {
+			t.Errorf("%d limiters: %d of 60 requests granted, want no more than %.1f and at most 2 fewer", n, sum, allowed)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 		}
 	}
 	tr.now += time.Second
-	tr.cut[owner] = true
+	tr.cutOff[owner] = true
 	for i := range 80 {
 		a, l := tr.account(i), tr.ledgers[i]
 		l.RecordDemand(a, 1, tr.now)
@@ -140,7 +140,7 @@
 	}
 }
 
-// The owners' parts of a ceiling never add up to more than the ceiling, whichever owners are silent.
+// The owners' allocations of a ceiling never add up to more than the ceiling, whichever owners are silent.
 func TestCeilingFractionsNeverExceedCeiling(t *testing.T) {
 	plan := quotaPlan
 	plan.Ceiling = Bucket{Rate: 10, Burst: 48}
@@ -157,7 +157,7 @@
 	units := 0
 	for _, silent := range []int{-1, 0, 1} { // the owner dies, then its first backup as well
 		if silent >= 0 {
-			tr.cut[tr.owner(silent)] = true
+			tr.cutOff[tr.owner(silent)] = true
 		}
 		for i := range 400 {
 			if i%80 != tr.owner(0) && i%80 != tr.owner(1) && tr.request(i%80) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// After a start with empty ceilings, an owner can use the refill of its backup owners' parts of the ceiling in
+// After a start with empty ceilings, an owner can use the refill of its backup owners' allocations of the ceiling in
 // addition to its own. Lost messages, an owner that is cut off, and one that restarts never lead to more than the
 // ceiling allows.
 func TestOwnerBorrowsCeiling(t *testing.T) {
@@ -186,25 +186,25 @@
 				tr.loss = rng.Float64() / 2
 				switch k := tr.owner(rng.IntN(ownerCount)); rng.IntN(500) {
 				case 0:
-					tr.cut = map[int]bool{k: true}
+					tr.cutOff = map[int]bool{k: true}
 				case 1:
-					tr.cut = map[int]bool{}
+					tr.cutOff = map[int]bool{}
 				case 2: // it restarts with nothing in memory
 					tr.ledgers[k] = New(Config{Self: k, Limiters: n, GossipEnabled: true, Plans: []Plan{plan}, Epoch: uint32(tr.now / time.Millisecond)}, tr.now)
 					tr.ledgers[k].ResolveStartState(LimiterRestarted, tr.now)
 				}
 			}
-			if i := rng.IntN(n); !tr.cut[i] && tr.request(i) {
+			if i := rng.IntN(n); !tr.cutOff[i] && tr.request(i) {
 				units++
 			}
 			tr.now += 5 * time.Millisecond
 			tr.exchange()
-			past, held := (tr.now - from).Seconds(), 0.0
+			past, left := (tr.now - from).Seconds(), 0.0
 			for i := range n {
-				held += tr.ledgers[i].CeilingLevel(tr.account(i), tr.now)
+				left += tr.ledgers[i].CeilingLevel(tr.account(i), tr.now)
 			}
-			if most := plan.Ceiling.Rate * past; float64(units)+held > most+1e-6 || held > plan.Ceiling.Burst { // all levels were 0 at the start
-				t.Fatalf("seed %d: %d units granted and %.1f left after %.1f s, want together at most the refill of %.1f, and no more left than the burst", seed, units, held, past, most)
+			if most := plan.Ceiling.Rate * past; float64(units)+left > most+1e-6 || left > plan.Ceiling.Burst { // all levels were 0 at the start
+				t.Fatalf("seed %d: %d units granted and %.1f left after %.1f s, want together at most the refill of %.1f, and no more left than the burst", seed, units, left, past, most)
 			}
 			if seed == 0 && past > 3 && float64(units) < 0.8*plan.Ceiling.Rate*past {
 				t.Fatalf("%d units granted in %.1f s, want at least 0.8 of the ceiling's rate", units, past)
@@ -218,21 +218,21 @@
 func TestCreditIsBounded(t *testing.T) {
 	tr := newLedgerTier(80, quotaPlan)
 	for _, k := range []int{0, 1, 2} {
-		tr.cut[tr.owner(k)] = true
+		tr.cutOff[tr.owner(k)] = true
 	}
 	from, sum := tr.now, 0
 	for i := range 800 {
-		if !tr.cut[i%80] && tr.request(i%80) {
+		if !tr.cutOff[i%80] && tr.request(i%80) {
 			sum++
 		}
 	}
 	most := creditRateFactor*quotaPlan.Quota.Rate*(tr.now-from).Seconds() + 80
 	if got := float64(sum); got > most || got < 70 {
-		t.Errorf("%d requests granted without a decision, want at most %.0f and at least 70, one at most limiters", sum, most)
+		t.Errorf("%d requests granted without a decision, want at most %.0f and at least 70: about one at each limiter", sum, most)
 	}
 	owner := tr.owner(0)
 	before := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now)
-	tr.cut = map[int]bool{}
+	tr.cutOff = map[int]bool{}
 	tr.now += 2 * time.Second
 	requester := (owner + 40) % 80
 	debt := tr.account(requester).unreportedUnits
@@ -245,7 +245,7 @@
 
 // The limiters of a hot customer do not send a transfer request for each client request once its owner has
 // reported the customer.
-func TestHotCustomerRequestsAreThinned(t *testing.T) {
+func TestHotCustomerSkipsTransferRequests(t *testing.T) {
 	tr := newLedgerTier(80, quotaPlan)
 	for i := range 300 {
 		tr.request(i % 80)
@@ -279,13 +279,13 @@
 func TestRefundReachesOwner(t *testing.T) {
 	tr := newLedgerTier(80, quotaPlan)
 	owner := tr.owner(0)
-	peerID := (owner + 7) % 80
+	requester := (owner + 7) % 80
 	before := tr.ledgers[owner].QuotaLevel(tr.account(owner), tr.now)
 	for range 4 {
-		if !tr.request(peerID) {
+		if !tr.request(requester) {
 			t.Fatal("request rejected with a full quota")
 		}
-		tr.ledgers[peerID].Refund(tr.account(peerID), 1, tr.now)
+		tr.ledgers[requester].Refund(tr.account(requester), 1, tr.now)
 		tr.exchange()
 		tr.exchange()
 	}
@@ -294,15 +294,15 @@
 	}
 }
 
-// Units in transit to a limiter count against the owner's capacity: else its part would refill meanwhile, and all
-// parts together would hold more than the ceiling.
+// Units in transit to a limiter count against the owner's capacity: else its allocation would refill meanwhile, and
+// all allocations together would hold more than the ceiling.
 func TestUnitsInTransitCountAgainstCapacity(t *testing.T) {
 	plan := quotaPlan
 	plan.Ceiling = Bucket{Rate: 10, Burst: 48}
 	tr := newLedgerTier(80, plan)
 	owner := tr.owner(0)
 	l, a := tr.ledgers[owner], tr.account(owner)
-	tr.now += 20 * time.Second // its fraction is full
+	tr.now += 20 * time.Second // the owner's allocation of the ceiling is full
 	full := l.CeilingLevel(a, tr.now)
 	peerID := (owner + 1) % 80
 	l.ObservePeer(peerID, 5, true, 9, 9, tr.now)
@@ -319,15 +319,15 @@
 // request returns.
 func TestRequestToNonOwnerGetsNothing(t *testing.T) {
 	tr := newLedgerTier(80, quotaPlan)
-	other := 0
-	for tr.account(other).ownerRank >= 0 {
-		other++
+	nonOwner := 0
+	for tr.account(nonOwner).ownerRank >= 0 {
+		nonOwner++
 	}
-	l, a := tr.ledgers[other], tr.account(other)
-	peerID := (other + 1) % 80
+	l, a := tr.ledgers[nonOwner], tr.account(nonOwner)
+	peerID := (nonOwner + 1) % 80
 	l.ObservePeer(peerID, 5, true, 9, 9, tr.now)
-	back := int16(-9 * gossip.UnitParts)
-	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: gossip.UnitParts, Consumed: uint16(back), TotalLevel: gossip.UnknownTotal}, tr.now)
+	returnedParts := int16(-9 * gossip.UnitParts)
+	l.HandleRequest(peerID, gossip.TransferRequest{Customer: 7, SetSize: 80, Nonce: 9, QuotaWanted: gossip.UnitParts, Consumed: uint16(returnedParts), TotalLevel: gossip.UnknownTotal}, tr.now)
 	_, grants, _ := l.Compose(peerID, tr.now)
 	if level := l.QuotaLevel(a, tr.now); level != 0 || len(grants) != 1 || grants[0].QuotaUnits != 0 {
 		t.Errorf("level %.1f and grants %+v, want level 0 and one grant of no units", level, grants)
@@ -337,11 +337,11 @@
 // A refund of units that a backup owner granted itself returns to its own level.
 func TestBackupOwnerKeepsItsRefund(t *testing.T) {
 	tr := newLedgerTier(80, quotaPlan)
-	peerID := tr.owner(1)
-	l, a := tr.ledgers[peerID], tr.account(peerID)
+	backupOwner := tr.owner(1)
+	l, a := tr.ledgers[backupOwner], tr.account(backupOwner)
 	l.peer(tr.owner(0)).unresponsive = true
 	before := l.QuotaLevel(a, tr.now)
-	if !tr.request(peerID) {
+	if !tr.request(backupOwner) {
 		t.Fatal("request rejected with a full quota and a silent owner")
 	}
 	l.Refund(a, 1, tr.now)
@@ -370,8 +370,8 @@
 				}
 			}
 		}
-		due := 5*(tr.now-from).Seconds() + starts*24/2       // half a burst each
-		if most := due + float64(n)/4; float64(sum) > most { // credit of those whose request crossed a start
+		allowed := 5*(tr.now-from).Seconds() + starts*24/2       // half a burst each
+		if most := allowed + float64(n)/4; float64(sum) > most { // credit of limiters whose request was pending at a restart
 			t.Errorf("%d limiters: %d requests granted over %d starts, want at most %.0f", n, sum, starts, most)
 		}
 	}
@@ -406,13 +406,13 @@
 		}
 		runRounds(30, 2, false)
 		if dead := l.Counts.PeersDeclaredDead > 0; dead != c.dead {
-			t.Errorf("%d limiters, unresponsive peers %v: %d peers declared dead", c.limiters, c.unresponsive, l.Counts.PeersDeclaredDead)
+			t.Errorf("%d limiters, unresponsive peers %v: %d peers declared dead, want some only if the tier is small or the peers are unresponsive", c.limiters, c.unresponsive, l.Counts.PeersDeclaredDead)
 		}
 	}
 }
 
-// The reply to a transfer request that is repeated, as its grant was lost, is the grant of the first time, even if
-// that was the first request that the owner ever received.
+// The reply to a repeated transfer request is the grant that was sent before and lost, even if the request was the
+// first that the owner ever received.
 func TestOwnerRepeatsItsFirstGrant(t *testing.T) {
 	const units = 34
 	tr := newLedgerTier(80, Plan{Quota: Bucket{Rate: 50, Burst: 60}, Ceiling: Bucket{Rate: 60, Burst: 100}})
@@ -457,7 +457,7 @@
 		for range 100 {
 			l, a := tr.ledgers[i], tr.account(i)
 			l.RecordDemand(a, 1, tr.now)
-			if d, _ := l.Reserve(a, 1, true, tr.now); d == Granted {
+			if decision, _ := l.Reserve(a, 1, true, tr.now); decision == Granted {
 				a.MarkSent(1)
 				consumed++
 			}
--- a/internal/quota/owner_transfer.go
+++ b/internal/quota/owner_transfer.go
@@ -55,7 +55,7 @@
 	l.queueTransferRequest(a, lk)
 }
 
-// neededFromOwner is what a client request for units needs beyond what was granted before and not used.
+// neededFromOwner returns what a client request for units needs beyond what was granted before and not used.
 func (a *Account) neededFromOwner(units float64) amounts {
 	plan := a.plan()
 	var need amounts
@@ -114,7 +114,7 @@
 	a.addOwnerView(&grant, now)
 	lk.lastGrant = grant
 	wanted := request.QuotaWanted+request.CeilingWanted > 0 || request.SlotsWanted > 0
-	if wanted || a.plan().Slots > 0 { // a return needs no reply, but that of a slot is repeated until one arrives
+	if wanted || a.plan().Slots > 0 { // a return of units needs no reply, but a return of slots is repeated until one arrives
 		l.queueGrant(peerID, grant)
 	}
 }
--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -64,7 +64,7 @@
 	lk.demand = a.decodeDemand(report.demand)
 }
 
-// allocatedUnits is the sum of the levels of all allocations and of the units in transit from here. It is
+// allocatedUnits returns the sum of the levels of all allocations and of the units in transit from here. It is
 // unknown if the reports of the peers are not recent enough. What a dead peer had is unallocated.
 func (a *Account) allocatedUnits(now time.Duration) (units float64, known bool) {
 	units = a.quotaLevel
--- a/internal/quota/refill.go
+++ b/internal/quota/refill.go
@@ -14,14 +14,14 @@
 // clockRatio is the most that one limiter's clock advances while another's advances by one.
 const clockRatio = (1 + ClockDrift) / (1 - ClockDrift)
 
-// allowForDrift is the most that this limiter's clock advances while another's advances by a duration.
+// allowForDrift returns the most that this limiter's clock advances while another's advances by a duration.
 func allowForDrift(duration time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(duration) * clockRatio))
 }
 
 // advance updates an account to a clock time.
 func (a *Account) advance(now time.Duration) {
-	if a.inSmallSet() {
+	if a.hasSmallSet() {
 		a.advanceSmallSet(now)
 	} else {
 		a.advanceLargeSet(now)
@@ -41,7 +41,7 @@
 	}
 }
 
-// nextChange is the first clock time, now at the latest, at which a loan or a grant ends, a peer's new epoch
+// nextChange returns the first clock time, now at the latest, at which a loan or a grant ends, a peer's new epoch
 // began here, or the loans of earlier epochs of this limiter have ended.
 func (a *Account) nextChange(earlierLoansEndedAt, now time.Duration) time.Duration {
 	next := now
@@ -64,7 +64,7 @@
 	return next
 }
 
-// refill adds the refill of some seconds. An allocation that holds more than its capacity, as after lending a
+// refill adds the refill of a number of seconds. An allocation that holds more than its capacity, as after lending a
 // share or at the end of a loan, drains as fast as the others may refill: so the sum of all allocations does
 // not grow while it is at the capacity of the bucket.
 func (a *Account) refill(seconds float64, earlierLoansEnded bool) {
@@ -84,7 +84,7 @@
 }
 
 // refilled returns the level of an allocation after the complete bucket gained some units. fraction is the
-// allocation's part of the rate, and slowdown a factor on its refill.
+// allocation's fraction of the rate, and slowdown a factor on its refill.
 func refilled(level, capacity, gain, fraction, slowdown float64) float64 {
 	capacity = max(capacity, 0)
 	if level > capacity {
@@ -93,7 +93,7 @@
 	return min(level+gain*fraction*slowdown, capacity)
 }
 
-// fractions are the parts of the two buckets that refill at this limiter, and the units of its grants that are
+// fractions holds the fractions of the two buckets that refill at this limiter, and the units of its grants that are
 // in transit and count against its capacity.
 type fractions struct {
 	quota, ceiling                   float64
@@ -101,13 +101,14 @@
 }
 
 // fractions returns the fractions of this limiter now. Until the loans of its earlier epochs have ended,
-// peers may use MaxLentFraction of its ceiling. A quota is not reduced for that, as it may be exceeded.
+// peers may use MaxLentFraction of its ceiling. The quota is not reduced for these loans: unlike a ceiling, it is
+// not a hard limit.
 func (a *Account) fractions(earlierLoansEnded bool) fractions {
 	f := fractions{quota: a.baseFraction, ceiling: a.ceilingFraction}
 	if !earlierLoansEnded {
 		f.ceiling *= 1 - MaxLentFraction
 	}
-	if !a.inSmallSet() {
+	if !a.hasSmallSet() {
 		f.ceilingInTransit = a.ceilingUnitsInTransit
 		return f
 	}
@@ -120,15 +121,15 @@
 		}
 	}
 	if a.baseFraction > 0 {
-		f.quota += a.fractionOfDead()
+		f.quota += a.deadPeersFraction()
 	}
 	f.quota, f.ceiling = max(f.quota+borrowed, 0), max(f.ceiling+borrowed, 0)
 	return f
 }
 
-// fractionOfDead is this limiter's part of the quota allocations of dead peers. Ceilings are not
-// divided: a peer that counts as dead may be alive.
-func (a *Account) fractionOfDead() float64 {
+// deadPeersFraction returns the fraction of the quota that this limiter takes over from dead peers. Fractions of
+// ceilings are not taken over: a peer that counts as dead may be alive.
+func (a *Account) deadPeersFraction() float64 {
 	dead := 0
 	for _, peerID := range a.lenders {
 		peer := a.ledger.peers[peerID]
--- a/internal/quota/reserve.go
+++ b/internal/quota/reserve.go
@@ -12,9 +12,9 @@
 const (
 	// minDivisor keeps a divisor, a rate in units per second or a burst in units, from being zero.
 	minDivisor = 1e-3
-	// maxRetryAfter bounds the wait that a rejection recommends, in seconds.
+	// maxRetryAfter bounds the Retry-After of a rejection, in seconds.
 	maxRetryAfter = 3600
-	// slotRetryAfter is the shortest wait that a rejection for lack of a slot recommends.
+	// slotRetryAfter is the shortest Retry-After of a rejection for lack of a slot.
 	slotRetryAfter = debtRepaymentTime / 4
 )
 
@@ -43,7 +43,7 @@
 // the time until the units may be available. The caller sets Account.SlotsInUse first.
 func (l *Ledger) Reserve(a *Account, units float64, final bool, now time.Duration) (Decision, time.Duration) {
 	a.advance(now)
-	if !a.inSmallSet() {
+	if !a.hasSmallSet() {
 		return l.reserveWithOwner(a, units, final, now)
 	}
 	shortfall := a.shortfall(units)
@@ -65,7 +65,7 @@
 	return Rejected, a.retryAfter(shortfall)
 }
 
-// shortfall is what a request for units needs beyond what the allocation has.
+// shortfall returns what a request for units needs beyond what the allocation has.
 func (a *Account) shortfall(units float64) amounts {
 	plan := a.plan()
 	var shortfall amounts
@@ -81,9 +81,10 @@
 	return shortfall
 }
 
-// probabilityWithoutGrant is the probability that a request may be admitted despite its shortfall of the quota.
+// probabilityWithoutGrant returns the probability that a request may be admitted despite its shortfall of the quota.
 // It is 0 if there is a shortfall of the ceiling or of slots, or if the debt would be too large. While the
-// start state is unknown, one request is admitted once no message can resolve it any more.
+// start state is unknown, it is 1 for one request whose decision is final, or that gets its decision after every
+// possible lender has sent a message.
 func (l *Ledger) probabilityWithoutGrant(a *Account, units float64, shortfall amounts, final bool, now time.Duration) float64 {
 	if shortfall.ceiling > 0 || shortfall.slots > 0 || a.quotaLevel-units < -a.maxDebt() {
 		return 0
@@ -115,7 +116,7 @@
 	return l.startState == StartUnknown && shortfall.ceiling == 0 && shortfall.slots == 0 && a.unresolvedUnits >= shortfall.quota
 }
 
-// retryAfter is the time in which the allocation refills by the shortfall, or slotRetryAfter if a slot is lacking
+// retryAfter returns the time in which the allocation refills by the shortfall, or slotRetryAfter if a slot is lacking
 // and that is longer.
 func (a *Account) retryAfter(shortfall amounts) time.Duration {
 	plan := a.plan()
@@ -155,7 +156,7 @@
 	plan := a.plan()
 	switch {
 	case plan.Quota.Rate <= 0:
-	case a.inSmallSet():
+	case a.hasSmallSet():
 		a.quotaLevel += units
 		a.totalLevel += units
 		a.consumed -= consumedParts(units)
--- a/internal/quota/sendqueue.go
+++ b/internal/quota/sendqueue.go
@@ -84,7 +84,7 @@
 		if !lk.pending && !lk.returnDue {
 			continue
 		}
-		if !lk.pending || lk.slotReturns > 0 && !lk.isPending(now) { // the last request, if repeated, would return nothing
+		if !lk.pending || lk.slotReturns > 0 && !lk.isPending(now) { // the peer would ignore SlotsBorrowed in a repetition of the last request
 			l.startReturn(a, lk)
 			lk.slotReturns = max(lk.slotReturns-1, 0)
 		}
@@ -102,7 +102,7 @@
 // startReturn replaces a link's transfer request by one that only returns slots or units. No grant is expected.
 func (l *Ledger) startReturn(a *Account, lk *link) {
 	lk.nonce, lk.quotaWanted, lk.ceilingWanted, lk.slotsWanted = l.nextNonce(), 0, 0, 0
-	if !a.inSmallSet() {
+	if !a.hasSmallSet() {
 		a.attachDebt(lk)
 	}
 }
@@ -121,7 +121,7 @@
 		SlotsBorrowed: uint8(min(lk.borrowed.slots, math.MaxUint8)),
 		SlotsWanted:   uint8(lk.slotsWanted),
 	}
-	if a.inSmallSet() {
+	if a.hasSmallSet() {
 		request.Consumed = a.consumed
 		request.Demand = a.encodeDemand(now)
 		request.Level = a.encodeLevel()
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -32,7 +32,7 @@
 	newTierMinPeers = 3
 )
 
-// slotsReturnedBy is the clock time, at a lender, by which no attempt is in flight on a slot of a loan that expires
+// slotsReturnedBy returns the clock time, at a lender, by which no attempt is in flight on a slot of a loan that expires
 // here at a clock time, whatever the borrower reported.
 func (l *Ledger) slotsReturnedBy(expiresAt time.Duration) time.Duration {
 	if l.LongestAttempt <= 0 {
@@ -41,7 +41,7 @@
 	return expiresAt + allowForDrift(l.LongestAttempt)
 }
 
-// lentSlots is the number of slots of this limiter that the peer may be using.
+// lentSlots returns the number of slots of this limiter that the peer may be using.
 func (lk *link) lentSlots() int {
 	slots := 0
 	for i := range lk.lent {
@@ -53,8 +53,8 @@
 	return slots
 }
 
-// slotLoansToEarlierEpochs returns the loans of slots to earlier epochs of a peer, once its present epoch has ended
-// as well. If the longest attempt is not known, no attempt is assumed to outlive its epoch.
+// slotLoansToEarlierEpochs returns the loans of slots to earlier epochs of a peer, including its present epoch, which
+// has just ended. If the longest attempt is not known, no attempt is assumed to outlive its epoch.
 func (lk *link) slotLoansToEarlierEpochs(l *Ledger) []loan {
 	if l.LongestAttempt <= 0 {
 		return nil
@@ -70,7 +70,7 @@
 	return append(lk.lentToEarlierEpochs, latest)
 }
 
-// ownSlots is the number of slots that this limiter has without those that it has borrowed.
+// ownSlots returns the number of slots that this limiter has without those that it has borrowed.
 func (a *Account) ownSlots() int {
 	if a.baseSlots == 0 || !a.earlierSlotLoansEnded() {
 		return 0
@@ -82,7 +82,7 @@
 	return n
 }
 
-// borrowedSlots is the number of slots that this limiter has borrowed and not returned.
+// borrowedSlots returns the number of slots that this limiter has borrowed and not returned.
 func (a *Account) borrowedSlots() int {
 	n := 0
 	for _, lk := range a.links {
@@ -91,7 +91,7 @@
 	return n
 }
 
-// slotLimit is the number of slots in use here from which on no further attempt starts.
+// slotLimit returns the number of slots that may be in use here: no attempt starts while as many are in use.
 func (a *Account) slotLimit() int {
 	n := a.ownSlots()
 	for _, lk := range a.links {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// spareSlots is the number of slots that can be lent: not in use, and not borrowed, as the lender of a borrowed slot
+// spareSlots returns the number of slots that can be lent: not in use, and not borrowed, as the lender of a borrowed slot
 // would not know for how long it is lent on.
 func (a *Account) spareSlots() int {
 	return max(min(a.slotLimit()-a.SlotsInUse, a.ownSlots()), 0)
@@ -134,7 +134,7 @@
 	l.returnUnusedSlots(a)
 }
 
-// returnUnusedSlots returns the borrowed slots that the attempts here do not take.
+// returnUnusedSlots returns the borrowed slots that the attempts here do not need.
 func (l *Ledger) returnUnusedSlots(a *Account) {
 	unused := a.borrowedSlots() - max(a.SlotsInUse-a.ownSlots(), 0)
 	for _, lk := range a.links {
@@ -194,9 +194,10 @@
 }
 
 // earlierSlotLoansEnded reports whether no attempt can still be in flight on a slot of an earlier epoch of this
-// limiter. Until then it has no slots of its own. That is so after the longest time that a loan and an attempt may
-// take; and earlier if neither a peer's messages nor busy backends show that limiters served before this one
-// started, and messages of enough peers arrived: in a small set of all, in a large set of newTierMinPeers.
+// limiter. Until then it has no slots of its own. The result is true after the longest time that a loan and an
+// attempt may take, or without gossip. It is true earlier if neither a peer's messages nor busy backends show that
+// limiters served before this one started, and if messages of enough peers have arrived: in a small set of all peers,
+// in a large set of newTierMinPeers.
 func (a *Account) earlierSlotLoansEnded() bool {
 	l := a.ledger
 	if a.advancedTo >= l.earlierSlotLoansEndAt() || !l.GossipEnabled {
@@ -205,20 +206,20 @@
 	if l.restartedInService || l.startState == TierRestarted {
 		return false
 	}
-	heard := 0
+	knownPeers := 0
 	for i := range a.setSize {
 		if p := l.peers[(a.firstLimiter+i)%l.Limiters]; p != nil && p.known {
-			heard++
+			knownPeers++
 		}
 	}
 	others := a.setSize - 1
-	if a.inSmallSet() {
-		return heard == others
+	if a.hasSmallSet() {
+		return knownPeers == others
 	}
-	return heard >= min(others, newTierMinPeers)
+	return knownPeers >= min(others, newTierMinPeers)
 }
 
-// earlierSlotLoansEndAt is the clock time from which on no attempt is in flight on a slot of an earlier epoch of
+// earlierSlotLoansEndAt returns the clock time from which on no attempt is in flight on a slot of an earlier epoch of
 // this limiter, at itself or at a peer.
 func (l *Ledger) earlierSlotLoansEndAt() time.Duration {
 	expiredAt := l.startedAt + lenderLoanDuration
--- a/internal/quota/slots_cases_test.go
+++ b/internal/quota/slots_cases_test.go
@@ -69,7 +69,7 @@
 	s := newSlotTier(t, 3, Plan{Slots: 6})
 	borrower, first, second := 0, 1, 2
 	s.fill(borrower)
-	s.borrowTo(borrower, first)
+	s.startOnBorrowedSlot(borrower, first)
 	s.advanceTime(200 * time.Millisecond)
 	if s.tryAttempt(borrower) {
 		t.Fatal("the borrower started an attempt without a loan, want it to need one")
@@ -81,7 +81,7 @@
 	s.traceState("a slot of each peer is in use")
 	s.endAttempt(borrower)
 	returned := first
-	if s.current(borrower).link(second).borrowed.slots == 0 {
+	if s.advanceAccount(borrower).link(second).borrowed.slots == 0 {
 		returned = second
 	}
 	s.compose(borrower, returned) // lost
@@ -89,12 +89,12 @@
 	for range 10 {
 		s.advanceTime(slotReturnInterval)
 		n := s.limiters[borrower]
-		s.current(borrower)
+		s.advanceAccount(borrower)
 		n.ledger.Tick(s.clock(n))
 		s.deliver(s.compose(borrower, returned))
 	}
 	s.traceState("after ten intervals")
-	if lent := s.current(returned).link(borrower).lentSlots(); lent > 0 {
+	if lent := s.advanceAccount(returned).link(borrower).lentSlots(); lent > 0 {
 		t.Errorf("%d slots still lent to a limiter that returned them, want 0\n%s", lent, s.trace.String())
 	}
 }
@@ -133,7 +133,7 @@
 		s.endAttempt(s.borrower)
 		s.deliver(s.compose(s.borrower, s.lender))
 		s.traceState("the return arrives")
-		if lent := s.current(s.lender).link(s.borrower).lentSlots(); lent > 0 {
+		if lent := s.advanceAccount(s.lender).link(s.borrower).lentSlots(); lent > 0 {
 			s.tb.Errorf("%d slots still lent after they were returned, want 0\n%s", lent, s.trace.String())
 		}
 	})
@@ -210,11 +210,11 @@
 		n := s.limiters[s.borrower]
 		for range 3 {
 			s.advanceTime(slotReturnInterval)
-			s.current(s.borrower)
+			s.advanceAccount(s.borrower)
 			n.ledger.Tick(s.clock(n))
 			s.deliver(s.compose(s.borrower, s.lender))
 		}
-		if lent := s.current(s.lender).link(s.borrower).lentSlots(); lent > 0 {
+		if lent := s.advanceAccount(s.lender).link(s.borrower).lentSlots(); lent > 0 {
 			s.tb.Errorf("%d slots still lent after the return was due again, want 0\n%s", lent, s.trace.String())
 		}
 	})
--- a/internal/quota/slots_order_test.go
+++ b/internal/quota/slots_order_test.go
@@ -8,14 +8,14 @@
 )
 
 // slotTier is a tier with the attempts of a customer that has slots: those that a limiter counts, and those of
-// limiters that ended while a backend was still working on the attempts.
+// earlier processes of limiters, on which backends are still working.
 type slotTier struct {
 	*tier
 
 	tb          *testing.T
 	units       float64 // of each request
 	inUse       []int   // attempts that each limiter counts
-	orphans     int     // attempts of ended limiters
+	orphans     int     // attempts of earlier processes that continue at the backends
 	lender      int
 	borrower    int
 	maxInFlight int // the largest number of attempts in flight over all limiters at any moment
@@ -59,7 +59,7 @@
 	s.advanceTime(5 * time.Second)
 	s.exchangeRound(0)
 	s.borrower, s.lender = 0, 1
-	if a := s.current(0); !a.inSmallSet() {
+	if a := s.advanceAccount(0); !a.hasSmallSet() {
 		s.lender = a.owners[0]
 		s.borrower = (s.lender + 1) % limiters
 		for a.isOwner(s.borrower) {
@@ -79,15 +79,16 @@
 	return false
 }
 
-// current returns a limiter's account, advanced to its clock, with the number of its attempts.
-func (s *slotTier) current(i int) *Account {
+// advanceAccount advances a limiter's account to its clock, sets SlotsInUse to the number of its attempts, and
+// returns the account.
+func (s *slotTier) advanceAccount(i int) *Account {
 	a := s.account(s.limiters[i])
 	a.advance(s.clock(s.limiters[i]))
 	a.SlotsInUse = s.inUse[i]
 	return a
 }
 
-// totalInFlight is the number of attempts in flight over all limiters.
+// totalInFlight returns the number of attempts in flight over all limiters.
 func (s *slotTier) totalInFlight() int {
 	sum := s.orphans
 	for _, n := range s.inUse {
@@ -102,24 +103,24 @@
 	s.maxInFlight = max(s.maxInFlight, s.totalInFlight())
 	fmt.Fprintf(&s.trace, "%8.4f s  %-52s in flight %d:", s.now.Seconds(), fmt.Sprintf(format, args...), s.totalInFlight())
 	for i := range s.limiters {
-		a := s.current(i)
+		a := s.advanceAccount(i)
 		borrowed, lent := "", ""
 		for _, lk := range a.links {
 			if lk.borrowed.slots > 0 {
-				borrowed += fmt.Sprintf(" %d of %d until %.3f", lk.borrowed.slots, lk.peerID, s.trueSeconds(i, lk.borrowed.expiresAt))
+				borrowed += fmt.Sprintf(" %d from limiter %d until %.3f", lk.borrowed.slots, lk.peerID, s.trueSeconds(i, lk.borrowed.expiresAt))
 			}
 			for _, record := range lk.lent {
-				lent += fmt.Sprintf(" %d to %d until %.3f", record.slots, lk.peerID, s.trueSeconds(i, record.expiresAt))
+				lent += fmt.Sprintf(" %d to limiter %d until %.3f", record.slots, lk.peerID, s.trueSeconds(i, record.expiresAt))
 			}
 		}
 		if s.inUse[i] > 0 || borrowed+lent != "" || a.baseSlots > 0 {
-			fmt.Fprintf(&s.trace, " [%d: limit %d used %d borrowed{%s} lent{%s}]", i, a.slotLimit(), s.inUse[i], borrowed, lent)
+			fmt.Fprintf(&s.trace, " [limiter %d: slot limit %d, in use %d, borrowed{%s}, lent{%s}]", i, a.slotLimit(), s.inUse[i], borrowed, lent)
 		}
 	}
 	s.trace.WriteString("\n")
 }
 
-// trueSeconds is the true time of a limiter's clock time.
+// trueSeconds converts a time of limiter i's clock to the true time of the model, in seconds.
 func (s *slotTier) trueSeconds(i int, at time.Duration) float64 {
 	n := s.limiters[i]
 	return float64(at-n.clockOffset) / n.clockRate / float64(time.Second)
@@ -136,7 +137,7 @@
 
 // tryAttempt starts an attempt at a limiter if the limiter grants it without exchanging messages.
 func (s *slotTier) tryAttempt(i int) bool {
-	a := s.current(i)
+	a := s.advanceAccount(i)
 	n := s.limiters[i]
 	n.ledger.RecordDemand(a, s.units, s.clock(n))
 	decision, _ := n.ledger.Reserve(a, s.units, false, s.clock(n))
@@ -159,7 +160,7 @@
 // endAttempt ends an attempt at a limiter.
 func (s *slotTier) endAttempt(i int) {
 	s.inUse[i]--
-	a := s.current(i)
+	a := s.advanceAccount(i)
 	s.limiters[i].ledger.ReleaseSlot(a, s.clock(s.limiters[i]))
 	s.traceState("an attempt of limiter %d ends", i)
 }
@@ -179,24 +180,24 @@
 	s.deliver(s.compose(j, i))
 }
 
-// borrowTo starts an attempt at a limiter on a slot that another limiter lends.
-func (s *slotTier) borrowTo(i, from int) {
+// startOnBorrowedSlot starts an attempt at a limiter on a slot that another limiter lends.
+func (s *slotTier) startOnBorrowedSlot(i, lender int) {
 	s.tb.Helper()
 	if s.tryAttempt(i) {
 		s.tb.Fatalf("limiter %d started an attempt without a loan, want it to need one\n%s", i, s.trace.String())
 	}
-	s.requestAndGrant(i, from)
+	s.requestAndGrant(i, lender)
 	if !s.tryAttempt(i) {
 		s.tb.Fatalf("limiter %d was lent no slot\n%s", i, s.trace.String())
 	}
-	s.traceState("limiter %d starts an attempt on a slot of limiter %d", i, from)
+	s.traceState("limiter %d starts an attempt on a slot of limiter %d", i, lender)
 }
 
 // borrow has the borrower use its own slots and one of the lender's.
 func (s *slotTier) borrow() {
 	s.tb.Helper()
 	s.fill(s.borrower)
-	s.borrowTo(s.borrower, s.lender)
+	s.startOnBorrowedSlot(s.borrower, s.lender)
 }
 
 // restart restarts a limiter. Its attempts end, or continue at the backends.
@@ -229,14 +230,14 @@
 	for range steps {
 		s.advanceTime((2*LoanDuration + longestSlotAttempt) / steps)
 		for i, n := range s.limiters {
-			s.current(i)
+			s.advanceAccount(i)
 			n.ledger.Tick(s.clock(n))
 		}
 		s.exchangeRound(0)
 	}
 	sum := 0
 	for i := range s.limiters {
-		sum += s.current(i).slotLimit()
+		sum += s.advanceAccount(i).slotLimit()
 	}
 	if sum != s.plan.Slots {
 		s.traceState("after all attempts and loans have ended")
@@ -314,7 +315,7 @@
 func (s *slotTier) recordDemand(i, requests int) {
 	n := s.limiters[i]
 	for range requests {
-		n.ledger.RecordDemand(s.current(i), 1, s.clock(n))
+		n.ledger.RecordDemand(s.advanceAccount(i), 1, s.clock(n))
 	}
 }
 
@@ -324,7 +325,7 @@
 		s.borrow()
 		for range 2 {
 			s.advanceTime(200 * time.Millisecond)
-			s.borrowTo(s.borrower, s.lender)
+			s.startOnBorrowedSlot(s.borrower, s.lender)
 		}
 		s.fill(s.lender)
 		for range 2 { // the borrower wants one more, which the lender does not have
@@ -358,14 +359,14 @@
 
 // Guards against a slot used on both sides when its grant arrives after the borrower gave the request up.
 func TestSlotGrantLate(t *testing.T) {
-	for _, late := range []time.Duration{transferTimeout - time.Millisecond, transferTimeout, LoanDuration + time.Second} {
-		t.Run(late.String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{transferTimeout - time.Millisecond, transferTimeout, LoanDuration + time.Second} {
+		t.Run(delay.String(), func(t *testing.T) {
 			forEachSetKind(t, func(s *slotTier) {
 				s.fill(s.borrower)
 				s.tryAttempt(s.borrower)
 				s.deliver(s.compose(s.borrower, s.lender))
 				grant := s.compose(s.lender, s.borrower)
-				s.advanceTime(late)
+				s.advanceTime(delay)
 				s.fill(s.lender)
 				s.deliver(grant)
 				s.traceState("the grant arrives late")
@@ -383,19 +384,19 @@
 	forEachSetKind(t, func(s *slotTier) {
 		s.fill(s.borrower)
 		s.tryAttempt(s.borrower)
-		first := s.compose(s.borrower, s.lender)
-		s.deliver(first)
+		request := s.compose(s.borrower, s.lender)
+		s.deliver(request)
 		s.advanceTime(80 * time.Millisecond)
 		s.tryAttempt(s.borrower)
-		again := s.compose(s.borrower, s.lender)
+		repeatedRequest := s.compose(s.borrower, s.lender)
 		grant := s.compose(s.lender, s.borrower)
 		s.deliver(grant)
 		s.deliver(grant)
 		s.fill(s.borrower)
-		s.deliver(again)
+		s.deliver(repeatedRequest)
 		s.deliver(s.compose(s.lender, s.borrower))
 		s.deliver(grant)
-		s.deliver(first)
+		s.deliver(request)
 		s.traceState("all messages were repeated")
 		s.fill(s.borrower)
 		s.fill(s.lender)
@@ -403,16 +404,16 @@
 	})
 }
 
-// Guards against an older message, with fewer slots held, that frees a slot borrowed since it was sent.
+// Guards against an older message, which reports fewer borrowed slots, that frees a slot borrowed since it was sent.
 func TestOlderReturnAfterNewerBorrow(t *testing.T) {
 	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
 		s.endAttempt(s.borrower)
-		older := s.compose(s.borrower, s.lender) // holds none
+		olderReturn := s.compose(s.borrower, s.lender) // reports no borrowed slots
 		s.advanceTime(200 * time.Millisecond)
 		s.fill(s.borrower)
-		s.borrowTo(s.borrower, s.lender)
-		s.deliver(older)
+		s.startOnBorrowedSlot(s.borrower, s.lender)
+		s.deliver(olderReturn)
 		s.traceState("the older return arrives")
 		s.fill(s.lender)
 		s.checkAllSlotsRestored()
@@ -446,7 +447,7 @@
 	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
 		s.endAttempt(s.borrower)
-		s.compose(s.borrower, s.lender)
+		s.compose(s.borrower, s.lender) // lost
 		s.fill(s.lender)
 		s.advanceTime(lenderLoanDuration)
 		s.fill(s.lender)
@@ -526,7 +527,7 @@
 // Guards against an owner and a backup owner that both grant slots while no message passes between them.
 func TestOwnerAndBackupOwnerCutApart(t *testing.T) {
 	s := newSlotTier(t, SmallSetSize+1, Plan{Slots: 6})
-	backup := s.current(s.lender).owners[1]
+	backup := s.advanceAccount(s.lender).owners[1]
 	s.fill(backup)
 	s.tryAttempt(backup) // a request without a reply, so that the owner counts as silent
 	s.compose(backup, s.lender)
@@ -534,7 +535,7 @@
 	s.fill(s.lender)
 	s.fill(backup)
 	s.tryAttempt(s.borrower)
-	s.compose(s.borrower, s.lender)
+	s.compose(s.borrower, s.lender) // lost
 	s.advanceTime(600 * time.Millisecond)
 	s.tryAttempt(s.borrower)
 	s.requestAndGrant(s.borrower, backup)
@@ -547,13 +548,13 @@
 // Guards against a backup owner that lends a slot borrowed from its owner for longer than its own loan.
 func TestBackupOwnerLendsBorrowedSlotOn(t *testing.T) {
 	s := newSlotTier(t, SmallSetSize+1, Plan{Slots: 6})
-	backup := s.current(s.lender).owners[1]
+	backup := s.advanceAccount(s.lender).owners[1]
 	s.tryAttempt(backup)
 	s.requestAndGrant(backup, s.lender) // the client has left meanwhile
 	s.traceState("limiter %d has a slot of limiter %d that it does not use", backup, s.lender)
 	s.advanceTime(600 * time.Millisecond)
 	s.tryAttempt(s.borrower)
-	s.compose(s.borrower, s.lender)
+	s.compose(s.borrower, s.lender) // lost
 	s.advanceTime(600 * time.Millisecond)
 	s.tryAttempt(s.borrower)
 	s.requestAndGrant(s.borrower, backup)
@@ -571,7 +572,7 @@
 		t.Run(fmt.Sprint(limiters), func(t *testing.T) {
 			s := newSlotTier(t, limiters, Plan{Slots: 6})
 			second := (s.borrower + 1) % limiters
-			for second == s.lender || s.current(s.lender).isOwner(second) {
+			for second == s.lender || s.advanceAccount(s.lender).isOwner(second) {
 				second = (second + 1) % limiters
 			}
 			s.fill(s.borrower)
@@ -604,7 +605,7 @@
 	s.traceState("limiter %d has a slot of limiter %d that it does not use", middle, first)
 	s.fill(last)
 	s.advanceTime(1200 * time.Millisecond)
-	s.borrowTo(last, middle)
+	s.startOnBorrowedSlot(last, middle)
 	s.advanceTime(lenderLoanDuration - 1200*time.Millisecond)
 	s.traceState("the first loan has ended")
 	s.fill(first)
@@ -639,7 +640,7 @@
 	}
 }
 
-// Guards against a successor that does not know of loans and attempts.
+// Guards against a successor that does not know of its predecessor's loans and attempts.
 func TestSuccessorKeepsLoans(t *testing.T) {
 	forEachSetKind(t, func(s *slotTier) {
 		s.borrow()
@@ -673,17 +674,17 @@
 // Guards against a predecessor that continues in a new epoch, after its successor died, and no longer knows what it
 // lent or borrowed while its attempts continue.
 func TestPredecessorGoesOnInNewEpoch(t *testing.T) {
-	for _, at := range []string{"lender", "borrower"} {
-		t.Run(at, func(t *testing.T) {
+	for _, continuing := range []string{"lender", "borrower"} {
+		t.Run(continuing, func(t *testing.T) {
 			forEachSetKind(t, func(s *slotTier) {
 				s.borrow()
-				renewed := s.lender
-				if at == "borrower" {
-					renewed = s.borrower
+				limiterInNewEpoch := s.lender
+				if continuing == "borrower" {
+					limiterInNewEpoch = s.borrower
 				}
-				s.start(renewed) // its attempts still count, as with admission's renewEpoch
+				s.start(limiterInNewEpoch) // its attempts still count, as with admission's renewEpoch
 				s.exchangeRound(0)
-				s.traceState("limiter %d continues in a new epoch", renewed)
+				s.traceState("limiter %d continues in a new epoch", limiterInNewEpoch)
 				s.fill(s.lender)
 				s.checkAllSlotsRestored()
 			})
--- a/internal/quota/slots_random_test.go
+++ b/internal/quota/slots_random_test.go
@@ -19,41 +19,43 @@
 )
 
 const (
-	slotStep              = 10 * time.Millisecond
+	slotStep              = 10 * time.Millisecond // of true time, in which a run advances
 	slotLoadDuration      = 40 * time.Second
-	slotMaxDowntime       = time.Second // the longest time for which a limiter is down
-	slotMaxWait           = 200 * time.Millisecond
+	slotMaxDowntime       = time.Second            // the longest time for which a limiter is down
+	slotMaxWait           = 200 * time.Millisecond // the longest time for which a request waits for a grant
 	slotMaxQueueTime      = 300 * time.Millisecond // the longest time for which a request is queued
 	slotTickInterval      = 100 * time.Millisecond
-	slotMessageInterval   = 100 * time.Millisecond
-	slotHeartbeatInterval = time.Second // between messages without content in a large tier
+	slotMessageInterval   = 100 * time.Millisecond // the least time between two messages to one peer, except for grants in a large tier
+	slotHeartbeatInterval = time.Second            // between messages without content in a large tier
 )
 
 // slotCase is a combination of load and failures.
 type slotCase struct {
-	name     string
-	limiters int
-	plan     Plan
-	longest  time.Duration // the longest attempt
-	lossIn   int           // one in so many messages is lost; 0 for none
-	disorder bool          // messages are delayed and repeated
-	cut      string        // which messages of a limiter that is cut off are lost: "" (none), "both", "in" or "out"
-	restarts string        // which limiters restart: "" (none), "any", "owner" or "others"
-	drift    bool          // clocks run at their bounds
-	retries  bool          // some attempts are repeated without a decision
-	queued   bool          // some requests are queued first, and some of these refunded
-}
-
+	name               string
+	limiters           int
+	plan               Plan
+	maxAttemptDuration time.Duration // the longest attempt
+	lossIn             int           // one in so many messages is lost; 0 for none
+	disorder           bool          // messages are delayed and repeated
+	cutOffDirection    string        // lost messages while a limiter is cut off: "" (none), "both", "in" (to it) or "out" (from it)
+	restarts           string        // which limiters restart: "" (none), "any", "owner" or "others"
+	drift              bool          // clocks run at their bounds
+	withRetries        bool          // some requests start a retry when their attempt ends, on the same slot
+	withQueue          bool          // some requests are queued first, and some of these refunded
+}
+
+// slotAttempt is an attempt in flight, or a queued request that has a slot.
 type slotAttempt struct {
-	limiter int
-	epoch   uint32
-	endAt   time.Duration
-	endBy   time.Duration // the deadline of its client request, retries included
+	limiter  int
+	epoch    uint32        // of the limiter, when the attempt got its slot
+	endAt    time.Duration // true time at which the attempt ends, or the request leaves the queue
+	deadline time.Duration // of the client request, retries included
 }
 
+// slotMessage is a message in transit.
 type slotMessage struct {
 	message
-	at time.Duration
+	deliverAt time.Duration // true time
 }
 
 // borrowedLoan is what a limiter borrowed from one epoch of a lender.
@@ -62,38 +64,42 @@
 	epoch uint32
 }
 
+// slotRequest is a request that waits for a grant.
 type slotRequest struct{ deadline time.Duration }
 
 // slotRun is one run of a case.
 type slotRun struct {
 	slotCase
 	*tier
-	random           *rand.Rand
-	trace            bool
-	attempts         []slotAttempt
-	transit          []slotMessage
-	waiting          [][]slotRequest
-	queue            []slotAttempt // queued requests; endAt is when they leave the queue
-	sentAt           map[[2]int]time.Duration
-	downUntil        []time.Duration
-	cutUntil         []time.Duration
-	hot              int
-	hotUntil         time.Duration
-	borrowed         []map[int]borrowedLoan // what each limiter borrowed, by lender, at the last call of recordChanges
-	overLimitReasons []map[string]bool      // why a limiter uses more slots than its limit
+	random            *rand.Rand
+	traceEnabled      bool
+	attempts          []slotAttempt // in flight, those of earlier epochs included
+	messagesInTransit []slotMessage
+	waitingRequests   [][]slotRequest // by limiter, in the order of arrival
+	queuedRequests    []slotAttempt
+	sentAt            map[[2]int]time.Duration // when the last message was sent, by sender and receiver
+	downUntil         []time.Duration          // by limiter
+	cutOffUntil       []time.Duration          // by limiter
+	busiestLimiter    int                      // receives most requests, until busiestUntil
+	busiestUntil      time.Duration
+	borrowed          []map[int]borrowedLoan // what each limiter borrowed, by lender, at the last call of recordChanges
+	overLimitReasons  []map[string]bool      // why a limiter uses more slots than its limit
 
 	requestCount, rejected, rejectedWithFreeSlot int
-	maxExcess, maxKnownExcess                    int // beyond the plan's slots: all, and known to limiters
-	excessTime                                   time.Duration
-	excessReasons                                map[string]int
-	firstExcess                                  string
-	finalSlots, usable                           int
+	// The most attempts in flight beyond the plan's slots: of all attempts, and of those that limiters know of.
+	maxExcess, maxKnownExcess int
+	excessTime                time.Duration  // how long there were too many attempts
+	excessReasons             map[string]int // number of attempts started beyond the plan's slots, by describeExcess
+	firstExcess               string         // description of the first
+	// After the load: the sum of the limiters' slot limits, and the attempts that one limiter could start.
+	finalSlotLimits, usableSlots int
 }
 
+// newSlotRun starts a run of a case in a new tier.
 func newSlotRun(c slotCase, seed uint64) *slotRun {
 	r := &slotRun{
 		slotCase: c, random: rand.New(rand.NewPCG(seed, uint64(c.limiters))),
-		tier:   &tier{plan: c.plan, longestAttempt: c.longest + slotMaxQueueTime, servingAges: true},
+		tier:   &tier{plan: c.plan, longestAttempt: c.maxAttemptDuration + slotMaxQueueTime, servingAges: true},
 		sentAt: map[[2]int]time.Duration{}, excessReasons: map[string]int{},
 	}
 	for i := range c.limiters {
@@ -105,15 +111,16 @@
 		r.borrowed = append(r.borrowed, map[int]borrowedLoan{})
 		r.overLimitReasons = append(r.overLimitReasons, map[string]bool{})
 	}
-	r.waiting = make([][]slotRequest, c.limiters)
+	r.waitingRequests = make([][]slotRequest, c.limiters)
 	r.downUntil = make([]time.Duration, c.limiters)
-	r.cutUntil = make([]time.Duration, c.limiters)
+	r.cutOffUntil = make([]time.Duration, c.limiters)
 	for i := range r.tier.limiters {
 		r.startLimiter(i, TierStarted)
 	}
 	return r
 }
 
+// startLimiter starts a limiter with an account of the customer.
 func (r *slotRun) startLimiter(i int, state StartState) {
 	r.start(i)
 	n := r.tier.limiters[i]
@@ -123,18 +130,20 @@
 }
 
 func (r *slotRun) logf(format string, args ...any) {
-	if r.trace {
+	if r.traceEnabled {
 		fmt.Printf("%8.3f "+format+"\n", append([]any{r.now.Seconds()}, args...)...)
 	}
 }
 
 func (r *slotRun) isUp(i int) bool { return r.now >= r.downUntil[i] }
 
-func (r *slotRun) chance(perSecond float64) bool {
+// happensNow draws whether an event with a rate happens in this step.
+func (r *slotRun) happensNow(perSecond float64) bool {
 	return r.random.Float64() < perSecond*slotStep.Seconds()
 }
 
-func (r *slotRun) between(least, most time.Duration) time.Duration {
+// randomDuration draws a duration of at least least and less than most.
+func (r *slotRun) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(r.random.Int64N(int64(most-least)))
 }
 
@@ -184,12 +193,12 @@
 	}
 }
 
-// describeExcess describes what is wrong at a moment with too many attempts.
+// describeExcess lists the possible causes of too many attempts at a moment.
 func (r *slotRun) describeExcess() string {
-	found := map[string]bool{}
+	descriptions := map[string]bool{}
 	all, known := r.countAttempts()
 	if all > known {
-		found["attempts of an earlier epoch"] = true
+		descriptions["attempts of an earlier epoch"] = true
 	}
 	for i, n := range r.tier.limiters {
 		if !r.isUp(i) {
@@ -197,11 +206,11 @@
 		}
 		a := r.account(n)
 		if a.slotLimit() < 0 {
-			found["lent slots that it had borrowed"] = true
+			descriptions["lent slots that it had borrowed"] = true
 		}
 		if a.SlotsInUse > max(a.slotLimit(), 0) {
 			for reason := range r.overLimitReasons[i] {
-				found["in use after "+reason] = true
+				descriptions["in use after "+reason] = true
 			}
 		}
 		for _, lk := range a.links {
@@ -214,23 +223,23 @@
 				if lk.epoch != lender.epoch {
 					reason += ", lender restarted"
 				}
-				found[reason] = true
+				descriptions[reason] = true
 			}
 		}
 	}
-	return strings.Join(slices.Sorted(maps.Keys(found)), " + ")
+	return strings.Join(slices.Sorted(maps.Keys(descriptions)), " + ")
 }
 
 // addAttempt starts an attempt at a limiter.
 func (r *slotRun) addAttempt(i int) {
-	endAt := r.now + r.between(min(50*time.Millisecond, r.longest/2), r.longest)
-	r.attempts = append(r.attempts, slotAttempt{limiter: i, epoch: r.tier.limiters[i].epoch, endAt: endAt, endBy: r.now + r.longest})
+	endAt := r.now + r.randomDuration(min(50*time.Millisecond, r.maxAttemptDuration/2), r.maxAttemptDuration)
+	r.attempts = append(r.attempts, slotAttempt{limiter: i, epoch: r.tier.limiters[i].epoch, endAt: endAt, deadline: r.now + r.maxAttemptDuration})
 	r.countExcess(i)
 }
 
 // retry starts another attempt of the request whose attempt has ended.
 func (r *slotRun) retry(x slotAttempt) {
-	x.endAt = r.now + r.between(0, x.endBy-r.now)
+	x.endAt = r.now + r.randomDuration(0, x.deadline-r.now)
 	r.attempts = append(r.attempts, x)
 	r.countExcess(x.limiter)
 }
@@ -253,24 +262,24 @@
 func (r *slotRun) plan() Plan { return r.slotCase.plan }
 
 // decide calls Reserve for a request at a limiter, and reports whether there is a decision other than Pending.
-func (r *slotRun) decide(i int, last bool) bool {
+func (r *slotRun) decide(i int, final bool) bool {
 	n := r.tier.limiters[i]
 	a := r.account(n)
-	decision, _ := n.ledger.Reserve(a, 1, last, r.clock(n))
+	decision, _ := n.ledger.Reserve(a, 1, final, r.clock(n))
 	r.recordChanges(i, "reserve")
 	switch decision {
 	case Pending:
 		return false
 	case Rejected:
 		r.rejected++
-		if all, _ := r.countAttempts(); all+len(r.queue) < r.plan().Slots {
+		if all, _ := r.countAttempts(); all+len(r.queuedRequests) < r.plan().Slots {
 			r.rejectedWithFreeSlot++
 		}
 		return true
 	}
 	a.SlotsInUse++
-	if r.queued && r.random.IntN(4) == 0 {
-		r.queue = append(r.queue, slotAttempt{limiter: i, epoch: n.epoch, endAt: r.now + r.between(time.Millisecond, slotMaxQueueTime)})
+	if r.withQueue && r.random.IntN(4) == 0 {
+		r.queuedRequests = append(r.queuedRequests, slotAttempt{limiter: i, epoch: n.epoch, endAt: r.now + r.randomDuration(time.Millisecond, slotMaxQueueTime)})
 		return true
 	}
 	a.MarkSent(1)
@@ -280,11 +289,11 @@
 
 // decideWaiting decides the waiting requests of a limiter in order, up to the first that has to keep waiting.
 func (r *slotRun) decideWaiting(i int) {
-	for len(r.waiting[i]) > 0 {
-		if !r.decide(i, r.now >= r.waiting[i][0].deadline) {
+	for len(r.waitingRequests[i]) > 0 {
+		if !r.decide(i, r.now >= r.waitingRequests[i][0].deadline) {
 			return
 		}
-		r.waiting[i] = r.waiting[i][1:]
+		r.waitingRequests[i] = r.waitingRequests[i][1:]
 	}
 }
 
@@ -292,8 +301,8 @@
 	n := r.tier.limiters[i]
 	r.requestCount++
 	n.ledger.RecordDemand(r.account(n), 1, r.clock(n))
-	if len(r.waiting[i]) > 0 || !r.decide(i, false) {
-		r.waiting[i] = append(r.waiting[i], slotRequest{deadline: r.now + slotMaxWait})
+	if len(r.waitingRequests[i]) > 0 || !r.decide(i, false) {
+		r.waitingRequests[i] = append(r.waitingRequests[i], slotRequest{deadline: r.now + slotMaxWait})
 	}
 }
 
@@ -313,7 +322,7 @@
 		if n.epoch != x.epoch || !r.isUp(x.limiter) {
 			continue
 		}
-		if r.retries && r.random.IntN(8) == 0 && x.endBy > r.now {
+		if r.withRetries && r.random.IntN(8) == 0 && x.deadline > r.now {
 			r.retry(x) // the retry keeps the slot
 			continue
 		}
@@ -334,14 +343,14 @@
 
 // processQueue forwards or refunds the queued requests that are due, as the admission controller does.
 func (r *slotRun) processQueue() {
-	queue := r.queue
-	r.queue = nil // freed slots may be used by further requests, which are queued
+	queue := r.queuedRequests
+	r.queuedRequests = nil // freed slots may be used by further requests, which are queued
 	for _, x := range queue {
 		n := r.tier.limiters[x.limiter]
 		switch {
 		case n.epoch != x.epoch || !r.isUp(x.limiter):
 		case x.endAt > r.now:
-			r.queue = append(r.queue, x)
+			r.queuedRequests = append(r.queuedRequests, x)
 		case r.random.IntN(3) == 0:
 			n.ledger.Refund(r.account(n), 1, r.clock(n))
 			r.freeSlot(x.limiter)
@@ -359,9 +368,9 @@
 			if i == j || !r.isUp(i) {
 				continue
 			}
-			since := r.now - r.sentAt[[2]int{i, j}]
-			has := n.ledger.HasGrantsFor(j) || n.ledger.HasRequestsFor(j)
-			due := since >= slotMessageInterval && (has || r.slotCase.limiters <= smallTierSize) || since >= slotHeartbeatInterval
+			sinceLastMessage := r.now - r.sentAt[[2]int{i, j}]
+			hasContent := n.ledger.HasGrantsFor(j) || n.ledger.HasRequestsFor(j)
+			due := sinceLastMessage >= slotMessageInterval && (hasContent || r.slotCase.limiters <= smallTierSize) || sinceLastMessage >= slotHeartbeatInterval
 			if n.ledger.HasGrantsFor(j) && r.slotCase.limiters > smallTierSize {
 				due = true
 			}
@@ -378,9 +387,10 @@
 	r.deliverDue()
 }
 
-func (r *slotRun) isCut(m message) bool {
-	out, in := r.now < r.cutUntil[m.from], r.now < r.cutUntil[m.to]
-	switch r.cut {
+// isCutOff reports whether a message is lost because its sender or its receiver is cut off.
+func (r *slotRun) isCutOff(m message) bool {
+	out, in := r.now < r.cutOffUntil[m.from], r.now < r.cutOffUntil[m.to]
+	switch r.cutOffDirection {
 	case "both":
 		return out || in
 	case "out":
@@ -391,39 +401,41 @@
 	return false
 }
 
+// transmit puts a message in transit, with a delay and a repetition if the case has them, unless it is lost.
 func (r *slotRun) transmit(m message, reliable bool) {
-	if !reliable && (r.isCut(m) || r.lossIn > 0 && r.random.IntN(r.lossIn) == 0) {
+	if !reliable && (r.isCutOff(m) || r.lossIn > 0 && r.random.IntN(r.lossIn) == 0) {
 		return
 	}
-	at := r.now + r.between(2*time.Millisecond, 16*time.Millisecond)
+	deliverAt := r.now + r.randomDuration(2*time.Millisecond, 16*time.Millisecond)
 	if r.disorder && r.random.IntN(3) == 0 {
-		at += r.between(time.Millisecond, 400*time.Millisecond)
+		deliverAt += r.randomDuration(time.Millisecond, 400*time.Millisecond)
 	}
-	r.transit = append(r.transit, slotMessage{m, at})
+	r.messagesInTransit = append(r.messagesInTransit, slotMessage{m, deliverAt})
 	if r.disorder && r.random.IntN(3) == 0 {
-		r.transit = append(r.transit, slotMessage{m, at + r.between(time.Millisecond, 600*time.Millisecond)})
+		r.messagesInTransit = append(r.messagesInTransit, slotMessage{m, deliverAt + r.randomDuration(time.Millisecond, 600*time.Millisecond)})
 	}
 }
 
+// deliverDue delivers the messages whose time has come.
 func (r *slotRun) deliverDue() {
 	var left, due []slotMessage
-	for _, m := range r.transit {
-		if m.at <= r.now {
+	for _, m := range r.messagesInTransit {
+		if m.deliverAt <= r.now {
 			due = append(due, m)
 		} else {
 			left = append(left, m)
 		}
 	}
-	r.transit = left
-	slices.SortStableFunc(due, func(x, y slotMessage) int { return int(x.at - y.at) })
+	r.messagesInTransit = left
+	slices.SortStableFunc(due, func(x, y slotMessage) int { return int(x.deliverAt - y.deliverAt) })
 	for _, m := range due {
 		if !r.isUp(m.to) {
 			continue
 		}
-		before := r.tier.limiters[m.to].received[m.from]
+		lastReceived := r.tier.limiters[m.to].received[m.from]
 		r.logMessage(m.message)
 		r.deliver(m.message)
-		if r.tier.limiters[m.to].received[m.from] != before {
+		if r.tier.limiters[m.to].received[m.from] != lastReceived {
 			r.recordChanges(m.to, "deliver")
 			r.decideWaiting(m.to)
 			r.tier.limiters[m.to].ledger.ReturnUnusedSlots(r.clock(r.tier.limiters[m.to]))
@@ -432,25 +444,25 @@
 }
 
 func (r *slotRun) logMessage(m message) {
-	if !r.trace {
+	if !r.traceEnabled {
 		return
 	}
 	for _, x := range m.requests {
-		r.logf("  %d to %d: request %d wants %d, holds %d", m.from, m.to, x.Nonce, x.SlotsWanted, x.SlotsBorrowed)
+		r.logf("  limiter %d to %d: request %d wants %d slots, has %d borrowed", m.from, m.to, x.Nonce, x.SlotsWanted, x.SlotsBorrowed)
 	}
 	for _, x := range m.grants {
-		r.logf("  %d to %d: grant %d of %d", m.from, m.to, x.Nonce, x.Slots)
+		r.logf("  limiter %d to %d: grant %d lends %d slots", m.from, m.to, x.Nonce, x.Slots)
 	}
 }
 
 // injectFailures cuts off and restarts limiters at random.
 func (r *slotRun) injectFailures() {
-	if r.cut != "" && r.chance(0.15) {
+	if r.cutOffDirection != "" && r.happensNow(0.15) {
 		i := r.random.IntN(r.slotCase.limiters)
-		r.cutUntil[i] = r.now + r.between(500*time.Millisecond, 6*time.Second)
-		r.logf("limiter %d is cut off (%s) until %.3f", i, r.cut, r.cutUntil[i].Seconds())
+		r.cutOffUntil[i] = r.now + r.randomDuration(500*time.Millisecond, 6*time.Second)
+		r.logf("limiter %d is cut off (%s) until %.3f", i, r.cutOffDirection, r.cutOffUntil[i].Seconds())
 	}
-	if r.restarts == "" || !r.chance(0.15) {
+	if r.restarts == "" || !r.happensNow(0.15) {
 		return
 	}
 	i := r.random.IntN(r.slotCase.limiters)
@@ -460,29 +472,30 @@
 	} else if r.restarts == "others" && i == owner {
 		return
 	}
-	r.downUntil[i] = r.now + r.between(0, slotMaxDowntime)
-	r.waiting[i] = nil
+	r.downUntil[i] = r.now + r.randomDuration(0, slotMaxDowntime)
+	r.waitingRequests[i] = nil
 	r.startLimiter(i, LimiterRestarted)
 	r.logf("limiter %d restarts, back at %.3f", i, r.downUntil[i].Seconds())
 }
 
 // generateRequests sends requests, most of them to one limiter, which changes from time to time.
 func (r *slotRun) generateRequests() {
-	if r.now >= r.hotUntil {
-		r.hot, r.hotUntil = r.random.IntN(r.slotCase.limiters), r.now+r.between(500*time.Millisecond, 4*time.Second)
+	if r.now >= r.busiestUntil {
+		r.busiestLimiter, r.busiestUntil = r.random.IntN(r.slotCase.limiters), r.now+r.randomDuration(500*time.Millisecond, 4*time.Second)
 	}
-	perSecond := *slotLoad * float64(r.plan().Slots) / (r.longest.Seconds() / 2)
+	perSecond := *slotLoad * float64(r.plan().Slots) / (r.maxAttemptDuration.Seconds() / 2)
 	for i := range r.tier.limiters {
 		rate := 0.4 * perSecond / float64(r.slotCase.limiters)
-		if i == r.hot {
+		if i == r.busiestLimiter {
 			rate += 0.6 * perSecond
 		}
-		if r.isUp(i) && r.chance(rate) {
+		if r.isUp(i) && r.happensNow(rate) {
 			r.receiveRequest(i)
 		}
 	}
 }
 
+// step advances the run by slotStep. If reliable is set, no message that is sent in the step is lost.
 func (r *slotRun) step(reliable bool) {
 	r.now += slotStep
 	r.endAttempts()
@@ -507,6 +520,8 @@
 	}
 }
 
+// run starts the tier without load, applies load and failures, and lets all attempts and loans end. Then it records
+// how many slots can be used.
 func (r *slotRun) run() {
 	for range int(5 * time.Second / slotStep) {
 		r.step(true)
@@ -516,19 +531,20 @@
 		r.step(false)
 		r.generateRequests()
 	}
-	for range int((r.longest + 6*time.Second) / slotStep) {
+	for range int((r.maxAttemptDuration + 6*time.Second) / slotStep) {
 		r.step(true)
 	}
 	for _, n := range r.tier.limiters {
-		r.finalSlots += max(r.account(n).slotLimit(), 0)
+		r.finalSlotLimits += max(r.account(n).slotLimit(), 0)
 	}
 	r.requestAllSlots()
 }
 
-// requestAllSlots requests all slots at one limiter, with attempts that do not end, and counts those that start.
+// requestAllSlots requests all slots at one limiter, with attempts that do not end, and counts those that start. An
+// excess during this does not count.
 func (r *slotRun) requestAllSlots() {
-	r.longest, r.retries, r.queued = time.Hour, false, false
-	before := r.maxExcess
+	r.maxAttemptDuration, r.withRetries, r.withQueue = time.Hour, false, false
+	savedExcess := r.maxExcess
 	for range 3 * r.plan().Slots {
 		r.receiveRequest(0)
 		for range int(250 * time.Millisecond / slotStep) {
@@ -537,14 +553,14 @@
 				r.attempts[k].endAt = r.now + time.Hour
 			}
 			if len(r.attempts) >= r.plan().Slots {
-				r.usable = r.plan().Slots
-				r.maxExcess = before
+				r.usableSlots = r.plan().Slots
+				r.maxExcess = savedExcess
 				return
 			}
 		}
-		r.usable = max(r.usable, len(r.attempts))
+		r.usableSlots = max(r.usableSlots, len(r.attempts))
 	}
-	r.maxExcess = before
+	r.maxExcess = savedExcess
 }
 
 func slotCases() []slotCase {
@@ -556,34 +572,34 @@
 			if c.plan.Slots == 0 {
 				c.plan.Slots = 12
 			}
-			if c.longest == 0 {
-				c.longest = time.Second
+			if c.maxAttemptDuration == 0 {
+				c.maxAttemptDuration = time.Second
 			}
 			cases = append(cases, c)
 		}
 		add("1s", slotCase{})
-		add("3s", slotCase{longest: 3 * time.Second})
-		add("8s", slotCase{longest: 8 * time.Second})
+		add("3s", slotCase{maxAttemptDuration: 3 * time.Second})
+		add("8s", slotCase{maxAttemptDuration: 8 * time.Second})
 		add("1s-quota", slotCase{plan: quota})
-		add("3s-quota", slotCase{plan: quota, longest: 3 * time.Second})
+		add("3s-quota", slotCase{plan: quota, maxAttemptDuration: 3 * time.Second})
 		add("1s-loss", slotCase{lossIn: 5})
-		add("3s-loss", slotCase{lossIn: 5, longest: 3 * time.Second})
+		add("3s-loss", slotCase{lossIn: 5, maxAttemptDuration: 3 * time.Second})
 		add("1s-disorder", slotCase{disorder: true})
-		add("1s-cut-both", slotCase{cut: "both"})
-		add("3s-cut-both", slotCase{cut: "both", longest: 3 * time.Second})
-		add("1s-cut-out", slotCase{cut: "out"})
-		add("1s-cut-in", slotCase{cut: "in"})
+		add("1s-cut-both", slotCase{cutOffDirection: "both"})
+		add("3s-cut-both", slotCase{cutOffDirection: "both", maxAttemptDuration: 3 * time.Second})
+		add("1s-cut-out", slotCase{cutOffDirection: "out"})
+		add("1s-cut-in", slotCase{cutOffDirection: "in"})
 		add("1s-restart", slotCase{restarts: "any"})
-		add("3s-restart", slotCase{restarts: "any", longest: 3 * time.Second})
+		add("3s-restart", slotCase{restarts: "any", maxAttemptDuration: 3 * time.Second})
 		if limiters > SmallSetSize {
 			add("1s-restart-owner", slotCase{restarts: "owner"})
 			add("1s-restart-others", slotCase{restarts: "others"})
 		}
 		add("1s-drift", slotCase{drift: true})
-		add("1s-retries", slotCase{retries: true})
-		add("1s-queued", slotCase{queued: true})
+		add("1s-retries", slotCase{withRetries: true})
+		add("1s-queued", slotCase{withQueue: true})
 		add("3s-all", slotCase{
-			longest: 3 * time.Second, lossIn: 5, disorder: true, cut: "both", restarts: "any", drift: true, queued: true,
+			maxAttemptDuration: 3 * time.Second, lossIn: 5, disorder: true, cutOffDirection: "both", restarts: "any", drift: true, withQueue: true,
 		})
 	}
 	return cases
@@ -604,31 +620,32 @@
 	}
 }
 
+// checkSlotCase runs a case with several seeds, logs the results and checks them.
 func checkSlotCase(t *testing.T, c slotCase, first uint64, runs int) {
-	var requests, rejected, withFreeSlot, excessSeeds, knownExcessSeeds, maxExcess, maxKnownExcess, lost, unusable int
+	var requests, rejected, withFreeSlot, excessSeeds, knownExcessSeeds, maxExcess, maxKnownExcess, seedsNotRestored, seedsNotUsable int
 	var excessTime time.Duration
 	reasons := map[string]int{}
-	var example string
+	var firstExample string
 	for k := range runs {
 		r := newSlotRun(c, first+uint64(k))
-		r.trace = *slotSeed > 0
+		r.traceEnabled = *slotSeed > 0
 		r.run()
 		requests, rejected, withFreeSlot = requests+r.requestCount, rejected+r.rejected, withFreeSlot+r.rejectedWithFreeSlot
 		maxExcess, maxKnownExcess, excessTime = max(maxExcess, r.maxExcess), max(maxKnownExcess, r.maxKnownExcess), excessTime+r.excessTime
 		if r.maxExcess > 0 {
 			excessSeeds++
-			if example == "" {
-				example = fmt.Sprintf("seed %d, %s", first+uint64(k), r.firstExcess)
+			if firstExample == "" {
+				firstExample = fmt.Sprintf("seed %d, %s", first+uint64(k), r.firstExcess)
 			}
 		}
 		if r.maxKnownExcess > 0 {
 			knownExcessSeeds++
 		}
-		if r.finalSlots != c.plan.Slots {
-			lost++
+		if r.finalSlotLimits != c.plan.Slots {
+			seedsNotRestored++
 		}
-		if r.usable < c.plan.Slots {
-			unusable++
+		if r.usableSlots < c.plan.Slots {
+			seedsNotUsable++
 		}
 		for reason, count := range r.excessReasons {
 			reasons[reason] += count
@@ -637,11 +654,11 @@
 	t.Logf("%-20s too many attempts in %d of %d seeds, by at most %d (known to limiters: in %d seeds, by at most %d), for %.2f s a run; "+
 		"requests %d rejected %.1f%% with a free slot %.1f%%; seeds with slots not restored %d, not usable %d; %s",
 		c.name, excessSeeds, runs, maxExcess, knownExcessSeeds, maxKnownExcess, excessTime.Seconds()/float64(runs), requests,
-		100*float64(rejected)/float64(requests), 100*float64(withFreeSlot)/float64(requests), lost, unusable, example)
+		100*float64(rejected)/float64(requests), 100*float64(withFreeSlot)/float64(requests), seedsNotRestored, seedsNotUsable, firstExample)
 	for _, reason := range slices.SortedFunc(maps.Keys(reasons), func(x, y string) int { return reasons[y] - reasons[x] })[:min(5, len(reasons))] {
-		t.Logf("   %5d x %s", reasons[reason], reason)
+		t.Logf("   %5d times: %s", reasons[reason], reason)
 	}
-	if excessSeeds > 0 || lost > 0 || unusable > 0 {
-		t.Errorf("%d of %d seeds have too many attempts in flight, %d did not restore all slots, %d cannot use all slots", excessSeeds, runs, lost, unusable)
+	if excessSeeds > 0 || seedsNotRestored > 0 || seedsNotUsable > 0 {
+		t.Errorf("of %[2]d seeds, %[1]d have too many attempts in flight, %[3]d did not restore all slots, %[4]d cannot use all slots, want 0 of each", excessSeeds, runs, seedsNotRestored, seedsNotUsable)
 	}
 }
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -171,7 +171,7 @@
 	}
 	a := l.Account(request.Customer, int(request.Plan), int(request.FirstLimiter), int(request.SetSize), now)
 	a.advance(now)
-	if !a.inSmallSet() {
+	if !a.hasSmallSet() {
 		l.handleRequestAsOwner(peerID, a, request, now)
 		return
 	}
@@ -206,7 +206,7 @@
 		return nil
 	}
 	a.advance(now)
-	if !a.inSmallSet() {
+	if !a.hasSmallSet() {
 		l.handleOwnerGrant(peerID, a, grant, now)
 		return a
 	}
@@ -230,7 +230,7 @@
 	if grant.Slots > 0 {
 		l.trackBorrowedSlots(a)
 	}
-	if a.inSmallSet() {
+	if a.hasSmallSet() {
 		lk.borrowed.share = decodeShare(grant.Share)
 	}
 	a.quotaLevel += decodeUnits(grant.QuotaUnits)
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Decaying is a rate of events per second in which each event counts less the longer ago it was. The
-// zero value is a rate of zero.
+// Decaying is a rate of events per second in which the weight of an event decays with its age. The zero value is
+// a rate of zero.
 type Decaying struct {
 	PerSecond float64       // as of UpdatedAt
 	UpdatedAt time.Duration // clock time
@@ -21,7 +21,7 @@
 	d.UpdatedAt = now
 }
 
-// Value is the rate at a clock time.
+// Value returns the rate at a clock time.
 func (d *Decaying) Value(now time.Duration, memorySeconds float64) float64 {
 	return d.PerSecond * math.Exp(-(now-d.UpdatedAt).Seconds()/memorySeconds)
 }
