--- a/internal/quota/slots_random_test.go
+++ b/internal/quota/slots_random_test.go
@@ -541,7 +541,7 @@
 }
 
 // requestAllSlots requests all slots at one limiter, with attempts that do not end, and counts those that start. An
-// excess during this does not count.
+// excess during this does not count in maxExcess.
 func (r *slotRun) requestAllSlots() {
 	r.maxAttemptDuration, r.withRetries, r.withQueue = time.Hour, false, false
 	savedExcess := r.maxExcess
