--- a/internal/checksum/checksum.go
+++ b/internal/checksum/checksum.go
@@ -1,5 +1,5 @@
-// Package checksum appends checksums to datagrams, so that noise and datagrams of other programs are not taken
-// for messages of a limiter. It does not protect against forged messages.
+// Package checksum appends checksums to datagrams, so that corrupted data and datagrams of other programs are not
+// taken for messages of a limiter. It does not protect against forged messages.
 package checksum
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,28 +18,28 @@
 	ListenAddr    string // host:port at which clients connect
 	DiscoveryAddr string // host:port of endpoint discovery
 	AdminAddr     string // host:port of the administration server; empty for none
-	Seed          uint64 // of all random choices
+	Seed          uint64 // seed of all random choices
 	Limits        Limits
 
-	PeerListen    netip.AddrPort   // where datagrams of other limiters are received; zero for no gossip
-	Peers         []netip.AddrPort // by the limiters' numbers
-	PeerBroadcast netip.AddrPort   // reaches all of them; zero for none
+	PeerListen    netip.AddrPort   // address at which datagrams of other limiters are received; zero for no gossip
+	Peers         []netip.AddrPort // addresses of the limiters, by number
+	PeerBroadcast netip.AddrPort   // address that reaches all limiters; zero for none
 
 	HotRestart   *HotRestart              // nil if hot restarts are disabled
 	Leases       *lease.Settings          // nil if leases are disabled
 	Usage        Usage                    // usage accounting
 	RestartSlots core.RestartSlotSettings // of rolling restarts; zero if they are disabled
 
-	KnownEndpoints  []core.Endpoint   // the endpoint list that the platform knew last
+	KnownEndpoints  []core.Endpoint   // the last endpoint list that the platform had
 	KnownGeneration int64             // generation of that list
-	Settings        settings.Settings // of the service: classes, plans and what the site allows
+	Settings        settings.Settings // of the service: classes, plans, and what the platform allows
 }
 
 // Limits are the platform's limits for one limiter. Zero means no limit.
 type Limits struct {
-	Cores    float64 `json:"cores"`
+	Cores    float64 `json:"cores"`     // CPU cores
 	MemoryMB int64   `json:"memory_mb"` // MiB
-	Sockets  int     `json:"sockets"`   // open at once
+	Sockets  int     `json:"sockets"`   // open sockets
 }
 
 // HotRestart is the configuration of hot restarts.
@@ -52,7 +52,7 @@
 // Usage is the configuration of usage accounting; zero if it is disabled.
 type Usage struct {
 	Dir    string        // directory of the usage files
-	Period time.Duration // that one report covers, in whole seconds
+	Period time.Duration // length of the period that a report covers, in whole seconds
 }
 
 // Core returns the part of the configuration that package core needs.
--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -12,7 +12,7 @@
 	"lemongate/internal/golden"
 )
 
-// Guards the operators' file of release 0.8.0: each field has a distinct value and is read as it was then.
+// Guards the keys of the operators' file of release 0.8.0: each field has a distinct value and is read as it was then.
 func TestOperatorFileOfEarlierRelease(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.json")
 	err := os.WriteFile(path, []byte(`{"takeover": {"on": true, "dir": "/here", "silence_ms": 1001, "trial_s": 12},
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -48,13 +48,13 @@
 	// duration. It renews the lease every 0.4 of the duration, and receives a promise and an accept each time.
 	repliesPerLease = 5
 	// leaseMessageFraction is the fraction of the received datagrams that may be about leases; the rest is
-	// left to gossip about quotas and backends.
+	// gossip about quotas and backends.
 	leaseMessageFraction = 0.3
 )
 
 var (
-	errNoUsageDir  = errors.New("/rollup/dir: required if /leases/tasks contains rollup")
-	errNoLeasePeer = errors.New("/leases: leases among several limiters require the addresses of the peers")
+	errNoUsageDir   = errors.New("/rollup/dir: required if /leases/tasks contains rollup")
+	errNoLeasePeers = errors.New("/leases: leases among several limiters require the addresses of the peers")
 )
 
 // operatorFile is the operators' file. Its schema bounds the values.
@@ -66,25 +66,26 @@
 }
 
 // hotRestartOptions configure hot restarts: a successor process takes over from the limiter's running process.
+// The durations default to those of hotrestart.DefaultLimits.
 type hotRestartOptions struct {
 	Enabled            bool   `json:"on"`         // enables hot restarts
-	Dir                string `json:"dir"`        // directory that both processes share; default: the system's for temporary files
-	HeartbeatTimeoutMS int    `json:"silence_ms"` // after which the successor counts as failed, in ms; default: hotrestart.DefaultLimits
-	ProbationS         int    `json:"trial_s"`    // after which the predecessor ends, in s; default: hotrestart.DefaultLimits
+	Dir                string `json:"dir"`        // directory that both processes share; default: os.TempDir()
+	HeartbeatTimeoutMS int    `json:"silence_ms"` // ms without a heartbeat after which the successor counts as failed
+	ProbationS         int    `json:"trial_s"`    // duration of the probation in s, after which the predecessor ends
 }
 
 // leaseOptions configure leases, under each of which one limiter at a time does a task.
 type leaseOptions struct {
 	Enabled    bool     `json:"on"`        // enables leases
-	DurationMS int      `json:"length_ms"` // of a lease, in ms; default: 4000
-	Acceptors  int      `json:"keepers"`   // per task; default: 5
-	Tasks      []string `json:"tasks"`     // names of core.Task...; a task is enabled by being in the list
+	DurationMS int      `json:"length_ms"` // duration of a lease, in ms; default: 4000
+	Acceptors  int      `json:"keepers"`   // number of acceptors per task; default: 5
+	Tasks      []string `json:"tasks"`     // names of the enabled tasks: values of core.Task...
 }
 
 // usageOptions configure usage accounting, which is a task under a lease.
 type usageOptions struct {
-	Dir     string `json:"dir"`      // directory of the usage files; required with the task
-	PeriodS int    `json:"period_s"` // period that a report covers, in s; default: 60
+	Dir     string `json:"dir"`      // directory of the usage files; required if the usage task is enabled
+	PeriodS int    `json:"period_s"` // length of the period that a report covers, in s; default: 60
 }
 
 // restartSlotsOptions configure rolling restarts, whose coordination is a task under a lease.
@@ -184,20 +185,20 @@
 }
 
 func (c *Config) validateLeases() error {
-	rate := c.Settings.PeerMessagesPerSecond
-	shortest := minLeaseDuration(c.Leases, c.Settings.Limiters, rate)
-	if c.Leases.Duration < shortest {
+	datagramsPerSecond := c.Settings.PeerMessagesPerSecond
+	minDuration := minLeaseDuration(c.Leases, c.Settings.Limiters, datagramsPerSecond)
+	if c.Leases.Duration < minDuration {
 		return fmt.Errorf("/leases/length_ms: %d tasks with %d acceptors (keepers) require at least %d ms, as a limiter may receive %g datagrams per second",
-			len(c.Leases.Tasks), c.Leases.AcceptorCount, shortest.Milliseconds(), rate)
+			len(c.Leases.Tasks), c.Leases.AcceptorCount, minDuration.Milliseconds(), datagramsPerSecond)
 	}
 	if len(c.Peers) == 0 && c.Settings.Limiters > 1 {
-		return errNoLeasePeer
+		return errNoLeasePeers
 	}
 	return nil
 }
 
 // minLeaseDuration returns the shortest lease duration with which one limiter can hold all leases: it has to
-// receive the replies of the acceptors, and may receive only datagramsPerSecond. 0 means no such limit.
+// receive the replies of the acceptors, and may receive only datagramsPerSecond; 0 means no limit on datagrams.
 func minLeaseDuration(s *lease.Settings, limiters int, datagramsPerSecond float64) time.Duration {
 	if datagramsPerSecond <= 0 {
 		return 0
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -18,8 +18,8 @@
 	return path
 }
 
-// The operators' file enables the features it names. An invalid file gives an error of one line that names the
-// field.
+// The operators' file enables and configures hot restarts. An invalid file gives an error of one line, which names
+// the invalid field.
 func TestOperatorFile(t *testing.T) {
 	var c Config
 	if err := c.LoadOperator(""); err != nil || c.HotRestart != nil {
@@ -32,10 +32,10 @@
 		t.Fatal(err)
 	}
 	if l := c.HotRestart.limits(); c.HotRestart.Dir != "/x" || l.HeartbeatTimeout != 200*time.Millisecond || l.ProbationDuration != 9*time.Second {
-		t.Errorf("hot restart configuration: %+v", c.HotRestart)
+		t.Errorf("hot restart configuration %+v, want directory /x, heartbeat timeout 200ms and probation 9s", c.HotRestart)
 	}
 	if err := c.LoadOperator("../../deploy/lemongate.json"); err != nil || c.HotRestart == nil {
-		t.Errorf("deployed file: error %v, or hot restarts not enabled", err)
+		t.Errorf("deployed file: error %v, want none and hot restarts enabled", err)
 	}
 	for text, want := range map[string]string{
 		`{`:                                      "bad JSON",
@@ -48,7 +48,7 @@
 	} {
 		err := c.LoadOperator(writeOperatorFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %s", text, err, want)
+			t.Errorf("%s: error %v, want one line that contains %s", text, err, want)
 		}
 	}
 	if err := c.LoadOperator("no such file"); err == nil {
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	if c.Leases.AcceptorCount != defaultAcceptors || c.Usage.Period != 7*time.Second || c.RestartSlots.MaxConcurrent != 2 || c.RestartSlots.Duration != defaultRestartDuration {
-		t.Errorf("leases %+v, usage %+v, restart slots %+v", c.Leases, c.Usage, c.RestartSlots)
+		t.Errorf("leases %+v, usage %+v, restart slots %+v; want 5 acceptors, a period of 7s, and 2 restarts at once with a duration of 30s", c.Leases, c.Usage, c.RestartSlots)
 	}
 	for text, want := range map[string]string{
 		`{"leases":{"on":true,"tasks":["rollup"]}}`:                                                "/rollup/dir",
@@ -79,7 +79,7 @@
 	} {
 		err := c.LoadOperator(writeOperatorFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %s", text, err, want)
+			t.Errorf("%s: error %v, want one line that contains %s", text, err, want)
 		}
 	}
 	c.Settings.Limiters = 600
@@ -92,12 +92,13 @@
 	}
 }
 
+// An error about an operators' file has one line, whatever the file contains.
 func FuzzOperatorFile(f *testing.F) {
 	f.Add(`{"takeover":{"on":true,"silence_ms":200}}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		var c Config
 		if err := c.LoadOperator(writeOperatorFile(t, text)); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("error of more than one line: %v", err)
+			t.Errorf("error %v, want one line", err)
 		}
 	})
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -33,11 +33,11 @@
 
 var (
 	errNoPath         = errors.New(pathVariable + " is not set")
-	errNegativeLimits = errors.New("limits: negative value")
+	errNegativeLimits = errors.New("limits: cores, memory_mb or sockets is negative")
 	errNoPlans        = errors.New("settings: no plans")
 )
 
-// platformFile is the platform's configuration file. Options have no default unless one is given.
+// platformFile is the platform's configuration file. No option has a default other than its zero value.
 type platformFile struct {
 	Name       string              `json:"name"`        // of the limiter
 	Listen     string              `json:"listen"`      // host:port at which clients connect; required
@@ -46,7 +46,7 @@
 	Seed       string              `json:"seed"`        // 16 hex digits, or any text
 	Limits     Limits              `json:"limits"`      // of this limiter; 0 for no limit
 	PeerListen string              `json:"peer_listen"` // host:port for datagrams of limiters; empty disables gossip
-	Peers      []string            `json:"peers"`       // host:port of each limiter, by number; with peer_listen
+	Peers      []string            `json:"peers"`       // host:port of each limiter, by number; required with peer_listen
 	PeersAll   string              `json:"peers_all"`   // host:port that reaches all limiters; empty for none
 	Known      jsoniter.RawMessage `json:"known"`       // endpoint list, as discovery sends it; optional
 	Settings   jsoniter.RawMessage `json:"settings"`    // of the service, see package settings; required
@@ -242,7 +242,7 @@
 	return nil
 }
 
-// parseSeed returns the value of hexadecimal digits, and the hash of any other text.
+// parseSeed returns the number that hexadecimal digits stand for, or the hash of any other text.
 func parseSeed(text string) uint64 {
 	if number, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return number
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// validConfig is a valid configuration file, of limiter 1 in a tier of 2 limiters.
 const validConfig = `{"name":"n3","listen":"127.0.0.4:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "peer_listen":"127.0.0.4:7946","peers":["127.0.0.3:7946","127.0.0.5:7946"],"peers_all":"127.0.0.6:7946",
@@ -19,8 +20,10 @@
   "tiers_of_service":[{"name":"small","refill":2,"depth":7}],"family_info":{"most_units":4,"peer_in_per_s":40},
   "allowed":{"peers":true,"connect_timeout_s":0.25,"idle_close_s":15,"max_attempts":5}}}`
 
+// loadFunc is the type of Load and Reload.
 type loadFunc func(env func(string) string, origin time.Time) (*Config, error)
 
+// loadContent calls load with a configuration file of the given content, and with the environment variables env.
 func loadContent(t *testing.T, load loadFunc, content string, env map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -44,7 +47,7 @@
 	if c.Name != "n9" || c.ListenAddr != "127.0.0.4:8443" || c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 192, 1024}) ||
 		len(c.Peers) != 2 || c.PeerBroadcast.String() != "127.0.0.6:7946" || len(c.KnownEndpoints) != 1 || c.KnownGeneration != 41 ||
 		s.Self != 1 || s.ConnectTimeout != 250*time.Millisecond || s.IdleClose != 15*time.Second || s.MaxUnits != 4 || !s.GossipEnabled {
-		t.Errorf("unexpected configuration: %+v", c)
+		t.Errorf("configuration %+v, want that of validConfig, with the name n9 from the environment", c)
 	}
 }
 
@@ -63,11 +66,11 @@
 	}
 }
 
-// Without an address for datagrams from peers gossip is disabled, whatever the settings allow.
+// Without an address for datagrams of other limiters gossip is disabled, even if the settings allow it.
 func TestGossipDisabledWithoutPeers(t *testing.T) {
 	c, err := loadContent(t, Load, strings.Replace(validConfig, `"peer_listen":"127.0.0.4:7946",`, "", 1), nil)
 	if err != nil || c.Settings.GossipEnabled {
-		t.Errorf("gossip enabled without peer_listen, or error: %v", err)
+		t.Errorf("without peer_listen: error %v, want none and gossip disabled", err)
 	}
 }
 
@@ -82,7 +85,7 @@
 
 // An invalid configuration gives an error of one line.
 func TestMalformed(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{validConfig, "{\n", "bad JSON"},
 		{`"listen":"127.0.0.4:8443"`, `"listen":"here"`, "listen: "},
 		{`"discovery":"127.0.0.2:8500",`, "", "discovery: "},
@@ -101,12 +104,12 @@
 		{`"effect":"idempotent"`, `"effect":"x"`, "unknown effect"},
 		{`"settings":{`, `"other":{`, "settings: "},
 	} {
-		if !strings.Contains(validConfig, c.old) {
-			t.Fatalf("%s is not in the valid configuration", c.old)
+		if !strings.Contains(validConfig, test.old) {
+			t.Fatalf("%s is not in the valid configuration", test.old)
 		}
-		_, err := loadContent(t, Load, strings.Replace(validConfig, c.old, c.new, 1), nil)
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %s", c.new, err, c.want)
+		_, err := loadContent(t, Load, strings.Replace(validConfig, test.old, test.new, 1), nil)
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one line that contains %s", test.new, err, test.want)
 		}
 	}
 	if _, err := Load(func(string) string { return "" }, time.Now()); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,4 +1,4 @@
-// Package schema validates JSON that people write against a JSON schema, and reports the first invalid field.
+// Package schema validates handwritten JSON against a JSON schema, and reports the first invalid field.
 package schema
 
 import (
@@ -17,7 +17,7 @@
 func Validate(name string, schema, data []byte) error {
 	compiled, err := compile(name, schema)
 	if err != nil {
-		return fmt.Errorf("schema: %w", err)
+		return fmt.Errorf("invalid JSON schema: %w", err)
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
@@ -43,7 +43,8 @@
 	return compiler.Compile(name)
 }
 
-// firstViolation describes the innermost first cause of an error, preceded by the path of its field.
+// firstViolation follows the first cause at each level of a validation error, and returns a description of the
+// innermost one, preceded by the path of its field.
 func firstViolation(invalid *jsonschema.ValidationError) error {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
--- a/internal/usage/closed.go
+++ b/internal/usage/closed.go
@@ -12,8 +12,8 @@
 	maxUnconfirmedPages   = math.MaxUint16 / 2
 )
 
-// closedPeriod is the usage from FirstPeriod up to the end of Period: all usage since the last period that
-// was closed and is reported separately.
+// closedPeriod is the usage from the beginning of FirstPeriod to the end of Period. It has all usage since the
+// previous closed period that is reported separately.
 type closedPeriod struct {
 	Period      uint32   `json:"Period"`
 	FirstPeriod uint32   `json:"From"` // see Page.FirstPeriod
@@ -35,14 +35,16 @@
 	// mayRepeat means that the pages were sent for a report that counts only if there is no other report of
 	// the period: no lease holder knows which report counts.
 	mayRepeat bool
-	// withUnconfirmed means that the lease holder has the unconfirmed usage too if it has the period.
+	// withUnconfirmed means that the lease holder, if it received the whole period, received the unconfirmed
+	// usage too.
 	withUnconfirmed bool
 	reported        bool // a report that counts includes the period
 }
 
-// record records that the last page was sent in reply to a request. An earlier lease holder that collected
-// the period without MayRepeat had no report written: otherwise this request would have MayRepeat set.
-func (d *delivery) record(p PageRequest) {
+// recordSent records that the last page, and so the whole period, was sent in reply to a request. It may overwrite
+// the token of an earlier lease holder. If that one collected the period without MayRepeat, it had no report
+// written: otherwise this request would have MayRepeat set.
+func (d *delivery) recordSent(p PageRequest) {
 	sameHolder := d.sent && d.token == p.Token
 	d.withUnconfirmed = p.TakesUnconfirmed && (d.withUnconfirmed || !sameHolder)
 	d.sent, d.token, d.mayRepeat = true, p.Token, p.MayRepeat
@@ -54,22 +56,22 @@
 	return d.sent && !d.mayRepeat && d.token == token
 }
 
-// unconfirmed are closed periods, the oldest first, for which the limiter does not know whether a report
+// unconfirmedPeriods are closed periods, the oldest first, for which the limiter does not know whether a report
 // includes them.
-type unconfirmed []closedPeriod
+type unconfirmedPeriods []closedPeriod
 
 // add returns the list with one more period. If the list then exceeds its limits, the oldest periods are
 // dropped: their usage is lost unless their own reports include it, and Summary lists the loss as a fault.
-func (u unconfirmed) add(c closedPeriod) unconfirmed {
+func (u unconfirmedPeriods) add(c closedPeriod) unconfirmedPeriods {
 	c.Pages = pack(sumByKey(c.entries()))
-	u = append(slices.Clip(u), c) // Clip forces a copy: another process of the limiter may have the list too
+	u = append(slices.Clip(u), c) // Clip makes append copy the array, which a RecorderState may share
 	for len(u) > maxUnconfirmedPeriods || u.pages() > maxUnconfirmedPages {
 		u = u[1:]
 	}
 	return u
 }
 
-func (u unconfirmed) pages() (count int) {
+func (u unconfirmedPeriods) pages() (count int) {
 	for i := range u {
 		count += len(u[i].Pages)
 	}
@@ -77,9 +79,9 @@
 }
 
 // pageOf returns a page of a closed period, or of the unconfirmed usage, whose pages follow those of the
-// period. A number beyond the last page comes from a collector that has pages of an earlier incarnation: it
-// gets the first page, which shows the new incarnation.
-func pageOf(c *closedPeriod, earlier unconfirmed, number uint16) Page {
+// period. A number beyond the last page comes from a collector that has pages of an earlier incarnation: for
+// such a number pageOf returns the first page, from which the collector learns the new incarnation.
+func pageOf(c *closedPeriod, earlier unconfirmedPeriods, number uint16) Page {
 	page := Page{
 		Period:      c.Period,
 		FirstPeriod: c.FirstPeriod,
--- a/internal/usage/collector.go
+++ b/internal/usage/collector.go
@@ -16,7 +16,7 @@
 // Collector collects the usage of one period from all limiters, for the lease holder. It is not safe for
 // concurrent use; NewCollector returns one.
 type Collector struct {
-	Period   uint32
+	Period   uint32 // the period to collect
 	Previous uint32 // the previous period; 0 if unknown
 	// MayRepeat means that an earlier lease holder may already have written a report of the period: this
 	// report counts only if there is no other one.
@@ -31,7 +31,7 @@
 	nextQueryAt   time.Duration // earliest time of the next query
 	sources       []source      // by limiter
 	nextSource    int           // index of the source to query next
-	incomplete    int           // sources that are neither complete nor missing
+	incomplete    int           // number of sources that are neither complete nor missing
 	pendingPeriod uint32        // see PendingPeriod; 0 for none
 }
 
@@ -40,13 +40,13 @@
 	complete bool
 	missing  bool
 	// withoutUnconfirmed means that requests leave TakesUnconfirmed unset, as the limiter did not reply to
-	// the first one: release 0.9.3 does not.
+	// the first request, which had it set: limiters of release 0.9.3 ignore such a request.
 	withoutUnconfirmed bool
 	hasPage            bool // incarnation, firstPeriod and pages are known
 	incarnation        uint32
 	firstPeriod        uint32
 	nextPage           uint16
-	pages              uint16
+	pages              uint16        // number of pages
 	queriedAt          time.Duration // time of the query that has no reply yet; 0 for none
 	unanswered         int           // consecutive queries without a reply
 	entries            []Entry
@@ -100,14 +100,14 @@
 	return reported
 }
 
-// Confirmation returns the message to send to the limiters of ToConfirm once the report is known to be
-// written.
+// Confirmation returns the message to send to the limiters that ToConfirm returns, once the report is known to
+// be written.
 func (c *Collector) Confirmation() Confirmation {
 	return Confirmation{Period: c.Period, Token: c.Token}
 }
 
-// ToConfirm returns the limiters whose usage the report includes, except those that may run release 0.9.3
-// and do not know the message. It returns none if the report may not count.
+// ToConfirm returns the limiters whose usage the report includes, except those that may run release 0.9.3,
+// which does not know the message. It returns none if the report may not count.
 func (c *Collector) ToConfirm() (list []Limiter) {
 	if c.MayRepeat {
 		return nil
@@ -139,7 +139,7 @@
 func (c *Collector) PendingPeriod() uint32 { return c.pendingPeriod }
 
 // Tick returns the query that is due, if any, and the time at which to call Tick again; 0 for never.
-func (c *Collector) Tick(now time.Duration) (out []Query, due time.Duration) {
+func (c *Collector) Tick(now time.Duration) (queries []Query, due time.Duration) {
 	if c.Complete() {
 		return nil, 0
 	}
@@ -207,7 +207,7 @@
 // reported before this one, the limiter's usage is missing from this report.
 func (c *Collector) onPendingReport(from Limiter, pending PendingReport) {
 	if c.KnowsAllReports || int(from) >= len(c.sources) {
-		return // a late reply
+		return // a late reply, or one from a limiter that is not queried
 	}
 	if !c.MayRepeat && pending.Period < c.Period {
 		c.pendingPeriod = max(c.pendingPeriod, pending.Period)
@@ -240,7 +240,7 @@
 	}
 }
 
-// addPage adds the next page.
+// addPage adds a page, which must be the one with the number nextPage.
 func (s *source) addPage(p Page) {
 	s.hasPage, s.incarnation, s.pages = true, p.Incarnation, p.Pages
 	s.nextPage++
@@ -256,8 +256,8 @@
 	s.entries = append(s.entries, unpack(p.Entries)...)
 }
 
-// addUnconfirmedPage adds a page of unconfirmed usage to the last earlier period in the list, or to a new one
-// if the page is of another period.
+// addUnconfirmedPage adds a page of unconfirmed usage to the entries of its period. The pages of one period
+// follow each other, so that this is the last period in the list or a new one.
 func (s *source) addUnconfirmedPage(p Page) {
 	last := len(s.unconfirmed) - 1
 	if last < 0 || s.unconfirmed[last].period != p.ClosedPeriod {
@@ -290,7 +290,8 @@
 	return r
 }
 
-// addFirstPeriod records in a report if a limiter's usage does not begin where the previous report ended.
+// addFirstPeriod adds a limiter to Restarted of a report if firstPeriod is 0, and to Since if its usage begins
+// neither with the period of the report nor with the period after Previous.
 func (c *Collector) addFirstPeriod(r *Report, limiter int, firstPeriod uint32) {
 	switch firstPeriod {
 	case 0:
--- a/internal/usage/confirm.go
+++ b/internal/usage/confirm.go
@@ -8,8 +8,8 @@
 // This file decides which unconfirmed usage counts. A limiter sent the usage for the report of its period;
 // the reports themselves show whether one of them includes it.
 
-// confirmUsage adds the unconfirmed usage that counts to s.confirmed.
-func (s *Summary) confirmUsage() {
+// countUnconfirmed adds the unconfirmed usage that counts to s.countedUnconfirmed.
+func (s *Summary) countUnconfirmed() {
 	for _, r := range s.Reports {
 		for _, u := range r.Unconfirmed {
 			s.addIfUnreported(r.Period, u)
@@ -18,7 +18,8 @@
 }
 
 // addIfUnreported adds the unconfirmed usage u, from the report of a period, unless a report that counts
-// includes it. For usage from before the first report that is not known: it does not count and is a fault.
+// includes it. If u is from before the first report that was read, this is not known: u does not count, and is a
+// fault unless it is empty.
 func (s *Summary) addIfUnreported(period uint32, u UnconfirmedUsage) {
 	if u.Period < s.Reports[0].Period {
 		if len(u.Usage) == 0 {
@@ -30,7 +31,7 @@
 	if s.isReported(u) {
 		return
 	}
-	s.confirmed = append(s.confirmed, u)
+	s.countedUnconfirmed = append(s.countedUnconfirmed, u)
 	if u.FirstPeriod == 0 && u.Period > s.Reports[0].Period {
 		s.addRestartFault(u.Period, u.Limiter)
 	}
@@ -39,23 +40,25 @@
 // isReported reports whether a report that counts includes the usage: the report of its period, a later one
 // with the limiter's usage since then, or an earlier one with the same unconfirmed usage.
 func (s *Summary) isReported(u UnconfirmedUsage) bool {
-	next, found := slices.BinarySearchFunc(s.Reports, u.Period, func(r Report, period uint32) int {
+	index, found := slices.BinarySearchFunc(s.Reports, u.Period, func(r Report, period uint32) int {
 		return cmp.Compare(r.Period, period)
 	})
-	if found && !slices.Contains(s.Reports[next].Missing, u.Limiter) {
+	if found && !slices.Contains(s.Reports[index].Missing, u.Limiter) {
 		return true
 	}
-	return reportedLater(s.Reports[next:], u.Limiter, u.Period) || slices.ContainsFunc(s.confirmed, u.isSame)
+	return reportedLater(s.Reports[index:], u.Limiter, u.Period) || slices.ContainsFunc(s.countedUnconfirmed, u.isSame)
 }
 
-// isSame reports whether both are the same usage: no limiter closes a period in which it has usage more than once.
+// isSame reports whether both are the same usage. A limiter closes a period with usage at most once, so that
+// the limiter and the period identify the usage.
 func (u UnconfirmedUsage) isSame(other UnconfirmedUsage) bool {
 	return u.Limiter == other.Limiter && u.Period == other.Period
 }
 
-// isConfirmed reports whether the usage of a limiter in a period is part of the unconfirmed usage that counts.
-func (s *Summary) isConfirmed(limiter int, period uint32) bool {
-	return slices.ContainsFunc(s.confirmed, func(u UnconfirmedUsage) bool {
+// isCountedUnconfirmed reports whether the usage of a limiter in a period is part of the unconfirmed usage that
+// counts.
+func (s *Summary) isCountedUnconfirmed(limiter int, period uint32) bool {
+	return slices.ContainsFunc(s.countedUnconfirmed, func(u UnconfirmedUsage) bool {
 		covered := u.FirstPeriod > 0 && u.FirstPeriod <= period && period < u.Period
 		return u.Limiter == limiter && (u.Period == period || covered)
 	})
--- a/internal/usage/entry.go
+++ b/internal/usage/entry.go
@@ -28,13 +28,13 @@
 // Entry is the usage of one customer on one plan.
 type Entry struct {
 	Key
-	Units uint64 `json:"Units"` // in parts of a unit
+	Units uint64 `json:"Units"` // in parts of a unit, see UnitParts
 }
 
 // toUnitParts converts units to parts of a unit.
 func toUnitParts(units float64) uint64 { return uint64(math.Round(units * UnitParts)) }
 
-// sumByKey sorts entries and adds up those with the same key.
+// sumByKey sorts entries in place by key, and returns them with the units of the same key added up.
 func sumByKey(entries []Entry) (list []Entry) {
 	slices.SortFunc(entries, func(a, b Entry) int { return a.compare(b.Key) })
 	for _, e := range entries {
@@ -49,12 +49,12 @@
 }
 
 // Format of a packed entry: the length of the name in bytes, the name, the plan, and the units as a varint.
-// A name of hexDigits lower-case hexadecimal digits, as customers usually have, is encoded as hexNameFlag
+// A name of hexNameDigits lower-case hexadecimal digits, as customers usually have, is encoded as hexNameFlag
 // and half as many bytes.
 const (
-	maxNameBytes = 64 // see OverflowCustomer
-	hexDigits    = 16
-	hexNameFlag  = byte(0x80)
+	maxNameBytes  = 64 // see OverflowCustomer
+	hexNameDigits = 16
+	hexNameFlag   = byte(0x80)
 )
 
 // pack packs entries into pages. It returns at least one page.
@@ -73,7 +73,7 @@
 
 // append appends the packed entry to data.
 func (e Entry) append(data []byte) []byte {
-	if name, ok := hexName(e.Customer); ok {
+	if name, ok := decodeHexName(e.Customer); ok {
 		data = append(data, hexNameFlag)
 		data = append(data, name...)
 	} else {
@@ -84,9 +84,9 @@
 	return binary.AppendUvarint(data, e.Units)
 }
 
-// hexName decodes a name of hexDigits lower-case hexadecimal digits, and reports whether the name is one.
-func hexName(customer string) (name []byte, ok bool) {
-	if len(customer) != hexDigits {
+// decodeHexName decodes a name of hexNameDigits lower-case hexadecimal digits, and reports whether the name is one.
+func decodeHexName(customer string) (name []byte, ok bool) {
+	if len(customer) != hexNameDigits {
 		return nil, false
 	}
 	name, err := hex.DecodeString(customer)
@@ -98,7 +98,7 @@
 	nameBytes := int(data[0])
 	isHex := data[0] == hexNameFlag
 	if isHex {
-		nameBytes = hexDigits / 2
+		nameBytes = hexNameDigits / 2
 	}
 	if nameBytes > maxNameBytes || len(data) < 1+nameBytes+2 {
 		return e, nil, false
--- a/internal/usage/format_test.go
+++ b/internal/usage/format_test.go
@@ -32,25 +32,25 @@
 	fmt.Fprintf(&b, "%x\n", page.Append(nil))
 	golden.Equal(t, "datagrams.txt", []byte(b.String()))
 
-	var packed [][]byte
+	var datagrams [][]byte
 	for _, line := range strings.Split(strings.TrimSpace(string(golden.Read(t, "datagrams.txt"))), "\n") {
 		data, err := hex.DecodeString(line)
 		if err != nil {
 			t.Fatal(err)
 		}
-		packed = append(packed, data)
+		datagrams = append(datagrams, data)
 	}
 	for i, want := range requests {
-		if got, ok := ParsePageRequest(packed[i]); !ok || got != want {
-			t.Errorf("decoded as %+v, want %+v", got, want)
+		if got, ok := ParsePageRequest(datagrams[i]); !ok || got != want {
+			t.Errorf("request decoded as %+v, want %+v", got, want)
 		}
 	}
-	if got, ok := ParsePendingReport(packed[2]); !ok || got != pending {
-		t.Errorf("decoded as %+v, want %+v", got, pending)
+	if got, ok := ParsePendingReport(datagrams[2]); !ok || got != pending {
+		t.Errorf("pending report decoded as %+v, want %+v", got, pending)
 	}
-	got, ok := ParsePage(packed[3])
+	got, ok := ParsePage(datagrams[3])
 	if !ok || !reflect.DeepEqual(got, page) || !reflect.DeepEqual(unpack(got.Entries), entries) {
-		t.Errorf("decoded as %+v with entries %+v, want %+v", got, unpack(got.Entries), page)
+		t.Errorf("page decoded as %+v with entries %+v, want %+v", got, unpack(got.Entries), page)
 	}
 }
 
@@ -65,6 +65,6 @@
 	golden.Equal(t, "line.json", append(data, '\n'))
 	reports, badLines, err := ReadReports(bytes.NewReader(golden.Read(t, "line.json")))
 	if err != nil || len(badLines) > 0 || len(reports) != 1 || !reflect.DeepEqual(reports[0], report) {
-		t.Errorf("decoded as %+v, bad lines %v, error %v", reports, badLines, err)
+		t.Errorf("line decoded as %+v, bad lines %v, error %v; want the encoded report only", reports, badLines, err)
 	}
 }
--- a/internal/usage/message.go
+++ b/internal/usage/message.go
@@ -54,13 +54,13 @@
 // every version number of the limiters' other messages.
 const (
 	magic             = 'U'
-	kindBytes         = 2  // magic and kind
-	pageRequestBytes  = 19 // of the fields: 4, 2, 4, 8, and 1 for flags
-	pageHeaderBytes   = 16 // of the fields before Entries: 4, 4, 4, 2 and 2
-	closedPeriodBytes = 4  // of ClosedPeriod, which follows them in a page that has it
-	confirmationBytes = 12 // of the fields: 4 and 8
+	prefixBytes       = 2  // magic and kind
+	pageRequestBytes  = 19 // the fields of a PageRequest: 4, 2, 4, 8, and 1 for flags
+	pageHeaderBytes   = 16 // the fields of a Page before Entries: 4, 4, 4, 2 and 2
+	closedPeriodBytes = 4  // ClosedPeriod, which follows them in a page that has it
+	confirmationBytes = 12 // the fields of a Confirmation: 4 and 8
 	maxDatagramBytes  = 256
-	maxPageBytes      = maxDatagramBytes - kindBytes - pageHeaderBytes - closedPeriodBytes - checksum.Size
+	maxPageBytes      = maxDatagramBytes - prefixBytes - pageHeaderBytes - closedPeriodBytes - checksum.Size
 
 	flagKnowsAllReports  = 1 << 0
 	flagMayRepeat        = 1 << 1
@@ -72,8 +72,8 @@
 	kindPageRequest byte = iota
 	kindPage
 	kindPendingReport
-	kindPageWithClosedPeriod // since 0.9.4
-	kindConfirmation         // since 0.9.4
+	kindPageWithClosedPeriod // since release 0.9.4
+	kindConfirmation         // since release 0.9.4
 )
 
 // IsMessage reports whether a datagram is a message of this package.
@@ -82,14 +82,14 @@
 // messageBody returns the fields of a datagram, between its kind and its checksum, and reports whether the
 // datagram is valid and of the given kind.
 func messageBody(data []byte, kind byte) ([]byte, bool) {
-	if len(data) < kindBytes+checksum.Size || len(data) > maxDatagramBytes || data[0] != magic || data[1] != kind {
+	if len(data) < prefixBytes+checksum.Size || len(data) > maxDatagramBytes || data[0] != magic || data[1] != kind {
 		return nil, false
 	}
 	data, ok := checksum.Verify(data)
-	return data[kindBytes:], ok
+	return data[prefixBytes:], ok
 }
 
-// Append appends the datagram of a request to data, which must be empty.
+// Append appends the datagram of a request to data, which must be empty, as the checksum covers all of data.
 func (p PageRequest) Append(data []byte) []byte {
 	flags := byte(0)
 	if p.KnowsAllReports {
@@ -129,7 +129,7 @@
 	}, true
 }
 
-// Append appends the datagram of a reply to data, which must be empty.
+// Append appends the datagram of a reply to data, which must be empty, as the checksum covers all of data.
 func (p PendingReport) Append(data []byte) []byte {
 	data = append(data, magic, kindPendingReport)
 	data = binary.BigEndian.AppendUint32(data, p.Period)
@@ -145,7 +145,7 @@
 	return PendingReport{Period: binary.BigEndian.Uint32(data)}, true
 }
 
-// Append appends the datagram of a confirmation to data, which must be empty.
+// Append appends the datagram of a confirmation to data, which must be empty, as the checksum covers all of data.
 func (c Confirmation) Append(data []byte) []byte {
 	data = append(data, magic, kindConfirmation)
 	data = binary.BigEndian.AppendUint32(data, c.Period)
@@ -162,7 +162,7 @@
 	return Confirmation{Period: binary.BigEndian.Uint32(data), Token: binary.BigEndian.Uint64(data[4:])}, true
 }
 
-// Append appends the datagram of a page to data, which must be empty.
+// Append appends the datagram of a page to data, which must be empty, as the checksum covers all of data.
 func (p Page) Append(data []byte) []byte {
 	kind := kindPage
 	if p.ClosedPeriod > 0 {
--- a/internal/usage/random_test.go
+++ b/internal/usage/random_test.go
@@ -15,7 +15,7 @@
 		tier := randomTier{testTier: newTestTier(t, 4), random: rand.New(rand.NewPCG(seed, 0))}
 		tier.run()
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("failed with seed %d", seed)
 		}
 	}
 }
@@ -27,84 +27,86 @@
 	recorded float64
 }
 
-func (p *randomTier) run() {
+func (tier *randomTier) run() {
 	const rounds = 14
-	p.changeLease(0)
-	p.report(nothingLost)
+	tier.changeLease(0)
+	tier.reportPeriod(nothingLost)
 	for range rounds {
-		p.addUsage()
-		p.maybeHotRestart()
-		p.redeliverRequest()
-		if !p.reportOrCrash() {
-			p.changeLease(Limiter(p.random.IntN(len(p.recorders))))
+		tier.addUsage()
+		tier.maybeHotRestart()
+		tier.redeliverRequest()
+		if !tier.reportOrCrash() {
+			tier.changeLease(Limiter(tier.random.IntN(len(tier.recorders))))
 		}
 	}
-	p.report(nothingLost) // the last lease holder may have crashed and left a period without a report
-	p.changeLease(1)
-	p.report(nothingLost)
-	p.report(nothingLost)
-	for _, fault := range p.check(p.recorded).Faults {
+	tier.reportPeriod(nothingLost) // the last lease holder may have crashed and left a period without a report
+	tier.changeLease(1)
+	tier.reportPeriod(nothingLost)
+	tier.reportPeriod(nothingLost)
+	for _, fault := range tier.checkUnits(tier.recorded).Faults {
 		if strings.Contains(fault, "missing") || strings.Contains(fault, "twice") {
-			p.t.Errorf("%s", fault)
+			tier.t.Errorf("%s", fault)
 		}
 	}
 }
 
-func (p *randomTier) chance(part float64) bool { return p.random.Float64() < part }
+// chance returns true with the given probability.
+func (tier *randomTier) chance(probability float64) bool { return tier.random.Float64() < probability }
 
-func (p *randomTier) addUsage() {
-	for _, r := range p.recorders {
-		for range p.random.IntN(30) {
-			units := float64(1 + p.random.IntN(9))
-			r.Add(Key{fmt.Sprintf("%016x", p.random.IntN(40)), 0}, units)
-			p.recorded += units
+func (tier *randomTier) addUsage() {
+	for _, r := range tier.recorders {
+		for range tier.random.IntN(30) {
+			units := float64(1 + tier.random.IntN(9))
+			r.Add(Key{fmt.Sprintf("%016x", tier.random.IntN(40)), 0}, units)
+			tier.recorded += units
 		}
 	}
 }
 
 // maybeHotRestart hot-restarts a random limiter with a probability of 0.2.
-func (p *randomTier) maybeHotRestart() {
-	if !p.chance(0.2) {
+func (tier *randomTier) maybeHotRestart() {
+	if !tier.chance(0.2) {
 		return
 	}
-	p.hotRestart(p.random.IntN(len(p.recorders)))
+	tier.hotRestart(tier.random.IntN(len(tier.recorders)))
 }
 
 // redeliverRequest delivers an earlier request again with a probability of 0.3; the reply is dropped.
-func (p *randomTier) redeliverRequest() {
-	if len(p.sent) > 0 && p.chance(0.3) {
-		late := p.sent[p.random.IntN(len(p.sent))]
-		p.recorders[late.To].HandleRequest(late.Request)
+func (tier *randomTier) redeliverRequest() {
+	if len(tier.sent) > 0 && tier.chance(0.3) {
+		late := tier.sent[tier.random.IntN(len(tier.sent))]
+		tier.recorders[late.To].HandleRequest(late.Request)
 	}
 }
 
-// reportOrCrash collects and reports one period, and reports whether the lease holder did not crash before the end.
-func (p *randomTier) reportOrCrash() bool {
+// reportOrCrash collects one period and writes its report, while messages to and from the limiters are lost at
+// random. With a probability of 1/4 the lease holder crashes after a random step: reportOrCrash then returns false.
+func (tier *randomTier) reportOrCrash() bool {
 	const steps = 6
-	crashAfter := p.random.IntN(4 * steps)
-	isolated := Limiter(p.random.IntN(4 * len(p.recorders)))
-	loss := p.random.Float64() * 0.5
-	lost := func(to Limiter, _ bool) bool { return to == isolated || p.chance(loss) }
-	c := p.open()
+	crashAfter := tier.random.IntN(4 * steps)
+	isolated := Limiter(tier.random.IntN(4 * len(tier.recorders))) // none with a probability of 3/4
+	loss := tier.random.Float64() * 0.5
+	lost := func(to Limiter, _ bool) bool { return to == isolated || tier.chance(loss) }
+	c := tier.startCollection()
 	if crashAfter == 0 {
 		return false
 	}
-	p.query(c, lost)
+	tier.queryAll(c, lost)
 	if crashAfter == 1 {
 		return false
 	}
-	p.storeMayBeWritten(c)
+	tier.storeMayBeWritten(c)
 	if crashAfter == 2 {
 		return false
 	}
-	p.write(c)
+	tier.write(c)
 	if crashAfter == 3 {
 		return false
 	}
-	p.storeWritten(c)
+	tier.storeWritten(c)
 	if crashAfter == 4 {
 		return false
 	}
-	p.sendConfirmations(c, lost)
+	tier.sendConfirmations(c, lost)
 	return crashAfter != 5
 }
--- a/internal/usage/recorder.go
+++ b/internal/usage/recorder.go
@@ -1,13 +1,14 @@
 // Package usage accounts for the units of the requests that all limiters of a tier forwarded, per customer and
-// plan. It divides time into periods. Each period has one report, written by the holder of the task's lease. The
-// package does no I/O, reads no clock and starts no goroutine.
+// plan. It divides time into periods. Each period has one report, written by the lease holder of the usage task.
+// The package does no I/O, reads no clock and starts no goroutine.
 //
 // Each limiter has a Recorder. The lease holder collects the usage of all of them, one page at a time, with a
 // Collector. The first request for a period closes it at a limiter, so that each unit is in one period of its
-// limiter, regardless of the clocks. A closed period is kept until a report that includes it is known to be
-// written; otherwise it becomes part of the next period. Only the lease holder that collected a period knows
-// whether the report was written. If the lease has changed hands since, the period is sent along with the
-// next one as unconfirmed usage, and Merge, which reads all reports, decides whether it counts.
+// limiter, regardless of the clocks. A closed period is kept at least until a report that includes it is known to
+// be written. If it is known to be in no report when the next period is closed, it becomes part of that period.
+// Only the lease holder that collected a period knows whether the report was written. If the lease has changed
+// hands since, the period is sent along with the next one as unconfirmed usage, and Merge, which reads all
+// reports, decides whether it counts.
 //
 // A period is identified by its number: the wall clock of the lease holder that begins to collect it, divided
 // by the length of a period, or one more than the last period's number if that is greater. 0 means no period.
@@ -22,12 +23,12 @@
 // NewRecorder returns one.
 type Recorder struct {
 	incarnation uint32
-	open        map[Key]uint64 // in parts of a unit
-	closed      *closedPeriod  // the last one, while it is not known to be in a report; nil for none
-	delivery    delivery       // of closed
-	lastClosed  uint32         // the last period closed by this incarnation; 0 for none
-	token       uint64         // the greatest fencing token of a request
-	unconfirmed unconfirmed    // periods closed before closed
+	open        map[Key]uint64     // in parts of a unit
+	closed      *closedPeriod      // the last closed period, while its pages are kept; nil for none
+	delivery    delivery           // of closed
+	lastClosed  uint32             // the last period closed by this incarnation; 0 for none
+	token       uint64             // the greatest fencing token of a request
+	unconfirmed unconfirmedPeriods // periods closed before closed
 
 	// Usage that both processes of a limiter have during a hot restart, of which only one may report it.
 	handedOver      []Entry // open usage that the successor has too; nil for none
@@ -57,15 +58,15 @@
 // that may have to be reported first. It does not reply to a request from a former lease holder, nor to one
 // for a period that was closed and is no longer kept.
 func (r *Recorder) HandleRequest(p PageRequest) (reply []byte, ok bool) {
-	reply, complete, ok := r.handle(p)
-	if complete {
-		r.delivery.record(p)
+	reply, isLastPage, ok := r.handle(p)
+	if isLastPage {
+		r.delivery.recordSent(p)
 	}
 	return reply, ok
 }
 
 // HandleOwnRequest is HandleRequest for a request that this limiter makes as the lease holder. The pages
-// leave the limiter only in a report: the caller calls MarkSent before it has one written.
+// leave the limiter only in a report: the caller calls MarkSent before it has the report written.
 func (r *Recorder) HandleOwnRequest(p PageRequest) (reply []byte, ok bool) {
 	reply, _, ok = r.handle(p)
 	return reply, ok
@@ -74,20 +75,20 @@
 // MarkSent records that the pages that a collector got from HandleOwnRequest may be in a report from now on.
 func (r *Recorder) MarkSent(c *Collector) {
 	if r.closed != nil && r.closed.Period == c.Period {
-		r.delivery.record(PageRequest{Token: c.Token, MayRepeat: c.MayRepeat, TakesUnconfirmed: true})
+		r.delivery.recordSent(PageRequest{Token: c.Token, MayRepeat: c.MayRepeat, TakesUnconfirmed: true})
 	}
 }
 
 // HandleConfirmation marks the closed period as reported, if the sender knows that for certain. The pages are
-// kept until the next period is closed: if all acceptors lose their state, the pages are requested again.
+// kept until the next period is closed: a lease holder requests them again if all acceptors lose their state.
 func (r *Recorder) HandleConfirmation(c Confirmation) {
 	if r.closed != nil && r.closed.Period == c.Period && r.delivery.isKnownTo(c.Token) {
 		r.setReported()
 	}
 }
 
-// handle returns the reply to a request, and whether it is the last page.
-func (r *Recorder) handle(p PageRequest) (reply []byte, complete, ok bool) {
+// handle returns the reply to a request, and whether the reply is the last page of the period.
+func (r *Recorder) handle(p PageRequest) (reply []byte, isLastPage, ok bool) {
 	if p.Token < r.token { // from a former lease holder
 		return nil, false, false
 	}
@@ -105,18 +106,19 @@
 	return r.reply(p)
 }
 
-// updateClosed updates the closed period with what the sender of a request knows of it, if the sender knows
-// that for certain. Any other lease holder counts all limiters as reported up to the last period known to be
-// written, although some may be missing in that report.
+// updateClosed drops or updates the closed period according to ReportedUpTo of a request, if the sender knows
+// for certain whether the period is reported. ReportedUpTo of any other lease holder does not show this: it
+// counts all limiters as reported up to the last period known to be written, although some may be missing in
+// that report.
 func (r *Recorder) updateClosed(p PageRequest) {
 	if r.closed == nil || !r.delivery.isKnownTo(p.Token) {
 		return
 	}
 	switch {
-	case r.closed.Period <= p.ReportedUpTo: // a report has it
+	case r.closed.Period <= p.ReportedUpTo: // a report includes it
 		r.setReported()
 		r.closed = nil
-	case r.closed.Period < p.Period && !r.delivery.reported: // no report has it
+	case r.closed.Period < p.Period && !r.delivery.reported: // no report includes it
 		r.delivery = delivery{}
 	}
 }
@@ -136,7 +138,7 @@
 }
 
 // reply returns the requested page of the closed period, and whether it is the last one.
-func (r *Recorder) reply(p PageRequest) (reply []byte, complete, ok bool) {
+func (r *Recorder) reply(p PageRequest) (reply []byte, isLastPage, ok bool) {
 	c := r.closed
 	if c != nil && c.Period > p.Period { // the usage of p.Period is part of it, unconfirmed, or in a report
 		return PendingReport{c.Period}.Append(nil), false, true
@@ -144,7 +146,7 @@
 	if c == nil || c.Period != p.Period { // no longer kept
 		return nil, false, false
 	}
-	var earlier unconfirmed
+	var earlier unconfirmedPeriods
 	if p.TakesUnconfirmed {
 		earlier = r.unconfirmed
 	}
@@ -185,7 +187,8 @@
 	return entries
 }
 
-// UnreportedUnits returns the units that are in no report, if periods up to reportedUpTo are reported.
+// UnreportedUnits returns the open units, and the units of the closed period if that is after reportedUpTo, the last
+// period that is in a report. Unconfirmed usage is not included.
 func (r *Recorder) UnreportedUnits(reportedUpTo uint32) float64 {
 	var sum uint64
 	for _, units := range r.open {
--- a/internal/usage/recorder_state.go
+++ b/internal/usage/recorder_state.go
@@ -8,11 +8,11 @@
 	r.incarnation, r.lastClosed, r.closed = incarnation, 0, nil
 }
 
-// RecorderState is the state of a recorder, for another process of the same limiter. The tags are a format
+// RecorderState is the state of a recorder, for another process of the same limiter. The JSON keys are a format
 // that processes of other releases read.
 type RecorderState struct {
 	Incarnation uint32        `json:"Life"`
-	Last        uint32        `json:"Last"` // the last closed period
+	LastClosed  uint32        `json:"Last"` // the last closed period
 	Token       uint64        `json:"Token"`
 	Open        []Entry       `json:"Open"`
 	Closed      *closedPeriod `json:"Closed"`
@@ -26,7 +26,7 @@
 // State returns the state of the recorder, and records its open usage as handed over.
 func (r *Recorder) State() *RecorderState {
 	s := &RecorderState{
-		Incarnation: r.incarnation, Last: r.lastClosed, Token: r.token, Closed: r.closed,
+		Incarnation: r.incarnation, LastClosed: r.lastClosed, Token: r.token, Closed: r.closed,
 		ClosedReported: r.delivery.reported, Unconfirmed: r.unconfirmed,
 	}
 	s.Open = sumByKey(r.openEntries())
@@ -45,9 +45,9 @@
 	if s == nil {
 		return
 	}
-	r.incarnation, r.lastClosed, r.token, r.closed = s.Incarnation, s.Last, s.Token, s.Closed
+	r.incarnation, r.lastClosed, r.token, r.closed = s.Incarnation, s.LastClosed, s.Token, s.Closed
 	r.unconfirmed = s.Unconfirmed
-	r.delivery = delivery{sent: true, reported: s.ClosedReported} // sent by the other process, as far as this one knows
+	r.delivery = delivery{sent: true, reported: s.ClosedReported} // the other process may have sent it
 	for _, e := range s.Open {
 		r.open[e.Key] += e.Units
 	}
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -8,17 +8,17 @@
 	"io"
 )
 
-// maxLineBytes is the maximum length of a line of a usage file.
+// maxLineBytes is the maximum length of a line of a usage file; it bounds the buffer of ReadReports.
 const maxLineBytes = 64 << 20
 
-// Report is the usage of a period: one line of a usage file. Operators' scripts read the tags that differ from
-// the names of their fields.
+// Report is the usage of a period: one line of a usage file. Operators' scripts read the JSON keys, which are kept
+// even where they differ from the names of the fields.
 type Report struct {
 	Period    uint32 `json:"period"`
 	Previous  uint32 `json:"after"`           // the previous period; 0 if unknown
 	Token     uint64 `json:"token"`           // fencing token of the lease holder
 	Limiter   int    `json:"limiter"`         // limiter that wrote the report
-	At        string `json:"at"`              // time of the report, by that limiter's wall clock
+	At        string `json:"at"`              // time of the report by that limiter's wall clock: RFC 3339, UTC
 	MayRepeat bool   `json:"again,omitempty"` // see Collector.MayRepeat
 	// Missing are the limiters whose usage is not in this report, because they did not reply in time or had
 	// closed another period. A later report may include it, see Since.
@@ -52,7 +52,8 @@
 	Units    float64 `json:"units"`
 }
 
-// customerUsage converts entries. plans are the names of the plans by number.
+// customerUsage converts entries to the form of a report. plans are the names of the plans by number; the name
+// of any other plan is empty.
 func customerUsage(entries []Entry, plans []string) []CustomerUsage {
 	list := make([]CustomerUsage, 0, len(entries))
 	for _, e := range entries {
--- a/internal/usage/summary.go
+++ b/internal/usage/summary.go
@@ -14,17 +14,17 @@
 	Usage   []CustomerUsage // total usage in them
 	Faults  []string        // what is missing, uncertain or reported twice, one line each
 
-	Duplicates []string           // the Faults about a period with two reports without MayRepeat
-	confirmed  []UnconfirmedUsage // unconfirmed usage of Reports that counts, as no other report includes it
+	Duplicates         []string           // the Faults about a period with two reports without MayRepeat
+	countedUnconfirmed []UnconfirmedUsage // unconfirmed usage of Reports that counts, as no other report includes it
 }
 
-// Merge merges the reports of all files. One report of each period counts: one without MayRepeat takes
-// precedence over one with it, then the one with the lowest token. A second report without MayRepeat is a
+// Merge merges reports, which may be from several files. One report of each period counts: one without MayRepeat
+// takes precedence over one with it, then the one with the lowest token. A second report without MayRepeat is a
 // fault. The unconfirmed usage of a report that counts is added once if no report that counts includes it.
 func Merge(reports []Report) Summary {
 	var s Summary
 	s.addReports(reports)
-	s.confirmUsage()
+	s.countUnconfirmed()
 	for i := range s.Reports {
 		s.checkPrevious(i)
 		s.checkMissing(i)
@@ -80,21 +80,22 @@
 	if index == 0 {
 		return
 	}
-	r, before := s.Reports[index], s.Reports[index-1]
+	r, preceding := s.Reports[index], s.Reports[index-1]
 	switch r.Previous {
 	case 0:
 		s.addFault("before period %d: unknown whether lines are missing", r.Period)
-	case before.Period:
+	case preceding.Period:
 	default:
-		s.addFault("between periods %d and %d: a line is missing: the report of period %d follows that of period %d", before.Period, r.Period, r.Period, r.Previous)
+		s.addFault("between periods %d and %d: a line is missing: the report of period %d follows that of period %d", preceding.Period, r.Period, r.Period, r.Previous)
 	}
 }
 
-// checkMissing checks that the usage of limiters missing in a report is in a later report or confirmed.
+// checkMissing checks that the usage of limiters missing in a report is in a later report, or is unconfirmed usage
+// that counts.
 func (s *Summary) checkMissing(index int) {
 	r := s.Reports[index]
 	for _, limiter := range r.Missing {
-		if !reportedLater(s.Reports[index+1:], limiter, r.Period) && !s.isConfirmed(limiter, r.Period) {
+		if !reportedLater(s.Reports[index+1:], limiter, r.Period) && !s.isCountedUnconfirmed(limiter, r.Period) {
 			s.addFault("period %d: limiter %d is missing", r.Period, limiter)
 		}
 	}
@@ -116,9 +117,9 @@
 	s.addFault("period %d: limiter %d restarted, its unreported usage from before the restart is lost", period, limiter)
 }
 
-// reportedLater reports whether the usage of a limiter in a period is in the next report that has the
-// limiter. A report with MayRepeat may have an empty page of the limiter, whose usage is kept for a later
-// report.
+// reportedLater reports whether the usage of a limiter in a period is in the next of reports that includes the
+// limiter. It skips a report with MayRepeat that may have only an empty page of the limiter, whose usage is kept
+// for a later report.
 func reportedLater(reports []Report, limiter int, period uint32) bool {
 	for _, r := range reports {
 		if slices.Contains(r.Missing, limiter) {
@@ -133,7 +134,7 @@
 	return false
 }
 
-// sumUsage adds up the usage in the reports and the confirmed usage, by customer and plan.
+// sumUsage adds up the usage in the reports and the unconfirmed usage that counts, by customer and plan.
 func (s *Summary) sumUsage() (list []CustomerUsage) {
 	type key struct{ customer, plan string }
 	units := map[key]float64{}
@@ -145,7 +146,7 @@
 	for _, r := range s.Reports {
 		add(r.Usage)
 	}
-	for _, u := range s.confirmed {
+	for _, u := range s.countedUnconfirmed {
 		add(u.Usage)
 	}
 	for k, sum := range units {
--- a/internal/usage/unconfirmed_test.go
+++ b/internal/usage/unconfirmed_test.go
@@ -11,18 +11,18 @@
 // The last page of a limiter is lost, so the limiter is missing in the report, and the lease changes hands:
 // a later report includes its usage.
 func TestUsageOfLostLastPageIsReported(t *testing.T) {
-	p := newTestTier(t, 2)
-	p.changeLease(0)
-	p.report(nothingLost)
-	for _, r := range p.recorders {
+	tier := newTestTier(t, 2)
+	tier.changeLease(0)
+	tier.reportPeriod(nothingLost)
+	for _, r := range tier.recorders {
 		r.Add(Key{"c", 0}, 21)
 	}
-	p.report(repliesLost(1))
-	p.recorders[1].Add(Key{"c", 0}, 5)
-	p.changeLease(0)
-	p.report(cutOff(1))
-	p.report(nothingLost)
-	if s := p.check(21 + 21 + 5); len(s.Faults) > 0 {
+	tier.reportPeriod(repliesLost(1))
+	tier.recorders[1].Add(Key{"c", 0}, 5)
+	tier.changeLease(0)
+	tier.reportPeriod(allMessagesLost(1))
+	tier.reportPeriod(nothingLost)
+	if s := tier.checkUnits(21 + 21 + 5); len(s.Faults) > 0 {
 		t.Errorf("faults %q, want none", s.Faults)
 	}
 }
@@ -30,58 +30,58 @@
 // A lease holder crashes after it received all pages of a limiter and before its report is written. The limiter
 // is missing in the report that replaces it, and the lease changes hands again: a later report includes its usage.
 func TestUsageOfReportNeverWrittenIsReported(t *testing.T) {
-	p := newTestTier(t, 2)
-	for _, r := range p.recorders {
+	tier := newTestTier(t, 2)
+	for _, r := range tier.recorders {
 		r.Add(Key{"c", 0}, 136)
 	}
-	p.changeLease(0)
-	c := p.open()
-	p.query(c, nothingLost)
-	p.storeMayBeWritten(c)
-	p.changeLease(0)
-	p.report(cutOff(1))
-	p.changeLease(0)
-	p.report(nothingLost)
-	if s := p.check(2 * 136); len(s.Faults) > 0 {
+	tier.changeLease(0)
+	c := tier.startCollection()
+	tier.queryAll(c, nothingLost)
+	tier.storeMayBeWritten(c)
+	tier.changeLease(0)
+	tier.reportPeriod(allMessagesLost(1))
+	tier.changeLease(0)
+	tier.reportPeriod(nothingLost)
+	if s := tier.checkUnits(2 * 136); len(s.Faults) > 0 {
 		t.Errorf("faults %q, want none", s.Faults)
 	}
 }
 
-// A lease holder writes its report and is cut off before the acceptors know of it. It is missing in the repeated
-// report of the next lease holder, and its usage must not be counted twice.
+// A lease holder writes its report, and loses contact with all others before the acceptors know of the report. It is
+// missing in the repeated report of the next lease holder, and its usage must not be counted twice.
 func TestUsageMissingInRepeatedReportIsReportedOnce(t *testing.T) {
-	p := newTestTier(t, 2)
-	for _, r := range p.recorders {
+	tier := newTestTier(t, 2)
+	for _, r := range tier.recorders {
 		r.Add(Key{"c", 0}, 43)
 	}
-	p.changeLease(0)
-	c := p.open()
-	p.query(c, nothingLost)
-	p.storeMayBeWritten(c)
-	p.write(c)
-	p.changeLease(1)
-	p.report(cutOff(0))
-	p.report(nothingLost)
-	if s := p.check(2 * 43); len(s.Faults) > 0 || len(p.reports[2].Unconfirmed) != 2 {
-		t.Errorf("faults %q, want none; want unconfirmed usage of 2 limiters in the third of the reports %+v", s.Faults, p.reports)
+	tier.changeLease(0)
+	c := tier.startCollection()
+	tier.queryAll(c, nothingLost)
+	tier.storeMayBeWritten(c)
+	tier.write(c)
+	tier.changeLease(1)
+	tier.reportPeriod(allMessagesLost(0))
+	tier.reportPeriod(nothingLost)
+	if s := tier.checkUnits(2 * 43); len(s.Faults) > 0 || len(tier.reports[2].Unconfirmed) != 2 {
+		t.Errorf("faults %q, want none; want unconfirmed usage of 2 limiters in the third of the reports %+v", s.Faults, tier.reports)
 	}
 }
 
 // A lease holder that keeps the lease knows which usage its reports include: limiters send no usage as
-// unconfirmed, not even one that was missing in a report.
+// unconfirmed, not even usage that was missing in a report.
 func TestUsageIsConfirmedUnderOneLease(t *testing.T) {
-	p := newTestTier(t, 2)
-	p.changeLease(0)
+	tier := newTestTier(t, 2)
+	tier.changeLease(0)
 	for range 3 {
-		p.recorders[1].Add(Key{"c", 0}, 2)
-		p.report(repliesLost(1))
-		p.recorders[1].Add(Key{"c", 0}, 3)
-		p.report(nothingLost)
+		tier.recorders[1].Add(Key{"c", 0}, 2)
+		tier.reportPeriod(repliesLost(1))
+		tier.recorders[1].Add(Key{"c", 0}, 3)
+		tier.reportPeriod(nothingLost)
 	}
-	p.check(15)
-	for _, r := range p.reports {
+	tier.checkUnits(15)
+	for _, r := range tier.reports {
 		if len(r.Unconfirmed) > 0 {
-			t.Errorf("report with unconfirmed usage: %+v", r)
+			t.Errorf("report %+v, want no unconfirmed usage in it", r)
 		}
 	}
 }
@@ -89,22 +89,22 @@
 // When the lease changes hands between two periods, confirmed usage is not sent again, not even after a hot
 // restart. A limiter that received no confirmation sends its usage again.
 func TestConfirmedUsageIsNotSentAgain(t *testing.T) {
-	p := newTestTier(t, 3)
-	for _, r := range p.recorders {
+	tier := newTestTier(t, 3)
+	for _, r := range tier.recorders {
 		r.Add(Key{"c", 0}, 4)
 	}
-	p.changeLease(0)
-	c := p.open()
-	p.query(c, nothingLost)
-	p.storeMayBeWritten(c)
-	p.write(c)
-	p.storeWritten(c)
-	p.sendConfirmations(c, cutOff(2))
-	p.hotRestart(1)
-	p.changeLease(1)
-	p.report(nothingLost)
-	p.check(3 * 4)
-	if u := p.reports[1].Unconfirmed; len(u) != 1 || u[0].Limiter != 2 {
+	tier.changeLease(0)
+	c := tier.startCollection()
+	tier.queryAll(c, nothingLost)
+	tier.storeMayBeWritten(c)
+	tier.write(c)
+	tier.storeWritten(c)
+	tier.sendConfirmations(c, allMessagesLost(2))
+	tier.hotRestart(1)
+	tier.changeLease(1)
+	tier.reportPeriod(nothingLost)
+	tier.checkUnits(3 * 4)
+	if u := tier.reports[1].Unconfirmed; len(u) != 1 || u[0].Limiter != 2 {
 		t.Errorf("unconfirmed usage %+v, want that of limiter 2 only", u)
 	}
 }
@@ -117,24 +117,24 @@
 	c := newTestCollector(5, 0, []uint32{0})
 	reply, _ := r.HandleRequest(PageRequest{Period: 5, Token: c.Token})
 	c.Tick(time.Second)
-	c.Tick(time.Second + 2*queryRetryInterval) // without a reply to the first query
+	c.Tick(time.Second + 2*queryRetryInterval) // no reply to the first query: the limiter may run 0.9.3
 	c.HandleMessage(0, reply)
 	if !c.Complete() || len(c.ToConfirm()) > 0 {
-		t.Errorf("limiters to confirm: %v, want none after a complete collection", c.ToConfirm())
+		t.Errorf("limiters to confirm: %v; want none, and a complete collection", c.ToConfirm())
 	}
 	for _, other := range []Confirmation{{Period: 5, Token: c.Token + 1}, {Period: 4, Token: c.Token}} {
 		if r.HandleConfirmation(other); r.delivery.reported {
-			t.Errorf("confirmation %+v was accepted", other)
+			t.Errorf("confirmation %+v was accepted, want it ignored", other)
 		}
 	}
 	if r.HandleConfirmation(c.Confirmation()); !r.delivery.reported {
 		t.Error("the confirmation of the lease holder was not accepted")
 	}
 	for _, later := range []PageRequest{{Period: 5, Token: 20}, {Period: 6, Token: 20, KnowsAllReports: true}} {
-		r.HandleRequest(later) // all acceptors have lost their state, and the period is collected again
+		r.HandleRequest(later) // all acceptors have lost their state: period 5 is requested again
 	}
 	if units := r.UnreportedUnits(0); units != 0 || len(r.unconfirmed) > 0 {
-		t.Errorf("%v units unreported and %d periods unconfirmed after the confirmation, want none", units, len(r.unconfirmed))
+		t.Errorf("%v units unreported and %d periods unconfirmed after the confirmation, want 0 of both", units, len(r.unconfirmed))
 	}
 	repeated := NewCollector(6, 5, []uint32{5}, true, c.Token, time.Millisecond, 0)
 	repeated.Token = 21
@@ -147,25 +147,25 @@
 // A limiter keeps unconfirmed usage until a report that counts includes it, however often the lease changes
 // hands, and no longer. It keeps at most maxUnconfirmedPeriods; the summary then says which usage is missing.
 func TestUnconfirmedUsageIsBounded(t *testing.T) {
-	p := newTestTier(t, 2)
-	p.changeLease(0)
-	p.report(nothingLost)
+	tier := newTestTier(t, 2)
+	tier.changeLease(0)
+	tier.reportPeriod(nothingLost)
 	const periods = maxUnconfirmedPeriods + 3
 	for range periods {
-		p.recorders[1].Add(Key{"c", 0}, 1)
-		p.changeLease(0)
-		p.report(repliesLost(1))
+		tier.recorders[1].Add(Key{"c", 0}, 1)
+		tier.changeLease(0)
+		tier.reportPeriod(repliesLost(1))
 	}
-	if count := len(p.recorders[1].unconfirmed); count != maxUnconfirmedPeriods {
+	if count := len(tier.recorders[1].unconfirmed); count != maxUnconfirmedPeriods {
 		t.Errorf("%d unconfirmed periods kept, want %d", count, maxUnconfirmedPeriods)
 	}
-	p.changeLease(0)
-	p.report(nothingLost)
-	p.report(nothingLost)
-	if kept := p.recorders[1].unconfirmed; len(kept) > 0 {
-		t.Errorf("unconfirmed usage kept after it was reported: %+v", kept)
+	tier.changeLease(0)
+	tier.reportPeriod(nothingLost)
+	tier.reportPeriod(nothingLost)
+	if kept := tier.recorders[1].unconfirmed; len(kept) > 0 {
+		t.Errorf("unconfirmed usage %+v still kept after it was reported, want none", kept)
 	}
-	if s := p.check(maxUnconfirmedPeriods); len(s.Faults) != periods-maxUnconfirmedPeriods {
+	if s := tier.checkUnits(maxUnconfirmedPeriods); len(s.Faults) != periods-maxUnconfirmedPeriods {
 		t.Errorf("faults %q, want one for each dropped period", s.Faults)
 	}
 }
@@ -174,7 +174,7 @@
 // it: a lease holder of 0.9.3 gets only pages of the kind it knows, and the usage is kept for a later one.
 func TestUnconfirmedUsageIsKeptForHolderThatTakesIt(t *testing.T) {
 	r := NewRecorder(1)
-	addMany := func(units float64) {
+	addToManyCustomers := func(units float64) {
 		for i := range 100 {
 			r.Add(Key{strings.Repeat("n", 40) + fmt.Sprint(i), 0}, units)
 		}
@@ -185,7 +185,7 @@
 			reply, _ := r.HandleRequest(request)
 			page, ok := ParsePage(reply)
 			if !ok || page.ClosedPeriod != 0 || page.Page != request.Page {
-				t.Fatalf("request for page %d without unconfirmed usage: reply %+v, decoded: %v", request.Page, page, ok)
+				t.Fatalf("request for page %d without unconfirmed usage: reply %+v, decoded: %v; want that page without ClosedPeriod", request.Page, page, ok)
 			}
 			for _, e := range unpack(page.Entries) {
 				units += float64(e.Units) / UnitParts
@@ -194,15 +194,15 @@
 		}
 		return units
 	}
-	addMany(1)
+	addToManyCustomers(1)
 	if units := collectWithoutUnconfirmed(PageRequest{Period: 5, Token: 1}); units != 100 {
 		t.Fatalf("period 5: %v units, want 100", units)
 	}
-	addMany(2)
+	addToManyCustomers(2)
 	if units := collectWithoutUnconfirmed(PageRequest{Period: 6, ReportedUpTo: 5, Token: 2}); units != 200 {
 		t.Errorf("period 6: %v units, want 200", units)
 	}
-	addMany(3)
+	addToManyCustomers(3)
 	if units := collectWithoutUnconfirmed(PageRequest{Period: 7, ReportedUpTo: 6, Token: 2}); units != 300 {
 		t.Errorf("period 7: %v units, want 300", units)
 	}
@@ -223,7 +223,7 @@
 	}
 }
 
-// A limiter of 0.9.3 does not reply to a request for unconfirmed usage: the next request is without it.
+// A limiter of 0.9.3 does not reply to a request with TakesUnconfirmed: the next request does not have it set.
 func TestLimiterThatIgnoresUnconfirmedUsage(t *testing.T) {
 	r := NewRecorder(1)
 	for i := range 60 { // several pages
@@ -249,8 +249,8 @@
 	}
 }
 
-// The reply to the first request arrives after the second request, which is meant for limiters of 0.9.3, was
-// sent: the collector continues with unconfirmed usage.
+// The reply to the first request arrives after the second request, which has TakesUnconfirmed unset for limiters of
+// 0.9.3, was sent: the collector sets it again in further requests and gets the unconfirmed usage.
 func TestLateReplyWithUnconfirmedUsage(t *testing.T) {
 	r := NewRecorder(1)
 	r.Add(Key{"c", 0}, 1)
@@ -271,7 +271,7 @@
 	}
 }
 
-// Unconfirmed usage counts once, and not if a report that counts has it.
+// Unconfirmed usage counts once, and does not count if a report that counts includes it.
 func TestMergeUnconfirmed(t *testing.T) {
 	usage := func(units float64) []CustomerUsage { return []CustomerUsage{{"c", "gold", units}} }
 	unconfirmed := func(limiter int, first, period uint32, units float64) UnconfirmedUsage {
@@ -304,6 +304,6 @@
 		"period 3: limiter 3 is missing",
 	}
 	if !slices.Equal(s.Faults, want) {
-		t.Errorf("unexpected faults %q", s.Faults)
+		t.Errorf("faults %q, want exactly the three listed above", s.Faults)
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Messages that are decoded encode to the same bytes, and a datagram with a wrong byte is not decoded.
+// Decoded messages encode to the bytes they were decoded from, and a datagram with a changed byte is not decoded.
 func FuzzMessages(f *testing.F) {
 	r := NewRecorder(7)
 	r.Add(Key{"00000000000000ff", 2}, 1.5)
 	r.Add(Key{"a name that is no number", 0}, 1e6)
 	page, ok := r.HandleRequest(PageRequest{Period: 3, Token: 9})
 	if p, isPage := ParsePage(page); !ok || !isPage || p.Incarnation != 7 || p.Pages != 1 || len(unpack(p.Entries)) != 2 || len(page) > maxDatagramBytes {
-		f.Fatalf("page %+v, decoded: %v, %d bytes", p, isPage, len(page))
+		f.Fatalf("page %+v, decoded: %v, of %d bytes; want 2 entries of incarnation 7 in a single page of at most 256 bytes", p, isPage, len(page))
 	}
 	for _, data := range [][]byte{
 		page,
@@ -36,7 +36,7 @@
 			_, isPending := ParsePendingReport(changed)
 			_, isConfirmation := ParseConfirmation(changed)
 			if isRequest || isPage || isPending || isConfirmation {
-				f.Errorf("change of byte %d not detected", i)
+				f.Errorf("change of byte %d not detected, want no message decoded", i)
 			}
 		}
 	}
@@ -59,7 +59,8 @@
 	})
 }
 
-// collect makes a collector query recorders until it is complete. lost decides whether a reply is lost.
+// collect makes a collector query recorders until it is complete, and returns its report. Each reply arrives twice.
+// lost decides whether the replies of the n-th tick are lost.
 func collect(t *testing.T, c *Collector, recorders []*Recorder, lost func(n int) bool) Report {
 	t.Helper()
 	now := time.Second
@@ -81,6 +82,7 @@
 
 func neverLost(int) bool { return false }
 
+// newTestCollector returns a collector with the token 9 that sends a query every millisecond.
 func newTestCollector(period, previous uint32, reportedUpTo []uint32) *Collector {
 	return NewCollector(period, previous, reportedUpTo, false, 9, time.Millisecond, 0)
 }
@@ -106,10 +108,11 @@
 	c := newTestCollector(5, 0, reported)
 	report := collect(t, c, recorders, func(n int) bool { return n%3 == 0 })
 	if sumOfUnits(report) != 3*300*1.25 || len(report.Usage) != 600 || !slices.Equal(report.Restarted, []int{0, 1, 2}) || report.Missing != nil {
-		t.Errorf("%v units in %d entries, restarted %v, missing %v", sumOfUnits(report), len(report.Usage), report.Restarted, report.Missing)
+		t.Errorf("%v units, want 1125; %d entries, want 600; restarted %v, want limiters 0 to 2; missing %v, want none", sumOfUnits(report), len(report.Usage), report.Restarted, report.Missing)
 	}
 	reported = c.Reported()
 
+	// The next period: no limiter restarts and nothing is lost.
 	for _, r := range recorders {
 		r.Add(Key{"x", 0}, 2)
 	}
@@ -120,7 +123,8 @@
 	}
 	reported = c.Reported()
 
-	for i := range 100 { // several pages, and a new incarnation after the first
+	// Limiter 1 restarts after it sent the first of several pages.
+	for i := range 100 {
 		recorders[1].Add(Key{fmt.Sprintf("%016x", i), 0}, 1)
 	}
 	c = newTestCollector(7, 6, reported)
@@ -133,6 +137,7 @@
 	}
 	reported = c.Reported()
 
+	// Limiter 2 replies too late, so that the next report has its usage.
 	recorders[2].Add(Key{"z", 0}, 5)
 	c = newTestCollector(9, 7, reported)
 	c.markMissing(&c.sources[2]) // it did not reply in time, though it received the request
@@ -146,13 +151,14 @@
 		t.Errorf("report %+v, want 5 units, those of limiter 2 since period 8", report)
 	}
 
-	recorders[0].Add(Key{"w", 0}, 6) // must not go into a report that may repeat an earlier one
+	// Open usage must not go into a report that may repeat an earlier one.
+	recorders[0].Add(Key{"w", 0}, 6)
 	c = NewCollector(11, 9, []uint32{10, 10, 10}, true, 9, time.Millisecond, 0)
 	if report = collect(t, c, recorders, neverLost); sumOfUnits(report) != 0 || report.Missing != nil || recorders[0].UnreportedUnits(11) != 6 {
 		t.Errorf("report %+v, want no units and no limiter missing; %v units unreported, want 6", report, recorders[0].UnreportedUnits(11))
 	}
 	if _, ok := recorders[0].HandleRequest(PageRequest{Period: 11, Token: 8}); ok {
-		t.Error("replied to a former lease holder")
+		t.Error("reply to a request of a former lease holder, want none")
 	}
 }
 
@@ -165,7 +171,7 @@
 	r.Add(Key{strings.Repeat("n", maxNameBytes+1), 0}, 1)
 	overflow := r.open[Key{OverflowCustomer, 0}]
 	if len(r.open) != maxKeys+1 || overflow != 51*UnitParts || r.UnreportedUnits(0) != maxKeys+51 {
-		t.Errorf("%d keys, overflow %d", len(r.open), overflow)
+		t.Errorf("%d keys, want 65537; overflow of %d parts of a unit, want 51000; or not 65587 unreported units", len(r.open), overflow)
 	}
 }
 
@@ -187,17 +193,17 @@
 	}
 	want := []string{"period 7: reported twice", "period 2: limiter 1 is missing", "a line is missing: the report of period 6 follows that of period 5", "limiter 0 restarted"}
 	if len(s.Faults) != len(want) {
-		t.Errorf("unexpected number of faults: %q", s.Faults)
+		t.Errorf("faults %q, want 4", s.Faults)
 	}
-	for _, w := range want {
-		if !strings.Contains(strings.Join(s.Faults, "\n"), w) {
-			t.Errorf("fault %q not found in %q", w, s.Faults)
+	for _, fault := range want {
+		if !strings.Contains(strings.Join(s.Faults, "\n"), fault) {
+			t.Errorf("fault %q not found in %q", fault, s.Faults)
 		}
 	}
 	data, _ := json.Marshal(reports[1])
-	back, badLines, err := ReadReports(strings.NewReader(string(data) + "\n\n" + string(data[:20])))
-	if err != nil || len(back) != 1 || !slices.Equal(badLines, []int{3}) || Merge(back).Faults == nil {
-		t.Errorf("reports %+v, bad lines %v, error %v; want one report with faults, and line 3 bad", back, badLines, err)
+	decoded, badLines, err := ReadReports(strings.NewReader(string(data) + "\n\n" + string(data[:20])))
+	if err != nil || len(decoded) != 1 || !slices.Equal(badLines, []int{3}) || Merge(decoded).Faults == nil {
+		t.Errorf("reports %+v, bad lines %v, error %v; want one report with faults, and line 3 bad", decoded, badLines, err)
 	}
 }
 
@@ -227,15 +233,15 @@
 	}
 }
 
-// A limiter is missing in a report and the lease then changes hands: the new lease holder counts every limiter as
-// reported. A period that was never sent completely must be kept nevertheless.
+// A limiter sends a part of a period, and the lease then changes hands: the new lease holder counts every limiter as
+// reported. The limiter must keep the period nevertheless, as it was never sent completely.
 func TestUnsentPeriodIsKept(t *testing.T) {
 	r := NewRecorder(1)
 	for i := range 60 { // several pages
 		r.Add(Key{fmt.Sprintf("%016x", i), 0}, 2)
 	}
 	if page, _ := r.HandleRequest(PageRequest{Period: 1202, Token: 1, KnowsAllReports: true}); len(page) == 0 {
-		t.Fatal("no first page")
+		t.Fatal("no reply to the request for the first page")
 	}
 	c := NewCollector(1208, 1205, []uint32{1205}, false, 2, time.Millisecond, 0)
 	c.KnowsAllReports = true
@@ -244,10 +250,10 @@
 		t.Errorf("%v units in the report, want all 120", units)
 	}
 
-	// Once all pages were sent, a report may have them: they are not reported twice.
+	// Once all pages were sent, a report may include them: they are not reported twice.
 	c = NewCollector(1210, 1208, []uint32{1208}, false, 3, time.Millisecond, 0)
 	c.KnowsAllReports = true
 	if units := sumOfUnits(collect(t, c, []*Recorder{r}, neverLost)); units != 0 {
-		t.Errorf("%v units reported again", units)
+		t.Errorf("%v units in the next report, want none of the 120 reported again", units)
 	}
 }
