--- a/internal/alloctest/alloctest.go
+++ b/internal/alloctest/alloctest.go
@@ -1,5 +1,5 @@
-// Package alloctest compares in tests the allocations of a function's first call in a process with those of later
-// calls.
+// Package alloctest compares the number of allocations that a function makes in its first call in a process with the
+// number in later calls.
 package alloctest
 
 import (
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// freshProcess is the environment variable that is set in a process started by InFreshProcess.
-const freshProcess = "LEMONGATE_FRESH_PROCESS"
+// freshProcessVariable is the environment variable that is set in a process started by InFreshProcess.
+const freshProcessVariable = "LEMONGATE_FRESH_PROCESS"
 
 // InFreshProcess runs the calling test in a new process in which no other test runs, and reports whether the caller
-// is in that process. If it returns false, the test has run there and the caller returns.
+// is in that process. If it returns false, the test has passed in the new process, and the caller has to return.
 func InFreshProcess(t *testing.T) bool {
 	t.Helper()
-	if os.Getenv(freshProcess) != "" {
+	if os.Getenv(freshProcessVariable) != "" {
 		return true
 	}
 	cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.count=1")
-	cmd.Env = append(os.Environ(), freshProcess+"=1")
+	cmd.Env = append(os.Environ(), freshProcessVariable+"=1")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -35,7 +35,7 @@
 	call()
 	later := allocations(call)
 	if first > later*5/4+20 {
-		t.Errorf("%s: %d allocations in the first call, %d in a later one", name, first, later)
+		t.Errorf("%s: %d allocations in the first call, %d in a later one; want at most 5/4 of the later number, plus 20", name, first, later)
 	}
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -16,48 +16,49 @@
 	"unsafe"
 )
 
-// A Filler gives each field of a value a different value, in the order of the fields. Booleans have only two values:
-// the boolean with number i is set to bit Pattern of i+1, so that no two booleans agree in all fillings of the
-// Patterns from 0 on.
+// A Filler gives each field of a value a different value, in the order of the fields. A boolean can only be true or
+// false, so one filling cannot give each boolean a value of its own. The boolean with number n, counted from 1, is
+// therefore set to bit Pattern of n: any two booleans differ in at least one of the fillings with the Patterns 0, 1, ...
 type Filler struct {
 	Pattern int
 
-	numbers  int
-	bytes    int
-	booleans int
+	// Each count is the number of values filled so far, from which the next value is derived.
+	numberCount  int // of integers, floating-point numbers and strings
+	byteCount    int // of 8-bit integers
+	booleanCount int
 }
 
 // Patterns is the number of fillings that distinguish up to 127 booleans.
 const Patterns = 7
 
 // Fill fills the value that a pointer points to, including unexported fields. It leaves out fields that are not stored
-// (json:"-"), functions, channels and interfaces, and fields with a tag that names the first release that has them
-// (since:"0.9.2"): the release that wrote the files did not have these, and they are optional.
+// (json:"-"), functions, channels and interfaces. It also leaves out fields with a tag that names the first release that
+// has them (since:"0.9.2"): they are optional, and the release that wrote the files did not have them.
 func (f *Filler) Fill(pointer any) { f.fill(reflect.ValueOf(pointer).Elem()) }
 
 func (f *Filler) fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
-		f.booleans++
-		v.SetBool(f.booleans>>f.Pattern&1 == 1)
+		f.booleanCount++
+		v.SetBool(f.booleanCount>>f.Pattern&1 == 1)
 	case reflect.Int8:
-		f.bytes++
-		v.SetInt(int64(f.bytes % 127))
+		f.byteCount++
+		v.SetInt(int64(f.byteCount % 127))
 	case reflect.Uint8:
-		f.bytes++
-		v.SetUint(uint64(f.bytes % 251))
+		f.byteCount++
+		v.SetUint(uint64(f.byteCount % 251))
 	case reflect.Int, reflect.Int16, reflect.Int32, reflect.Int64:
-		f.numbers++
-		v.SetInt(int64(f.numbers))
+		f.numberCount++
+		v.SetInt(int64(f.numberCount))
 	case reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		f.numbers++
-		v.SetUint(uint64(f.numbers))
+		f.numberCount++
+		v.SetUint(uint64(f.numberCount))
 	case reflect.Float32, reflect.Float64:
-		f.numbers++
-		v.SetFloat(float64(f.numbers) + 0.5)
+		f.numberCount++
+		v.SetFloat(float64(f.numberCount) + 0.5)
 	case reflect.String:
-		f.numbers++
-		v.SetString(fmt.Sprintf("text%d", f.numbers))
+		f.numberCount++
+		v.SetString(fmt.Sprintf("text%d", f.numberCount))
 	default:
 		f.fillParts(v)
 	}
@@ -114,18 +115,19 @@
 	if string(got) == string(want) {
 		return
 	}
-	at := 0
-	for at < min(len(got), len(want)) && got[at] == want[at] {
-		at++
+	firstDifference := 0
+	for firstDifference < min(len(got), len(want)) && got[firstDifference] == want[firstDifference] {
+		firstDifference++
 	}
-	from := max(at-60, 0)
-	t.Errorf("%s: differs at byte %d:\ngot  ...%s\nwant ...%s", name, at, got[from:min(at+60, len(got))], want[from:min(at+60, len(want))])
+	from := max(firstDifference-60, 0)
+	t.Errorf("%s: differs at byte %d:\ngot  ...%s\nwant ...%s", name, firstDifference, got[from:min(firstDifference+60, len(got))], want[from:min(firstDifference+60, len(want))])
 }
 
+// mapKey matches the keys of a map that a Filler made.
 var mapKey = regexp.MustCompile(`^(text)?[0-9]+$`)
 
-// Fields returns the leaves of a JSON document by their paths, such as "peers.7.epoch", with their JSON text. Only the
-// first element is included of a list of objects, and of a map that a Filler made.
+// Fields returns the JSON text of each leaf of a JSON document by its path, such as "peers.7.epoch". Of a list of
+// objects, and of a map that a Filler made, it includes only the first element. A list of other values is a leaf.
 func Fields(t testing.TB, data []byte) map[string]string {
 	t.Helper()
 	var document any
@@ -162,10 +164,10 @@
 	fields[path] = string(text)
 }
 
-// Match compares the live value of each path with the stored field, and requires a live value for each field.
-func Match(t testing.TB, fields map[string]string, live map[string]any) {
+// Match compares the decoded value of each path with the stored field, and requires a decoded value for each field.
+func Match(t testing.TB, fields map[string]string, decoded map[string]any) {
 	t.Helper()
-	for path, value := range live {
+	for path, value := range decoded {
 		text, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
@@ -175,8 +177,8 @@
 		}
 	}
 	for path := range fields {
-		if _, ok := live[path]; !ok {
-			t.Errorf("%s: stored, but not compared with a live field", path)
+		if _, ok := decoded[path]; !ok {
+			t.Errorf("%s: stored, but not compared with a decoded value", path)
 		}
 	}
 }
--- a/internal/processharness/backend.go
+++ b/internal/processharness/backend.go
@@ -33,13 +33,13 @@
 // was written or its connection ended.
 type AttemptSpan struct {
 	Attempt
-	End    time.Time // zero while it is in flight
-	Closed bool      // its connection ended before its response was written, seen by the backend at End
+	End    time.Time // zero while the attempt is in flight
+	Closed bool      // the connection ended before the response was written; End is when the backend noticed
 }
 
 // LeasedAttempt is an attempt that arrived under a lease.
 type LeasedAttempt struct {
-	At, End time.Time // when it arrived, and when its response began
+	At, End time.Time // when the attempt arrived, and when its response began
 	Token   uint64    // fencing token
 }
 
@@ -48,21 +48,21 @@
 	At       time.Time
 	CallID   string
 	Customer string
-	IsKeyed  bool // it has an idempotency key
+	IsKeyed  bool // the request has an idempotency key
 }
 
 // listenAttempts limits how often listen tries another address.
 const listenAttempts = 20
 
-// newBackend starts a backend that is shut down at the end of the test.
+// newBackend starts a backend that is shut down when the host ends.
 func newBackend(tier *Tier, number int) *Backend {
 	b := &Backend{ID: fmt.Sprintf("b%d", number), tier: tier}
 	b.serve(b.listen())
 	return b
 }
 
-// listen chooses the address of the backend and listens there. A process that is being started may still hold a
-// socket that was closed here, so an address that was free before may be in use again.
+// listen chooses the address of the backend and listens there. freeAddr checks an address by opening a socket and
+// closing it again. A process that is being started may still hold that socket, so the address may be in use.
 func (b *Backend) listen() net.Listener {
 	for tries := 0; ; tries++ {
 		b.addr = freeAddr(b.tier.Host, "tcp")
@@ -76,7 +76,7 @@
 	}
 }
 
-// serve starts a server that is closed at the end of the test.
+// serve starts a server that is closed when the host ends.
 func (b *Backend) serve(listener net.Listener) {
 	server := &httptest.Server{Listener: listener, Config: &http.Server{Handler: b}}
 	server.Start()
@@ -94,7 +94,8 @@
 	b.mu.Unlock()
 }
 
-// ServeHTTP responds with the X-Call-Id of the request and the size of its body in bytes.
+// ServeHTTP responds with the X-Call-Id of the request and the size of its body in bytes, after the backend's delay or
+// MinServiceTime, whichever is longer.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body) // the size in the response shows a truncated body
 	callID := r.Header.Get("X-Call-Id")
@@ -122,7 +123,7 @@
 	_, _ = fmt.Fprintf(w, "%s %d", callID, len(body)) // a limiter may have closed the connection
 }
 
-// recordAttempt records an attempt, and returns how long its response takes.
+// recordAttempt records an attempt, and returns the backend's current delay.
 func (b *Backend) recordAttempt(attempt Attempt) (delay time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,17 +131,17 @@
 	return b.delay
 }
 
-// trackAttempt records that an attempt is in flight. The returned function records its end, unless its connection
-// ended before.
+// trackAttempt records that an attempt is in flight. The caller calls end when it has written the response. If the
+// connection ends earlier, the attempt ends at that time.
 func (b *Backend) trackAttempt(connection context.Context, attempt Attempt) (end func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	number := len(b.spans)
+	index := len(b.spans)
 	b.spans = append(b.spans, AttemptSpan{Attempt: attempt})
 	finish := func(closed bool) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if span := &b.spans[number]; span.End.IsZero() {
+		if span := &b.spans[index]; span.End.IsZero() {
 			span.End, span.Closed = time.Now(), closed
 		}
 	}
--- a/internal/processharness/checker.go
+++ b/internal/processharness/checker.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// excuseMargin is the time before and after a limiter is unavailable in which its clients may miss a response.
+	// excuseMargin is the time before and after an outage of a limiter in which its clients may miss a response.
 	excuseMargin = 200 * time.Millisecond
-	// maxUnitsMissing is how many units may be missing in the usage reports without a report that says so:
-	// none, except for rounding.
+	// maxUnitsMissing is how many units may be missing from the usage reports if no report says that usage is
+	// missing: none, except for rounding.
 	maxUnitsMissing = 0.5
 )
 
-// check checks what the fakes observed in a run against the rules, and returns the units of each request by its ID.
+// check checks what the fakes observed in a run, and returns the units of each request by its ID.
 func (r *tierRun) check(results []Result) (units map[string]float64) {
 	units = map[string]float64{}
 	for _, result := range results {
@@ -45,20 +45,20 @@
 // sinceStart returns the time from the start of the run to a given time.
 func (r *tierRun) sinceStart(at time.Time) time.Duration { return at.Sub(r.startedAt) }
 
-// checkResult counts the result of a request, and checks it.
-func (r *tierRun) checkResult(q Result) {
+// checkResult counts a request by its result, and checks the result.
+func (r *tierRun) checkResult(result Result) {
 	counts := &r.result
 	counts.Requests++
-	switch q.Status {
+	switch result.Status {
 	case 0:
-		if !r.excused(q) {
+		if !r.excused(result) {
 			counts.Lost++
-			r.breach("limiter %d, %.3f s: no response after %v: %s", q.Limiter, r.sinceStart(q.At).Seconds(), q.Took, q.ConnError)
+			r.breach("limiter %d, %.3f s: no response after %v: %s", result.Limiter, r.sinceStart(result.At).Seconds(), result.Took, result.ConnError)
 		}
 	case http.StatusOK:
 		counts.Served++
-		if q.Body != fmt.Sprintf("%s %d", q.ID, q.Request.Body) {
-			r.breach("limiter %d: request %s got a response with the unexpected body %q", q.Limiter, q.ID, q.Body)
+		if result.Body != fmt.Sprintf("%s %d", result.ID, result.Request.Body) {
+			r.breach("limiter %d: request %s got a response with the unexpected body %q", result.Limiter, result.ID, result.Body)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		counts.Rejected++
@@ -69,13 +69,13 @@
 
 // excused reports whether the limiter of a request was unavailable while the request was in flight, or within
 // excuseMargin of that.
-func (r *tierRun) excused(q Result) bool {
-	for _, outage := range r.outages[q.Limiter] {
+func (r *tierRun) excused(result Result) bool {
+	for _, outage := range r.outages[result.Limiter] {
 		if outage.to.IsZero() {
 			return true
 		}
-		sentBefore := q.At.Before(outage.to.Add(excuseMargin))
-		endedAfter := q.At.Add(q.Took).After(outage.from.Add(-excuseMargin))
+		sentBefore := result.At.Before(outage.to.Add(excuseMargin))
+		endedAfter := result.At.Add(result.Took).After(outage.from.Add(-excuseMargin))
 		if sentBefore && endedAfter {
 			return true
 		}
@@ -86,7 +86,8 @@
 // referenceBuckets are the reference buckets of a customer.
 type referenceBuckets struct{ quota, ceiling simulation.Bucket }
 
-// checkQuotas applies the requests that arrived at the backends to the reference buckets, in the order of arrival.
+// checkQuotas takes the units of each request that arrived at the backends from the reference buckets of its customer,
+// in the order of arrival.
 func (r *tierRun) checkQuotas(units map[string]float64) {
 	customers := make([]referenceBuckets, len(r.customers))
 	for i, c := range r.customers {
@@ -99,13 +100,13 @@
 	counted := map[string]bool{}
 	for _, a := range attempts {
 		number, err := strconv.ParseUint(a.Customer, 16, 64)
-		known := err == nil && number > 0 && number <= uint64(len(customers))
-		cost, isOwn := units[a.CallID]
-		if counted[a.CallID] || !known || !isOwn {
+		isKnownCustomer := err == nil && number > 0 && number <= uint64(len(customers))
+		requestUnits, isKnownRequest := units[a.CallID]
+		if counted[a.CallID] || !isKnownCustomer || !isKnownRequest {
 			continue
 		}
 		counted[a.CallID] = true
-		r.checkAttempt(int(number), &customers[number-1], r.sinceStart(a.At), cost)
+		r.checkAttempt(int(number), &customers[number-1], r.sinceStart(a.At), requestUnits)
 	}
 }
 
@@ -131,7 +132,8 @@
 	}
 }
 
-// checkLease checks the attempts under a lease: fencing tokens never decrease.
+// checkLease checks the attempts under a lease: fencing tokens never decrease, and the attempts are a linearizable
+// history of a lock.
 func (r *tierRun) checkLease() {
 	attempts := r.LeasedAttempts()
 	var token uint64
@@ -151,7 +153,8 @@
 	}
 }
 
-// countMessages adds the message counts of the network to the result.
+// countMessages adds the counts of the network to the result: datagrams, lease messages per second and their bytes per
+// second.
 func (r *tierRun) countMessages() {
 	perLimiter, bytes := r.Network.LeaseTraffic()
 	for _, n := range perLimiter {
@@ -191,10 +194,10 @@
 		if err != nil {
 			r.Host.Fatal(err)
 		}
-		more, torn, err := usage.ReadReports(file)
+		more, unreadable, err := usage.ReadReports(file)
 		_ = file.Close() // nothing was written
-		if err != nil || len(torn) > 0 {
-			r.breach("%s: cannot read lines %v: %v", filepath.Base(path), torn, err)
+		if err != nil || len(unreadable) > 0 {
+			r.breach("%s: cannot read lines %v: %v", filepath.Base(path), unreadable, err)
 		}
 		reports = append(reports, more...)
 	}
--- a/internal/processharness/clientconn.go
+++ b/internal/processharness/clientconn.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// dialTimeout limits the time to connect to a limiter.
+	// dialTimeout limits the time taken to connect to a limiter.
 	dialTimeout = 2 * time.Second
-	// openCheckTimeout is the read timeout when checking whether an idle connection was closed.
+	// openCheckTimeout is the read timeout of the check whether an idle connection is still open.
 	openCheckTimeout = 50 * time.Microsecond
 )
 
@@ -32,8 +32,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// write writes the text of one or more requests, and returns the time at which the last byte was written. The
-// responses have to arrive within requestTimeout.
+// write writes the text of one or more requests, and returns the time at which the last byte was written. It also sets
+// the deadline for reading the responses: requestTimeout from the start of the write.
 func (c *clientConn) write(text string) (at time.Time, err error) {
 	c.setDeadline(time.Now().Add(requestTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
@@ -70,5 +70,5 @@
 }
 
 func (c *clientConn) close() {
-	_ = c.Close() // the connection is not used any more
+	_ = c.Close() // nothing is read or written after it
 }
--- a/internal/processharness/customers.go
+++ b/internal/processharness/customers.go
@@ -11,12 +11,12 @@
 // keyedBodySize is the size in bytes of the body of a request with an idempotency key.
 const keyedBodySize = 200
 
-// customer sends requests through the limiters of its set. Its name is its number, which counts from 1.
+// customer sends requests through the limiters of its set.
 type customer struct {
-	plan         int // index
-	firstLimiter int
-	setSize      int
-	busiest      int     // index in the set
+	plan         int     // index in the plans of the scenario
+	firstLimiter int     // first limiter of its set
+	setSize      int     // number of limiters in its set
+	busiest      int     // index in the set of its busiest limiter, see drawLimiter
 	rate         float64 // requests per second
 }
 
@@ -31,7 +31,7 @@
 			total += c.rate
 		}
 	}
-	source := &requestSource{run: r, total: total, random: rand.New(rand.NewPCG(r.random.Uint64(), 1))}
+	source := &requestSource{run: r, totalRate: total, random: rand.New(rand.NewPCG(r.random.Uint64(), 1))}
 	return r.StartLoad(total, source.next)
 }
 
@@ -44,25 +44,25 @@
 
 // requestSource generates the requests of all customers.
 type requestSource struct {
-	run   *tierRun
-	total float64 // requests per second of all customers
+	run       *tierRun
+	totalRate float64 // requests per second of all customers together
 
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-// next returns the request with number n.
+// next returns the request with number n. Customer IDs start at 1.
 func (s *requestSource) next(n int) Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	traffic := &s.run.scenario.Traffic
-	number := s.selectCustomer()
-	c := &s.run.customers[number]
+	index := s.drawCustomer()
+	c := &s.run.customers[index]
 	request := Request{
-		Limiter:      s.selectLimiter(c, traffic),
+		Limiter:      s.drawLimiter(c, traffic),
 		Class:        ClassIdempotent,
 		Plan:         s.run.Plans[c.plan].Name,
-		Customer:     uint64(number + 1),
+		Customer:     uint64(index + 1),
 		FirstLimiter: c.firstLimiter,
 		SetSize:      c.setSize,
 		Units:        int(traffic.Units[s.random.IntN(len(traffic.Units))]),
@@ -73,22 +73,22 @@
 	return request
 }
 
-// selectCustomer draws the index of a customer, with a probability in proportion to its rate.
-func (s *requestSource) selectCustomer() int {
+// drawCustomer draws the index of a customer. The probability of each customer is proportional to its rate.
+func (s *requestSource) drawCustomer() int {
 	customers := s.run.customers
-	left := s.random.Float64() * s.total
+	remaining := s.random.Float64() * s.totalRate
 	for i, c := range customers {
-		if left <= c.rate {
+		if remaining <= c.rate {
 			return i
 		}
-		left -= c.rate
+		remaining -= c.rate
 	}
 	return len(customers) - 1
 }
 
-// selectLimiter draws the limiter for a request: the busiest of the customer's set, or one of the others. If that
-// limiter is down, the next one of the set that is up is used.
-func (s *requestSource) selectLimiter(c *customer, traffic *simulation.Traffic) int {
+// drawLimiter draws the limiter for a request: the busiest of the customer's set with probability BusiestFraction,
+// otherwise one of the others. If that limiter is down, it returns the next one of the set that is up.
+func (s *requestSource) drawLimiter(c *customer, traffic *simulation.Traffic) int {
 	index := c.busiest
 	if s.random.Float64() >= traffic.BusiestFraction && c.setSize > 1 {
 		index = (c.busiest + 1 + s.random.IntN(c.setSize-1)) % c.setSize
--- a/internal/processharness/discovery.go
+++ b/internal/processharness/discovery.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// watchPoll is the interval at which a watch checks whether the endpoint list has changed. If it has not, the watch
-// sends an empty line.
+// watchPoll is the interval at which a watch checks whether the endpoint list has changed. If the list has not changed,
+// the watch sends an empty line.
 const watchPoll = 500 * time.Millisecond
 
 // discovery is a fake endpoint discovery service.
@@ -26,7 +26,7 @@
 	changes  int // number of changes of the list
 }
 
-// newDiscovery starts a discovery service that is closed at the end of the test.
+// newDiscovery starts a discovery service that is closed when the host ends.
 func newDiscovery(tier *Tier) *discovery {
 	d := &discovery{tier: tier, unlisted: map[*Backend]bool{}}
 	d.server = httptest.NewServer(http.HandlerFunc(d.serveWatch))
@@ -89,16 +89,17 @@
 // generation returns the generation of the list after a number of changes.
 func generation(changes int) int { return changes + 1 }
 
-// snapshot returns the endpoint list with its generation. With reset, it replaces what was sent before.
+// snapshot returns the endpoint list with its generation after a number of changes. reset tells the client to replace
+// the list that it has.
 func (d *discovery) snapshot(changes int, reset bool) map[string]any {
 	return map[string]any{"generation": generation(changes), "reset": reset, "instances": d.instances()}
 }
 
-// serveWatch responds to a watch with the list, the new list after each change, and empty lines in between.
+// serveWatch sends the list at once, the new list after each change, and an empty line at each check without a change.
 func (d *discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
-	sent := d.changeCount()
-	isKnown := r.URL.Query().Get("index") == fmt.Sprint(generation(sent))
-	writeSnapshot(w, d.snapshot(sent, !isKnown))
+	sentChanges := d.changeCount()
+	isKnown := r.URL.Query().Get("index") == fmt.Sprint(generation(sentChanges))
+	writeSnapshot(w, d.snapshot(sentChanges, !isKnown))
 	end := make(chan struct{})
 	d.mu.Lock()
 	d.watches = append(d.watches, end)
@@ -112,12 +113,12 @@
 		case <-time.After(watchPoll):
 		}
 		changes := d.changeCount()
-		if changes == sent {
+		if changes == sentChanges {
 			writeKeepalive(w)
 			continue
 		}
-		sent = changes
-		writeSnapshot(w, d.snapshot(sent, true))
+		sentChanges = changes
+		writeSnapshot(w, d.snapshot(sentChanges, true))
 	}
 }
 
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -26,7 +26,7 @@
 	simulation.FaultBackendRefuses: (*tierRun).injectBackendRefuses,
 }
 
-// scheduleFault injects a fault at its time, and again at its interval if it is a repeated one.
+// scheduleFault injects a fault at its time, and again at its interval if the fault is repeated.
 func (r *tierRun) scheduleFault(f simulation.Fault) {
 	at := r.startedAt.Add(seconds(f.At))
 	for r.sleep(time.Until(at)) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// injectFault injects a fault once, and returns when it ends.
+// injectFault injects a fault once, and returns when the fault has ended.
 func (r *tierRun) injectFault(f simulation.Fault) {
 	f.Limiters = r.faultLimiters(f)
 	if inject := faultInjectors[f.Kind]; inject != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// faultLimiters returns the numbers of the limiters that a fault applies to. The lease holder is found by asking the
-// limiters: this only selects the target of a fault, and the checker does not rely on it.
+// faultLimiters returns the numbers of the limiters that a fault applies to. It finds the lease holder by asking the
+// limiters: the answer only selects the target of a fault, and the checker does not rely on it.
 func (r *tierRun) faultLimiters(f simulation.Fault) []int {
 	switch f.Role {
 	case "":
@@ -66,7 +66,8 @@
 	return acceptors
 }
 
-// leaseHolder returns the limiter that reports holding the lease of the first task, if there is one.
+// leaseHolder returns the number of the limiter that reports holding the lease of the first task, or no number if none
+// does.
 func (r *tierRun) leaseHolder() []int {
 	r.mu.Lock()
 	processes := slices.Clone(r.processes)
@@ -94,12 +95,12 @@
 // injectBlockedDirections blocks datagrams between limiters for a time, in the directions of the fault.
 func (r *tierRun) injectBlockedDirections(f simulation.Fault) {
 	directions := r.blockedDirections(f)
-	for _, w := range directions {
-		r.Network.Block(w.from, w.to, true)
+	for _, blocked := range directions {
+		r.Network.Block(blocked.from, blocked.to, true)
 	}
 	r.sleep(seconds(f.For))
-	for _, w := range directions {
-		r.Network.Block(w.from, w.to, false)
+	for _, blocked := range directions {
+		r.Network.Block(blocked.from, blocked.to, false)
 	}
 }
 
@@ -124,8 +125,8 @@
 			}
 		}
 	}
-	for _, w := range f.LostDirections {
-		directions = append(directions, direction{w[0], w[1]})
+	for _, lost := range f.LostDirections {
+		directions = append(directions, direction{lost[0], lost[1]})
 	}
 	return directions
 }
@@ -164,7 +165,7 @@
 	}
 	r.beginOutage(n)
 	p.Signal(syscall.SIGKILL)
-	_ = p.Wait(r.Host) // returns that it was killed
+	_ = p.Wait(r.Host) // the error reports the kill signal
 	r.processes[n] = nil
 }
 
@@ -188,7 +189,7 @@
 	}
 }
 
-// signalLimiter sends a signal to a limiter that is not down, and calls record for it.
+// signalLimiter sends a signal to a limiter, and calls record with its number. It does nothing if the limiter is down.
 func (r *tierRun) signalLimiter(n int, signal syscall.Signal, record func(n int)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/processharness/host.go
+++ b/internal/processharness/host.go
@@ -15,41 +15,41 @@
 	Errorf(format string, args ...any)
 	Logf(format string, args ...any)
 	Failed() bool
-	Cleanup(func()) // the last one runs first
+	Cleanup(func()) // the functions run when the host ends, the last one first
 	TempDir() string
 }
 
 const (
-	// waitTimeout is how long WaitUntil and Process.Wait wait.
+	// waitTimeout is how long WaitUntil and Process.Wait wait at most.
 	waitTimeout = 20 * time.Second
 	// waitPoll is the interval at which WaitUntil checks its condition.
 	waitPoll = 5 * time.Millisecond
 )
 
-// WaitUntil waits until a condition holds, and ends the test if it does not hold within waitTimeout. what describes the
+// WaitUntil waits until a condition holds, and fails the host if it does not hold within waitTimeout. what describes the
 // condition in the failure text.
-func WaitUntil(t Host, what string, holds func() bool) {
-	t.Helper()
+func WaitUntil(h Host, what string, holds func() bool) {
+	h.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(waitPoll) {
 		if time.Now().After(end) {
-			t.Fatal("did not come: ", what)
+			h.Fatal("timed out waiting for: ", what)
 		}
 	}
 }
 
 const (
-	// firstPort and portCount are the ports that freeAddr returns.
+	// firstPort is the lowest port that freeAddr returns, and portCount the number of ports from there on.
 	firstPort, portCount = 10000, 20000
-	// addrAttempts is how many of them it tries.
+	// addrAttempts is how many ports freeAddr tries in one call.
 	addrAttempts = 1000
 )
 
-// portsTried counts the ports that freeAddr tried.
+// portsTried counts the ports that freeAddr tried in all calls; the next call continues from there.
 var portsTried atomic.Uint32
 
-// freeAddr returns an address on loopback at which nothing listens. Its IP is derived from the ID of this process, so
-// that no socket with a port chosen by the kernel takes the address before a limiter does.
-func freeAddr(t Host, network string) string {
+// freeAddr returns a loopback address at which nothing listens. Its IP is derived from the ID of this process, so that
+// no socket whose port the kernel chooses takes the address before a limiter listens there.
+func freeAddr(h Host, network string) string {
 	pid := os.Getpid()
 	ip := fmt.Sprintf("127.%d.%d.1", 64+((pid>>8)&63), pid&255)
 	for range addrAttempts {
@@ -58,7 +58,7 @@
 			return addr
 		}
 	}
-	t.Fatal("no free address")
+	h.Fatal("found no free loopback address")
 	return ""
 }
 
--- a/internal/processharness/limiter.go
+++ b/internal/processharness/limiter.go
@@ -14,7 +14,7 @@
 type Limiter struct {
 	Number int
 	Addr   string   // where clients connect
-	Dir    string   // its TMPDIR
+	Dir    string   // TMPDIR of its processes
 	Env    []string // additional environment of its processes
 	tier   *Tier
 }
@@ -35,7 +35,7 @@
 	}
 }
 
-// settings returns the part of the configuration that limiters in the simulation have as well.
+// settings returns the settings, the part of the configuration that limiters in the simulation also have.
 func (l *Limiter) settings() map[string]any {
 	limiters := len(l.tier.Limiters)
 	settings := map[string]any{
@@ -62,11 +62,11 @@
 	return settings
 }
 
-// The request classes of each tier, by whether a request may be repeated.
+// The request classes of each tier. They differ in whether a request may be repeated.
 const (
 	ClassIdempotent    = "read"
-	ClassKeyed         = "post" // idempotent under a key
-	ClassNonIdempotent = "pay"
+	ClassKeyed         = "post" // may be repeated with the same idempotency key
+	ClassNonIdempotent = "pay"  // must not be repeated
 )
 
 // requestClasses returns the request classes in the form of the configuration file.
@@ -104,7 +104,7 @@
 	return plans
 }
 
-// Start starts a process of the limiter, which is killed at the end of the test. The functions may change the
+// Start starts a process of the limiter, which is killed when the host ends. The change functions may modify the
 // configuration before it is written.
 func (l *Limiter) Start(change ...func(map[string]any)) *Process {
 	host := l.tier.Host
@@ -130,14 +130,14 @@
 }
 
 // command returns the command that starts a process with a configuration file. The process is killed when this
-// program ends, however it ends: otherwise it would keep running, and retry its watch on a port that other programs
-// are given.
+// program ends, however it ends: otherwise it would keep running, and retry its watch at a port that another program
+// may use by then.
 func (l *Limiter) command(configPath string) *exec.Cmd {
 	program := l.tier.Program
 	cmd := exec.Command(program[0], program[1:]...)
 	cmd.Env = slices.Concat(os.Environ(), l.tier.Env, l.Env)
 	cmd.Env = append(cmd.Env, "ROUTER_CONFIG="+configPath, "TMPDIR="+l.Dir)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // sent if the starting thread ends; Go keeps it
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // sent when the thread that starts the process ends; Go keeps that thread
 	return cmd
 }
 
--- a/internal/processharness/limiter_test.go
+++ b/internal/processharness/limiter_test.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// holdVariable makes the test program start a limiter and wait to be killed.
-const holdVariable = "LEMONGATE_TEST_HOLD"
+// startLimiterVariable is the environment variable that makes the test program start a limiter and wait to be killed.
+const startLimiterVariable = "LEMONGATE_TEST_HOLD"
 
-// A limiter process ends with the program that started it, also if that program is killed. Otherwise it keeps
-// running, logs nothing at the error level, and retries its watch forever on a port that the kernel gives to others.
+// A limiter process ends with the program that started it, even if that program is killed. Otherwise it would keep
+// running, log nothing at the error level, and retry its watch forever at a port that another program may use by then.
 func TestLimiterEndsWithKilledProgram(t *testing.T) {
-	if os.Getenv(holdVariable) != "" {
+	if os.Getenv(startLimiterVariable) != "" {
 		limiter := New(t, 1, 1, "sleep", "60").Limiters[0].Start()
 		fmt.Printf("started %d\n", limiter.Cmd.Process.Pid)
 		time.Sleep(time.Minute)
 		return
 	}
 	program := exec.Command(os.Args[0], "-test.run", "^"+t.Name()+"$")
-	program.Env = append(os.Environ(), holdVariable+"=1", "TMPDIR="+t.TempDir())
+	program.Env = append(os.Environ(), startLimiterVariable+"=1", "TMPDIR="+t.TempDir())
 	out, err := program.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -34,12 +34,12 @@
 		t.Fatal(err)
 	}
 	pid := startedPID(t, bufio.NewScanner(out))
-	_ = program.Process.Kill()                                   // it runs until it is killed
-	_ = program.Wait()                                           // returns that it was killed
-	t.Cleanup(func() { _ = syscall.Kill(pid, syscall.SIGKILL) }) // in case it has not ended
+	_ = program.Process.Kill()                                   // cannot fail: the program runs until it is killed
+	_ = program.Wait()                                           // the error reports the kill signal
+	t.Cleanup(func() { _ = syscall.Kill(pid, syscall.SIGKILL) }) // in case the test fails
 	WaitUntil(t, "the end of the limiter", func() bool {
 		line, err := os.ReadFile(fmt.Sprintf("/proc/%d/cmdline", pid))
-		return err != nil || len(line) == 0 // empty once the process has ended and has not been waited for
+		return err != nil || len(line) == 0 // empty for a process that has ended and has not been waited for
 	})
 }
 
@@ -55,6 +55,6 @@
 			return pid
 		}
 	}
-	t.Fatal("no limiter was started")
+	t.Fatal("the test program has not printed the ID of a limiter process")
 	return 0
 }
--- a/internal/processharness/linkpeer.go
+++ b/internal/processharness/linkpeer.go
@@ -13,20 +13,20 @@
 	"lemongate/internal/hotrestart/link"
 )
 
-// This file implements one side of a hot restart that fails at a step, as a process of its own. Its script has the
-// form STEP:FAILURE.
+// This file implements, as a separate process, a successor or a predecessor that fails at one step of a hot restart.
+// A script of the form STEP:FAILURE selects the step and how the process fails.
 
-// The failures of a script.
+// The failures that a script can select.
 const (
 	failureEnd  = "end"  // the process exits
-	failureStop = "stop" // the process is stopped, and hangs if it is continued
-	// Any other text: the process hangs.
+	failureStop = "stop" // the process stops itself with SIGSTOP, and hangs if it is continued
+	// With any other text the process hangs.
 )
 
 const (
 	// linkFormat is the version of the link's messages.
 	linkFormat = 1
-	// heartbeatCount is how many heartbeats RunFailingSuccessor sends before its last step, heartbeatInterval apart.
+	// heartbeatCount is how many heartbeats RunFailingSuccessor sends before its last step, at heartbeatInterval.
 	heartbeatCount    = 5
 	heartbeatInterval = 20 * time.Millisecond
 	// flushDelay is the time allowed for a queued message to be written.
@@ -69,20 +69,20 @@
 	return body
 }
 
-// failingPeer is one end of the link of a hot restart, which fails as its script says.
-type failingPeer struct {
+// failingProcess is one of the two processes of a hot restart, which fails as its script says.
+type failingProcess struct {
 	conn    *link.Conn
 	step    string // step at which it fails
 	failure string
 }
 
-func newFailingPeer(conn *link.Conn, script string) *failingPeer {
+func newFailingProcess(conn *link.Conn, script string) *failingProcess {
 	step, failure, _ := strings.Cut(script, ":")
-	return &failingPeer{conn: conn, step: step, failure: failure}
+	return &failingProcess{conn: conn, step: step, failure: failure}
 }
 
 // failAt fails if the script names the given step, and does not return in that case.
-func (p *failingPeer) failAt(step string) {
+func (p *failingProcess) failAt(step string) {
 	if p.step != step {
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 // await reads messages until it has received one of the given kind. The process exits if the link is closed.
-func (p *failingPeer) await(kind hotrestart.Kind) {
+func (p *failingProcess) await(kind hotrestart.Kind) {
 	for {
 		frame, err := p.conn.Read()
 		if err != nil {
@@ -110,24 +110,24 @@
 }
 
 // queue queues a message for writing.
-func (p *failingPeer) queue(kind hotrestart.Kind, body []byte) {
+func (p *failingProcess) queue(kind hotrestart.Kind, body []byte) {
 	p.conn.Send(uint8(kind), body)
 }
 
-// write sends a message, and returns once it is written.
-func (p *failingPeer) write(kind hotrestart.Kind, body []byte, sockets ...syscall.Conn) {
+// write sends a message, and returns when the message is written.
+func (p *failingProcess) write(kind hotrestart.Kind, body []byte, sockets ...syscall.Conn) {
 	_ = p.conn.SendSync(uint8(kind), body, sockets...) // the next read fails if the link is closed
 }
 
-// RunFailingSuccessor acts as a successor that fails at a step: hello, offer, prepared, transfer, taken, commit or
-// beats.
+// RunFailingSuccessor acts as a successor that fails at the step of its script: hello, offer, prepared, transfer,
+// taken, commit or beats.
 func RunFailingSuccessor(script string) {
 	addresses := readAddresses()
 	conn, err := link.Dial(addresses.linkPath())
 	if err != nil {
 		panic(err)
 	}
-	p := newFailingPeer(conn, script)
+	p := newFailingProcess(conn, script)
 	p.failAt("hello")
 	p.queue(hotrestart.Hello, addresses.hello())
 	p.await(hotrestart.Offer)
@@ -151,7 +151,8 @@
 }
 
 // RunFailingPredecessor acts as a predecessor that listens at the address for clients without accepting any, and
-// fails at a step: listening, hello, offer, prepared, transfer, taken or commit. It prints "ready" once it listens.
+// fails at the step of its script: listening, hello, offer, prepared, transfer, taken or commit. It prints "ready" once
+// it listens.
 func RunFailingPredecessor(script string) {
 	addresses := readAddresses()
 	clients, err := net.Listen("tcp", addresses.Listen)
@@ -167,7 +168,7 @@
 	if err != nil {
 		panic(err)
 	}
-	p := newFailingPeer(conn, script)
+	p := newFailingProcess(conn, script)
 	p.failAt("listening")
 	p.await(hotrestart.Hello)
 	p.failAt("hello")
--- a/internal/processharness/load.go
+++ b/internal/processharness/load.go
@@ -14,17 +14,17 @@
 const (
 	// requestTimeout is how long a client waits for a response.
 	requestTimeout = 5 * time.Second
-	// usualBudget and keyedBudget are the budgets of requests, by their class.
+	// keyedBudget is the budget of requests of ClassKeyed, and usualBudget that of all others.
 	usualBudget = 2 * time.Second
 	keyedBudget = 3 * time.Second
 )
 
-// Load sends requests at a constant rate, whatever their results, over connections that are kept open. The connection
-// that has been idle longest is used first, so that all of them are used.
+// Load sends requests at a constant rate, whatever their results, over connections that it keeps open. It uses the
+// connection that has been idle longest first, so that it uses all of them.
 type Load struct {
-	// Resent counts the requests that were sent again, see EnableResend.
+	// Resent counts the requests that were resent, see EnableResend.
 	Resent int
-	// Results are the results so far, in no order.
+	// Results are the results so far, in the order in which they were recorded. End sorts them.
 	Results []Result
 
 	tier        *Tier
@@ -41,7 +41,7 @@
 
 // Request is a request to be sent.
 type Request struct {
-	Limiter         int // number of the limiter that it is sent to
+	Limiter         int // number of the limiter that the request is sent to
 	Class           string
 	Plan            string
 	Customer        uint64
@@ -69,17 +69,18 @@
 type Result struct {
 	Request
 	ID             string
-	At             time.Time // when its last byte was written
-	Took           time.Duration
-	Status         int    // 0 without a complete response
-	ConnError      string // error of the connection, "" for none
+	At             time.Time     // when the last byte of the request was written
+	Took           time.Duration // from At until the response was read or the read failed
+	Status         int           // 0 if no complete response was read
+	ConnError      string        // error on the connection, "" for none
 	Body           string
 	DisconnectedAt time.Time // when the client closed the connection; zero if it did not disconnect
 
 	timedOut bool // a deadline of the client passed
 }
 
-// StartLoad sends requests until End, at a rate per second. makeRequest returns the request with number n.
+// StartLoad starts sending requests, perSecond of them each second, until End is called. makeRequest returns the
+// request with number n.
 func (tier *Tier) StartLoad(perSecond float64, makeRequest func(n int) Request) *Load {
 	l := &Load{
 		tier:        tier,
@@ -92,8 +93,9 @@
 	return l
 }
 
-// EnableResend makes the load resend a request on a new connection from now on if a kept connection was closed
-// without a byte of the response: a limiter may close an idle connection while the next request is on its way to it.
+// EnableResend makes the load resend a request on a new connection from now on if a reused connection was closed
+// before the first byte of the response: a limiter may close an idle connection before a request arrives that the
+// client has already written.
 func (l *Load) EnableResend() {
 	l.mu.Lock()
 	l.resendEnabled = true
@@ -175,8 +177,8 @@
 	l.finish(result, closed && kept)
 }
 
-// finish records a result. If closed reports that the connection was closed without a byte of the response, the
-// request is resent first, provided that EnableResend was called.
+// finish records a result. If closed is set, a reused connection was closed before the first byte of the response. In
+// that case, and if EnableResend was called, finish first resends the request and records the result of that.
 func (l *Load) finish(result Result, closed bool) {
 	if closed && l.countResend() {
 		if conn, err := l.connect(result.Limiter); err == nil {
@@ -186,8 +188,8 @@
 	l.record(result)
 }
 
-// sendPair sends a request and a second one like it together. The time of the second one counts from the response to
-// the first. A limiter may close the connection between the two.
+// sendPair sends a request and a second one like it together. The result of the second request counts its time from the
+// response to the first one. A limiter may close the connection between the two responses.
 func (l *Load) sendPair(first Request, id string, conn *clientConn, kept bool) {
 	second, secondID := first, id[:8]+"f"+id[9:] // no request number is large enough to have this digit there
 	if first.Key != "" {
@@ -201,17 +203,18 @@
 	}
 	result, state := receive(Result{Request: first, ID: id, At: at}, conn)
 	l.finish(result, state == connUnanswered && kept)
-	isBetween := result.Status > 0 // the connection may be closed now
-	if isBetween {
+	hasFirstResponse := result.Status > 0 // the limiter may close the connection after the first response
+	if hasFirstResponse {
 		at = result.At.Add(result.Took)
 		conn.setDeadline(time.Now().Add(requestTimeout))
 	}
 	result, state = receive(Result{Request: second, ID: secondID, At: at}, conn)
 	l.release(first.Limiter, conn, state)
-	l.finish(result, state == connUnanswered && (isBetween || kept))
+	l.finish(result, state == connUnanswered && (hasFirstResponse || kept))
 }
 
-// send sends a request on a connection. closed reports that the connection was closed without a byte of the response.
+// send sends a request on a connection. closed reports that the connection was closed before the first byte of the
+// response, or that the request could not be written.
 func (l *Load) send(request Request, id string, conn *clientConn) (result Result, closed bool) {
 	at, err := conn.write(requestText(request, id))
 	if err != nil {
@@ -240,9 +243,9 @@
 type connState int
 
 const (
-	connUnanswered connState = iota // it was closed without a byte of the response
-	connEnded
-	connOpen
+	connUnanswered connState = iota // closed before the first byte of the response
+	connEnded                       // not usable: the read failed, or the response closes the connection
+	connOpen                        // usable for the next request
 )
 
 // receive reads the next response on a connection, and completes the result with it.
@@ -317,8 +320,8 @@
 	return nil
 }
 
-// connection returns the connection that has been idle longest, or a new one. It skips connections that were closed:
-// a limiter may close one between requests, and the client notices before it writes.
+// connection returns the connection that has been idle longest, with kept set, or a new one. It skips connections that
+// were closed: a limiter may close one between requests, and the client notices before it writes.
 func (l *Load) connection(limiter int) (conn *clientConn, kept bool, err error) {
 	for {
 		conn := l.takeIdle(limiter)
@@ -333,7 +336,7 @@
 	}
 }
 
-// takeIdle removes and returns the connection that has been idle longest, nil if there is none.
+// takeIdle removes and returns the connection that has been idle longest, or nil if there is none.
 func (l *Load) takeIdle(limiter int) *clientConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/processharness/load_test.go
+++ b/internal/processharness/load_test.go
@@ -11,12 +11,12 @@
 	"lemongate/internal/testnet"
 )
 
-// serveRequests acts as a limiter that responds to each request with its ID. Two behaviours differ: "closes" closes
-// each connection after its first response, and "silent" never responds. When a connection ends, the error of its
-// last read is sent on ended, nil if this side closed it.
+// serveRequests acts as a limiter. With the behaviour "answers" it responds to each request with the request's ID, with
+// "closes" it also closes each connection after the first response, and with "silent" it never responds. When a
+// connection ends, ended receives the error of the last read, or nil if this side closed the connection.
 func serveRequests(t *testing.T, behaviour string) (addr string, ended <-chan error) {
 	t.Helper()
-	listener := testnet.Listen(t) // its close ends the goroutine
+	listener := testnet.Listen(t) // closing it ends the goroutine
 	ends := make(chan error, 10)
 	go func() {
 		for {
@@ -63,16 +63,17 @@
 	return l.End()
 }
 
-// A disconnecting client closes its connection after its wait, and a half-closing client still reads its response.
+// A disconnecting client closes its connection after DisconnectAfter if it has no response by then. A half-closing
+// client still reads its response.
 func TestDisconnectingAndHalfClosingClients(t *testing.T) {
 	const wait = 30 * time.Millisecond
 	addr, ended := serveRequests(t, "silent")
 	results := sendOne(t, addr, Request{Class: ClassIdempotent, Mode: Disconnecting, DisconnectAfter: wait})
 	if len(results) != 1 || results[0].DisconnectedAt.Sub(results[0].At) < wait || results[0].Status != 0 {
-		t.Errorf("disconnecting: results %+v, want one without a response, disconnected after the wait", results)
+		t.Errorf("disconnecting: results %+v, want one without a response, disconnected after DisconnectAfter", results)
 	}
 	if err := <-ended; err == nil {
-		t.Error("disconnecting: the connection is still open")
+		t.Error("disconnecting: no read error, want one because the client closed the connection")
 	}
 	for _, mode := range []ClientMode{Disconnecting, HalfClosing} {
 		addr, ended = serveRequests(t, "answers")
@@ -81,7 +82,7 @@
 			t.Errorf("mode %d: results %+v, want one response to a client that did not disconnect", mode, results)
 		}
 		if err := <-ended; err == nil {
-			t.Errorf("mode %d: the connection is still open", mode)
+			t.Errorf("mode %d: no read error, want one because the client closed the connection", mode)
 		}
 	}
 }
--- a/internal/processharness/network.go
+++ b/internal/processharness/network.go
@@ -22,33 +22,34 @@
 // Network relays the datagrams between limiters, over separate sockets for each pair, and can lose, delay, duplicate
 // and block them.
 type Network struct {
-	listen []string // where the limiters listen
-	// relays[i][j] is the socket to which limiter i sends datagrams for limiter j. What i sends to j is forwarded from
-	// relays[j][i].
+	listen []string // addresses at which the limiters listen, by limiter
+	// relays[i][j] is the socket that represents limiter j to limiter i: i sends its datagrams for j to that socket, and
+	// receives the datagrams of j from it. What i sends to j is therefore forwarded from relays[j][i].
 	relays [][]*net.UDPConn
 
 	mu        sync.Mutex
 	random    *rand.Rand
-	loss      float64
-	duplicate float64
+	loss      float64       // fraction of datagrams
+	duplicate float64       // fraction of datagrams
 	maxDelay  time.Duration // delays are random, so that some datagrams overtake others
 	blocked   map[direction]bool
 
-	epochs        []map[uint32]bool // by sender
-	datagrams     int
-	leaseMessages []int // by receiver
-	leaseBytes    int
+	// What the limiters sent, including datagrams that the network lost or blocked. Duplicates do not count.
+	epochs        []map[uint32]bool // epochs in gossip, by sender
+	sentDatagrams int
+	leaseMessages []int // number of lease messages, by receiver
+	leaseBytes    int   // bytes of all lease messages
 }
 
-// newNetwork starts a network that is closed at the end of the test.
-func newNetwork(t Host, limiters int) *Network {
+// newNetwork starts a network that is closed when the host ends.
+func newNetwork(h Host, limiters int) *Network {
 	n := &Network{random: rand.New(rand.NewPCG(1, 2)), blocked: map[direction]bool{}, leaseMessages: make([]int, limiters)}
 	for range limiters {
-		n.listen = append(n.listen, freeAddr(t, "udp"))
+		n.listen = append(n.listen, freeAddr(h, "udp"))
 		n.epochs = append(n.epochs, map[uint32]bool{})
 	}
 	for range limiters {
-		n.relays = append(n.relays, openRelays(t, limiters))
+		n.relays = append(n.relays, openRelays(h, limiters))
 	}
 	for from := range limiters {
 		for to := range limiters {
@@ -60,15 +61,15 @@
 	return n
 }
 
-// openRelays opens sockets that are closed at the end of the test.
-func openRelays(t Host, count int) []*net.UDPConn {
+// openRelays opens sockets that are closed when the host ends.
+func openRelays(h Host, count int) []*net.UDPConn {
 	var relays []*net.UDPConn
 	for range count {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
-			t.Fatal(err)
+			h.Fatal(err)
 		}
-		t.Cleanup(func() { _ = conn.Close() }) // ends its goroutine
+		h.Cleanup(func() { _ = conn.Close() }) // ends the goroutine that reads from it
 		relays = append(relays, conn)
 	}
 	return relays
@@ -104,17 +105,17 @@
 	n.mu.Unlock()
 }
 
-// Inject sends a limiter a datagram as if it came from another one.
+// Inject delivers a datagram to one limiter as if another one had sent it, whatever the quality and blocks.
 func (n *Network) Inject(from, to int, data []byte) { n.deliver(direction{from, to}, data) }
 
-// Epochs returns the epochs that were in the gossip of a limiter.
+// Epochs returns the epochs that a limiter stated in its gossip.
 func (n *Network) Epochs(limiter int) []uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Collect(maps.Keys(n.epochs[limiter]))
 }
 
-// LeaseTraffic returns how many lease messages were sent to each limiter, and how many bytes they had in total.
+// LeaseTraffic returns how many lease messages were sent to each limiter, and their total size in bytes.
 func (n *Network) LeaseTraffic() (messages []int, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,31 +126,31 @@
 func (n *Network) Datagrams() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.datagrams
+	return n.sentDatagrams
 }
 
 // relay forwards the datagrams of one direction until its socket is closed.
-func (n *Network) relay(w direction) {
+func (n *Network) relay(d direction) {
 	buffer := make([]byte, maxDatagramSize)
 	for {
-		size, err := n.relays[w.from][w.to].Read(buffer)
+		size, err := n.relays[d.from][d.to].Read(buffer)
 		if err != nil {
 			return
 		}
-		n.transmit(w, slices.Clone(buffer[:size]))
+		n.transmit(d, slices.Clone(buffer[:size]))
 	}
 }
 
 // transmit delivers a datagram zero, one or two times, each after a random delay.
-func (n *Network) transmit(w direction, data []byte) {
+func (n *Network) transmit(d direction, data []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.record(w, data)
+	n.record(d, data)
 	copies := 1
 	if n.random.Float64() < n.duplicate {
 		copies = 2
 	}
-	if n.random.Float64() < n.loss || n.blocked[w] {
+	if n.random.Float64() < n.loss || n.blocked[d] {
 		copies = 0
 	}
 	for range copies {
@@ -157,24 +158,24 @@
 		if n.maxDelay > 0 {
 			delay = time.Duration(n.random.Int64N(int64(n.maxDelay)))
 		}
-		time.AfterFunc(delay, func() { n.deliver(w, data) })
+		time.AfterFunc(delay, func() { n.deliver(d, data) })
 	}
 }
 
-// record counts a datagram. The caller holds n.mu.
-func (n *Network) record(w direction, data []byte) {
-	n.datagrams++
+// record counts a datagram, and records the epoch of a gossip message. The caller holds n.mu.
+func (n *Network) record(d direction, data []byte) {
+	n.sentDatagrams++
 	if message, ok := gossip.Parse(data); ok {
-		n.epochs[w.from][message.Epoch] = true
+		n.epochs[d.from][message.Epoch] = true
 	}
 	if lease.IsMessage(data) {
-		n.leaseMessages[w.to]++
+		n.leaseMessages[d.to]++
 		n.leaseBytes += len(data)
 	}
 }
 
 // deliver sends a datagram to its receiver, from the address by which the receiver knows the sender.
-func (n *Network) deliver(w direction, data []byte) {
-	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(n.listen[w.to]))
-	_, _ = n.relays[w.to][w.from].WriteToUDP(data, to) // the socket may be closed; datagrams may be lost
+func (n *Network) deliver(d direction, data []byte) {
+	to := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(n.listen[d.to]))
+	_, _ = n.relays[d.to][d.from].WriteToUDP(data, to) // an error loses the datagram, for example when the socket is closed
 }
--- a/internal/processharness/process.go
+++ b/internal/processharness/process.go
@@ -15,10 +15,10 @@
 type Process struct {
 	Cmd       *exec.Cmd
 	AdminAddr string     // address of the administration server
-	Ended     chan error // receives the error with which the process ended, once
+	Ended     chan error // receives once the error with which the process ended
 	log       *lockedBuffer
 
-	mu        sync.Mutex // protects the start of Cmd and the field below
+	mu        sync.Mutex // protects the start of Cmd, and hostEnded
 	hostEnded bool       // the process must not be started any more
 }
 
@@ -47,13 +47,13 @@
 	return true
 }
 
-// Signal sends a signal; one to a process that has ended has no effect.
+// Signal sends a signal to the process. It has no effect if the process has ended.
 func (p *Process) Signal(s syscall.Signal) {
 	_ = p.Cmd.Process.Signal(s) // fails only for a process that has ended
 }
 
-// HasLogged reports whether the process logged a text. The log comes through a pipe and may lag behind what the
-// process is known to have done: wait for a line that is due.
+// HasLogged reports whether the process has logged a text. The log arrives through a pipe, so it may lag behind other
+// signs of what the process has done: a caller that expects a line has to wait for it.
 func (p *Process) HasLogged(text string) bool { return strings.Contains(p.log.String(), text) }
 
 // LastLogged returns the last logged line that contains a text, "" if there is none.
@@ -88,22 +88,22 @@
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// Await waits until the process accepts clients, and ends the test if it does not within waitTimeout.
-func (p *Process) Await(t Host) {
-	t.Helper()
-	WaitUntil(t, "a process that accepts clients", p.Healthy)
+// Await waits until the process accepts clients, and fails the host if it does not within waitTimeout.
+func (p *Process) Await(h Host) {
+	h.Helper()
+	WaitUntil(h, "a process that accepts clients", p.Healthy)
 }
 
-// Wait waits for the end of the process and returns the error with which it ended. It ends the test if the process
+// Wait waits for the end of the process and returns the error with which it ended. It fails the host if the process
 // does not end within waitTimeout.
-func (p *Process) Wait(t Host) error {
-	t.Helper()
+func (p *Process) Wait(h Host) error {
+	h.Helper()
 	select {
 	case err := <-p.Ended:
-		p.Ended <- err // for the next waiter
+		p.Ended <- err // for the next receiver
 		return err
 	case <-time.After(waitTimeout):
-		t.Fatal("the process did not end")
+		h.Fatal("the process did not end within waitTimeout")
 		return nil
 	}
 }
--- a/internal/processharness/process_test.go
+++ b/internal/processharness/process_test.go
@@ -8,21 +8,21 @@
 
 // A process is not started after the end of its host, and a started process is killed when its host ends.
 func TestProcessEndsWithHost(t *testing.T) {
-	early := &Process{Cmd: exec.Command("sleep", "60")}
-	if early.end() {
-		t.Error("end reports that it ended a process that was not started")
+	unstarted := &Process{Cmd: exec.Command("sleep", "60")}
+	if unstarted.end() {
+		t.Error("end reports that an unstarted process was started")
 	}
-	if err := early.start(); !errors.Is(err, errHostEnded) {
-		t.Errorf("start after the end of the host: %v, want errHostEnded", err)
+	if err := unstarted.start(); !errors.Is(err, errHostEnded) {
+		t.Errorf("start after the end of the host: error %v, want errHostEnded", err)
 	}
-	late := &Process{Cmd: exec.Command("sleep", "60")}
-	if err := late.start(); err != nil {
+	started := &Process{Cmd: exec.Command("sleep", "60")}
+	if err := started.start(); err != nil {
 		t.Fatal(err)
 	}
-	if !late.end() {
-		t.Error("end reports a started process as not started")
+	if !started.end() {
+		t.Error("end reports that a started process was not started")
 	}
-	if err := late.Cmd.Wait(); err == nil {
-		t.Error("the process was not killed")
+	if err := started.Cmd.Wait(); err == nil {
+		t.Error("the started process exited without an error, want that it was killed")
 	}
 }
--- a/internal/processharness/run.go
+++ b/internal/processharness/run.go
@@ -18,7 +18,7 @@
 // real time.
 
 const (
-	// settlePeriods is how many usage periods after the last request all usage has been reported.
+	// settlePeriods is the number of usage periods to wait after the last request: by then all usage has been reported.
 	settlePeriods = 3
 	// clockRateVariable is the environment variable that sets the rate of a limiter's clock.
 	clockRateVariable = "LEMONGATE_LAB_CLOCK"
@@ -38,7 +38,7 @@
 
 	mu        sync.Mutex
 	processes []*Process   // by limiter; nil for one that is down
-	outages   [][]interval // by limiter; when it was down or stopped
+	outages   [][]interval // by limiter; the times at which it was down or stopped
 }
 
 // interval is the time from one instant to another. It has not ended while to is zero.
@@ -50,14 +50,14 @@
 	case f.Kind == simulation.FaultHotRestart || f.Kind == simulation.FaultRollingRestart:
 		return fmt.Errorf("kind: %q is not supported on processes; see cmd/lemongate", f.Kind)
 	case f.Kind == simulation.FaultBackendUnresponsive || f.Zone > 0:
-		return errors.New("kind: silent backends and zones are supported in virtual time only")
+		return errors.New("kind: unresponsive backends and zones are supported in virtual time only")
 	case f.Kind == simulation.FaultClock && (f.At > 0 || f.Role != ""):
 		return errors.New("at_s: the clock rate of a process is set when it starts")
 	}
 	return nil
 }
 
-// RunScenario runs a scenario once, with limiters that are started by running program.
+// RunScenario runs a scenario once, with limiters that are started with the command program.
 func RunScenario(h Host, sc simulation.Scenario, seed uint64, program ...string) simulation.Result {
 	usageDir := h.TempDir()
 	if sc.Leases != nil {
@@ -128,7 +128,7 @@
 	load := r.startLoad()
 	load.EnableResend()
 	for _, f := range r.scenario.Faults {
-		r.faults.Go(func() { r.scheduleFault(f) }) // until r.stop
+		r.faults.Go(func() { r.scheduleFault(f) }) // ends when r.stop is closed
 	}
 	r.sleep(seconds(r.scenario.Seconds))
 	close(r.stop)
@@ -138,7 +138,7 @@
 	return results
 }
 
-// sleep waits, and reports whether the run goes on. It returns early if the run ends.
+// sleep waits for a duration and returns true. It returns false as soon as the scenario ends.
 func (r *tierRun) sleep(d time.Duration) bool {
 	select {
 	case <-r.stop:
--- a/internal/processharness/run_test.go
+++ b/internal/processharness/run_test.go
@@ -7,7 +7,7 @@
 	"lemongate/internal/simulation"
 )
 
-// CheckSupported returns an error for each fault that cannot be injected on processes.
+// CheckSupported returns an error for each fault that cannot be injected on processes, and for no other.
 func TestFaultsOfVirtualTimeAreUnsupported(t *testing.T) {
 	for _, c := range []struct {
 		fault     simulation.Fault
@@ -22,7 +22,7 @@
 		{simulation.Fault{Kind: simulation.FaultBackendRefuses, Zone: 1}, false},
 	} {
 		if err := CheckSupported(c.fault); (err == nil) != c.supported {
-			t.Errorf("fault %+v: error %v", c.fault, err)
+			t.Errorf("fault %+v: CheckSupported returned %v, want an error only for an unsupported fault", c.fault, err)
 		}
 	}
 }
@@ -51,9 +51,9 @@
 		simulation.FaultBackendCrash, simulation.FaultBackendRefuses, simulation.FaultBackendUnresponsive,
 	}
 	for _, kind := range kinds {
-		playable := CheckSupported(simulation.Fault{Kind: kind}) == nil && kind != simulation.FaultClock
-		if hasInjector := faultInjectors[kind] != nil; hasInjector != playable {
-			t.Errorf("%q: supported %v, has an injector %v", kind, playable, hasInjector)
+		supported := CheckSupported(simulation.Fault{Kind: kind}) == nil && kind != simulation.FaultClock
+		if hasInjector := faultInjectors[kind] != nil; hasInjector != supported {
+			t.Errorf("%q: supported %v, has an injector %v", kind, supported, hasInjector)
 		}
 	}
 }
--- a/internal/processharness/tier.go
+++ b/internal/processharness/tier.go
@@ -1,6 +1,6 @@
-// Package processharness runs limiters as processes of their own, with fakes of everything they connect to:
-// discovery, backends, clients and the network between limiters. A run is checked by what the fakes observed, by one
-// clock, and never by what a limiter reports about itself.
+// Package processharness runs limiters as separate processes, with fakes of everything that they connect to:
+// discovery, backends, clients and the network between limiters. A run is checked by what the fakes observed, with
+// times of one clock, and never by what a limiter reports about itself.
 package processharness
 
 import (
@@ -27,26 +27,26 @@
 	Program           []string // command that starts a limiter
 	Env               []string // additional environment of each limiter
 	Plans             []Plan
-	Sockets           int  // limit of each limiter
-	MemoryMB          int  // limit of each limiter
+	Sockets           int  // socket limit of each limiter
+	MemoryMB          int  // memory limit of each limiter
 	ReportUtilization bool // backends send load reports with their utilization
-	// MinServiceTime returns the least time that backends take for an attempt; nil for no more than their delay.
+	// MinServiceTime returns the least time that backends take for an attempt. If it is nil, they take their delay.
 	MinServiceTime func(Attempt) time.Duration
 
 	discovery *discovery
 	keys      keyLog
 }
 
-// New returns a tier whose limiters are not started. All of it is shut down at the end of the test.
-func New(t Host, limiters, backends int, program ...string) *Tier {
-	tier := &Tier{Host: t, Program: program, Sockets: 1024, MemoryMB: 192, Plans: []Plan{{Name: "free"}}}
-	tier.Network = newNetwork(t, limiters)
+// New returns a tier whose limiters are not started. The tier is shut down when the host ends.
+func New(h Host, limiters, backends int, program ...string) *Tier {
+	tier := &Tier{Host: h, Program: program, Sockets: 1024, MemoryMB: 192, Plans: []Plan{{Name: "free"}}}
+	tier.Network = newNetwork(h, limiters)
 	for i := range backends {
 		tier.Backends = append(tier.Backends, newBackend(tier, i))
 	}
 	tier.discovery = newDiscovery(tier)
 	for i := range limiters {
-		tier.Limiters = append(tier.Limiters, &Limiter{Number: i, Addr: freeAddr(t, "tcp"), Dir: t.TempDir(), tier: tier})
+		tier.Limiters = append(tier.Limiters, &Limiter{Number: i, Addr: freeAddr(h, "tcp"), Dir: h.TempDir(), tier: tier})
 	}
 	return tier
 }
@@ -85,7 +85,7 @@
 	Backend int
 }
 
-// BackendAttempts returns all attempts with their backends, in no order.
+// BackendAttempts returns all attempts with the numbers of their backends, sorted by backend.
 func (tier *Tier) BackendAttempts() (attempts []BackendAttempt) {
 	for number, b := range tier.Backends {
 		b.mu.Lock()
@@ -97,7 +97,7 @@
 	return attempts
 }
 
-// AttemptSpans returns the span of each attempt, in no order.
+// AttemptSpans returns the span of each attempt, sorted by backend.
 func (tier *Tier) AttemptSpans() (spans []AttemptSpan) {
 	for _, b := range tier.Backends {
 		b.mu.Lock()
@@ -107,36 +107,38 @@
 	return spans
 }
 
-// RepeatedExecutions returns how many times a request with an idempotency key was executed again after the window.
+// RepeatedExecutions returns how many times a request with an idempotency key was executed again, after keyWindow.
 func (tier *Tier) RepeatedExecutions() int {
 	tier.keys.mu.Lock()
 	defer tier.keys.mu.Unlock()
 	return tier.keys.repeats
 }
 
-// keyWindow is the time within which the backends do not execute the repeats of an idempotency key.
+// keyWindow is the time after the execution of a request in which no backend executes another one with the same
+// idempotency key.
 const keyWindow = 3 * time.Second
 
-// keyLog records when requests with an idempotency key were executed, at any backend.
+// keyLog records the executions of requests with an idempotency key at all backends.
 type keyLog struct {
-	mu      sync.Mutex
-	ranAt   map[string]time.Time
-	repeats int
+	mu         sync.Mutex
+	executedAt map[string]time.Time // time of the last execution, by key
+	repeats    int                  // executions after the first of their key
 }
 
-// record records an attempt with a key. A repeat within the window is not executed.
+// record records an attempt with a key. It counts as executed unless a request with the key was executed within
+// keyWindow.
 func (k *keyLog) record(key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	ranAt, ran := k.ranAt[key]
-	if ran && time.Since(ranAt) < keyWindow {
+	executedAt, wasExecuted := k.executedAt[key]
+	if wasExecuted && time.Since(executedAt) < keyWindow {
 		return
 	}
-	if ran {
+	if wasExecuted {
 		k.repeats++
 	}
-	if k.ranAt == nil {
-		k.ranAt = map[string]time.Time{}
+	if k.executedAt == nil {
+		k.executedAt = map[string]time.Time{}
 	}
-	k.ranAt[key] = time.Now()
+	k.executedAt[key] = time.Now()
 }
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// answerWindow is the time after SIGTERM within which a request must have been sent to need an answer before SIGKILL.
-	answerWindow = 700 * time.Millisecond
-	// longestDeadline is the longest deadline of the classes of the harness.
+	// responseWindow is a time after SIGTERM: a request sent within it needs a response before SIGKILL, a later one not.
+	responseWindow = 700 * time.Millisecond
+	// longestDeadline is the longest deadline of the request classes of the process harness.
 	longestDeadline = 3 * time.Second
-	// killAfter is the earliest time after SIGTERM at which SIGKILL is sent.
-	killAfter = longestDeadline + answerWindow
-	// deadlineSlack is how long after its deadline a response may still arrive.
+	// killAfter is the time from SIGTERM to SIGKILL for a process that has not ended.
+	killAfter = longestDeadline + responseWindow
+	// deadlineSlack is how long after the budget of its request a response may still arrive.
 	deadlineSlack = 500 * time.Millisecond
-	// disconnectSlack is how long after its client disconnected a request may still reach a backend.
+	// disconnectSlack is how long after the client disconnected its request may still reach a backend.
 	disconnectSlack = deadlineSlack
-	// readyWithin is how long a limiter may take to be ready.
+	// readyWithin is how long a process of a limiter may take from its start until it accepts clients.
 	readyWithin = 10 * time.Second
 	// listPropagationTime is the time after a change of the endpoint list by which every limiter must apply it.
 	listPropagationTime = 6 * time.Second
 	// excuseMargin is the time before and after a crash in which the limiter's clients may miss a response.
 	excuseMargin = 200 * time.Millisecond
-	// maxExtraDescriptors is how many more descriptors an idle process may have than a fresh one: idle
-	// connections to backends, 1/64 of the socket limit for each backend.
+	// maxExtraDescriptors is how many more descriptors an idle process may have than a fresh one: idle connections to
+	// backends, at most 1/64 of the socket limit for each backend, and 8 more.
 	maxExtraDescriptors = backends*socketLimit/64 + 8
-	// maxExtraMemoryKB is how much more memory an idle process may have than a fresh one.
+	// maxExtraMemoryKB is how many more KB of memory an idle process may have than a fresh one.
 	maxExtraMemoryKB = 24 << 10
 )
 
 // An outage is a time in which a limiter is down or shuts down, or in which one of its two processes ends.
 type outage struct {
-	limiter   int
-	from, to  time.Time     // from the signal until the next process is ready
-	crash     bool          // SIGKILL without SIGTERM before
-	hot       bool          // a hot restart: another process of the limiter keeps serving
-	failure   string        // how a hot restart failed, "" if it did not
-	took      time.Duration // from SIGTERM to the end of the process
-	exit      error
-	killed    bool          // by SIGKILL after SIGTERM
-	suspended time.Duration // suspended between SIGTERM and the end of the process
-	log       []string      // last log lines of a process that did not end as it should
-	readyIn   time.Duration // of the next process
+	limiter      int
+	from, to     time.Time     // from the signal until a process accepts clients or, in a hot restart, the predecessor ends
+	isCrash      bool          // SIGKILL without SIGTERM before
+	isHotRestart bool          // a hot restart: another process of the limiter keeps serving
+	failure      string        // how a hot restart failed, "" if it did not
+	took         time.Duration // from SIGTERM to the end of the process
+	exitErr      error         // error with which the process ended after SIGTERM
+	killed       bool          // by SIGKILL after SIGTERM
+	suspended    time.Duration // suspended between SIGTERM and the end of the process
+	log          []string      // last log lines, if a process did not exit as it should
+	readyIn      time.Duration // time until a process accepts clients, from its start or the kill of its successor
 }
 
 // An unlisting is a time in which a backend is not in the endpoint list.
@@ -65,7 +65,7 @@
 	repeatedKeys int                             // how often an idempotency key took effect again
 	outages      []outage
 	unlistings   []unlisting
-	fresh        resources   // of a process that served nothing
+	fresh        resources   // of a process before the first request
 	idle         []resources // of each process at the end of the run, without requests
 
 	lastArrival map[string]time.Time // by request, at backends; set by check
@@ -120,12 +120,12 @@
 	switch {
 	case r.Class == processharness.ClassNonIdempotent && o.attempts[r.ID] > 1 && !crashed:
 		return fmt.Sprintf("must not be repeated, but reached backends %d times", o.attempts[r.ID])
-	case !r.DisconnectedAt.IsZero(): // a client that disconnected is owed no response
+	case !r.DisconnectedAt.IsZero(): // a client that disconnected needs no response
 		if after := o.lastArrival[r.ID].Sub(r.DisconnectedAt); after > disconnectSlack {
 			return fmt.Sprintf("reached a backend %v after its client disconnected", after)
 		}
 	case r.Status == 0:
-		return o.checkUnanswered(r)
+		return o.checkMissingResponse(r)
 	case r.Took > deadline && !crashed:
 		return fmt.Sprintf("response after %v, due within %v", r.Took, deadline)
 	case r.Status == http.StatusOK && r.Body != fmt.Sprintf("%s %d", r.ID, r.Request.Body):
@@ -134,21 +134,21 @@
 	return ""
 }
 
-// checkUnanswered returns why a request should have been answered, "" if a response may be missing. While a limiter
-// shuts down, it may leave a request unread on a connection that it is closing, and a request sent later than
-// answerWindow after SIGTERM need not be answered before SIGKILL.
-func (o *observations) checkUnanswered(r processharness.Result) string {
+// checkMissingResponse returns why a request needs a response, "" if its response may be missing. While a limiter
+// shuts down, it may refuse a connection and leave a request unread on a connection that it is closing. A request sent
+// more than responseWindow after SIGTERM needs no response before SIGKILL.
+func (o *observations) checkMissingResponse(r processharness.Result) string {
 	if o.duringCrash(r) {
 		return ""
 	}
 	for _, out := range o.outages {
-		if out.hot || out.limiter != r.Limiter || r.At.Add(r.Took).Before(out.from) || r.At.After(out.to) {
+		if out.isHotRestart || out.limiter != r.Limiter || r.At.Add(r.Took).Before(out.from) || r.At.After(out.to) {
 			continue
 		}
 		isRefused := strings.HasPrefix(r.ConnError, "connect:")
 		isUnread := o.attempts[r.ID] == 0 && r.Took < longestDeadline
-		isLate := out.killed && r.At.After(out.from.Add(answerWindow))
-		if isRefused || isUnread || isLate {
+		isSentLate := out.killed && r.At.After(out.from.Add(responseWindow))
+		if isRefused || isUnread || isSentLate {
 			return ""
 		}
 		return fmt.Sprintf("no response during the shutdown after %v: %s; it reached backends %d times", r.Took, r.ConnError, o.attempts[r.ID])
@@ -162,7 +162,7 @@
 	for _, out := range o.outages {
 		sentBefore := r.At.Before(out.to.Add(excuseMargin))
 		endedAfter := r.At.Add(r.Took).After(out.from.Add(-excuseMargin))
-		if out.crash && out.limiter == r.Limiter && sentBefore && endedAfter {
+		if out.isCrash && out.limiter == r.Limiter && sentBefore && endedAfter {
 			return true
 		}
 	}
@@ -177,8 +177,8 @@
 	case out.killed:
 		return fmt.Sprintf("still running %v after SIGTERM, suspended for %v of that, when SIGKILL was sent%s",
 			out.took, out.suspended, out.logText())
-	case !out.crash && out.exit != nil:
-		return fmt.Sprintf("exited %v after SIGTERM with %v%s", out.took, out.exit, out.logText())
+	case !out.isCrash && out.exitErr != nil:
+		return fmt.Sprintf("exited %v after SIGTERM with %v%s", out.took, out.exitErr, out.logText())
 	case out.readyIn > readyWithin:
 		return fmt.Sprintf("ready %v after its start", out.readyIn)
 	}
--- a/internal/soak/hotrestart.go
+++ b/internal/soak/hotrestart.go
@@ -10,14 +10,14 @@
 // takeoverPoll is the interval at which the soak checks whether a successor accepts clients.
 const takeoverPoll = 5 * time.Millisecond
 
-// hotRestart starts a successor, and shuts its predecessor down during the probation. Every request must get its
-// response throughout, and no connection may be refused.
+// hotRestart starts a successor, and shuts its predecessor down during the probation. During all of this, every request
+// must get its response, and no connection may be refused.
 func (r *run) hotRestart(step Step) {
 	if !r.claim(step.Target) {
 		return
 	}
 	predecessor := r.process(step.Target)
-	out := outage{limiter: step.Target, hot: true}
+	out := outage{limiter: step.Target, isHotRestart: true}
 	startedAt := time.Now()
 	successor := r.tier.Limiters[step.Target].Start()
 	if !r.awaitTakeover(successor, &out) {
@@ -32,13 +32,13 @@
 	r.release(successor, out)
 }
 
-// failSuccessor starts a successor and kills it. Its predecessor must keep serving, or serve again.
+// failSuccessor starts a successor and kills it. The predecessor must keep serving, or resume serving.
 func (r *run) failSuccessor(step Step) {
 	if !r.claim(step.Target) {
 		return
 	}
 	predecessor := r.process(step.Target)
-	out := outage{limiter: step.Target, hot: true}
+	out := outage{limiter: step.Target, isHotRestart: true}
 	successor := r.tier.Limiters[step.Target].Start()
 	if step.Action == KillSuccessorInProbation && !r.awaitTakeover(successor, &out) {
 		r.abandonHotRestart(predecessor, successor, out)
@@ -47,7 +47,7 @@
 	time.Sleep(step.For)
 	out.from = time.Now()
 	r.kill(successor)
-	out.crash = successor.HasLogged(servingText) // it may have had clients
+	out.isCrash = successor.HasLogged(servingText) // the successor may have accepted clients
 	predecessor.Await(r.tier.Host)
 	out.to = time.Now()
 	out.readyIn = out.to.Sub(out.from)
@@ -55,9 +55,9 @@
 }
 
 const (
-	// takeoverText is in the log of a successor that has connected to its predecessor.
+	// takeoverText is a text that a successor logs when it has connected to its predecessor.
 	takeoverText = "takes over"
-	// servingText is in the log of a process before it accepts clients.
+	// servingText is a text that a process logs before it accepts clients.
 	servingText = "phase serving"
 )
 
@@ -67,7 +67,7 @@
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(takeoverPoll) {
 		select {
 		case err := <-successor.Ended:
-			successor.Ended <- err // for the next waiter
+			successor.Ended <- err // for the next receiver
 			out.failure = fmt.Sprintf("the successor exited by itself with %v", err)
 			return false
 		default:
--- a/internal/soak/inflight.go
+++ b/internal/soak/inflight.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// closeSlack is the longest time by which a backend may be late to notice that the connection of an attempt ended:
-	// events on two connections are observed in any order. The operating requirements add as much to each time limit.
+	// closeSlack is the longest delay with which a backend may notice that the connection of an attempt ended: events on
+	// two connections may be observed in either order. The operating requirements add as much to each time limit.
 	closeSlack = 50 * time.Millisecond
-	// loanDuration is how long a limiter lends a slot.
+	// loanDuration is the time for which a limiter lends a slot.
 	loanDuration = 2 * time.Second
 )
 
@@ -47,17 +47,17 @@
 	return breaches
 }
 
-// inFlightChanges returns the changes by customer, in the order of time. An attempt that ends at the time at which
-// another one starts counts as ended before it.
+// inFlightChanges returns the starts and ends of attempts by customer, sorted by time. If one attempt ends at the time
+// at which another one starts, the end is first.
 func (o *observations) inFlightChanges() map[string][]inFlightChange {
 	byCustomer := map[string][]inFlightChange{}
 	for i := range o.spans {
-		f := &o.spans[i]
-		changes := append(byCustomer[f.Customer], inFlightChange{f.At, 1, f})
-		if !f.End.IsZero() {
-			changes = append(changes, inFlightChange{earliestEnd(f), -1, f})
+		span := &o.spans[i]
+		changes := append(byCustomer[span.Customer], inFlightChange{span.At, 1, span})
+		if !span.End.IsZero() {
+			changes = append(changes, inFlightChange{earliestEnd(span), -1, span})
 		}
-		byCustomer[f.Customer] = changes
+		byCustomer[span.Customer] = changes
 	}
 	for _, changes := range byCustomer {
 		slices.SortStableFunc(changes, func(a, b inFlightChange) int {
@@ -67,37 +67,39 @@
 	return byCustomer
 }
 
-// earliestEnd returns the earliest time at which an attempt may have ended.
-func earliestEnd(f *processharness.AttemptSpan) time.Time {
-	if !f.Closed {
-		return f.End
+// earliestEnd returns the earliest time at which an attempt may have ended: up to closeSlack before the backend noticed
+// that the connection ended, but after the start of the attempt.
+func earliestEnd(span *processharness.AttemptSpan) time.Time {
+	if !span.Closed {
+		return span.End
 	}
-	if early := f.End.Add(-closeSlack); early.After(f.At) {
+	if early := span.End.Add(-closeSlack); early.After(span.At) {
 		return early
 	}
-	return f.At.Add(1)
+	return span.At.Add(1)
 }
 
-// describe returns a line for each attempt: when it started, and to which limiter its request was sent.
+// describe returns a line for each attempt: when it started, its request, the limiter to which the request was sent,
+// and the number of the attempt.
 func (o *observations) describe(inFlight map[*processharness.AttemptSpan]bool) string {
 	limiters := map[string]int{}
 	for _, r := range o.results {
 		limiters[r.ID] = r.Limiter
 	}
 	var lines []string
-	for f := range inFlight {
+	for span := range inFlight {
 		lines = append(lines, fmt.Sprintf("\n    %.3f s: request %s at limiter %d, attempt %d of its request",
-			f.At.Sub(o.startedAt).Seconds(), f.CallID, limiters[f.CallID], o.attemptNumber(f)))
+			span.At.Sub(o.startedAt).Seconds(), span.CallID, limiters[span.CallID], o.attemptNumber(span)))
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "")
 }
 
 // attemptNumber returns the number of an attempt among those of its request, from 1.
-func (o *observations) attemptNumber(f *processharness.AttemptSpan) int {
+func (o *observations) attemptNumber(span *processharness.AttemptSpan) int {
 	number := 1
 	for i := range o.spans {
-		if other := &o.spans[i]; other.CallID == f.CallID && other.At.Before(f.At) {
+		if other := &o.spans[i]; other.CallID == span.CallID && other.At.Before(span.At) {
 			number++
 		}
 	}
@@ -106,8 +108,8 @@
 
 // countLongAttempts returns how many attempts lasted longer than the loan of a slot.
 func (o *observations) countLongAttempts() (count int) {
-	for _, f := range o.spans {
-		if !f.End.IsZero() && f.End.Sub(f.At) > loanDuration {
+	for _, span := range o.spans {
+		if !span.End.IsZero() && span.End.Sub(span.At) > loanDuration {
 			count++
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,40 +18,40 @@
 const (
 	// requestsPerSecond is the request rate of a run, over all limiters.
 	requestsPerSecond = 150
-	// extraIdleConns is how many idle connections some runs open to each limiter.
+	// extraIdleConns is how many idle connections every third run opens to each limiter.
 	extraIdleConns = 400
 	// socketLimit is the limit of sockets of each limiter.
 	socketLimit = 1024
-	// normalDelay and slowDelay are how long a backend takes to respond.
+	// normalDelay is how long a backend takes to respond, and slowDelay during SlowBackend.
 	normalDelay = 15 * time.Millisecond
 	slowDelay   = 900 * time.Millisecond
 	// customers is the number of customers without a limit of attempts in flight.
 	customers = 40
-	// limitedCustomers is the number of further customers, on a plan with a limit of maxInFlight attempts in flight.
-	// They send one in limitedEvery requests. Three in four requests of each of them are sent to one limiter, which
+	// limitedCustomers is the number of further customers, on a plan with a limit of maxInFlight attempts in flight. One
+	// in limitedEvery requests is theirs. Each of them sends three in four of its requests to the same limiter, which
 	// has to borrow slots for them.
 	limitedCustomers, limitedEvery = 4, 6
 	maxInFlight                    = 3
 	// longServiceTime is how long backends take for every second keyed request of the limited customers: longer than a
 	// slot is lent.
 	longServiceTime = 2300 * time.Millisecond
-	// One in clientModeEvery clients disconnects before its response, one closes its sending side after its request,
-	// and one sends two requests together. A disconnecting client waits for less than maxDisconnectDelay, or
-	// limitedDelayFactor times that on a plan with a limit of attempts in flight.
+	// Of clientModeEvery requests, the client of one disconnects before its response, that of another closes the sending
+	// side after the request, and that of a third sends two requests together. A disconnecting client waits for less than
+	// maxDisconnectDelay, or limitedDelayFactor times that on a plan with a limit of attempts in flight.
 	clientModeEvery    = 25
 	maxDisconnectDelay = 40 * time.Millisecond
 	limitedDelayFactor = 30
 	// faultLoss and normalLoss are the fractions of lost datagrams between limiters, during LoseDatagrams and otherwise.
 	faultLoss  = 0.4
 	normalLoss = 0.02
-	// operatorFile is the operators' file of each limiter. A successor counts as dead after twice the longest time
-	// for which the schedule suspends a process.
+	// operatorFile is the operators' file of each limiter. A successor counts as failed after silence_ms without a
+	// heartbeat: twice maxSuspend.
 	operatorFile = `{"takeover":{"on":true,"silence_ms":300}}`
-	// overdueAfter is the time after SIGTERM at which a process that still runs is asked to log its counters.
+	// overdueAfter is the time after SIGTERM at which SIGUSR1 makes a process that is still running log its counters.
 	overdueAfter = killAfter - 150*time.Millisecond
-	// logLines is how many of the last log lines of a process are shown if it did not end as it should.
+	// logLines is how many of its last log lines are shown for a process that did not exit as it should.
 	logLines = 12
-	// settleTime is the time between the last request and the reading of the limiters' resources.
+	// settleTime is the time from the last result to the reading of the limiters' resources.
 	settleTime = 1500 * time.Millisecond
 )
 
@@ -62,7 +62,7 @@
 	steps     sync.WaitGroup
 
 	mu        sync.Mutex
-	busy      [limiters]bool // a limiter is being shut down or started
+	busy      [limiters]bool // by limiter: a step is changing its process, see claim
 	unlisted  [backends]bool
 	processes [limiters]*processharness.Process
 	observed  observations
@@ -80,23 +80,23 @@
 type Result struct {
 	Requests     int
 	Served       int
-	Restarts     int // of all kinds, crashes included
+	Restarts     int // restarts of all kinds, including crashes and hot restarts
 	HotRestarts  int // hot restarts, including those that failed as intended
 	Killed       int // processes that SIGKILL ended after SIGTERM
 	Disconnected int // clients that disconnected before their response
 	// LongAttempts counts the attempts on a plan with a limit of attempts in flight that took longer than a slot is lent.
 	LongAttempts int
-	Breaches     []string // of rules, one line each
+	Breaches     []string // breaches of rules, one line each
 }
 
-// Run runs the schedule of a seed, with limiters that are started by running program.
+// Run runs the schedule of a seed, with limiters that are started with the command program.
 func Run(host processharness.Host, seed uint64, duration time.Duration, program ...string) Result {
 	r := newRun(host, program)
 	load := r.startLoad()
 	if seed%3 == 0 { // every third run has many idle connections
 		for n := range limiters {
 			if err := load.OpenIdle(n, extraIdleConns); err != nil {
-				host.Errorf("opening idle connections: %v", err)
+				host.Errorf("cannot open idle connections to a limiter: %v", err)
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 	return r.result()
 }
 
-// newRun starts the limiters of a run.
+// newRun returns a run whose limiters have been started and accept clients.
 func newRun(host processharness.Host, program []string) *run {
 	tier := processharness.New(host, limiters, backends, append(slices.Clone(program), "--operator", writeOperatorFile(host))...)
 	tier.Sockets = socketLimit
@@ -166,7 +166,7 @@
 
 // chooseClientMode sets how the client of the request with number n uses its connection.
 func chooseClientMode(n int, request *processharness.Request) {
-	const steps = 8 // of the time for which a disconnecting client waits
+	const steps = 8 // number of different times for which a disconnecting client waits
 	switch n % clientModeEvery {
 	case 1:
 		request.Mode = processharness.Disconnecting
@@ -184,14 +184,15 @@
 // limitedPlan is the plan of the customers with a limit of attempts in flight.
 const limitedPlan = "slots"
 
-// limitRequest turns a request into one of a customer with a limit of attempts in flight; n counts these requests.
+// limitRequest turns a request into one of a customer with a limit of attempts in flight. n is the number of
+// the request among the requests of these customers.
 func limitRequest(n int, request *processharness.Request, classes []string) {
-	index, turn := n%limitedCustomers, n/limitedCustomers
+	index, round := n%limitedCustomers, n/limitedCustomers
 	request.Plan, request.Customer = limitedPlan, uint64(customers+1+index)
-	request.Class = classes[turn%len(classes)]
+	request.Class = classes[round%len(classes)]
 	request.Limiter = index % limiters
-	if turn%4 == 0 {
-		request.Limiter = (index + 1 + turn/4%(limiters-1)) % limiters
+	if round%4 == 0 {
+		request.Limiter = (index + 1 + round/4%(limiters-1)) % limiters
 	}
 }
 
@@ -201,7 +202,8 @@
 	return err == nil && number > customers
 }
 
-// minServiceTime returns the least time that backends take for an attempt.
+// minServiceTime returns the least time that backends take for an attempt: longServiceTime for every second keyed
+// request of the customers with a limit of attempts in flight, 0 for any other.
 func minServiceTime(a processharness.Attempt) time.Duration {
 	if !a.IsKeyed || !isLimited(a) {
 		return 0
@@ -213,7 +215,7 @@
 	return longServiceTime
 }
 
-// perform carries out a step to its end.
+// perform carries out a step, and returns when the step has ended.
 func (r *run) perform(step Step) {
 	switch step.Action {
 	case Reload:
@@ -221,12 +223,12 @@
 	case LogCounters:
 		r.process(step.Target).Signal(syscall.SIGUSR1)
 	case Suspend:
-		r.suspend(r.process(step.Target), step.For) // also one that is shutting down
+		r.suspend(r.process(step.Target), step.For) // even if the process is shutting down
 	case Terminate:
 		r.replace(step.Target, func(out *outage) { r.terminate(r.process(step.Target), out) })
 	case Crash:
 		r.replace(step.Target, func(out *outage) {
-			out.crash = true
+			out.isCrash = true
 			r.kill(r.process(step.Target))
 			time.Sleep(step.For)
 		})
@@ -235,7 +237,7 @@
 	case KillSuccessorLater:
 		r.hotRestart(step)
 		r.replace(step.Target, func(out *outage) {
-			out.crash = true
+			out.isCrash = true
 			r.kill(r.process(step.Target))
 		})
 	case KillSuccessorEarly, KillSuccessorInProbation:
@@ -305,7 +307,7 @@
 	r.release(next, out)
 }
 
-// claim reserves a limiter for one step that changes its process, and reports whether it was free.
+// claim reserves a limiter for one step that changes its process. It returns false if another step has reserved it.
 func (r *run) claim(limiter int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,7 +318,7 @@
 	return true
 }
 
-// release ends a claim, and stores the limiter's process from now on and the observed outage.
+// release ends a claim. It stores the process that the limiter has from now on, and the observed outage.
 func (r *run) release(p *processharness.Process, out outage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -324,33 +326,34 @@
 	r.observed.outages = append(r.observed.outages, out)
 }
 
-// terminate shuts a process down, and kills it at the earliest time that the operating requirements allow.
+// terminate sends SIGTERM to a process, and kills it after killAfter, the earliest time that the operating requirements
+// allow.
 func (r *run) terminate(p *processharness.Process, out *outage) {
 	p.Signal(syscall.SIGTERM)
-	overdue := time.AfterFunc(overdueAfter, func() { p.Signal(syscall.SIGUSR1) }) // the counters show what it waits for
+	overdue := time.AfterFunc(overdueAfter, func() { p.Signal(syscall.SIGUSR1) }) // the counters show what the process waits for
 	defer overdue.Stop()
 	select {
-	case out.exit = <-p.Ended:
-		p.Ended <- out.exit // for the next waiter
+	case out.exitErr = <-p.Ended:
+		p.Ended <- out.exitErr // for the next receiver
 		out.took = time.Since(out.from)
 	case <-time.After(killAfter - time.Since(out.from)):
 		out.killed, out.took = true, time.Since(out.from)
 		r.kill(p)
 	}
 	out.suspended = r.suspendedTime(p, out.from, out.from.Add(out.took))
-	if out.killed || out.exit != nil {
+	if out.killed || out.exitErr != nil {
 		out.log = p.LogTail(logLines)
 	}
 }
 
-// kill kills a process and waits for its end: until then the system keeps its sockets, and the next process could not
-// listen.
+// kill kills a process and waits for its end: until then the operating system keeps its sockets open, and the next
+// process could not listen at their addresses.
 func (r *run) kill(p *processharness.Process) {
 	p.Signal(syscall.SIGKILL)
-	_ = p.Wait(r.tier.Host) // returns that it was killed
+	_ = p.Wait(r.tier.Host) // the error reports the kill signal
 }
 
-// unlist removes a backend from the endpoint list for a time, unless it is the last one there.
+// unlist removes a backend from the endpoint list for a time, unless it is the only one listed or is unlisted already.
 func (r *run) unlist(step Step) {
 	r.mu.Lock()
 	listed := 0
@@ -385,9 +388,9 @@
 	o.arrivals = r.tier.BackendAttempts()
 	o.repeatedKeys = r.tier.RepeatedExecutions()
 	o.startedAt, o.maxInFlight = r.startedAt, maxInFlight
-	for _, f := range r.tier.AttemptSpans() {
-		if isLimited(f.Attempt) {
-			o.spans = append(o.spans, f)
+	for _, span := range r.tier.AttemptSpans() {
+		if isLimited(span.Attempt) {
+			o.spans = append(o.spans, span)
 		}
 	}
 	for _, p := range r.processes {
@@ -396,11 +399,11 @@
 	result := Result{
 		Requests: len(o.results), Restarts: len(o.outages), LongAttempts: o.countLongAttempts(), Breaches: o.check(),
 	}
-	for _, answered := range o.results {
-		if !answered.DisconnectedAt.IsZero() {
+	for _, requestResult := range o.results {
+		if !requestResult.DisconnectedAt.IsZero() {
 			result.Disconnected++
 		}
-		if answered.Status == http.StatusOK {
+		if requestResult.Status == http.StatusOK {
 			result.Served++
 		}
 	}
@@ -408,23 +411,23 @@
 		if out.killed {
 			result.Killed++
 		}
-		if out.hot {
+		if out.isHotRestart {
 			result.HotRestarts++
 		}
 	}
 	return result
 }
 
-// resourcesOf reads from the operating system what a process uses.
+// resourcesOf returns the resources that a process uses, as reported by the operating system.
 func resourcesOf(p *processharness.Process) resources {
 	dir := fmt.Sprintf("/proc/%d", p.Cmd.Process.Pid)
 	descriptors, _ := os.ReadDir(dir + "/fd") // none for a process that has ended
 	status, _ := os.ReadFile(dir + "/status")
-	held := resources{descriptors: len(descriptors)}
+	used := resources{descriptors: len(descriptors)}
 	for line := range bytes.Lines(status) {
 		if fields := bytes.Fields(line); len(fields) > 1 && string(fields[0]) == "VmRSS:" {
-			held.memoryKB, _ = strconv.Atoi(string(fields[1]))
+			used.memoryKB, _ = strconv.Atoi(string(fields[1]))
 		}
 	}
-	return held
+	return used
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,8 +1,8 @@
-// Package soak runs limiters as processes for a while under signals, crashes, slow and unlisted backends and lost
-// datagrams, with clients that use every open connection, and checks what clients and backends observed.
+// Package soak runs limiters as processes under signals, crashes, slow and unlisted backends and lost datagrams, with
+// clients that use every open connection, and checks what clients and backends observed.
 //
-// The schedule of a run is drawn from its seed, so that it can be repeated. The times within a run are those of real
-// processes, and differ a little.
+// The schedule of a run is drawn from its seed, so that a run can be repeated. The real processes perform the same
+// steps in each run of a seed, but at slightly different times.
 package soak
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Action is what a step of a schedule does.
+// Action is what a step of a schedule does. For, in the comments below, is the duration Step.For.
 type Action string
 
 // The actions.
@@ -23,10 +23,10 @@
 	Suspend                  Action = "SIGSTOP"                        // and SIGCONT after For
 	Terminate                Action = "SIGTERM"                        // and SIGKILL after killAfter, then a new process
 	Crash                    Action = "SIGKILL"                        // and a new process after For
-	HotRestart               Action = "hot restart"                    // and SIGTERM to the predecessor, For after the successor accepts clients
+	HotRestart               Action = "hot restart"                    // and SIGTERM to the predecessor For after the successor accepts clients
 	KillSuccessorEarly       Action = "successor dies early"           // SIGKILL to the successor For after its start
 	KillSuccessorInProbation Action = "successor dies in probation"    // SIGKILL to the successor For after it accepts clients
-	KillSuccessorLater       Action = "successor dies after probation" // a hot restart as above, then SIGKILL to the successor
+	KillSuccessorLater       Action = "successor dies after probation" // HotRestart, then SIGKILL to the successor
 	Unlist                   Action = "unlist"                         // a backend, for the duration For
 	SlowBackend              Action = "slow backend"                   // for the duration For
 	LoseDatagrams            Action = "lose messages"                  // between limiters, for the duration For
@@ -46,7 +46,7 @@
 }
 
 const (
-	// limiters and backends are the numbers of limiters and backends of a run.
+	// limiters and backends are how many limiters and backends a run has.
 	limiters = 3
 	backends = 4
 	// meanStepInterval is the mean time between two steps.
@@ -61,20 +61,21 @@
 	// maxEarlyKillDelay is the longest time from the start of a successor to its kill, which may come before it accepts
 	// clients.
 	maxEarlyKillDelay = 120 * time.Millisecond
-	// maxProbation is the longest time from the takeover to the end of the predecessor or the kill of the successor.
+	// maxProbation is the longest time from when a successor accepts clients to the SIGTERM to its predecessor or the
+	// SIGKILL to the successor.
 	maxProbation = 600 * time.Millisecond
 	// maxFaultDuration is the longest time for which a backend is slow or datagrams are lost.
 	maxFaultDuration = 4 * time.Second
-	// maxUnlisted is the longest time for which a backend is unlisted: more than limiters have to learn of it.
+	// maxUnlisted is the longest time for which a backend is unlisted: more than listPropagationTime.
 	maxUnlisted = 10 * time.Second
 )
 
-// weights are the relative frequencies of the actions.
-var weights = []struct {
+// actionWeights are the relative frequencies of the actions.
+var actionWeights = []struct {
 	action  Action
 	weight  int
 	maxFor  time.Duration // upper bound of Step.For
-	targets int
+	targets int           // number of limiters or backends from which Step.Target is drawn
 }{
 	{Reload, 3, 0, limiters},
 	{LogCounters, 2, 0, limiters},
@@ -120,12 +121,12 @@
 
 func drawStep(random *rand.Rand, at time.Duration) Step {
 	total := 0
-	for _, w := range weights {
+	for _, w := range actionWeights {
 		total += w.weight
 	}
-	number := random.IntN(total)
-	for _, w := range weights {
-		if number -= w.weight; number >= 0 {
+	drawn := random.IntN(total)
+	for _, w := range actionWeights {
+		if drawn -= w.weight; drawn >= 0 {
 			continue
 		}
 		step := Step{At: at, Action: w.action, Target: random.IntN(w.targets)}
--- a/internal/sourcecheck/knownred_test.go
+++ b/internal/sourcecheck/knownred_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// knownRedModule has the files of a module with a test and an experiment that can be listed as known failures, and
-// scripts that take the place of their commands.
+// knownRedModule has the files of a module, by path. The test TestListed and the experiment a.json can be listed as
+// known failures; the scripts stand in for the commands that run them.
 var knownRedModule = map[string]string{
 	"go.mod":             "module listed\n\ngo 1.26.0\n",
 	"listed_test.go":     "package listed\n\nimport \"testing\"\n\nfunc TestListed(*testing.T) {}\n",
@@ -22,8 +22,8 @@
 	"break":              "echo verdict: broken: units\nexit 1\n",
 }
 
-// newKnownRed returns a function that runs .ci/known-red on a list, in a module in a temporary directory, and returns
-// the exit code and the output.
+// newKnownRed creates the module in a temporary directory. The returned function runs .ci/known-red there with a mode
+// and a list of known failures, and returns the exit code and the output.
 func newKnownRed(t *testing.T) func(mode, list string) (code int, output string) {
 	t.Helper()
 	script, err := os.ReadFile("../../.ci/known-red")
@@ -67,7 +67,7 @@
 )
 
 // An entry of KNOWN-RED.txt has to fail, unless it is marked as one that fails at times. In both cases, the test or
-// experiment that it names has to exist, and its command has to run it.
+// experiment that the entry names has to exist, and its command has to run it.
 func TestKnownRed(t *testing.T) {
 	knownRed := newKnownRed(t)
 	for _, c := range []struct {
@@ -106,7 +106,7 @@
 	}
 }
 
-// The pattern of the skipped tests includes those that fail at times. No command runs to print it.
+// The pattern for skipping tests also includes those that fail at times. Printing it runs no command of an entry.
 func TestKnownRedIsSkipped(t *testing.T) {
 	knownRed := newKnownRed(t)
 	other := strings.ReplaceAll(listedPasses, "TestListed", "TestOther")
--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -56,18 +56,18 @@
 		{finding{"admission.derivePending", "g.peers"}, "the list is sorted afterwards"},
 		{finding{"admission.renewEpoch", "ctl.endpoints.byID"}, "each backend is handled independently"},
 		{finding{"admission.renewEpoch", "ctl.gossip.peers"}, "each peer is handled independently"},
-		{finding{"core.currentMetrics", "m.endpoints.byID"}, "a count"},
-		{finding{"core.liveBackends", "m.endpoints.byID"}, "a count"},
+		{finding{"core.currentMetrics", "m.endpoints.byID"}, "only counts entries"},
+		{finding{"core.liveBackends", "m.endpoints.byID"}, "only counts entries"},
 		{finding{"experiment.measures", "fields"}, "copies from one map to another"},
 		{finding{"experiment.summarize", "measures(r)"}, "each measure is handled independently"},
 		{finding{"experiment.summarize", "values"}, "each measure is handled independently"},
-		{finding{"quota.Counters", "l.peers"}, "a count"},
+		{finding{"quota.Counters", "l.peers"}, "only counts entries"},
 		{finding{"simulation.endWhenIdle", "l.world.openRequests"}, "tests only whether there is any"},
 		{finding{"simulation.checkRestarts", "restarting"}, "each limiter is handled independently"},
 		{finding{"simulation.kill", "l.world.openRequests"}, "each request is handled independently"},
 		{finding{"simulation.kill", "r.attempts"}, "each attempt is handled independently"},
-		{finding{"simulation.summarizeLeases", "c.messages"}, "sums and a maximum of whole numbers"},
-		{finding{"usage.UnreportedUnits", "r.open"}, "a sum of whole numbers"},
+		{finding{"simulation.summarizeLeases", "c.messages"}, "only adds integers and takes their maximum"},
+		{finding{"usage.UnreportedUnits", "r.open"}, "only adds integers"},
 		{finding{"usage.openEntries", "r.open"}, "the entries are sorted afterwards"},
 		{finding{"usage.sumUsage", "units"}, "the list is sorted afterwards"},
 	})
@@ -102,11 +102,11 @@
 		delete(found, e.finding)
 	}
 	for f, positions := range found {
-		t.Errorf("%s: %s at %s", f.function, f.expression, strings.Join(positions, ", "))
+		t.Errorf("%s: %s at %s has no exception", f.function, f.expression, strings.Join(positions, ", "))
 	}
 }
 
-// findElementPointers returns x[i] if a node takes the address of an element of a slice.
+// findElementPointers returns the text of x[i] if a node is &x[i] and x is a slice, "" otherwise.
 func findElementPointers(info *types.Info, node ast.Node) string {
 	address, ok := node.(*ast.UnaryExpr)
 	if !ok || address.Op != token.AND {
@@ -122,7 +122,7 @@
 	return types.ExprString(element)
 }
 
-// findMapRanges returns m if a node is a loop over a map in its iteration order.
+// findMapRanges returns the text of m if a node is a range loop over m and m is a map, "" otherwise.
 func findMapRanges(info *types.Info, node ast.Node) string {
 	loop, ok := node.(*ast.RangeStmt)
 	if !ok {
@@ -156,7 +156,7 @@
 	build.Default.CgoEnabled = false // the source importer would run cgo
 	paths, err := filepath.Glob(filepath.Join("..", name, "*.go"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no files of %s: %v", name, err)
+		t.Fatalf("package %s: no Go files found: %v", name, err)
 	}
 	p := loadedPackage{positions: positions, info: &types.Info{Types: map[ast.Expr]types.TypeAndValue{}}}
 	for _, path := range paths {
