--- a/internal/admin/collector.go
+++ b/internal/admin/collector.go
@@ -10,7 +10,7 @@
 
 // This file contains the metrics. Scripts read their names and labels.
 
-// Descriptions of the metrics.
+// Descriptions of the metrics that a collector collects.
 var (
 	completedDesc   = classDesc("router_completed_total", "requests that got a response of a backend")
 	rejectedDesc    = classDesc("router_rejected_total", "requests that were rejected")
--- a/internal/admin/format_test.go
+++ b/internal/admin/format_test.go
@@ -12,8 +12,8 @@
 	"lemongate/internal/golden"
 )
 
-// The paths, methods, statuses, content types, metric names, labels and JSON of release 0.8.0, which scrapers and
-// scripts read. Help texts are for people and may change.
+// The server keeps the paths, methods, statuses, content types, metric names, labels and JSON of release 0.8.0, which
+// scrapers and scripts read. Help texts are for people and may change.
 func TestCallsOfEarlierRelease(t *testing.T) {
 	s, address := serve(t)
 	var b strings.Builder
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -7,7 +7,7 @@
 )
 
 // A boundedListener keeps at most maxConns connections open. At that limit it closes the oldest connection to accept
-// a new one, so that callers that hang do not keep others out.
+// a new one, so that callers that neither send nor read do not block other callers.
 type boundedListener struct {
 	net.Listener
 
@@ -30,7 +30,7 @@
 	}
 	conn := &boundedConn{Conn: accepted, listener: l}
 	if displaced := l.add(conn); displaced != nil {
-		_ = displaced.Conn.Close() // its HTTP handler closes it too
+		_ = displaced.Conn.Close() // the HTTP server closes it too
 	}
 	return conn, nil
 }
@@ -41,14 +41,14 @@
 	defer l.mu.Unlock()
 	if l.conns.Len() >= maxConns {
 		displaced = l.conns.Front().Value.(*boundedConn)
-		displaced.release()
+		displaced.remove()
 	}
 	conn.element = l.conns.PushBack(conn)
 	return displaced
 }
 
-// release removes the connection from the list. The caller holds listener.mu.
-func (c *boundedConn) release() {
+// remove removes the connection from the list. The caller holds listener.mu.
+func (c *boundedConn) remove() {
 	if c.element != nil {
 		c.listener.conns.Remove(c.element)
 		c.element = nil
@@ -58,7 +58,7 @@
 // Close removes the connection from the list and closes it.
 func (c *boundedConn) Close() error {
 	c.listener.mu.Lock()
-	c.release()
+	c.remove()
 	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -47,7 +47,7 @@
 }
 
 // handleRestartSlot returns the restart slots as known to this limiter, and posts an operator's request. POST
-// requests a slot for this limiter; with forget=N it releases the slot of limiter N, which will not come back.
+// requests a slot for this limiter; with forget=N it releases the slot of limiter N, which will not start again.
 // DELETE releases the slot of this limiter or withdraws its request.
 func (s *Server) handleRestartSlot(w http.ResponseWriter, r *http.Request) {
 	view := s.published.Load().RestartSlots
@@ -68,7 +68,7 @@
 	writeJSON(w, http.StatusAccepted, view)
 }
 
-// restartSlotEvent returns the event that a call about restart slots asks for, and whether the call is valid.
+// restartSlotEvent returns the event for a call that changes restart slots, and whether the call is valid.
 func restartSlotEvent(r *http.Request) (event core.Event, valid bool) {
 	text := r.URL.Query().Get("forget")
 	if text == "" {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -23,7 +23,7 @@
 const (
 	// callTimeout bounds the time in which a caller must send a call, and the time in which it must read the response.
 	callTimeout = time.Second
-	// maxConns is the number of callers that may be connected at once; see boundedListener.
+	// maxConns bounds the number of open connections; see boundedListener.
 	maxConns = 32
 	// maxHeaderBytes bounds the header of a call.
 	maxHeaderBytes = 4 << 10
@@ -31,7 +31,7 @@
 	listenRetryInterval = time.Second
 )
 
-// A Server answers calls at one address. Its methods may be called from any goroutine.
+// A Server answers the calls that are sent to one address. Its methods may be called from any goroutine.
 type Server struct {
 	log       *zap.Logger
 	server    *http.Server
@@ -96,7 +96,7 @@
 // Close ends ListenAndServe, Serve and all calls.
 func (s *Server) Close() {
 	s.cancel()
-	_ = s.server.Close() // a listener that cannot be closed needs no further handling
+	_ = s.server.Close() // it fails only if the listener cannot be closed, which needs no further handling
 }
 
 // SetReady sets whether this process accepts clients.
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -14,6 +14,7 @@
 	"lemongate/internal/core"
 )
 
+// serve starts a Server on a free port, which is closed at the end of the test.
 func serve(t *testing.T) (s *Server, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,6 +27,7 @@
 	return s, l.Addr().String()
 }
 
+// call sends GET for a path and returns the status and the body of the response.
 func call(t *testing.T, address, path string) (status int, body string) {
 	t.Helper()
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -43,7 +45,7 @@
 }
 
 // Metrics have the names that operators use, and /healthcheck reports whether clients are accepted.
-func TestCalls(t *testing.T) {
+func TestStatsAndHealthcheck(t *testing.T) {
 	s, address := serve(t)
 	if status, _ := call(t, address, "/healthcheck"); status != 503 {
 		t.Errorf("/healthcheck before clients are accepted: status %d, want 503", status)
@@ -56,14 +58,14 @@
 	if status, _ := call(t, address, "/healthcheck"); status != 200 {
 		t.Errorf("/healthcheck once clients are accepted: status %d, want 200", status)
 	}
-	_, text := call(t, address, "/stats")
+	_, body := call(t, address, "/stats")
 	for _, line := range []string{
 		`router_completed_total{lane="C"} 812`, `router_rejected_total{lane="C"} 3`, `router_failed_total{lane="C"} 2`,
 		`router_completed_total{lane="D"} 0`, `router_upstream_requests_total 7`, `router_pending 14`,
 		`router_members 9`, `router_members_unavailable 4`,
 	} {
-		if !strings.Contains("\n"+text, "\n"+line+"\n") {
-			t.Errorf("metric %s is missing in\n%s", line, text)
+		if !strings.Contains("\n"+body, "\n"+line+"\n") {
+			t.Errorf("metric %s is missing in the body of /stats:\n%s", line, body)
 		}
 	}
 	for _, path := range []string{"/", "/stats/x"} {
@@ -73,7 +75,7 @@
 	}
 }
 
-// Callers that keep connections open and send nothing or part of a call do not keep other callers from a response.
+// Callers that keep connections open and send nothing or part of a call do not prevent other callers from being served.
 func TestHangingCallers(t *testing.T) {
 	s, address := serve(t)
 	s.SetReady(true)
@@ -89,7 +91,7 @@
 	}
 	for range 3 {
 		if status, _ := call(t, address, "/healthcheck"); status != 200 {
-			t.Errorf("/healthcheck among many callers: status %d, want 200", status)
+			t.Errorf("/healthcheck while other callers hang: status %d, want 200", status)
 		}
 	}
 	// The server closes a connection on which nothing is sent.
@@ -102,12 +104,12 @@
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the connection of a silent caller was not closed: %v", err)
+		t.Errorf("read on a connection on which nothing was sent: error %v, want it closed by the server", err)
 	}
 }
 
-// A monitor may send HEAD for the restart slots, which must change nothing. HEAD used to withdraw the limiter's
-// request for a slot.
+// A monitor may send HEAD for the restart slots, which must change nothing. If HEAD were handled like DELETE, it would
+// withdraw the limiter's request for a slot.
 func TestHeadOfRestartSlotsChangesNothing(t *testing.T) {
 	s, address := serve(t)
 	posted := make(chan core.Event, 10)
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -37,9 +37,9 @@
 	errNoInstanceID = errors.New("endpoint list: instance without instanceId")
 )
 
-// Decode decodes one message, and also returns the generation of the list. Origin is the Unix time at which the
-// program's clock was at zero. Decode fails on malformed JSON, on a complete list without instances, on an instance
-// without an ID, and on an instance that is up and whose address is not host:port. The error text has one line.
+// Decode decodes one message, and also returns the generation of the list. Origin is the time at which the program's
+// clock was at zero. Decode fails on malformed JSON, on a complete list without instances, on an instance without an
+// ID, and on an instance that is up and whose address is not host:port. The error text has one line.
 func Decode(data []byte, origin time.Time) (list *core.EndpointsUpdated, generation int64, err error) {
 	var m message
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &m); err != nil {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -23,9 +23,10 @@
 // A stream reads the messages of a watch. A message may stand on one line or be indented over several. The stream
 // also sets the timer that ends a watch on which nothing is received.
 //
-// Between two messages, any byte shows that discovery is alive. A message that has begun is complete soon, because
-// discovery runs on this machine and has all of it. The change in that message already counts as known, see the
-// package comment, so a message that was cut off must be detected within the drain grace, whatever data follows it.
+// Between two messages, any byte shows that discovery is alive. Once a message has begun, the rest of it follows soon,
+// because discovery runs on this machine and already has the whole message. The change in that message already counts
+// as known (see the package comment), so a message that was cut off must be detected within the drain grace, whatever
+// data follows it.
 type stream struct {
 	body         io.Reader
 	timeout      time.Duration // between messages, time without a byte; within a message, time from first to last byte
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -31,15 +31,15 @@
 	oneLine := strings.ReplaceAll(listText, "\n", "") + "\n"
 	for name, text := range map[string]string{
 		"one line": oneLine, "tabs": indented(t, listText, "\t"), "spaces": indented(t, listText, "  "), "none": indented(t, listText, ""),
-		"an entry a line":  strings.ReplaceAll(strings.ReplaceAll(oneLine, "[{", "[\n      {"), "},{", "},\n      {"),
-		"carriage returns": strings.ReplaceAll(indented(t, listText, " "), "\n", "\r\n"),
-		"braces in a name": indented(t, strings.Replace(listText, `"s-1"`, `"}{\\\""`, 1), " "),
+		"one entry per line": strings.ReplaceAll(strings.ReplaceAll(oneLine, "[{", "[\n      {"), "},{", "},\n      {"),
+		"carriage returns":   strings.ReplaceAll(indented(t, listText, " "), "\n", "\r\n"),
+		"braces in a name":   indented(t, strings.Replace(listText, `"s-1"`, `"}{\\\""`, 1), " "),
 	} {
 		t.Run(name, func(t *testing.T) {
 			fake := newFakeDiscovery(t)
 			events := fake.watcher(t, nil)
 			w := <-fake.watches
-			w.lines <- text + "\n" + indented(t, strings.Replace(change, "%", "99", 1), "  ")
+			w.lines <- text + "\n" + indented(t, strings.Replace(changeTemplate, "%", "99", 1), "  ")
 			if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
 				t.Errorf("got %+v, want a complete list of 3 endpoints", ev)
 			}
@@ -50,23 +50,23 @@
 	}
 }
 
-// A message may be cut off after any byte and be followed by the next message. The complete list is requested soon,
-// and no part of the message is posted.
+// A message may be cut off after any byte and be followed by the next message. The watcher then requests the complete
+// list without waiting for the silence timeout, and posts no part of the message.
 func TestCutOffAtAnyByte(t *testing.T) {
-	complete := strings.TrimSpace(strings.Replace(change, "%", "43", 1))
-	next := strings.Replace(change, "%", "44", 1)
+	text := strings.TrimSpace(strings.Replace(changeTemplate, "%", "43", 1))
+	next := strings.Replace(changeTemplate, "%", "44", 1)
 	for _, trailing := range []string{"\n", "\n" + next, "\n\n", next} {
-		for i := 1; i < len(complete); i++ {
+		for i := 1; i < len(text); i++ {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				fake := newFakeDiscovery(t)
 				events := fake.watcher(t, func(w *Watcher) { w.silenceTimeout = time.Hour })
-				(<-fake.watches).lines <- complete[:i] + trailing
-				if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
-					t.Errorf("cut off at %q: requested %s, want index 0", complete[:i], again.query)
+				(<-fake.watches).lines <- text[:i] + trailing
+				if reopened := <-fake.watches; reopened.uri != "/v1/endpoints?stream=1&index=0" {
+					t.Errorf("cut off at %q: requested %s, want index 0", text[:i], reopened.uri)
 				}
 				if len(events) > 0 {
-					t.Errorf("cut off at %q: posted %+v, want nothing", complete[:i], <-events)
+					t.Errorf("cut off at %q: posted %+v, want nothing", text[:i], <-events)
 				}
 			})
 		}
@@ -79,8 +79,8 @@
 		fake := newFakeDiscovery(t)
 		events := fake.watcher(t, nil)
 		(<-fake.watches).lines <- text + "\n"
-		if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" || len(events) > 0 {
-			t.Errorf("%q: requested %s, %d events; want index 0 and no events", text, again.query, len(events))
+		if reopened := <-fake.watches; reopened.uri != "/v1/endpoints?stream=1&index=0" || len(events) > 0 {
+			t.Errorf("%q: requested %s, %d events; want index 0 and no events", text, reopened.uri, len(events))
 		}
 	}
 }
@@ -104,13 +104,13 @@
 }
 
 // Discovery may stop sending at any point: after the connect, after the header, in the middle of an object or a line,
-// or between two objects. The watch is then ended and opened again, and it receives the newest list.
+// or between two objects. The watcher then ends the watch and opens another, which receives the newest list.
 func TestSilentAtAnyPoint(t *testing.T) {
 	const header = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
-	complete := strings.Replace(change, "%", "43", 1)
+	text := strings.Replace(changeTemplate, "%", "43", 1)
 	for name, sent := range map[string]string{
-		"connect": "", "half a header": header[:20], "head": header, "line": header + complete[:40],
-		"object": header + "{\n \"generation\": 43,\n", "bytes inside an object": header + "{\n", "list": header + complete,
+		"connect": "", "half a header": header[:20], "head": header, "line": header + text[:40],
+		"object": header + "{\n \"generation\": 43,\n", "bytes inside an object": header + "{\n", "list": header + text,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -123,9 +123,9 @@
 					return
 				}
 				silentConn <- c
-				_, _ = http.ReadRequest(bufio.NewReader(c)) // the second watch shows whether it was received
+				_, _ = http.ReadRequest(bufio.NewReader(c)) // the second watch shows whether the request was received
 				_, _ = io.WriteString(c, sent)
-				if strings.HasPrefix(name, "bytes") { // parts of an object, which make no message
+				if strings.HasPrefix(name, "bytes") { // send bytes that never complete the message
 					for range 2000 {
 						if _, err := io.WriteString(c, " \"x\": 1,\n"); err != nil {
 							break
@@ -137,8 +137,8 @@
 				if err != nil {
 					return
 				}
-				_, _ = http.ReadRequest(bufio.NewReader(second)) // the list shows whether it was received
-				_, _ = fmt.Fprint(second, header, strings.Replace(change, "%", "44", 1))
+				_, _ = http.ReadRequest(bufio.NewReader(second)) // the posted list shows whether the request was received
+				_, _ = fmt.Fprint(second, header, strings.Replace(changeTemplate, "%", "44", 1))
 				<-done
 				_ = second.Close()
 			}()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,7 +1,7 @@
 // Package discovery watches the endpoint list of the backends. It keeps a stream open, resumes it after the last
 // message received when it breaks, and posts the messages; it makes no decisions.
 //
-// The platform judges a limiter by the time at which a change of the list counts as known to it:
+// The platform checks that a limiter reacts in time to a change of the list. A change counts as known to the limiter:
 //
 //   - as soon as discovery on the limiter's machine has the change, whether or not a watch is open;
 //   - at the latest maxKnownDelay after data stopped arriving on the watch, or after discovery had the change and
@@ -59,9 +59,9 @@
 	Post           func(core.Event) // called with a core.EndpointsUpdated for each message
 	Log            *zap.Logger
 	Limiters       int                   // number of limiters that watch the same discovery
-	random         func() float64        // overrides the random source, in [0, 1)
-	silenceTimeout time.Duration         // overrides defaultSilenceTimeout
-	sleepOverride  func(d time.Duration) // overrides how a pause is spent
+	random         func() float64        // overrides the random source, in [0, 1); nil for rand.Float64
+	silenceTimeout time.Duration         // overrides defaultSilenceTimeout; 0 for the default
+	sleepOverride  func(d time.Duration) // called for each pause, instead of waiting; for tests
 
 	mu          sync.Mutex
 	nextAddr    string             // address of the last SetAddr; empty once Run has switched to it
@@ -78,9 +78,9 @@
 	}
 }
 
-// startWatch returns a context for one watch and the pause after it, which the next SetAddr cancels. It also reports
-// whether SetAddr was called since the last startWatch. After SetAddr the complete list is requested, because the
-// generations of one discovery mean nothing at another.
+// startWatch returns a context for one watch and the pause after it. The next SetAddr cancels that context. startWatch
+// also reports whether SetAddr was called since the last startWatch. After SetAddr the complete list is requested,
+// because the generations of one discovery mean nothing at another.
 func (w *Watcher) startWatch(ctx context.Context) (watchCtx context.Context, moved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,7 +147,8 @@
 	}
 }
 
-// watch opens a watch, reads it until it ends, and returns the number of messages read. The error is never nil.
+// watch opens a watch, reads it until it ends, posts each message, and returns the number of messages read. The error
+// is never nil.
 func (w *Watcher) watch(ctx context.Context, transport *http.Transport) (messages int, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -155,7 +156,7 @@
 	if timeout == 0 {
 		timeout = defaultSilenceTimeout
 	}
-	// TCP does not detect that discovery has become unreachable.
+	// TCP does not detect that discovery has become unreachable, so silence ends the watch.
 	silenceTimer := time.AfterFunc(timeout, func() { cancel(errSilent) })
 	defer silenceTimer.Stop()
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -24,7 +24,8 @@
 	{"instanceId":"s-2","hostPort":"127.0.0.1:8444","zone":"b","cell":4,"lifecycle":"draining","weight":1,"startedAtMs":1000500},
 	{"instanceId":"s-3","lifecycle":"removed","startedAtMs":7}]}`
 
-// Unix milliseconds are converted to times of the program's clock. A start before its zero counts as long ago.
+// Unix milliseconds are converted to times of the program's clock. A start time before the zero of that clock is
+// converted to zero, which stands for a start long ago.
 func TestDecode(t *testing.T) {
 	list, generation, err := Decode([]byte(listText), time.UnixMilli(1_000_000))
 	want := &core.EndpointsUpdated{Kind: admission.ListComplete, Generation: 41, Endpoints: []core.Endpoint{
@@ -35,11 +36,11 @@
 		{Backend: admission.Backend{ID: "s-3", State: admission.Removed}},
 	}}
 	if err != nil || generation != 41 || !reflect.DeepEqual(list, want) {
-		t.Errorf("got %+v, generation %d, error %v", list, generation, err)
+		t.Errorf("got %+v, generation %d, error %v; want the 3 endpoints of listText, generation 41 and no error", list, generation, err)
 	}
 }
 
-// An instance in an unknown state counts as draining, and the other instances of the list count as usual.
+// An instance with an unknown lifecycle counts as draining, and does not invalidate the list.
 func TestUnknownLifecycle(t *testing.T) {
 	list, _, err := Decode([]byte(strings.Replace(listText, `"removed"`, `"parked"`, 1)), time.Time{})
 	if err != nil || len(list.Endpoints) != 3 || list.Endpoints[2].State != admission.Draining {
@@ -60,18 +61,18 @@
 	}
 }
 
-// A fakeDiscovery passes each watch to the test. It listens on an address that other processes do not use: limiters
-// of other processes that had lost a discovery on 127.0.0.1 opened their watches here instead.
+// A fakeDiscovery passes each watch to the test. It listens on an address that other processes do not use. On
+// 127.0.0.1 it would also receive watches of limiters in other processes whose discovery has ended.
 type fakeDiscovery struct {
 	watches chan watch
 	server  *httptest.Server
 }
 
-// A watch is a request of a Watcher that is being answered. It ends when its lines are closed.
+// A watch is a request of a Watcher that is being answered. It ends when lines is closed.
 type watch struct {
-	query  string
-	lines  chan string
-	closed <-chan struct{}
+	uri    string          // path and query of the request
+	lines  chan string     // text to send, in pieces of any length
+	closed <-chan struct{} // closed when the Watcher has closed the connection
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -80,13 +81,13 @@
 		lines := make(chan string)
 		select {
 		case d.watches <- watch{r.URL.RequestURI(), lines, r.Context().Done()}:
-		case <-r.Context().Done(): // the test does not look at this watch
+		case <-r.Context().Done(): // the watch ended before the test received it
 			return
 		}
 		for {
 			select {
-			case text, more := <-lines:
-				if !more {
+			case text, ok := <-lines:
+				if !ok {
 					return
 				}
 				_, _ = io.WriteString(w, text) // the watch may have ended
@@ -99,19 +100,22 @@
 	return d
 }
 
-func (d *fakeDiscovery) watcher(t *testing.T, change func(*Watcher)) <-chan core.Event {
-	_, events := d.start(t, change)
+// watcher does what start does, and returns only the events.
+func (d *fakeDiscovery) watcher(t *testing.T, configure func(*Watcher)) <-chan core.Event {
+	_, events := d.start(t, configure)
 	return events
 }
 
-func (d *fakeDiscovery) start(t *testing.T, change func(*Watcher)) (*Watcher, <-chan core.Event) {
+// start runs a Watcher of this discovery until the end of the test, and returns it and the events that it posts.
+// Configure, if not nil, changes the Watcher before it runs.
+func (d *fakeDiscovery) start(t *testing.T, configure func(*Watcher)) (*Watcher, <-chan core.Event) {
 	events := make(chan core.Event, 8)
 	w := &Watcher{
 		Addr: d.server.Listener.Addr().String(), Generation: 7, Log: zap.NewNop(),
 		Post: func(ev core.Event) { events <- ev }, sleepOverride: func(time.Duration) {},
 	}
-	if change != nil {
-		change(w)
+	if configure != nil {
+		configure(w)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan bool)
@@ -127,8 +131,9 @@
 }
 
 // A limiter of another process retries its watch on 127.0.0.1, on a port that the kernel may have assigned again. That
-// watch must not be passed to a test: TestCutOffAtAnyByte once took a watch from generation 1 for its own.
-func TestWatchOfOtherProcessIsNotTaken(t *testing.T) {
+// watch must not be passed to a test: TestCutOffAtAnyByte once failed because it received such a watch, which requested
+// generation 1.
+func TestWatchOfOtherProcessIsNotReceived(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	_, port, err := net.SplitHostPort(fake.server.Listener.Addr().String())
 	if err != nil {
@@ -147,45 +152,46 @@
 	})
 	select {
 	case taken := <-fake.watches:
-		t.Errorf("the watch of another process was passed to the test: %s", taken.query)
+		t.Errorf("the watch of another process was passed to the test: %s", taken.uri)
 	case <-ended:
 	}
 }
 
 // SetAddr ends the open watch at once and requests the complete list at the new address, because the generations of one
 // discovery mean nothing at another. Nothing is posted until that list is received, so the old list stays in effect.
-// The last of several calls counts.
-func TestMove(t *testing.T) {
+// After several calls of SetAddr, the last address is used.
+func TestSetAddr(t *testing.T) {
 	fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
 	w, events := fake.start(t, nil)
 	first := <-fake.watches
 	w.SetAddr(other.server.Listener.Addr().String())
 	<-first.closed
 	moved := <-other.watches
-	if moved.query != "/v1/endpoints?stream=1&index=0" || len(events) != 0 {
-		t.Errorf("requested %s, %d events; want index 0 and no events", moved.query, len(events))
+	if moved.uri != "/v1/endpoints?stream=1&index=0" || len(events) != 0 {
+		t.Errorf("requested %s, %d events; want index 0 and no events", moved.uri, len(events))
 	}
 	moved.lines <- strings.ReplaceAll(listText, "\n", "") + "\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
 		t.Errorf("got %+v, want a complete list of 3 endpoints", ev)
 	}
-	w.SetAddr("127.0.0.1:0") // nobody listens there
+	w.SetAddr("127.0.0.1:0") // no server listens there
 	<-moved.closed
 	w.SetAddr(fake.server.Listener.Addr().String()) // also ends a pause
-	if again := <-fake.watches; again.query != "/v1/endpoints?stream=1&index=0" {
-		t.Errorf("requested %s, want index 0", again.query)
+	if reopened := <-fake.watches; reopened.uri != "/v1/endpoints?stream=1&index=0" {
+		t.Errorf("requested %s, want index 0", reopened.uri)
 	}
 }
 
-const change = `{"generation":%,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]}` + "\n"
+// changeTemplate is a change to a list; "%" stands for its generation.
+const changeTemplate = `{"generation":%,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]}` + "\n"
 
-// A watch resumes after the last generation received, skips empty lines, and requests the complete list after an
-// invalid line.
+// A Watcher resumes after the last generation that it received, skips empty lines, and requests the complete list after
+// an invalid line.
 func TestResume(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	events := fake.watcher(t, nil)
 	first := <-fake.watches
-	first.lines <- "\n" + strings.Replace(change, "%", "43", 1) + "\n\n"
+	first.lines <- "\n" + strings.Replace(changeTemplate, "%", "43", 1) + "\n\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListDelta || len(ev.Endpoints) != 1 {
 		t.Errorf("got %+v, want a change with 1 endpoint", ev)
 	}
@@ -197,16 +203,16 @@
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete {
 		t.Errorf("got %+v, want a complete list", ev)
 	}
-	for i, c := range []struct{ got, index string }{{first.query, "7"}, {second.query, "43"}, {third.query, "0"}} {
+	for i, c := range []struct{ got, index string }{{first.uri, "7"}, {second.uri, "43"}, {third.uri, "0"}} {
 		if want := "/v1/endpoints?stream=1&index=" + c.index; c.got != want {
 			t.Errorf("watch %d requested %s, want %s", i, c.got, want)
 		}
 	}
 }
 
-// A watch on which not even empty lines are received is ended: TCP does not detect that a machine has become
-// unreachable.
-func TestSilence(t *testing.T) {
+// The Watcher ends a watch on which it receives nothing, not even empty lines: TCP does not detect that a machine has
+// become unreachable.
+func TestSilenceTimeout(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	fake.watcher(t, func(w *Watcher) { w.silenceTimeout = 20 * time.Millisecond })
 	first := <-fake.watches
@@ -214,8 +220,8 @@
 	<-fake.watches
 }
 
-// A change in an invalid line counts as known as of that line, and 250 ms later no new attempts may start. The list
-// is requested in time even after three such lines in a row.
+// A change in an invalid line counts as known as soon as discovery has it, and 250 ms later no new attempt may start at
+// a backend that is then draining or removed. The Watcher requests the list in time even after three such lines in a row.
 func TestInvalidLines(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	var slept time.Duration
@@ -223,7 +229,7 @@
 	for range 3 {
 		(<-fake.watches).lines <- "{\"generation\x00:7}\n"
 	}
-	(<-fake.watches).lines <- strings.Replace(change, "%", "8", 1)
+	(<-fake.watches).lines <- strings.Replace(changeTemplate, "%", "8", 1)
 	if <-events; slept > 100*time.Millisecond {
 		t.Errorf("requested the list after pauses of %v, want 100 ms at most", slept)
 	}
@@ -237,17 +243,17 @@
 	fake.watcher(t, func(w *Watcher) {
 		w.sleepOverride, w.random = func(d time.Duration) { pauses <- d }, func() float64 { return 0.5 }
 	})
-	for _, want := range []int{10, 20, 40, 80, 100, 100} { // no longer pauses: a failed watch puts no load on discovery
+	for _, want := range []int{10, 20, 40, 80, 100, 100} { // at most 100 ms, because a failed watch puts no load on discovery
 		close((<-fake.watches).lines)
 		if got := <-pauses; got != time.Duration(want)*time.Millisecond {
 			t.Errorf("pause %v, want %d ms", got, want)
 		}
 	}
 	good := <-fake.watches
-	good.lines <- strings.Replace(change, "%", "8", 1)
+	good.lines <- strings.Replace(changeTemplate, "%", "8", 1)
 	close(good.lines)
 	if got := <-pauses; got != minBackoff {
-		t.Errorf("pause %v after a watch that received a message, want minBackoff", got)
+		t.Errorf("pause %v after a watch that received a message, want minBackoff (10 ms)", got)
 	}
 }
 
@@ -271,8 +277,8 @@
 	return pauses
 }
 
-// Limiters whose watches are rejected together do not retry in step, nor so often that discovery's queue never
-// empties, nor so late that a change counts as known to them before.
+// Limiters whose watches are rejected together do not retry in step, do not retry so often that discovery's queue never
+// empties, and do not wait so long that a change counts as known to them long before they retry.
 func TestTierDoesNotOverloadDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		limiters          int
@@ -297,21 +303,21 @@
 			earliest, latest = min(earliest, d), max(latest, d)
 		}
 		if latest > c.maxFirst || latest < c.maxFirst/2 || earliest > c.maxFirst/3 {
-			t.Errorf("%d limiters: first pauses from %v to %v after a rejection, want them spread over %v", c.limiters, earliest, latest, c.maxFirst)
+			t.Errorf("%d limiters: first pauses from %v to %v after a rejection, want them spread over about %v", c.limiters, earliest, latest, c.maxFirst)
 		}
 	}
 }
 
-// A change that discovery has counts as known. Therefore, in a tier of any size, the first watch is opened at the start
-// and a new watch is opened after a move or when a watch breaks, without a pause that exceeds the 250 ms allowed for
-// draining backends.
+// A change that discovery has counts as known to the limiter. Therefore, in a tier of any size, the Watcher opens the
+// first watch at once, and another one after SetAddr or when a watch breaks, without a pause that exceeds the 250 ms
+// allowed for draining backends.
 func TestWatchesAtOnceInAnyTier(t *testing.T) {
 	for _, limiters := range []int{3, 80, 300} {
 		fake, other := newFakeDiscovery(t), newFakeDiscovery(t)
 		var slept time.Duration
 		w, events := fake.start(t, func(w *Watcher) { w.Limiters, w.sleepOverride = limiters, func(d time.Duration) { slept += d } })
 		first := <-fake.watches
-		first.lines <- strings.Replace(change, "%", "8", 1)
+		first.lines <- strings.Replace(changeTemplate, "%", "8", 1)
 		<-events
 		close(first.lines)
 		<-fake.watches
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -39,9 +39,9 @@
 	startBefore   time.Duration // the first byte must be written before this clock time; 0 for no bound
 
 	startExpired    atomic.Bool // startBefore passed before the first byte was written
-	withdrawn       atomic.Bool // the first byte may no longer be written
+	withdrawn       atomic.Bool // WithdrawAttempt was called, so the first byte may no longer be written
 	responseStarted atomic.Bool // the first byte of a response was received
-	staleConns      int         // connections that turned out to be stale before a byte was written
+	staleConns      int         // number of connections that turned out to be stale before a byte was written
 
 	// mu guards both the current connection and the aborted flag, because they must change together:
 	// http.Transport may assign a connection, and write to it, after the attempt's context has ended.
@@ -119,8 +119,8 @@
 	}
 }
 
-// expired reports whether startBefore has passed. The process may have been suspended since the attempt was
-// started, or the attempt may have waited for a connection.
+// expired reports whether startBefore has passed, and if so sets startExpired. The process may have been suspended
+// since the attempt was started, or the attempt may have waited for a connection.
 func (a *attempt) expired() bool {
 	if a.startBefore <= 0 || a.now() < a.startBefore {
 		return false
@@ -204,8 +204,8 @@
 	return c.receive(a, body, response)
 }
 
-// trace returns callbacks that assign the connection which http.Transport selects to the attempt, and that set
-// the response timer when the first byte of a response is received.
+// trace returns callbacks that assign the connection which http.Transport selects to the attempt, that control the
+// response timer as bytes of a response are received, and that count the attempts whose requests were written.
 func (c *Client) trace(a *attempt, id core.AttemptID, responseTimer *time.Timer) *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// idleFraction is the fraction of Options.IdleClose for which an idle connection is kept. If the backend
-	// closes the connection while a request is being sent on it, the request may be lost.
+	// idleFraction is the fraction of Options.IdleClose for which an idle connection is kept. It is below 1, because
+	// a request may be lost if the backend closes the connection while that request is being sent on it.
 	idleFraction = 2.0 / 3
 	// maxResponseHeaderBytes bounds the header of a response.
 	maxResponseHeaderBytes = 16 << 10
--- a/internal/upstream/backendconn.go
+++ b/internal/upstream/backendconn.go
@@ -11,7 +11,7 @@
 )
 
 var (
-	// errStale ends an attempt on a kept connection that was closed, or on which unexpected data was received,
+	// errStale ends an attempt on a reused connection that was closed, or on which unexpected data was received,
 	// before a byte of the request was written.
 	errStale = errors.New("stale connection")
 	// errStartExpired ends an attempt whose startBefore passed before its first byte was written.
@@ -26,7 +26,8 @@
 //
 // It also ensures that no byte received before the first write of an attempt is taken for part of the response
 // to it. http.Transport returns a connection to its pool before it checks for data after the response (such as
-// a copy of the response, or noise), and the next attempt on the connection would get that data as its response.
+// a copy of the response, or arbitrary bytes), and the next attempt on the connection would get that data as its
+// response.
 // Therefore the first byte of a request is written only while the transport's reader is blocked on the socket
 // with an empty buffer, and the socket is empty as well. If the transport has the first byte of a response in
 // its buffer before that, the connection is closed.
@@ -43,7 +44,7 @@
 	writeStarted  bool      // a byte of the current request was written, so data read belongs to its response
 	writeFailed   bool      // a write of the current request failed or was refused
 	ended         bool      // nothing more may be written or read
-	readerBlocked bool      // on the socket; its buffer is empty unless it holds part of a response
+	readerBlocked bool      // http.Transport's reader waits for data; its buffer is empty or holds part of a response
 	closeOnce     sync.Once
 }
 
@@ -66,7 +67,7 @@
 }
 
 // responseBuffered is called when http.Transport has the first byte of a response in its buffer. If no byte of
-// the request was written yet, that byte is left over from before it: responseBuffered closes the connection at
+// the request was written yet, the buffered data is not a response to it: responseBuffered closes the connection at
 // once, so that no part of that data is served.
 func (c *backendConn) responseBuffered() {
 	c.mu.Lock()
--- a/internal/upstream/backendconn_test.go
+++ b/internal/upstream/backendconn_test.go
@@ -11,7 +11,7 @@
 	"lemongate/internal/testnet"
 )
 
-// Canceling an attempt must not close its former connection while the next attempt is using that.
+// Canceling an attempt must not close a connection that has since been assigned to the next attempt.
 func TestCancelDoesNotCloseNextAttempt(t *testing.T) {
 	c, remote := connPair(t)
 	previous, next := &attempt{}, &attempt{}
@@ -19,9 +19,9 @@
 	c.assign(next)
 	c.abort(previous)
 	go readByte(c)
-	go func() { _, _ = c.Write([]byte("x")) }() // the read below shows whether the byte arrived
+	go func() { _, _ = c.Write([]byte("x")) }() // the read below shows whether the byte was received
 	if _, err := io.ReadFull(remote, make([]byte, 1)); err != nil {
-		t.Errorf("canceling the previous attempt stopped the next one: %v", err)
+		t.Errorf("canceling the previous attempt broke the connection of the next one: %v", err)
 	}
 }
 
@@ -117,13 +117,13 @@
 
 	c, remote = connPair(t)
 	c.assign(&attempt{})
-	c.readerBlocked = true // as if the reader had not yet seen the data on the socket
+	c.readerBlocked = true // as if the reader had not yet read the data on the socket
 	write(t, remote, "x")
 	for start := time.Now(); time.Since(start) < 10*time.Second; {
 		if err := c.startWrite(); errors.Is(err, errStale) {
 			return
 		}
-		c.writeStarted = false // the byte has not arrived yet
+		c.writeStarted = false // startWrite found no data, because the byte was not received yet
 	}
-	t.Error("a request started on a connection with unread data")
+	t.Error("startWrite did not fail with errStale within 10 s on a connection with unread data")
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -30,7 +30,7 @@
 	Method         string
 	URI            string // path and query as received from the client
 	Host           string
-	CallID         string
+	CallID         string // X-Call-Id
 	IdempotencyKey string // Idempotency-Key, empty for none
 	ContentType    string // Content-Type, empty for none
 	Body           []byte
@@ -46,9 +46,9 @@
 type Options struct {
 	ConnectTimeout    time.Duration        // for a new connection; 0 for defaultConnectTimeout
 	IdleClose         time.Duration        // idle time after which backends close a connection; 0 for never
-	LoadReportFields  []string             // of a load report, in the order of the settings
+	LoadReportFields  []string             // names of the fields of a load report, in the order of the settings
 	MaxIdlePerBackend int                  // idle connections kept per backend; values below 1 count as 1
-	MaxConns          int                  // open connections to all backends together; 0 for no bound
+	MaxConns          int                  // bound on open connections to all backends together; 0 for none
 	ResponseTimeout   time.Duration        // from the first byte of a response; 0 for defaultResponseTimeout
 	Post              func(core.Event)     // called with each core.AttemptFinished and core.ProbeFinished
 	Now               func() time.Duration // the clock of core.StartAttempt.StartBefore
@@ -61,9 +61,9 @@
 // and CancelAttempt makes it end at once; the goroutine of a probe ends at the probe's timeout at the latest.
 type Client struct {
 	options         Options
-	conns           atomic.Int64  // open connections
+	conns           atomic.Int64  // number of open connections, including those being opened
 	maxConns        atomic.Int64  // bound on open connections; 0 for none
-	attemptsWritten atomic.Uint64 // attempts whose requests were written completely
+	attemptsWritten atomic.Uint64 // number of attempts whose requests were written completely
 
 	mu       sync.Mutex
 	backends map[string]*backend
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -32,13 +32,13 @@
 	<-backend.requests
 	client.CancelAttempt(id)
 	if conn := <-backend.closedConns; conn != 0 {
-		t.Errorf("connection %d ended, want 0", conn)
+		t.Errorf("connection %d was closed, want connection 0", conn)
 	}
 	if got := client.attempt(get); got.Result != admission.Succeeded || got.Attempt == id {
-		t.Errorf("next outcome %+v, want admission.Succeeded", got)
+		t.Errorf("next outcome %+v, want admission.Succeeded for the new attempt", got)
 	}
 	if conn := (<-backend.requests).conn; conn != 1 {
-		t.Errorf("the connection of the canceled attempt was used again")
+		t.Errorf("the next attempt was not sent on a new connection")
 	}
 }
 
@@ -50,18 +50,18 @@
 	client.attempt(get)
 	client.CloseBackendConns("b")
 	if conn := <-backend.closedConns; conn != 0 {
-		t.Errorf("connection %d ended, want 0", conn)
+		t.Errorf("connection %d was closed, want connection 0", conn)
 	}
 	client.attempt(get)
-	if <-backend.requests; (<-backend.requests).conn != 1 {
+	if <-backend.requests; (<-backend.requests).conn != 1 { // skips the request of the first attempt
 		t.Error("the attempt after the close was not sent on a new connection")
 	}
 }
 
 // An attempt whose request was written continues when the connections to its backend are closed. Its connection is
 // closed after the response.
-func TestCloseBackendConnsLetsFinish(t *testing.T) {
-	step, l := make(chan bool), testnet.Listen(t)
+func TestCloseBackendConnsKeepsStartedAttempt(t *testing.T) {
+	signal, l := make(chan bool), testnet.Listen(t)
 	ended := make(chan error, 1)
 	go func() {
 		c, err := l.Accept()
@@ -69,19 +69,19 @@
 			ended <- err
 			return
 		}
-		in := bufio.NewReader(c)
-		_, _ = http.ReadRequest(in) // the result below shows whether it was received
-		step <- true
-		<-step
-		_, _ = io.WriteString(c, response("200 OK", "", "")) // the result below shows whether it was received
-		_, err = in.ReadByte()
+		reader := bufio.NewReader(c)
+		_, _ = http.ReadRequest(reader) // the result below shows whether the request was received
+		signal <- true
+		<-signal
+		_, _ = io.WriteString(c, response("200 OK", "", "")) // the result below shows whether the response was received
+		_, err = reader.ReadByte()
 		ended <- err
 	}()
 	client := newTestClient(l.Addr().String())
 	client.start(get)
-	<-step
+	<-signal
 	client.CloseBackendConns("b")
-	step <- true
+	signal <- true
 	if got := (<-client.events).(*core.AttemptFinished); got.Result != admission.Succeeded {
 		t.Errorf("result %v, want admission.Succeeded", got.Result)
 	}
--- a/internal/upstream/fakebackend_test.go
+++ b/internal/upstream/fakebackend_test.go
@@ -58,13 +58,13 @@
 }
 
 // serve answers the requests on a connection until the connection ends.
-func (b *fakeBackend) serve(c net.Conn, n int, next chan string) {
+func (b *fakeBackend) serve(c net.Conn, connNumber int, next chan string) {
 	defer func() { _ = c.Close() }()
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err != nil {
-			b.closedConns <- n
+			b.closedConns <- connNumber
 			return
 		}
 		body, _ := io.ReadAll(r.Body) // tests compare the body, so the error does not matter
@@ -76,7 +76,7 @@
 			taken = true
 		default: // no response is left
 		}
-		b.requests <- receivedRequest{n, r, string(body)}
+		b.requests <- receivedRequest{connNumber, r, string(body)}
 		if !taken {
 			text = <-next
 		}
@@ -106,28 +106,29 @@
 	lastRequest core.RequestID // request number of the last attempt
 }
 
-func newTestClient(addr string, change ...func(*Options)) *testClient {
+func newTestClient(addr string, configure ...func(*Options)) *testClient {
 	events := make(chan core.Event, 16)
 	options := Options{
 		ConnectTimeout: time.Second, IdleClose: time.Minute, LoadReportFields: []string{"latency_ms", "util"},
 		MaxIdlePerBackend: 4, Post: func(ev core.Event) { events <- ev },
 	}
-	for _, c := range change {
+	for _, c := range configure {
 		c(&options)
 	}
 	return &testClient{Client: New(options), events: events, addr: addr}
 }
 
-func (c *testClient) start(in *Request) core.AttemptID {
+// start starts an attempt, the first of a new request, and returns its ID.
+func (c *testClient) start(request *Request) core.AttemptID {
 	c.lastRequest++
 	id := core.AttemptID{Request: c.lastRequest}
-	c.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: c.addr, Timeout: 1234 * time.Millisecond, Content: in})
+	c.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: c.addr, Timeout: 1234 * time.Millisecond, Content: request})
 	return id
 }
 
-// attempt makes an attempt and returns its outcome.
-func (c *testClient) attempt(in *Request) *core.AttemptFinished {
-	c.start(in)
+// attempt makes an attempt, waits for its outcome and returns it.
+func (c *testClient) attempt(request *Request) *core.AttemptFinished {
+	c.start(request)
 	return (<-c.events).(*core.AttemptFinished)
 }
 
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -20,8 +20,8 @@
 )
 
 // parseLoadReport parses "TEXT name=value, ..." and returns the values in the order of fields, in the units of the
-// report. It returns nil unless there is exactly one report, in which each field stands exactly once and has a
-// plausible value. A response without a valid load report is still valid.
+// report. It returns nil unless there is exactly one report, which contains each field exactly once, with a plausible
+// value. A response without a valid load report is still valid.
 func parseLoadReport(texts []string, fields []string) []float64 {
 	if len(texts) != 1 || len(fields) == 0 {
 		return nil
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -33,6 +33,7 @@
 	conns    []*modelConn
 }
 
+// A modelConn is the backend's end of a connection.
 type modelConn struct {
 	net.Conn
 	callIDs chan string // of complete requests on this connection that are not answered yet
@@ -55,9 +56,9 @@
 
 // read reads requests until the connection ends.
 func (b *modelBackend) read(c *modelConn) {
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		r, err := http.ReadRequest(in)
+		r, err := http.ReadRequest(reader)
 		if err == nil {
 			_, err = io.Copy(io.Discard, r.Body)
 		}
@@ -76,10 +77,10 @@
 // send writes to the connection. It ignores errors, because the client may have closed the connection.
 func (c *modelConn) send(text string) { _, _ = io.WriteString(c, text) }
 
-// Attempts are started, canceled, withdrawn and disconnected, and the backend responds, sends invalid responses,
-// closes connections and resets them, in any order. Each attempt that was not canceled has exactly one outcome; the
-// backend receives each request at most once; it does not receive a request completely if the outcome says that the
-// attempt never ran; and an attempt that succeeded got its own response.
+// Attempts are started, canceled and withdrawn, the client closes its connections to the backend, and the backend
+// responds, sends invalid responses, closes connections and resets them, in any order. Each attempt that was not
+// canceled has exactly one outcome; the backend receives each request at most once; it does not receive a request
+// completely if the outcome says that the attempt never ran; and an attempt that succeeded got its own response.
 func TestAttemptModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, err := testnet.Open()
@@ -103,13 +104,13 @@
 		var started []core.AttemptID
 		canceled := map[core.AttemptID]bool{}
 		callID := func(id core.AttemptID) string { return fmt.Sprint("call", id.Request) }
-		recent := func(t *rapid.T) core.AttemptID {
+		drawAttempt := func(t *rapid.T) core.AttemptID {
 			if len(started) == 0 {
 				t.Skip("no attempt started yet")
 			}
 			return rapid.SampledFrom(started[max(0, len(started)-4):]).Draw(t, "attempt")
 		}
-		conn := func(t *rapid.T) *modelConn {
+		drawConn := func(t *rapid.T) *modelConn {
 			backend.mu.Lock()
 			defer backend.mu.Unlock()
 			if len(backend.conns) == 0 {
@@ -121,33 +122,33 @@
 			"start": func(t *rapid.T) {
 				id := core.AttemptID{Request: core.RequestID(len(started) + 1)}
 				started = append(started, id)
-				in := &Request{Method: "POST", URI: "/x", Host: "x", CallID: callID(id), Body: make([]byte, rapid.SampledFrom([]int{0, 10, 20 << 10}).Draw(t, "size"))}
-				client.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: l.Addr().String(), Timeout: time.Second, Content: in})
+				request := &Request{Method: "POST", URI: "/x", Host: "x", CallID: callID(id), Body: make([]byte, rapid.SampledFrom([]int{0, 10, 20 << 10}).Draw(t, "size"))}
+				client.StartAttempt(core.StartAttempt{Attempt: id, Backend: "b", Addr: l.Addr().String(), Timeout: time.Second, Content: request})
 			},
 			"stop": func(t *rapid.T) {
-				id := recent(t)
+				id := drawAttempt(t)
 				canceled[id] = true
 				client.CancelAttempt(id)
 			},
-			"withdraw":           func(t *rapid.T) { client.WithdrawAttempt(recent(t)) },
+			"withdraw":           func(t *rapid.T) { client.WithdrawAttempt(drawAttempt(t)) },
 			"disconnect backend": func(*rapid.T) { client.CloseBackendConns("b") },
 			"answer": func(t *rapid.T) {
-				c := conn(t)
+				c := drawConn(t)
 				select {
-				case body, more := <-c.callIDs:
-					if !more {
+				case receivedCallID, ok := <-c.callIDs:
+					if !ok {
 						return
 					}
-					c.send("HTTP/1.1 " + rapid.SampledFrom([]string{"200 OK", "500 Oops", "503 Full\r\nX-Rejected: 1"}).Draw(t, "status") +
-						fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", len(body), body) + rapid.SampledFrom([]string{"", "", "noise"}).Draw(t, "behind"))
+					c.send("HTTP/1.1 " + rapid.SampledFrom([]string{"200 OK", "500 Internal Server Error", "503 Service Unavailable\r\nX-Rejected: 1"}).Draw(t, "status") +
+						fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", len(receivedCallID), receivedCallID) + rapid.SampledFrom([]string{"", "", "noise"}).Draw(t, "behind"))
 				case <-time.After(time.Millisecond):
 				}
 			},
 			"invalid": func(t *rapid.T) {
-				conn(t).send(rapid.SampledFrom([]string{"HT", "HTTP/1.1 200 OK\r\n\r\nno length", "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf", "\x00\r\n\r\n"}).Draw(t, "text"))
+				drawConn(t).send(rapid.SampledFrom([]string{"HT", "HTTP/1.1 200 OK\r\n\r\nno length", "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf", "\x00\r\n\r\n"}).Draw(t, "text"))
 			},
 			"close": func(t *rapid.T) {
-				c := conn(t)
+				c := drawConn(t)
 				if rapid.Bool().Draw(t, "reset") {
 					_ = c.Conn.(*net.TCPConn).SetLinger(0) // it may be closed already
 				}
--- a/internal/upstream/race_test.go
+++ b/internal/upstream/race_test.go
@@ -18,7 +18,7 @@
 
 // receiveAll accepts a connection and returns all data received on it until it ends.
 func receiveAll(l net.Listener) <-chan string {
-	all := make(chan string, 1)
+	received := make(chan string, 1)
 	go func() { // ends with the connection
 		c, err := l.Accept()
 		if err != nil {
@@ -26,14 +26,14 @@
 		}
 		defer func() { _ = c.Close() }()
 		data, _ := io.ReadAll(c) // a reset also ends the data
-		all <- string(data)
+		received <- string(data)
 	}()
-	return all
+	return received
 }
 
 // An attempt that is canceled at the moment its connection is established sends nothing. The transport uses a
 // connection that it has obtained even if the context has ended.
-func TestCancelAsConnectionComes(t *testing.T) {
+func TestCancelAsConnectionIsEstablished(t *testing.T) {
 	l := testnet.Listen(t)
 	received := receiveAll(l)
 	client := newTestClient(l.Addr().String())
@@ -41,7 +41,7 @@
 	client.hooks.onConnected = func(id core.AttemptID) { client.CancelAttempt(id) }
 	client.start(get)
 	if data := <-received; data != "" {
-		t.Errorf("sent after the cancel: %q", data)
+		t.Errorf("sent after the cancel: %q, want nothing", data)
 	}
 	select {
 	case ev := <-client.events:
@@ -50,7 +50,7 @@
 	}
 }
 
-// No byte is written to a connection that is established after the cancel, whatever the transport does with it.
+// An attempt that was canceled writes no byte to a connection that it gets later, whatever the transport does with it.
 func TestNothingWrittenAfterCancel(t *testing.T) {
 	c, remote := connPair(t)
 	a := &attempt{cancelContext: func() {}, backend: c.backend}
@@ -62,12 +62,12 @@
 	}
 	_ = c.Close()
 	if data, _ := io.ReadAll(remote); len(data) > 0 {
-		t.Errorf("sent after the cancel: %q", data)
+		t.Errorf("sent after the cancel: %q, want nothing", data)
 	}
 }
 
-// If the attempt is canceled when it gets a kept connection, nothing is sent and the connection is closed.
-func TestCancelAsKeptConnectionComes(t *testing.T) {
+// If the attempt is canceled when it gets an idle connection, nothing is sent and the connection is closed.
+func TestCancelAsIdleConnectionIsReused(t *testing.T) {
 	backend := startBackend(t, response("200 OK", "", ""), response("200 OK", "", ""))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
@@ -76,17 +76,17 @@
 	client.hooks.onConnected = func(id core.AttemptID) { client.CancelAttempt(id) }
 	client.start(get)
 	if conn := <-backend.closedConns; conn != 0 {
-		t.Errorf("connection %d ended, want 0", conn)
+		t.Errorf("connection %d was closed, want connection 0", conn)
 	}
 	select {
 	case r := <-backend.requests:
-		t.Errorf("sent after the cancel: %+v", r)
+		t.Errorf("sent after the cancel: %+v, want no request", r)
 	default:
 	}
 }
 
 // A retry whose connection is established only when StartBefore has passed is not sent.
-func TestStartExpiredAsConnectionComes(t *testing.T) {
+func TestStartExpiredAsConnectionIsEstablished(t *testing.T) {
 	l := testnet.Listen(t)
 	received := receiveAll(l)
 	var now atomic.Int64
@@ -98,18 +98,18 @@
 		if got := ev.(*core.AttemptFinished); got.Result != admission.NotSent || !got.StartExpired {
 			t.Errorf("outcome %+v, want admission.NotSent with StartExpired", got)
 		}
-	case <-time.After(time.Second): // the request was sent, and no response comes; checked below
+	case <-time.After(time.Second): // the request was sent, and no response is received; checked below
 	}
 	client.CancelAttempt(core.AttemptID{Request: 1, Number: 1})
 	client.Close()
 	if data := <-received; data != "" {
-		t.Errorf("sent after StartBefore: %q", data)
+		t.Errorf("sent after StartBefore: %q, want nothing", data)
 	}
 }
 
 // A backend restarts at the moment a connection to its earlier process is established. Nothing is sent on that
 // connection, and the result of the attempt is NotSent.
-func TestCloseBackendConnsAsConnectionComes(t *testing.T) {
+func TestCloseBackendConnsAsConnectionIsEstablished(t *testing.T) {
 	l := testnet.Listen(t)
 	received := receiveAll(l)
 	client := newTestClient(l.Addr().String())
@@ -119,12 +119,12 @@
 		t.Errorf("result %v, want admission.NotSent", got.Result)
 	}
 	if data := <-received; data != "" {
-		t.Errorf("sent after the close: %q", data)
+		t.Errorf("sent after the close: %q, want nothing", data)
 	}
 }
 
 // The last byte of a request is on the socket before the transport reports that the request was written. A response
-// that is cut off in between does not prove that the request never ran, whatever the size of its body.
+// that is cut off in between does not prove that the request never ran, whatever the size of the request's body.
 func TestCutOffAfterLastByte(t *testing.T) {
 	for _, size := range []int{0, 10, 48 << 10} {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// An attempt that is withdrawn when its connection is established is not sent, and counts as no backend failure.
-func TestWithdrawAsConnectionComes(t *testing.T) {
+// An attempt that is withdrawn when its connection is established is not sent, and is not a failure of the backend.
+func TestWithdrawAsConnectionIsEstablished(t *testing.T) {
 	l := testnet.Listen(t)
 	received := receiveAll(l)
 	client := newTestClient(l.Addr().String())
@@ -177,7 +177,7 @@
 		t.Errorf("result %v, want admission.NotSent", got.Result)
 	}
 	if data := <-received; data != "" {
-		t.Errorf("sent after the withdrawal: %q", data)
+		t.Errorf("sent after the withdrawal: %q, want nothing", data)
 	}
 }
 
@@ -200,12 +200,12 @@
 	}
 	_ = c.Close()
 	if data, _ := io.ReadAll(remote); len(data) > 0 {
-		t.Errorf("sent after the withdrawal: %q", data)
+		t.Errorf("sent after the withdrawal: %q, want nothing", data)
 	}
 }
 
 // An attempt that is withdrawn after its first byte was written continues until its response.
-func TestWithdrawOnceBegun(t *testing.T) {
+func TestWithdrawAfterFirstByte(t *testing.T) {
 	backend := startBackend(t, response("200 OK", "", "yes"))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
@@ -219,7 +219,7 @@
 
 // A connect timeout is weaker evidence against a backend than a refused connect: some connects take long while
 // others to the same backend do not.
-func TestLateConnectionIsNotRefused(t *testing.T) {
+func TestConnectTimeoutIsNotUnreachable(t *testing.T) {
 	l := testnet.Listen(t)
 	client := newTestClient(l.Addr().String(), func(o *Options) { o.ConnectTimeout = time.Nanosecond })
 	defer client.Close()
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -13,17 +13,17 @@
 
 // A requestBody is the body of a request for one round trip of http.Transport. Once it was read to its end, the
 // last byte of the request may be on the socket, unless a write failed. The callback WroteRequest cannot tell that:
-// it may be called after the response was received, and that of a round trip which has ended may be called during
-// the next one.
+// it may be called after the response was received, and the callback of a round trip that has ended may be called
+// during the next one.
 type requestBody struct {
 	bytes.Reader
 	fullyRead atomic.Bool
 }
 
-func newRequestBody(content []byte) *requestBody {
+func newRequestBody(data []byte) *requestBody {
 	b := new(requestBody)
-	b.Reset(content)
-	b.fullyRead.Store(len(content) == 0) // without content, the header is the whole request
+	b.Reset(data)
+	b.fullyRead.Store(len(data) == 0) // without data, the header is the whole request
 	return b
 }
 
@@ -40,7 +40,7 @@
 func (b *requestBody) Close() error { return nil }
 
 // newRequest returns the HTTP request of an attempt. Its Body is never nil and it has no GetBody. Otherwise
-// http.Transport would by itself retry a GET, or any request with an Idempotency-Key, when a kept connection turns
+// http.Transport would by itself retry a GET, or any request with an Idempotency-Key, when a reused connection turns
 // out to be closed.
 func newRequest(ctx context.Context, body *requestBody, content *Request, e core.StartAttempt) *http.Request {
 	r := &http.Request{
--- a/internal/upstream/request_test.go
+++ b/internal/upstream/request_test.go
@@ -8,10 +8,10 @@
 	"lemongate/internal/admission"
 )
 
-// By itself, http.Transport retries a GET, and any request with an Idempotency-Key, when a kept connection breaks.
+// By itself, http.Transport retries a GET, and any request with an Idempotency-Key, when a reused connection breaks.
 // That must not happen: the limiter has not decided on such an attempt.
-func TestNotRepeated(t *testing.T) {
-	for name, in := range map[string]*Request{
+func TestTransportDoesNotRetry(t *testing.T) {
+	for name, request := range map[string]*Request{
 		"GET":   get,
 		"keyed": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id2", IdempotencyKey: "k", Body: []byte("x")},
 		"empty": {Method: "POST", URI: get.URI, Host: get.Host, CallID: "id3", IdempotencyKey: "k"},
@@ -20,8 +20,8 @@
 			backend := startBackend(t, response("200 OK", "", ""), "", response("200 OK", "", ""))
 			client := newTestClient(backend.listener.Addr().String())
 			defer client.Close()
-			client.attempt(in)
-			if got := client.attempt(in); got.Result != admission.ConnectionLost {
+			client.attempt(request)
+			if got := client.attempt(request); got.Result != admission.ConnectionLost {
 				t.Errorf("result %v, want admission.ConnectionLost", got.Result)
 			}
 			first, second := <-backend.requests, <-backend.requests
@@ -40,19 +40,19 @@
 	backend := startBackend(t, response("200 OK", "Content-Type: a/b\r\n", "x"))
 	client := newTestClient(backend.listener.Addr().String())
 	defer client.Close()
-	in := &Request{
+	request := &Request{
 		Method: "POST", URI: "/post//a%2Fb/../00000000b4d65521?q=%41&&;x", Host: "backend.local",
 		CallID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f", ContentType: "text/x", Body: []byte("12345"),
 	}
-	if served := client.attempt(in).Response.(*Response); served.ContentType != "a/b" {
+	if served := client.attempt(request).Response.(*Response); served.ContentType != "a/b" {
 		t.Errorf("content type %q, want a/b", served.ContentType)
 	}
 	got := <-backend.requests
 	want := http.Header{
-		"X-Call-Id": {in.CallID}, "Idempotency-Key": {in.IdempotencyKey}, "Content-Type": {in.ContentType},
+		"X-Call-Id": {request.CallID}, "Idempotency-Key": {request.IdempotencyKey}, "Content-Type": {request.ContentType},
 		"X-Budget": {"1234m"}, "Content-Length": {"5"},
 	}
-	if got.request.Method != in.Method || got.request.RequestURI != in.URI || got.request.Host != in.Host ||
+	if got.request.Method != request.Method || got.request.RequestURI != request.URI || got.request.Host != request.Host ||
 		got.body != "12345" || !reflect.DeepEqual(got.request.Header, want) {
 		t.Errorf("request was changed: %s %s %s %q %v", got.request.Method, got.request.RequestURI, got.request.Host, got.body, got.request.Header)
 	}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,12 +14,12 @@
 
 var (
 	errResponseTooLong  = errors.New("response body too long")
-	errResponseUnframed = errors.New("response has no length, or is no final HTTP/1 response")
+	errResponseUnframed = errors.New("response has no length, or is not a final HTTP/1 response")
 )
 
 // receive reads the response to an attempt, whose header was received, and returns the outcome.
 func (c *Client) receive(a *attempt, body *requestBody, response *http.Response) outcome {
-	// A response that was received before a byte of the request was written answers another attempt. Its
+	// A response that was received before a byte of the request was written belongs to another attempt. Its
 	// connection is already closed, but http.Transport may return a buffered response before it notices that.
 	if conn := a.currentConn(); conn != nil && !a.writeStarted() {
 		closeUnrequested(conn, response)
@@ -32,12 +32,12 @@
 	}
 	defer func() { _ = response.Body.Close() }() // the body was read to its end, or the connection is closed
 	report := parseLoadReport(response.Header["X-Load-Report"], c.options.LoadReportFields)
-	content, err := readBody(response)
+	data, err := readBody(response)
 	switch {
 	case err != nil:
 		return outcome{result: resultWithoutResponse(a, body, err), report: report}
 	case response.StatusCode == http.StatusOK:
-		served := &Response{ContentType: response.Header.Get("Content-Type"), Body: content}
+		served := &Response{ContentType: response.Header.Get("Content-Type"), Body: data}
 		return outcome{result: admission.Succeeded, report: report, response: served}
 	case isRejection(response):
 		return outcome{result: admission.Rejected, report: report}
@@ -65,15 +65,15 @@
 		response.Header.Get("X-Rejected") == "1"
 }
 
-// resultWithoutResponse returns the result of an attempt that has no complete response: the attempt never ran if
-// the last byte of its request was not written, and may have run otherwise. A connect timeout or a broken
-// connection is weaker evidence against a backend than a refused connect. No byte of the attempt is written after
-// resultWithoutResponse has returned.
+// resultWithoutResponse returns the result of an attempt that has no complete response. The attempt never ran if the
+// last byte of its request was not written, and may have run otherwise (ConnectionLost). A connect timeout or a broken
+// connection (ConnectFailed) is weaker evidence against a backend than a refused connect (Unreachable). No byte of the
+// attempt is written after resultWithoutResponse has returned.
 func resultWithoutResponse(a *attempt, body *requestBody, err error) admission.Result {
 	conn := a.currentConn()
 	if conn == nil {
-		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() {
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
 			return admission.ConnectFailed
 		}
 		return admission.Unreachable
