--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -50,6 +50,7 @@
 func (s *stream) next(origin time.Time) (*core.EndpointsUpdated, error) {
 	s.inMessage, s.remaining = false, maxMessageBytes
 	s.silenceTimer.Reset(s.timeout)
+	// More also returns false before "]" and "}", which Decode rejects.
 	if !s.decoder.More() && s.err != nil {
 		return nil, fmt.Errorf("watch: %w", s.err)
 	}
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -17,6 +17,7 @@
 	"lemongate/internal/testnet"
 )
 
+// indented returns the JSON text in several lines, with the given indent.
 func indented(t *testing.T, text, indent string) string {
 	t.Helper()
 	var out bytes.Buffer
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -21,7 +21,7 @@
 	noResponseTimeout = time.Hour
 )
 
-// An attempt is one attempt of a request at a backend, from StartAttempt to its outcome. It ends with a
+// An attempt is one try of a request at a backend, from StartAttempt to its outcome. It ends with a
 // response, with an error of the connection, or by one of these functions:
 //
 //	function           called by              context                connection      outcome
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -92,8 +92,8 @@
 	return c
 }
 
-// SetResourceShare sets the fraction of Options.MaxConns that this process may have open while another process
-// has the rest. Connections that are already open stay open.
+// SetResourceShare sets the fraction of Options.MaxConns that this process may have open while the other process of
+// a hot restart has the rest. Connections that are already open stay open.
 func (c *Client) SetResourceShare(fraction float64) {
 	c.maxConns.Store(int64(math.Ceil(float64(c.options.MaxConns) * fraction)))
 }
--- a/internal/upstream/fakebackend_test.go
+++ b/internal/upstream/fakebackend_test.go
@@ -57,7 +57,7 @@
 	return b
 }
 
-// serve answers the requests on a connection until the connection ends.
+// serve answers the requests on a connection until the connection ends. Next holds the responses not sent yet.
 func (b *fakeBackend) serve(c net.Conn, connNumber int, next chan string) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
@@ -106,6 +106,7 @@
 	lastRequest core.RequestID // request number of the last attempt
 }
 
+// newTestClient returns a client of the backend at addr. The functions in configure change its options.
 func newTestClient(addr string, configure ...func(*Options)) *testClient {
 	events := make(chan core.Event, 16)
 	options := Options{
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// An incomplete or invalid report yields no values, and fields that are not in the settings are ignored.
 func TestParseLoadReport(t *testing.T) {
 	fields := []string{"latency_ms", "util"}
 	for text, want := range map[string][]float64{
@@ -25,7 +26,7 @@
 		`JSON {"latency_ms": 12.5, "util": 0.61}`: nil,
 	} {
 		if got := parseLoadReport([]string{text}, fields); !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %v, want %v", text, got, want)
+			t.Errorf("%q: got the values %v, want %v", text, got, want)
 		}
 	}
 }
