--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -11,7 +11,7 @@
 // This file accepts and rejects new client connections.
 
 const (
-	// newConnTimeout is how long a client usually takes at most to send its request after it has connected. When
+	// newConnTimeout is the longest time that a client usually takes to send its request after it has connected. When
 	// the set is full, a new connection that has sent nothing for longer is closed before connections that have
 	// been idle for less than minIdleTime. It is also the time to wait for the request of a rejected connection.
 	newConnTimeout = 100 * time.Millisecond
@@ -71,7 +71,8 @@
 	}
 }
 
-// setAcceptDeadline sets the deadline of a listener whose Accept was interrupted, so it is a deadlineListener.
+// setAcceptDeadline sets the deadline of Accept. It is called only if the listener is a deadlineListener: after pause
+// has checked that, or after Accept was interrupted by a deadline.
 func (s *connSet) setAcceptDeadline(deadline time.Time) {
 	_ = s.Listener.(deadlineListener).SetDeadline(deadline) // fails only on a closed listener
 }
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -57,21 +57,21 @@
 	return c.Conn.Read(p)
 }
 
-// A rejected connection that is closed for another one while its request arrives is not notified, and is not reported
-// as notified.
-func TestRejectedConnDisplaced(t *testing.T) {
+// If a rejected connection is evicted while its request arrives, its client is not notified, and the connection is not
+// reported as notified.
+func TestRejectedConnEvictedDuringRead(t *testing.T) {
 	server, _ := startServerWithMaxConns(t, 1)
 	client := server.connect(t)
 	client.send(validRequest)
 	id := (<-server.events).(*core.RequestReceived).ID
 	conns := server.connSet()
 	accepted, dialed := testnet.Pair(t)
-	displace := func() {
+	evictRejected := func() {
 		conns.mu.Lock()
 		conns.evictLongest(stateRejected, 0)
 		conns.mu.Unlock()
 	}
-	if conns.admit(&readHookConn{accepted, displace}, stateNew) != nil {
+	if conns.admit(&readHookConn{accepted, evictRejected}, stateNew) != nil {
 		t.Error("admitted a connection beyond the limit")
 	}
 	late := newTestClient(t, dialed)
--- a/internal/httpserver/clientconn.go
+++ b/internal/httpserver/clientconn.go
@@ -15,7 +15,7 @@
 const (
 	// writeTimeout is the timeout of a write to a client that does not read.
 	writeTimeout = 10 * time.Second
-	// maxReadAhead is the number of bytes after which reading ahead of a request in progress stops; the last read
+	// maxReadAhead is the number of bytes read beyond a request in progress at which reading ahead stops; the last read
 	// may exceed it.
 	maxReadAhead = 16 << 10
 )
@@ -30,7 +30,7 @@
 	state            connState
 	since            time.Time     // when the connection entered the state
 	element          *list.Element // in the list of connections in this state
-	requestStartedAt time.Time     // start of the time allowed for the next request: the connect, last response or first byte
+	requestStartedAt time.Time     // start of the time for the next request: connect, last response or its first byte
 	hasRequestBytes  bool          // part of the next request was read
 	readAhead        []byte        // bytes read beyond a request in progress, for the next reads of net/http
 	readerBlocked    bool          // net/http is waiting at the socket for more bytes, so it has no complete request
@@ -244,8 +244,8 @@
 }
 
 // Write implements net.Conn. It sets a timeout: a client that does not read would otherwise keep its connection and
-// the memory of the response indefinitely. In stateClosed it fails, because net/http takes a read that was cut off
-// for a malformed request and would answer it.
+// the memory of the response indefinitely. In stateClosed it fails, because net/http treats a read that was interrupted
+// as a malformed request and would answer it.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.set.mu.Lock()
 	state := c.state
--- a/internal/httpserver/connset.go
+++ b/internal/httpserver/connset.go
@@ -12,17 +12,19 @@
 type connState uint8
 
 const (
-	stateNew       connState = iota // no byte was received yet
-	stateReading                    // part of a request was read; or a request was just answered, and whether net/http has read beyond it is not known yet
-	stateBusy                       // a request is being decided or answered
-	stateIdle                       // between requests: the server waits for the next one
-	stateLingering                  // the last response was sent; open so that the client can read it
-	stateRejected                   // new and beyond the limit; its client is notified once its request arrives
+	stateNew connState = iota // no byte was received yet
+	// In stateReading part of a request was read; or a request was just answered, and it is not known yet whether
+	// net/http has read part of the next one.
+	stateReading
+	stateBusy      // a request is being decided or answered
+	stateIdle      // between requests: the server waits for the next one
+	stateLingering // the last response was sent; the connection is open so that the client can read it
+	stateRejected  // new and beyond the limit; its client is notified once its request arrives
 	stateClosed
 	numStates
 )
 
-// String returns the name that release 0.8.0 has for the state.
+// String returns the name of the state, which is the same as in release 0.8.0.
 func (s connState) String() string {
 	return [...]string{"silent", "reading", "busy", "idle", "ending", "turned", "closed"}[s]
 }
@@ -32,8 +34,9 @@
 // closes the least useful connection, and never one with a request in progress.
 //
 // Choosing a connection and closing it is one step under mu, and so is reading from a connection and changing its
-// state. So when a connection is closed for another, either no byte of its next request was read, or it is stuck in
-// the middle of a request. A reset tells its client that the limiter has not read what the client may have sent.
+// state. So when a connection is closed to make room for another, either no byte of its next request was read, or it is
+// stuck in the middle of a request. A client whose connection is reset can conclude that the limiter has not read a
+// complete request that it may have sent last.
 type connSet struct {
 	net.Listener
 	maxConns int // 0 for no limit
@@ -48,21 +51,23 @@
 	stopped          chan struct{}       // closed by Close
 	stopOnce         sync.Once
 
-	// finalAcceptStarted is set once Accept has started finalAcceptTimeout after Close. Only Accept uses it,
-	// which only net/http's accept loop calls. It keeps its value between the calls; otherwise each connection that
-	// arrives within finalAcceptTimeout would restart that time.
+	// finalAcceptStarted is set once Accept has set the deadline finalAcceptTimeout after Close. No lock guards it: only
+	// Accept uses it, and only net/http's accept loop calls Accept. It keeps its value between the calls; otherwise each
+	// connection that arrives within finalAcceptTimeout would restart that time.
 	finalAcceptStarted bool
 
-	mu            sync.Mutex
-	byState       [numStates]list.List // of *clientConn, longest in the state first
-	open          int
-	resourceShare float64       // fraction of maxConns that may be open while another process has the rest; copied from Server.resourceShare
+	mu      sync.Mutex
+	byState [numStates]list.List // of *clientConn, longest in the state first
+	open    int                  // number of connections in byState, rejected ones included
+	// resourceShare is the fraction of maxConns that may be open while another process has the rest. It is copied from
+	// Server.resourceShare.
+	resourceShare float64
 	resumed       chan struct{} // closed by resume; nil while accepting is not paused
 	scratch       [4 << 10]byte // buffer for reading ahead
 	draining      bool          // a connection that becomes idle is closed
 	readsStopped  bool          // incomplete requests are not read any further
 
-	// handOver hands an idle connection over to another process; nil while connections are not handed over.
+	// handOver hands an idle connection over to another process; nil while no handover is in progress.
 	handOver func(syscall.Conn) error
 }
 
--- a/internal/httpserver/crossing_test.go
+++ b/internal/httpserver/crossing_test.go
@@ -20,7 +20,7 @@
 
 // After a limiter was suspended, connections may have been idle for long and have a request in the socket. None of them
 // is evicted or closed at a shutdown: the request is read and answered.
-func TestNotClosedOverRequestInSocket(t *testing.T) {
+func TestConnWithRequestInSocketIsNotClosed(t *testing.T) {
 	for name, choose := range map[string]func(*connSet) evictedConn{
 		"sweep": func(conns *connSet) evictedConn { return conns.evictLongest(stateIdle, minIdleTime) },
 		"room":  (*connSet).evictLeastUseful,
@@ -51,7 +51,7 @@
 }
 
 // A connection whose request was read completely but is not posted yet is not closed, however long posting takes.
-func TestNotEvictedWithCompleteRequest(t *testing.T) {
+func TestConnWithCompleteRequestIsNotEvicted(t *testing.T) {
 	nowCalled, proceed := make(chan bool), make(chan bool)
 	elapsed := time.Duration(0)
 	start := time.Now()
@@ -128,8 +128,8 @@
 }
 
 // A request that arrived together with the one before it is in net/http's buffer, not in the socket. Its connection is
-// not between requests, and is not closed to make room for another.
-func TestNotClosedOverRequestInBuffer(t *testing.T) {
+// not between requests, so it is neither evicted nor closed by drain.
+func TestConnWithBufferedRequestIsNotClosed(t *testing.T) {
 	l := testnet.Listen(t)
 	start := time.Now() // the clock stands still, otherwise a sweep would close the connection
 	server := newTestServer(l, func(o *Options) { o.MaxConns, o.WallClock = 1, func() time.Time { return start } })
@@ -215,7 +215,7 @@
 		conns := server.connSet()
 		conns.mu.Lock()
 		if got := len(conns.byState[stateBusy].Front().Value.(*clientConn).readAhead); got >= maxReadAhead+4<<10 {
-			t.Errorf("%d bytes read ahead, beyond the limit", got)
+			t.Errorf("%d bytes read ahead, want less than maxReadAhead and one read of 4 KiB", got)
 		}
 		conns.mu.Unlock()
 		server.reject(ev.ID)
@@ -288,10 +288,10 @@
 
 // Misbehaving clients of every kind have no more connections than the limit and do not affect regular clients, and
 // once they have disconnected no connection or goroutine of theirs is left.
-func TestBadClientsLeaveNothing(t *testing.T) {
+func TestMisbehavingClientsLeakNoConns(t *testing.T) {
 	server, elapsed := startServerWithMaxConns(t, 16)
-	server.setRejectionTimeout(time.Minute) // however late a regular client is scheduled
-	go func() {                             // ends with the test program: nobody closes the channel
+	server.setRejectionTimeout(time.Minute) // long enough, however late a regular client is scheduled
+	go func() {                             // runs until the test process exits: the channel is never closed
 		for ev := range server.events {
 			if ev, ok := ev.(*core.RequestReceived); ok {
 				server.reject(ev.ID)
@@ -323,7 +323,7 @@
 		}
 		elapsed.Add(int64(stuckReadingTime) / 4)
 		if n := server.Conns(); n > 16+maxRejectedConns {
-			t.Fatalf("%d connections open, beyond the limit", n)
+			t.Fatalf("%d connections open, want at most 16 and maxRejectedConns rejected ones", n)
 		}
 		if i%10 == 9 {
 			regular := server.connect(t)
@@ -344,7 +344,7 @@
 	}
 }
 
-// Each time net/http checks whether its client has disconnected, the connection has no more than the limit read ahead.
+// Whenever net/http checks whether the client has disconnected, no more than the limit and one read has been read ahead.
 func TestReadAheadIsBounded(t *testing.T) {
 	accepted, dialed := testnet.Pair(t)
 	conns := newConnSet(nil, 0, time.Now)
@@ -360,7 +360,7 @@
 		}
 		got += string(one[:])
 		if len(conn.readAhead) >= maxReadAhead+len(conns.scratch) {
-			t.Fatalf("%d bytes read ahead, beyond the limit", len(conn.readAhead))
+			t.Fatalf("%d bytes read ahead, want less than maxReadAhead and one read", len(conn.readAhead))
 		}
 	}
 	if got != sent[:len(got)] {
--- a/internal/httpserver/evict.go
+++ b/internal/httpserver/evict.go
@@ -14,13 +14,15 @@
 	stuckReadingTime = time.Second
 	// sweepInterval is the interval at which idle connections are closed while the set is crowded.
 	sweepInterval = 500 * time.Millisecond
-	// crowdedFraction is the fraction of the limit above which the set is crowded. Some clients send one request and
-	// keep their connection open indefinitely, and clients that run out of file descriptors cannot send any.
+	// crowdedFraction is the fraction of the limit above which the set is crowded. It is well below 1 because idle
+	// connections also cost the clients: some clients send one request and keep the connection open indefinitely, and
+	// once they have no file descriptors left, they cannot send further requests.
 	crowdedFraction = 0.25
 )
 
-// An evictedConn is a connection in stateClosed whose socket is open until finish closes it. finish waits for the
-// reader and so is called without holding the set's mu. The zero value means that no connection was evicted.
+// An evictedConn is a connection in stateClosed whose socket is open until finish closes it. Closing the socket waits
+// for a read in progress, which may need the set's mu, so finish must be called without holding mu. The zero value means
+// that no connection was evicted.
 type evictedConn struct {
 	*clientConn
 	previous connState // the state before the eviction
@@ -37,11 +39,11 @@
 	}
 }
 
-// evictLeastUseful closes the first connection that it finds in this order: a lingering one; one that has been idle
+// evictLeastUseful evicts the first connection that it finds in this order: a lingering one; one that has been idle
 // for minIdleTime; a new one that has sent nothing for newConnTimeout; one stuck in the middle of a request; any idle
-// one, because its client resends a request that crosses the close; any new one that has sent nothing. It never closes
-// a connection with a request in progress, nor one that has read part of a request and is not stuck. The caller holds
-// s.mu.
+// one, because its client can resend a request that it sent just before the close; any new one that has sent nothing.
+// It never evicts a connection with a request in progress, nor one that has read part of a request and is not stuck.
+// The caller holds s.mu.
 func (s *connSet) evictLeastUseful() evictedConn {
 	for _, candidates := range []struct {
 		state   connState
--- a/internal/httpserver/evict_test.go
+++ b/internal/httpserver/evict_test.go
@@ -49,7 +49,7 @@
 			t.Errorf("posted %+v, want ClientConnClosed of an idle connection", ev)
 		}
 		if _, ok := (<-server.events).(*core.RequestReceived); !ok {
-			t.Error("the new connection was not admitted")
+			t.Error("the request on the new connection was not posted, want RequestReceived")
 		}
 	}
 	server.connect(t).expectClose() // sends nothing within the rejection timeout
@@ -87,8 +87,8 @@
 }
 
 // Clients that send one request and keep their connection open indefinitely use up file descriptors on both sides.
-// Above a fraction of the limit idle connections are closed, but not before they have been idle for 2 s, and no more
-// than down to that fraction.
+// While more than a fraction of the limit is open, connections that have been idle for 2 s are closed, until that
+// fraction is reached.
 func TestSweep(t *testing.T) {
 	server, elapsed := startServerWithMaxConns(t, 8)
 	var idle []*testClient
--- a/internal/httpserver/handler.go
+++ b/internal/httpserver/handler.go
@@ -70,19 +70,19 @@
 		panic(http.ErrAbortHandler)
 	}
 	hasBody := r.ContentLength != 0
-	// The connection also ends after a body that is left unread: in full duplex mode net/http would start two
-	// concurrent reads there, and panic.
+	// The connection is also closed if a body is left unread: in full duplex mode net/http would start two concurrent
+	// reads on it, and panic.
 	if fault.closesConn || hasBody {
 		closeAfterResponse(w)
 	}
-	control := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	if hasBody {
 		_ = conn.SetReadDeadline(conn.requestStartedAt.Add(malformedTimeout)) // fails only on a closed connection
-		_ = control.EnableFullDuplex()                                        // otherwise net/http reads the body first
+		_ = controller.EnableFullDuplex()                                     // otherwise net/http reads the body first
 	}
 	writeText(w, fault.status, fault.text)
 	if hasBody {
-		_ = control.Flush()      // the client may have disconnected
+		_ = controller.Flush()   // the client may have disconnected
 		conn.setState(stateIdle) // the request is answered, and the rest of its body is not needed
 	}
 }
--- a/internal/httpserver/handover.go
+++ b/internal/httpserver/handover.go
@@ -50,8 +50,8 @@
 	return s.handOver != nil
 }
 
-// tryHandOver hands the connection over if a handover is in progress and no byte of a next request was read. It
-// reports whether it handed the connection over, and waits for the other process.
+// tryHandOver hands the connection over if a handover is in progress and no byte of a next request was read. It blocks
+// until handOver returns, and reports whether the connection was handed over.
 func (c *clientConn) tryHandOver() bool {
 	c.set.mu.Lock()
 	handOver := c.set.handOver
--- a/internal/httpserver/model_test.go
+++ b/internal/httpserver/model_test.go
@@ -20,21 +20,21 @@
 	"lemongate/internal/upstream"
 )
 
-// TestMain fixes the seed, so that every run has the same steps; how they interleave differs.
+// TestMain fixes the seed, so that every run has the same steps; how the goroutines interleave differs.
 func TestMain(m *testing.M) {
 	os.Exit(rapidtest.Main(m, "20261202", map[string]string{"rapid.steps": "40"}))
 }
 
-// A model has the clients of a server, and takes the place of the event loop.
+// A model has a server and its clients, and replaces the event loop.
 type model struct {
 	t        *rapid.T
 	server   *testServer
 	clients  []*modelClient
 	requests int // number of requests sent, at least in part
 
-	mu     sync.Mutex
-	open   map[string]core.RequestID // posted and not answered, by X-Call-Id
-	posted map[string]bool
+	mu           sync.Mutex
+	openRequests map[string]core.RequestID // posted and not answered, by X-Call-Id
+	posted       map[string]bool           // all requests ever posted, by X-Call-Id
 }
 
 // A modelClient is a client with its connection and the requests that it has sent.
@@ -59,11 +59,11 @@
 		if m.posted[ev.CallID] {
 			panic("posted twice: " + ev.CallID)
 		}
-		m.posted[ev.CallID], m.open[ev.CallID] = true, ev.ID
+		m.posted[ev.CallID], m.openRequests[ev.CallID] = true, ev.ID
 	case *core.ClientDisconnected:
-		for call, id := range m.open {
+		for callID, id := range m.openRequests {
 			if id == ev.Request {
-				delete(m.open, call)
+				delete(m.openRequests, callID)
 				m.server.reject(id)
 			}
 		}
@@ -74,29 +74,29 @@
 func (m *model) answer(t *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var calls []string
+	var callIDs []string
 	for i := range m.requests {
-		if call := fmt.Sprint("call", i); m.open[call] != 0 {
-			calls = append(calls, call)
+		if callID := fmt.Sprint("call", i); m.openRequests[callID] != 0 {
+			callIDs = append(callIDs, callID)
 		}
 	}
-	if len(calls) == 0 {
+	if len(callIDs) == 0 {
 		return
 	}
-	call := calls[0]
+	callID := callIDs[0]
 	if t != nil {
-		call = rapid.SampledFrom(calls).Draw(t, "answered")
+		callID = rapid.SampledFrom(callIDs).Draw(t, "answered")
 	}
-	m.server.Respond(core.Respond{Request: m.open[call], Kind: core.Served, Response: &upstream.Response{Body: []byte(call)}})
-	delete(m.open, call)
+	m.server.Respond(core.Respond{Request: m.openRequests[callID], Kind: core.Served, Response: &upstream.Response{Body: []byte(callID)}})
+	delete(m.openRequests, callID)
 }
 
 // readResponses reads responses until the connection ends.
 func (c *modelClient) readResponses() {
-	var list []string
-	defer func() { c.responses <- list }()
+	var responses []string
+	defer func() { c.responses <- responses }()
 	for {
-		resp, err := http.ReadResponse(c.in, nil)
+		resp, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			return
 		}
@@ -104,29 +104,29 @@
 		if err != nil {
 			return
 		}
-		list = append(list, fmt.Sprint(resp.StatusCode, " ", string(body)))
+		responses = append(responses, fmt.Sprint(resp.StatusCode, " ", string(body)))
 	}
 }
 
 // newRequest returns a request with a unique X-Call-Id.
-func (m *model) newRequest() (call, text string) {
-	call = fmt.Sprint("call", m.requests)
+func (m *model) newRequest() (callID, text string) {
+	callID = fmt.Sprint("call", m.requests)
 	m.requests++
-	return call, strings.Replace(validRequest, "9b1f03aa5c7e2d41", call, 1)
+	return callID, strings.Replace(validRequest, "9b1f03aa5c7e2d41", callID, 1)
 }
 
-// draw draws one of the clients for which fits returns true.
+// draw draws one of the clients for which fits returns true, and skips the step if there is none.
 func (m *model) draw(t *rapid.T, fits func(*modelClient) bool) *modelClient {
-	var list []*modelClient
+	var fitting []*modelClient
 	for _, c := range m.clients {
 		if fits(c) {
-			list = append(list, c)
+			fitting = append(fitting, c)
 		}
 	}
-	if len(list) == 0 {
+	if len(fitting) == 0 {
 		t.Skip("none")
 	}
-	return list[rapid.IntRange(0, len(list)-1).Draw(t, "client")]
+	return fitting[rapid.IntRange(0, len(fitting)-1).Draw(t, "client")]
 }
 
 // connect adds a client.
@@ -136,7 +136,7 @@
 		t.Skip("maximum number of clients reached, or connect failed")
 	}
 	c := &modelClient{
-		testClient: &testClient{conn: conn.(*net.TCPConn), in: bufio.NewReader(conn)}, responses: make(chan []string, 1),
+		testClient: &testClient{conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}, responses: make(chan []string, 1),
 	}
 	m.clients = append(m.clients, c)
 	go c.readResponses() // returns when the connection ends
@@ -144,8 +144,8 @@
 
 func (m *model) send(t *rapid.T) {
 	c := m.draw(t, (*modelClient).maySend)
-	call, text := m.newRequest()
-	c.callIDs = append(c.callIDs, call)
+	callID, text := m.newRequest()
+	c.callIDs = append(c.callIDs, callID)
 	c.send(text)
 }
 
@@ -154,9 +154,9 @@
 	c := m.draw(t, (*modelClient).maySend)
 	var requests strings.Builder
 	for range rapid.IntRange(2, 4).Draw(t, "requests") {
-		call, text := m.newRequest()
+		callID, text := m.newRequest()
 		size := rapid.SampledFrom([]int{5, 3000, 9000}).Draw(t, "size")
-		c.callIDs = append(c.callIDs, call)
+		c.callIDs = append(c.callIDs, callID)
 		body := fmt.Sprintf("Length: %d\n\n%s", size, strings.Repeat("x", size))
 		requests.WriteString(strings.Replace(text, "Length: 5\n\n12345", body, 1))
 	}
@@ -166,10 +166,10 @@
 // sendHalf sends the first part of a request.
 func (m *model) sendHalf(t *rapid.T) {
 	c := m.draw(t, (*modelClient).maySend)
-	call, text := m.newRequest()
+	callID, text := m.newRequest()
 	at := rapid.IntRange(1, len(text)-1).Draw(t, "at")
 	c.unsentPart = text[at:]
-	c.callIDs = append(c.callIDs, call)
+	c.callIDs = append(c.callIDs, callID)
 	c.send(text[:at])
 }
 
@@ -224,7 +224,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &model{t: t, open: map[string]core.RequestID{}, posted: map[string]bool{}}
+		m := &model{t: t, openRequests: map[string]core.RequestID{}, posted: map[string]bool{}}
 		m.server = newTestServer(l, func(o *Options) { o.MaxConns, o.Post = 4, m.handle })
 		go func() { _ = m.server.Serve(l) }() // returns after Close; the check fails for a client that is not accepted
 		<-m.server.serving
@@ -243,8 +243,8 @@
 			"sweep":          func(*rapid.T) { m.server.connSet().sweep() },
 		})
 		m.close()
-		if conns, waiting := m.server.Conns(), len(m.server.pendingResponses); conns+waiting > 0 {
-			t.Fatalf("%d connections and %d requests left after Close, want none", conns, waiting)
+		if conns, pending := m.server.Conns(), len(m.server.pendingResponses); conns+pending > 0 {
+			t.Fatalf("%d connections and %d requests left after Close, want none", conns, pending)
 		}
 		for i, c := range m.clients {
 			got := <-c.responses
@@ -258,16 +258,16 @@
 
 // check compares the responses that a client read with the requests that it sent.
 func (m *model) check(i int, c *modelClient, got []string) {
-	for _, call := range c.callIDs {
+	for _, callID := range c.callIDs {
 		switch {
-		case len(got) == 0 && m.posted[call]:
-			m.t.Fatalf("client %d: request %s was received and got no response", i, call)
+		case len(got) == 0 && m.posted[callID]:
+			m.t.Fatalf("client %d: request %s was received and got no response", i, callID)
 		case len(got) == 0:
 			return // the connection ended before the request was read
-		case got[0] == "429 " && !m.posted[call] && len(got) == 1:
+		case got[0] == "429 " && !m.posted[callID] && len(got) == 1:
 			return // the connection was rejected
-		case got[0] != "200 "+call && !c.mayFail(got[0]):
-			m.t.Fatalf("client %d: request %s got response %q, want its own", i, call, got[0])
+		case got[0] != "200 "+callID && !c.mayFail(got[0]):
+			m.t.Fatalf("client %d: request %s got response %q, want its own", i, callID, got[0])
 		}
 		got = got[1:]
 	}
--- a/internal/httpserver/parse.go
+++ b/internal/httpserver/parse.go
@@ -13,11 +13,11 @@
 const (
 	// maxWordBytes is the maximum length of a header value that is a single word.
 	maxWordBytes = 256
-	// maxNumberBytes is the maximum length of a number.
+	// maxNumberBytes is the maximum length of a number in a header value.
 	maxNumberBytes = 24
 	// customerDigits is the length of a customer's name, which is hexadecimal.
 	customerDigits = 16
-	// customerLimit is greater than all customer numbers, as the platform's protocol defines them.
+	// customerLimit is the exclusive upper bound of customer numbers, which the platform's protocol defines.
 	customerLimit = 1 << 33
 	// maxBudget is the maximum of a client's budget.
 	maxBudget = time.Hour
@@ -25,7 +25,8 @@
 	maxQuotaNumber = 1 << 20
 )
 
-// singleWord returns the value of a header that occurs once and is a single word of printable ASCII.
+// singleWord returns the value of a header that occurs once and is a single word of printable ASCII of at most
+// maxWordBytes.
 func singleWord(header http.Header, name string) (value string, ok bool) {
 	values := header[name]
 	if len(values) != 1 || len(values[0]) == 0 || len(values[0]) > maxWordBytes {
@@ -87,15 +88,15 @@
 	return number, err == nil
 }
 
-// A quotaInfo is the content of Quota-Info.
+// A quotaInfo is the content of the Quota-Info header: the units of a request, and the customer's limiter set.
 type quotaInfo struct {
 	units        float64
 	setSize      int // number of limiters in the customer's limiter set
 	firstLimiter int // number of the first limiter of the set
 }
 
-// parseQuota parses "units=2,spread=3,first=1", each name exactly once. Other names are ignored.
-func parseQuota(text string) (quota quotaInfo, ok bool) {
+// parseQuotaInfo parses "units=2,spread=3,first=1", each name exactly once. Other names are ignored.
+func parseQuotaInfo(text string) (info quotaInfo, ok bool) {
 	seen := map[string]bool{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, valueText, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -105,17 +106,17 @@
 		value, ok := parseNumber(valueText)
 		fractional := value != math.Trunc(value)
 		if !ok || seen[name] || fractional && name != "units" || value > maxQuotaNumber {
-			return quota, false
+			return info, false
 		}
 		seen[name] = true
 		switch name {
 		case "units":
-			quota.units = value
+			info.units = value
 		case "spread":
-			quota.setSize = int(value)
+			info.setSize = int(value)
 		case "first":
-			quota.firstLimiter = int(value)
+			info.firstLimiter = int(value)
 		}
 	}
-	return quota, len(seen) == 3 && quota.units > 0 && quota.setSize > 0
+	return info, len(seen) == 3 && info.units > 0 && info.setSize > 0
 }
--- a/internal/httpserver/request.go
+++ b/internal/httpserver/request.go
@@ -14,16 +14,16 @@
 	"lemongate/internal/upstream"
 )
 
-// This file validates requests. A request that a backend or admission control cannot use is answered here: further on
-// it would cost more, and may be taken for a different one.
+// This file validates requests. A request that a backend or admission control cannot use is answered here: answering it
+// later would cost more, and later code might interpret it as a different request.
 
 const (
 	// maxBodyBytes is the maximum length of a request body.
 	maxBodyBytes = 64 << 10
-	// bodyBytesPerSecond is the lowest rate at which a client may send a body and is still served.
+	// bodyBytesPerSecond is the minimum rate at which a client has to send a body.
 	bodyBytesPerSecond = 64 << 10
-	// bodyTimeoutSlack is the time a body may take in addition to its length divided by bodyBytesPerSecond, from the
-	// end of the head.
+	// bodyTimeoutSlack is added to the length of a body divided by bodyBytesPerSecond. The sum is the timeout for the
+	// body, from the end of the head.
 	bodyTimeoutSlack = time.Second
 	// malformedTimeout is the time for which a malformed request with a body is read, from its first byte or the
 	// connect. It is less than malformedResponseTime, so that the connection is closed in time.
@@ -37,10 +37,10 @@
 	cause      core.MalformedCause
 	status     int
 	text       string
-	closesConn bool // the start of the next request is not known
+	closesConn bool // the connection is closed, because the start of the next request is not known
 }
 
-// Faults of requests, in the order in which they are checked.
+// Faults of requests, in the order in which they are checked. core.BadID is the cause for X-Call-Id and Idempotency-Key.
 var (
 	faultEncoding    = &requestFault{core.BadFraming, http.StatusLengthRequired, "Content-Length wanted, and nothing beside it", true}
 	faultVersion     = &requestFault{core.BadFraming, http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
@@ -81,10 +81,10 @@
 			Class:        class.Name,
 			Plan:         fields.plan,
 			Customer:     customer,
-			Units:        fields.quota.units,
+			Units:        fields.quotaInfo.units,
 			Budget:       min(fields.budget, class.Deadline),
-			FirstLimiter: fields.quota.firstLimiter,
-			SetSize:      fields.quota.setSize,
+			FirstLimiter: fields.quotaInfo.firstLimiter,
+			SetSize:      fields.quotaInfo.setSize,
 			IsRetry:      r.Header.Get("X-Again") == "1",
 		},
 		Content: &upstream.Request{
@@ -131,11 +131,11 @@
 
 // requestFields are the values of a request's header fields.
 type requestFields struct {
-	callID string
-	key    string // idempotency key, empty for none
-	plan   string
-	budget time.Duration
-	quota  quotaInfo
+	callID    string
+	key       string // idempotency key, empty for none
+	plan      string
+	budget    time.Duration
+	quotaInfo quotaInfo
 }
 
 // readFields returns the header values of a request of the given class.
@@ -156,7 +156,7 @@
 	if fields.budget, ok = readBudget(r.Header, class); !ok {
 		return fields, faultBudget
 	}
-	if fields.quota, ok = s.readQuota(r.Header); !ok {
+	if fields.quotaInfo, ok = s.readQuotaInfo(r.Header); !ok {
 		return fields, faultQuota
 	}
 	return fields, nil
@@ -178,7 +178,7 @@
 	return key, (isWord || !required) && len(header["Idempotency-Key"]) <= 1
 }
 
-// readPlan returns the plan, whose name may have any characters.
+// readPlan returns the plan, whose name may contain any characters.
 func (s *Server) readPlan(header http.Header) (plan string, ok bool) {
 	values := header["Plan"]
 	if len(values) != 1 {
@@ -196,17 +196,17 @@
 	return budget, ok && budget <= class.Deadline+deadlineSlack
 }
 
-// readQuota returns the units of a request and the customer's limiter set.
-func (s *Server) readQuota(header http.Header) (quota quotaInfo, ok bool) {
+// readQuotaInfo returns the units of a request and the customer's limiter set.
+func (s *Server) readQuotaInfo(header http.Header) (info quotaInfo, ok bool) {
 	text, ok := singleWord(header, "Quota-Info")
 	if !ok {
 		return quotaInfo{}, false
 	}
-	quota, ok = parseQuota(text)
+	info, ok = parseQuotaInfo(text)
 	limiters := max(s.options.Settings.Limiters, 1)
-	inTier := quota.firstLimiter < limiters && quota.setSize <= limiters
-	unitsAllowed := s.options.MaxUnits <= 0 || quota.units <= s.options.MaxUnits
-	return quota, ok && inTier && unitsAllowed
+	inTier := info.firstLimiter < limiters && info.setSize <= limiters
+	unitsAllowed := s.options.MaxUnits <= 0 || info.units <= s.options.MaxUnits
+	return info, ok && inTier && unitsAllowed
 }
 
 // readBody reads the complete body, whose length is known and within maxBodyBytes. It allocates memory as the body is
--- a/internal/httpserver/request_test.go
+++ b/internal/httpserver/request_test.go
@@ -18,7 +18,7 @@
 	"lemongate/internal/upstream"
 )
 
-// A request is posted as an event with everything that attempts forward.
+// A request is posted as an event with all values that an attempt forwards to the backend.
 func TestRequestReceived(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
@@ -40,7 +40,7 @@
 		Method: "POST", URI: "/post/x/00000000b4d65521?q=%41", Host: "backend.local",
 		CallID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f", ContentType: "text/x",
 	}); got != want {
-		t.Errorf("content %s", got)
+		t.Errorf("content %s, want the values that the client sent", got)
 	}
 	server.Respond(core.Respond{Request: ev.ID, Kind: core.Served, Response: &upstream.Response{Body: []byte("yes")}})
 	server.Respond(core.Respond{Request: ev.ID, Kind: core.Failed}) // a second response is dropped
@@ -49,7 +49,7 @@
 	}
 	client.send(validRequest) // the connection stays open, and the next request has a different number
 	if again := (<-server.events).(*core.RequestReceived); again.ID == ev.ID {
-		t.Error("two requests have the same number")
+		t.Error("two requests have the same number, want different ones")
 	}
 }
 
@@ -145,11 +145,11 @@
 	}
 }
 
-// A connection is closed in an orderly way after a malformed request with an unread body: net/http must not proceed to
-// the next request while it still reads that body, because it panics then.
+// After a malformed request with an unread body the server closes the connection without a reset: net/http must not
+// proceed to the next request while it still reads that body, because it panics then.
 func TestUnreadBodyClosesConn(t *testing.T) {
-	core, logs := observer.New(zap.DebugLevel)
-	server := startServer(t, func(o *Options) { o.Log = zap.New(core) })
+	logCore, logs := observer.New(zap.DebugLevel)
+	server := startServer(t, func(o *Options) { o.Log = zap.New(logCore) })
 	client := server.connect(t)
 	client.send(strings.Replace(validRequest, "Plan: team", "Plan: gold", 1))
 	if resp, _ := client.response(); resp.StatusCode != 400 || !resp.Close {
@@ -157,7 +157,7 @@
 	}
 	<-server.events
 	client.setReadDeadline()
-	if rest, err := io.ReadAll(client.in); len(rest) > 0 || err != nil {
+	if rest, err := io.ReadAll(client.reader); len(rest) > 0 || err != nil {
 		t.Errorf("after the response: read %q, error %v, want the end of the stream", rest, err)
 	}
 	if logs.Len() > 0 {
@@ -193,7 +193,7 @@
 	} {
 		client := server.connect(t)
 		client.send(text)
-		if resp, err := http.ReadResponse(client.in, nil); err == nil && resp.StatusCode < 400 {
+		if resp, err := http.ReadResponse(client.reader, nil); err == nil && resp.StatusCode < 400 {
 			t.Errorf("%.60q: status %d, want 4xx, 5xx or a close", text, resp.StatusCode)
 		}
 		if ev := *(<-server.events).(*core.ClientConnClosed); !ev.Unread {
@@ -212,8 +212,8 @@
 	}
 }
 
-// An incomplete request gets a response or a close soon: its body may take until shortly after the start of the
-// connection, or of the request if it is not the first.
+// A request whose body is incomplete is answered with 408 once the timeout for the body has passed, and its connection
+// is closed. The timeout starts at the end of the head, also for a request that is not the first on its connection.
 func TestHalfBody(t *testing.T) {
 	server, elapsed := startServerWithMaxConns(t, 0)
 	client := server.connect(t)
@@ -229,13 +229,13 @@
 	if ev := <-server.events; ev != (core.RequestMalformed{Cause: core.BadFraming}) {
 		t.Errorf("posted %+v, want RequestMalformed with BadFraming", ev)
 	}
-	if _, err := client.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("read error %v, want EOF", err)
 	}
 }
 
-// A client that takes 2 s for a head and a second for a body of 64 KiB is served. The time for the body starts at the
-// end of the head, and depends on its length.
+// A client that takes nearly 2 s for a head, and then sends a body of 60 KiB at slightly more than 64 KiB per second, is
+// served. The time for the body starts at the end of the head, and depends on its length.
 func TestSlowClient(t *testing.T) {
 	t.Parallel()
 	server := startServer(t)
@@ -257,7 +257,7 @@
 		t.Fatalf("a slow client was cut off: %+v", first)
 	}
 	if n := len(ev.Content.(*upstream.Request).Body); n != size {
-		t.Errorf("body of %d bytes", n)
+		t.Errorf("body of %d bytes, want 60 KiB", n)
 	}
 	server.reject(ev.ID)
 	client.response()
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,11 +1,12 @@
 // Package httpserver is the HTTP/1.1 server for clients. It validates requests, posts them as events, and writes the
-// responses that it is given; it makes no other decisions. It tracks the state of each client connection, so that no
-// connection is closed over a request that its client could not resend.
+// responses that it is given; it makes no other decisions. It tracks the state of each client connection, so that it
+// does not close a connection on which its client may have sent a request that the client could not resend.
 //
 // Files: server.go has the server itself, handler.go serves a request from its head to its response, request.go
-// validates, parse.go parses, response.go writes. Client connections: connset.go holds all of them, accept.go accepts
-// and rejects new ones, evict.go evicts connections, shutdown.go and handover.go end them, and clientconn.go has a
-// single one.
+// validates requests, parse.go parses paths and header values, response.go writes responses. Client connections:
+// connset.go has the set of all connections, accept.go accepts and rejects new ones, evict.go evicts connections,
+// shutdown.go closes them for a shutdown, handover.go hands them over to another process, and clientconn.go has the
+// type of a single connection.
 package httpserver
 
 import (
@@ -74,12 +75,14 @@
 	conns          atomic.Pointer[connSet] // nil until Serve is called
 	serving        chan struct{}           // closed once conns is set
 	acceptingEnded chan struct{}           // closed once Serve adds no more connections to conns
-	resourceShare  float64                 // fraction of MaxConns that may be open; guarded by mu. Kept here because it may be set before conns exists
+	// resourceShare is the fraction of MaxConns that may be open; guarded by mu. Server has it because it may be set
+	// before conns exists.
+	resourceShare float64
 
-	finalReadMargin time.Duration
+	finalReadMargin time.Duration // see defaultFinalReadMargin; tests change it
 
 	mu               sync.Mutex
-	pendingResponses map[core.RequestID]chan core.Respond // requests without a response
+	pendingResponses map[core.RequestID]chan core.Respond // of requests without a response; each channel holds one
 }
 
 // New returns a Server that does not listen yet.
@@ -114,7 +117,7 @@
 func (s *Server) newHTTPServer() *http.Server {
 	return &http.Server{
 		Handler:                      s,
-		DisableGeneralOptionsHandler: true, // the handler would answer an invalid request with 200
+		DisableGeneralOptionsHandler: true, // it would answer "OPTIONS *", which is malformed here, with 200
 		ReadHeaderTimeout:            headTimeout,
 		IdleTimeout:                  idleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
@@ -170,7 +173,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 429 Too Many Requests\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n", retryAfter)
 }
 
-// AdoptConn serves an idle client connection that another process has handed over. It waits for Serve.
+// AdoptConn serves an idle client connection that another process has handed over. It blocks until Serve is called.
 func (s *Server) AdoptConn(adopted net.Conn) {
 	<-s.serving
 	conns := s.conns.Load()
@@ -244,7 +247,8 @@
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
 // DrainConns closes client connections that are between requests: idle ones immediately, the others after their
-// responses. SetKeepAlivesEnabled of net/http would close some connections over a request; see clientConn.Read.
+// responses. SetKeepAlivesEnabled of net/http would close some connections with a request in its buffer; see
+// clientConn.Read.
 func (s *Server) DrainConns() {
 	s.draining.Store(true)
 	if conns := s.conns.Load(); conns != nil {
@@ -264,7 +268,7 @@
 
 // closeConns waits until all connections are closed or handed over.
 func (s *Server) closeConns(conns *connSet, timeout time.Duration) {
-	timedOut, finalRead := time.After(timeout), time.After(timeout-s.finalReadMargin)
+	timedOut, stopReading := time.After(timeout), time.After(timeout-s.finalReadMargin)
 	_ = conns.Close() // Accept reports errors of the listener
 	acceptingEnded := s.acceptingEnded
 	poll := time.NewTicker(closePollInterval)
@@ -278,7 +282,7 @@
 				conns.drain()
 			}
 		case <-poll.C:
-		case <-finalRead:
+		case <-stopReading:
 			conns.stopReading()
 		case <-timedOut:
 			s.options.Log.Warn("server close timed out with client connections still open", zap.Int("connections", conns.count()))
@@ -287,7 +291,7 @@
 	}
 }
 
-// Respond passes the response to a request on to the request's goroutine, which writes it. Respond does not block. It
+// Respond passes the response to the goroutine that serves the request, which writes it. Respond does not block. It
 // drops a second response to the same request.
 func (s *Server) Respond(response core.Respond) {
 	s.mu.Lock()
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A client's disconnect is posted, and its request is deleted when the response is set.
+// A client's disconnect is posted, and its request is removed from pendingResponses once Respond is called.
 func TestClientDisconnects(t *testing.T) {
 	server := startServer(t)
 	client := server.connect(t)
--- a/internal/httpserver/shutdown_test.go
+++ b/internal/httpserver/shutdown_test.go
@@ -13,7 +13,7 @@
 	"lemongate/internal/testnet"
 )
 
-// unexpectedConnTimeout is the time after which a connection that a test does not wait for ends the tests.
+// unexpectedConnTimeout is the time after which Accept panics if the test does not wait for the accepted connection.
 const unexpectedConnTimeout = time.Minute
 
 // A blockingListener holds each connection that it has accepted until the test releases it.
@@ -45,7 +45,7 @@
 	busy.send(validRequest)
 	first := (<-server.events).(*core.RequestReceived).ID
 	server.DrainConns()
-	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: read returned error %v, want EOF", err)
 	}
 	late := server.connect(t)
@@ -99,8 +99,8 @@
 	}
 }
 
-// A connection that the kernel has returned when the server closes is treated like any other: its request is answered
-// before Close returns.
+// A connection that the kernel has returned, but that is not in the set yet when the server closes, is treated like any
+// other: its request is answered before Close returns.
 func TestAcceptedDuringClose(t *testing.T) {
 	l := &blockingListener{testnet.Listen(t), make(chan bool), make(chan bool)}
 	server := startServerOn(t, l)
@@ -124,7 +124,7 @@
 // Accepting ends soon after Close even if clients continue to connect. Accepted clients are answered.
 func TestAcceptingEndsWhileClientsConnect(t *testing.T) {
 	server := startServer(t)
-	go func() { // ends with the test program: nobody closes the channel
+	go func() { // runs until the test process exits: the channel is never closed
 		for ev := range server.events {
 			if ev, ok := ev.(*core.RequestReceived); ok {
 				server.reject(ev.ID)
@@ -147,7 +147,7 @@
 }
 
 // Shortly before the end of Close the server stops reading requests. Requests that are complete by then are answered.
-// Later ones are not read: they are not forwarded, and the close shows that to their clients.
+// Later ones are not read or forwarded, and their clients see that the connection is closed.
 func TestNoReadsShortlyBeforeClose(t *testing.T) {
 	l := testnet.Listen(t)
 	server := newTestServer(l)
--- a/internal/httpserver/testserver_test.go
+++ b/internal/httpserver/testserver_test.go
@@ -140,9 +140,9 @@
 
 // A testClient is a client with one connection.
 type testClient struct {
-	t    *testing.T
-	conn *net.TCPConn
-	in   *bufio.Reader
+	t      *testing.T
+	conn   *net.TCPConn
+	reader *bufio.Reader
 }
 
 func (s *testServer) connect(t *testing.T) *testClient {
@@ -162,7 +162,7 @@
 func (c *testClient) response() (*http.Response, string) {
 	c.t.Helper()
 	c.setReadDeadline()
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 func (c *testClient) expectClose() {
 	c.t.Helper()
 	c.setReadDeadline()
-	if _, err := c.in.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
+	if _, err := c.reader.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
 		c.t.Errorf("connection was not closed, read error: %v", err)
 	}
 }
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -32,27 +32,27 @@
 // goroutine; both end with Close. The other methods may be called from any goroutine.
 type Transport struct {
 	conn       *net.UDPConn
-	peers      []netip.AddrPort // indexed by limiter number
-	broadcast  netip.AddrPort   // reaches all limiters
-	numbers    map[netip.AddrPort]int
+	peers      []netip.AddrPort       // indexed by limiter number
+	broadcast  netip.AddrPort         // reaches all limiters
+	numbers    map[netip.AddrPort]int // limiter number of each peer's address
 	queue      chan datagram
-	writeEnded chan struct{} // closed when Write returns
-	closed     chan struct{} // closed by Close
-	post       func(core.Event)
+	writeEnded chan struct{}    // closed when Write returns
+	closed     chan struct{}    // closed by Close
+	post       func(core.Event) // called with each datagram received
 	log        *zap.Logger
 
 	mu      sync.Mutex
 	resumed chan struct{} // closed by Resume; nil while reading is not paused
 }
 
-// A datagram is a datagram in the send queue.
+// A datagram is an entry of the send queue.
 type datagram struct {
 	to   netip.AddrPort
 	data []byte
 }
 
-// Listen opens a socket and returns a Transport on it. The order of peers is that of the limiters' numbers; broadcast
-// is an address that reaches all of them. post is called with each datagram received.
+// Listen opens a socket and returns a Transport on it. peers has the addresses of the limiters, indexed by limiter
+// number; broadcast is an address that reaches all of them. post is called with each datagram received.
 func Listen(local netip.AddrPort, peers []netip.AddrPort, broadcast netip.AddrPort, post func(core.Event), log *zap.Logger) (*Transport, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(local))
 	if err != nil {
@@ -191,8 +191,8 @@
 	return netip.AddrPort{}
 }
 
-// Close waits up to flushTimeout for the queue to be written, which may contain the message that this limiter is
-// leaving, and ends Read and Write.
+// Close ends Read and Write. Before it closes the socket, it waits up to flushTimeout for the queue to be written: the
+// queue may contain the message that this limiter is leaving.
 func (t *Transport) Close() error {
 	close(t.queue)
 	close(t.closed)
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -26,10 +26,10 @@
 // The sender is identified by its address alone. A datagram from an unknown address and one that is too long are posted
 // without a sender, so that they are counted and dropped.
 func TestTransport(t *testing.T) {
-	known, all, unknown := listenUDP(t), listenUDP(t), listenUDP(t)
+	known, broadcast, unknown := listenUDP(t), listenUDP(t), listenUDP(t)
 	self := netip.MustParseAddrPort("127.0.0.1:0")
 	events := make(chan core.Event, 8)
-	transport, err := Listen(self, []netip.AddrPort{self, addressOf(known)}, addressOf(all), func(ev core.Event) { events <- ev }, zap.NewNop())
+	transport, err := Listen(self, []netip.AddrPort{self, addressOf(known)}, addressOf(broadcast), func(ev core.Event) { events <- ev }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,18 +47,18 @@
 			t.Fatal(err)
 		}
 		if ev := (<-events).(*core.PeerMessageReceived); ev.From != c.want || len(ev.Data) != min(c.size, maxDatagramBytes+1) {
-			t.Errorf("datagram of %d bytes was posted with %d bytes from limiter %d, want from %d", c.size, len(ev.Data), ev.From, c.want)
+			t.Errorf("datagram of %d bytes was posted with %d bytes from limiter %d, want all bytes up to 257 from %d", c.size, len(ev.Data), ev.From, c.want)
 		}
 	}
 
 	buf := make([]byte, 300)
 	transport.Send(1, make([]byte, maxDatagramBytes+1)) // longer than the platform allows: dropped
 	transport.Send(5, []byte("nobody"))                 // no limiter has this number: dropped
-	for number, c := range map[int]*net.UDPConn{1: known, -1: all} {
+	for number, c := range map[int]*net.UDPConn{1: known, -1: broadcast} {
 		transport.Send(number, []byte("hello"))
 		n, from, err := c.ReadFromUDPAddrPort(buf)
 		if err != nil || string(buf[:n]) != "hello" || from != to {
-			t.Errorf("datagram to limiter %d: got %q from %v, error %v", number, buf[:n], from, err)
+			t.Errorf("datagram to limiter %d: got %q from %v, error %v, want \"hello\" from the transport", number, buf[:n], from, err)
 		}
 	}
 }
--- a/internal/testnet/testnet.go
+++ b/internal/testnet/testnet.go
@@ -12,8 +12,8 @@
 )
 
 // Open returns a TCP listener on a free port of a loopback IP that no other process listens on. On 127.0.0.1 the kernel
-// reuses ports, and clients of other processes still connect to the listeners that had them before. Open is for tests
-// that have no testing.TB and close the listener themselves.
+// reuses ports, and clients of other processes may still connect to a port on which their server listened before. Open
+// is for tests that have no testing.TB and close the listener themselves.
 func Open() (*net.TCPListener, error) {
 	pid := os.Getpid() // at most 22 bits
 	ip := net.IPv4(127, byte(128+pid>>16&63), byte(pid>>8), byte(pid))
--- a/internal/testnet/testnet_test.go
+++ b/internal/testnet/testnet_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// A client of another process that still connects to a port on 127.0.0.1, where that process had a listener before,
-// does not reach a test's listener with the same port number.
-func TestListenerIsApart(t *testing.T) {
+// A client of another process may still connect to a port on 127.0.0.1 on which that process listened before. It does
+// not reach a test's listener with the same port number.
+func TestListenerIsNotReachedOnLocalhost(t *testing.T) {
 	listener := Listen(t)
 	port := strconv.Itoa(listener.Addr().(*net.TCPAddr).Port)
 	if conn, err := net.Dial("tcp", net.JoinHostPort("127.0.0.1", port)); err == nil {
