--- a/internal/processharness/checker.go
+++ b/internal/processharness/checker.go
@@ -110,13 +110,14 @@
 	}
 }
 
-// checkAttempt takes the units of a request's first attempt from the buckets of its customer.
+// checkAttempt takes the units of a request's first attempt from the buckets of its customer, who is given by number,
+// counted from 1. The result counts units within and beyond the quota as means over all customers.
 func (r *tierRun) checkAttempt(number int, b *referenceBuckets, at time.Duration, units float64) {
-	count := float64(max(len(r.customers), 1))
+	customerCount := float64(max(len(r.customers), 1))
 	if b.quota.Take(at, units) {
-		r.result.WithinQuota += units / count
+		r.result.WithinQuota += units / customerCount
 	} else {
-		r.result.BeyondQuota += units / count
+		r.result.BeyondQuota += units / customerCount
 	}
 	plan := r.scenario.Plans[r.customers[number-1].plan]
 	if plan.CeilingRate <= 0 {
--- a/internal/processharness/customers.go
+++ b/internal/processharness/customers.go
@@ -23,10 +23,10 @@
 // startLoad starts sending the requests of all customers, at a constant total rate.
 func (r *tierRun) startLoad() *Load {
 	total := 0.0
-	mean := r.scenario.Traffic.MeanUnits()
+	meanUnits := r.scenario.Traffic.MeanUnits()
 	for i, plan := range r.scenario.Plans {
 		for range plan.Customers {
-			c := r.newCustomer(i, plan.Rate*plan.LoadFactor/mean)
+			c := r.newCustomer(i, plan.Rate*plan.LoadFactor/meanUnits)
 			r.customers = append(r.customers, c)
 			total += c.rate
 		}
--- a/internal/processharness/discovery.go
+++ b/internal/processharness/discovery.go
@@ -95,11 +95,12 @@
 	return map[string]any{"generation": generation(changes), "reset": reset, "instances": d.instances()}
 }
 
-// serveWatch sends the list at once, the new list after each change, and an empty line at each check without a change.
+// serveWatch sends the list at once, with reset set unless the client states the current generation. It then checks the
+// list at each watchPoll, and sends the new list after a change and an empty line otherwise.
 func (d *discovery) serveWatch(w http.ResponseWriter, r *http.Request) {
 	sentChanges := d.changeCount()
-	isKnown := r.URL.Query().Get("index") == fmt.Sprint(generation(sentChanges))
-	writeSnapshot(w, d.snapshot(sentChanges, !isKnown))
+	isUpToDate := r.URL.Query().Get("index") == fmt.Sprint(generation(sentChanges))
+	writeSnapshot(w, d.snapshot(sentChanges, !isUpToDate))
 	end := make(chan struct{})
 	d.mu.Lock()
 	d.watches = append(d.watches, end)
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -13,8 +13,9 @@
 // leaseQueryTimeout limits the time that a limiter takes to report its leases.
 const leaseQueryTimeout = 100 * time.Millisecond
 
-// faultInjectors injects each kind of fault from its start to its end. The other kinds that CheckSupported allows are
-// in effect from the start of the processes.
+// faultInjectors has a function for each kind of fault that is injected during a run. The function injects the fault and
+// returns when the fault has ended. The other kinds that CheckSupported allows are in effect from the start of the
+// processes.
 var faultInjectors = map[simulation.FaultKind]func(*tierRun, simulation.Fault){
 	simulation.FaultPartition:      (*tierRun).injectBlockedDirections,
 	simulation.FaultOutgoingLoss:   (*tierRun).injectBlockedDirections,
@@ -104,7 +105,8 @@
 	}
 }
 
-// blockedDirections returns the directions between limiters that a fault blocks.
+// blockedDirections returns the directions between limiters that a fault blocks. In a partition, a limiter that is in no
+// group counts as a member of the first one.
 func (r *tierRun) blockedDirections(f simulation.Fault) []direction {
 	group := map[int]int{}
 	for g, members := range f.Groups {
--- a/internal/processharness/load.go
+++ b/internal/processharness/load.go
@@ -28,7 +28,7 @@
 	Results []Result
 
 	tier        *Tier
-	interval    time.Duration
+	interval    time.Duration // between the starts of two requests
 	makeRequest func(n int) Request
 	stop        chan struct{} // closed by End
 	senders     sync.WaitGroup
