--- a/internal/core/reload.go
+++ b/internal/core/reload.go
@@ -26,7 +26,7 @@
 	switch {
 	case ev.Err != nil:
 		m.counters.ReloadsFailed++
-		m.logf("kept the configuration that runs: %v", ev.Err)
+		m.logf("failed to reload the configuration, keeping the current one: %v", ev.Err)
 	case ev.Discovery != m.endpoints.discovery:
 		m.counters.Reloads++
 		m.endpoints.discovery = ev.Discovery
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -56,8 +56,8 @@
 		<-r.Context().Done()
 	})
 
-	watched, loads := make(chan bool, 1), 0
-	next := testnet.Serve(t, func(w http.ResponseWriter, r *http.Request) {
+	watched, configLoads := make(chan bool, 1), 0
+	newDiscovery := testnet.Serve(t, func(w http.ResponseWriter, r *http.Request) {
 		watched <- true
 		<-r.Context().Done()
 	})
@@ -79,10 +79,10 @@
 		ended <- Run(testConfig(strings.TrimPrefix(discovery.URL, "http://"), address), NewClock(1), log, Controls{
 			Dump: dump, Stop: stop, Reload: reload,
 			LoadConfig: func() (*config.Config, error) {
-				if loads++; loads == 1 {
+				if configLoads++; configLoads == 1 {
 					return nil, errors.New("bad JSON")
 				}
-				return testConfig(strings.TrimPrefix(next.URL, "http://"), address), nil
+				return testConfig(strings.TrimPrefix(newDiscovery.URL, "http://"), address), nil
 			},
 		})
 	}()
@@ -104,7 +104,7 @@
 			t.Error(err)
 			return 0, ""
 		}
-		defer func() { _ = resp.Body.Close() }() // it is read to its end
+		defer func() { _ = resp.Body.Close() }() // the caller checks the body
 		body, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(body)
 	}
@@ -134,8 +134,8 @@
 	all := lines.FilterMessage("counters").All()
 	c := all[len(all)-1].ContextMap()["counts"].(core.Counters)
 	if c.Received != 2 || c.Served != 1 || c.Rejected != 1 || c.AttemptsStarted != 1 || len(all) != 2 ||
-		c.Reloads == 0 || c.ReloadsFailed != 1 || len(lines.FilterMessage("kept the configuration that runs: bad JSON").All()) != 1 {
-		t.Errorf("%d log lines of counters, want 2; the last has %+v", len(all), c)
+		c.Reloads == 0 || c.ReloadsFailed != 1 || len(lines.FilterMessage("failed to reload the configuration, keeping the current one: bad JSON").All()) != 1 {
+		t.Errorf("%d log lines of counters, want 2; the last has %+v, want 2 requests received, 1 served, 1 rejected, 1 attempt started, 1 or more reloads, 1 failed one that is logged once", len(all), c)
 	}
 }
 
@@ -146,12 +146,12 @@
 	c := testConfig("127.0.0.1:1", "127.0.0.1:1")
 	c.ListenAddr = strings.TrimPrefix(taken.URL, "http://")
 	if err := Run(c, NewClock(1), zap.NewNop(), Controls{}); err == nil || !strings.Contains(err.Error(), "listen") {
-		t.Errorf("got %v, want an error of listen", err)
+		t.Errorf("Run with a listening address in use: got error %v, want one of listen", err)
 	}
 }
 
-// All limiters together keep no more idle connections at a backend than it is assumed to have room for, except that
-// each limiter may keep one. A small tier is limited by the fraction of its socket limits instead.
+// All limiters together keep at most maxIdleConnsPerBackendOfTier idle connections at a backend, except that each
+// limiter may keep one. A limiter of a small tier keeps idleConnFraction of its socket limit, and at least minIdleConns.
 func TestMaxIdleConns(t *testing.T) {
 	for _, c := range []struct{ sockets, limiters, want int }{
 		{256, 0, 4}, {256, 3, 4}, {1024, 3, 16}, {1024, 20, 6}, {384, 80, 1}, {1024, 1000, 1},
