--- a/cmd/lemongate/adminclient.go
+++ b/cmd/lemongate/adminclient.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // the body was read to its end, or the call fails anyway
+	defer func() { _ = response.Body.Close() }() // the body was read completely, or the call fails anyway
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
--- a/cmd/lemongate/crossrelease_test.go
+++ b/cmd/lemongate/crossrelease_test.go
@@ -19,7 +19,7 @@
 const previousReleaseVariable = "LEMONGATE_PREVIOUS_RELEASE"
 
 // Processes of this release and of an earlier one take over from each other in turn under load: no request is lost,
-// none runs twice, the ceiling holds to the unit, and the peers see one epoch of the limiter.
+// none runs twice, the ceiling holds as checkCeiling requires, and the peers see one epoch of the limiter.
 func TestHotRestartAcrossReleases(t *testing.T) {
 	const restarts, rate, burst = 10, 100.0, 60.0
 	previous := os.Getenv(previousReleaseVariable)
@@ -47,10 +47,11 @@
 		successor := tier.Limiters[0].Start()
 		successor.Await(t)
 		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
+		// This release logs the first text. The second is one of the earlier release.
 		if successor.HasLogged("without the state") || predecessor.HasLogged("with no state") {
-			t.Errorf("restart %d: the state was not transferred", i)
+			t.Errorf("restart %d: a process took over without the state of its predecessor", i)
 		}
-		if i%3 == 0 { // leave the successor on probation for a while
+		if i%3 == 0 { // leave the successor in probation for a while
 			time.Sleep(200 * time.Millisecond)
 		}
 		predecessor.Signal(syscall.SIGTERM)
@@ -67,8 +68,8 @@
 	if n := len(tier.Network.Epochs(0)); n != 1 {
 		t.Errorf("the peers saw %d epochs of the limiter, want 1", n)
 	}
-	_, first := tier.Attempts()
-	checkCeiling(t, first, rate, burst)
+	_, attempts := tier.Attempts()
+	checkCeiling(t, attempts, rate, burst)
 	t.Logf("%d restarts, %d requests, %d served, longest time without one %v", restarts, len(results), served, gap)
 }
 
@@ -143,7 +144,7 @@
 	for _, path := range paths {
 		inFile, faults, err := readUsageFile(path)
 		if err != nil || len(faults) > 0 {
-			t.Fatalf("usage file has faults %q, %v", faults, err)
+			t.Fatalf("usage file has faults %q, error %v; want none", faults, err)
 		}
 		reports = append(reports, inFile...)
 	}
@@ -153,8 +154,8 @@
 		reported += u.Units
 	}
 	byID, _ := tier.Attempts()
-	t.Logf("%.0f units reported, %d reached backends, %d periods of %d holders, faults %q", reported, len(byID), len(summary.Reports), len(paths), summary.Faults)
+	t.Logf("%.0f units reported, %d requests reached backends, %d periods in %d usage files, faults %q", reported, len(byID), len(summary.Reports), len(paths), summary.Faults)
 	if reported != float64(len(byID)) {
-		t.Errorf("%.0f units reported, %d reached backends", reported, len(byID))
+		t.Errorf("%.0f units reported, want one for each of the %d requests that reached backends", reported, len(byID))
 	}
 }
--- a/cmd/lemongate/format_test.go
+++ b/cmd/lemongate/format_test.go
@@ -17,22 +17,22 @@
 // Subcommands, flags, their defaults and their environment variables are those of 0.8.0, which scripts use. Further
 // ones may be added.
 func TestCommandsOfEarlierRelease(t *testing.T) {
-	var now []string
+	var commands []string
 	root := command()
 	for _, c := range root.Commands {
 		for _, name := range c.Names() {
-			now = append(now, name)
+			commands = append(commands, name)
 			for _, f := range c.Flags {
 				line := fmt.Sprintf("%s --%s %T", name, strings.Join(f.Names(), " -"), f)
 				if d, ok := f.(cli.DocGenerationFlag); ok {
 					line += fmt.Sprintf(" %q %v", d.GetDefaultText(), d.GetEnvVars())
 				}
-				now = append(now, line)
+				commands = append(commands, line)
 			}
 		}
 	}
 	for line := range strings.Lines(string(golden.Read(t, "commands.txt"))) {
-		if line = strings.TrimSpace(line); !slices.Contains(now, line) {
+		if line = strings.TrimSpace(line); !slices.Contains(commands, line) {
 			t.Errorf("missing from the command line: %s", line)
 		}
 	}
--- a/cmd/lemongate/hotrestart_test.go
+++ b/cmd/lemongate/hotrestart_test.go
@@ -16,8 +16,8 @@
 	"lemongate/internal/processharness"
 )
 
-// Hot restarts in sequence under load: no connection is reset or refused, every request gets one complete response, none
-// is forwarded twice, the ceiling holds to the unit, and the peers see one epoch of the limiter.
+// Hot restarts in sequence under load: no connection is reset or refused, every request gets one complete response, few
+// reach backends twice, the ceiling holds as checkCeiling requires, and the peers see one epoch of the limiter.
 func TestHotRestartsUnderLoad(t *testing.T) {
 	const restarts, rate, burst = 10, 100.0, 60.0
 	tier := newTier(t, 3, 4)
@@ -30,19 +30,19 @@
 	if err := load.OpenIdle(0, 30); err != nil {
 		t.Fatal(err)
 	}
-	old := processes[0]
+	predecessor := processes[0]
 	for i := range restarts {
-		next := tier.Limiters[0].Start()
-		next.Await(t)
-		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
+		successor := tier.Limiters[0].Start()
+		successor.Await(t)
+		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		if i%3 == 0 { // leave the successor in probation for a while
 			time.Sleep(200 * time.Millisecond)
 		}
-		old.Signal(syscall.SIGTERM)
-		if err := old.Wait(t); err != nil {
-			t.Errorf("hot restart %d: the old process ended with %v", i, err)
+		predecessor.Signal(syscall.SIGTERM)
+		if err := predecessor.Wait(t); err != nil {
+			t.Errorf("hot restart %d: the predecessor ended with %v", i, err)
 		}
-		old = next
+		predecessor = successor
 	}
 	results := load.End()
 	served, gap := checkResults(t, tier, results)
@@ -52,8 +52,8 @@
 	if n := len(tier.Network.Epochs(0)); n != 1 {
 		t.Errorf("the peers saw %d epochs of the limiter, want 1", n)
 	}
-	_, first := tier.Attempts()
-	checkCeiling(t, first, rate, burst)
+	_, attempts := tier.Attempts()
+	checkCeiling(t, attempts, rate, burst)
 	t.Logf("%d requests, %d served, longest time without one %v; p99 %v at the limiter that restarts, %v at the others",
 		len(results), served, gap, p99(results, func(r processharness.Result) bool { return r.Limiter == 0 }),
 		p99(results, func(r processharness.Result) bool { return r.Limiter > 0 }))
@@ -79,21 +79,21 @@
 				recovery := time.Since(before)
 				time.Sleep(700 * time.Millisecond) // all timeouts of the hot restart have passed after it
 				if !predecessor.Healthy() {
-					t.Error("the predecessor accepts no clients")
+					t.Error("the predecessor accepts no clients 700 ms after it was healthy again")
 				}
 				results := load.End()
 				served, gap := checkResults(t, tier, results)
 				// While the successor hangs, requests that it has to decide are rejected.
 				if served < len(results)/2 || gap > 1500*time.Millisecond {
-					t.Errorf("served %d of %d requests, and none for %v; want at least half, and a gap of 1.5 s at most", served, len(results), gap)
+					t.Errorf("served %d of %d requests, longest time without a response %v; want at least half, and 1.5 s at most", served, len(results), gap)
 				}
 				t.Logf("healthy after %v, longest time without a response %v", recovery, gap)
 				// A working successor takes over after the failed one.
 				if failure != "end" {
 					successor.Signal(syscall.SIGKILL)
 				}
-				next := tier.Limiters[0].Start()
-				processharness.WaitUntil(t, "a working successor", next.Healthy)
+				workingSuccessor := tier.Limiters[0].Start()
+				processharness.WaitUntil(t, "a working successor", workingSuccessor.Healthy)
 				predecessor.Signal(syscall.SIGTERM)
 				if err := predecessor.Wait(t); err != nil {
 					t.Error(err)
@@ -103,9 +103,9 @@
 	}
 }
 
-// A predecessor that ends during a hot restart leaves the successor to serve with what it has received. One that hangs
-// while neither process accepts clients is killed. One that hangs before that still has the clients, and the successor
-// waits for it.
+// A predecessor that ends during a hot restart leaves the successor to serve with what it has received. One that is
+// suspended while neither process accepts clients is killed by the successor. One that is suspended before that may
+// still accept clients, and the successor waits until it ends.
 func TestFailedPredecessor(t *testing.T) {
 	for _, c := range []struct{ step, failure string }{
 		{"listening", "end"}, {"hello", "end"}, {"offer", "end"}, {"prepared", "end"}, {"transfer", "end"}, {"taken", "end"}, {"commit", "end"},
@@ -139,8 +139,8 @@
 	}
 }
 
-// One of the two processes is killed or suspended shortly after the start of the hot restart, at delays that cover the
-// whole of it: one process serves in the end, and the two never do so at the same time.
+// One of the two processes is killed or suspended at the start of the hot restart or up to 44 ms later. In the end the
+// other process serves, and after a suspended successor continues, the two never accept clients at the same time.
 func TestKilledAtAnyPoint(t *testing.T) {
 	for i := range 12 {
 		for _, side := range []string{"predecessor", "successor"} {
@@ -156,22 +156,22 @@
 				successor := tier.Limiters[0].Start()
 				processharness.WaitUntil(t, "the hot restart", func() bool { return successor.HasLogged("takes over") || successor.HasLogged("listening") })
 				time.Sleep(after)
-				victim, other := predecessor, successor
+				target, other := predecessor, successor
 				if side == "successor" {
-					victim, other = successor, predecessor
+					target, other = successor, predecessor
 				}
-				victim.Signal(sig)
+				target.Signal(sig)
 				processharness.WaitUntil(t, "a process that serves", func() bool {
 					if sig == syscall.SIGSTOP && side == "predecessor" && !other.Healthy() {
-						victim.Signal(syscall.SIGKILL) // it was suspended before it handed over anything, and an operator kills it
+						target.Signal(syscall.SIGKILL) // the predecessor was suspended before the handover; an operator would kill it
 					}
 					return other.Healthy()
 				})
 				if sig == syscall.SIGSTOP && side == "successor" {
-					victim.Signal(syscall.SIGCONT) // if it still runs, it must not accept clients now
+					target.Signal(syscall.SIGCONT) // if it still runs, it must not accept clients now
 					for range 20 {
-						if victim.Healthy() && other.Healthy() {
-							t.Error("both accept clients")
+						if target.Healthy() && other.Healthy() {
+							t.Error("both processes accept clients")
 						}
 						time.Sleep(10 * time.Millisecond)
 					}
@@ -309,8 +309,8 @@
 	})
 }
 
-// Client connections in all states at the time of the hot restart: used and idle, never used, and with half a request
-// head sent. Each connection stays open, and each request gets its response.
+// Client connections in all states at the time of the hot restart: used and idle, never used, and with half of a
+// request head sent. Each connection stays open, and each request gets its response.
 func TestConnectionsAcrossHotRestart(t *testing.T) {
 	tier := newTier(t, 1, 2)
 	predecessor := startAll(t, tier)[0]
@@ -322,11 +322,11 @@
 		_, err := fmt.Fprintf(c, "GET /read/%016x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nPlan: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n", 9, id)
 		return err
 	}
-	expectResponse := func(c net.Conn, what string) {
+	expectResponse := func(c net.Conn, connState string) {
 		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second)) // if this fails, the read fails too
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusTooManyRequests {
-			t.Errorf("%s: got error %v, response %+v; want status 200 or 429", what, err, resp)
+			t.Errorf("%s: got error %v, response %+v; want status 200 or 429", connState, err, resp)
 		}
 	}
 	dial := func() net.Conn {
@@ -337,7 +337,7 @@
 		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
-	var used, partial []net.Conn
+	var idle, partial []net.Conn
 	for i := range idleConns {
 		c := dial()
 		if i%2 == 0 {
@@ -346,7 +346,7 @@
 			}
 			expectResponse(c, "before the hot restart")
 		}
-		used = append(used, c)
+		idle = append(idle, c)
 	}
 	for i := range partialConns {
 		c := dial()
@@ -360,15 +360,15 @@
 	for _, c := range partial {
 		_, _ = fmt.Fprint(c, "an: free\r\nX-Budget: 2000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n") // an error shows in the response
 	}
-	for i, c := range used {
+	for i, c := range idle {
 		if err := send(c, fmt.Sprintf("after%d", i)); err != nil {
 			t.Error(err)
 		}
 	}
 	for _, c := range partial {
-		expectResponse(c, "a connection with half a head sent")
+		expectResponse(c, "a connection with half of a request head sent")
 	}
-	for _, c := range used {
+	for _, c := range idle {
 		expectResponse(c, "an idle connection")
 	}
 	if err := predecessor.Wait(t); err != nil {
@@ -408,7 +408,7 @@
 		}
 	}
 	if n := tier.RepeatedExecutions(); n > 0 {
-		t.Errorf("requests with %d keys ran twice outside of their idempotency window", n)
+		t.Errorf("requests with an idempotency key were executed again %d times after their idempotency window, want 0", n)
 	}
 	if served < len(results)/2 {
 		t.Errorf("served %d of %d requests, want at least half", served, len(results))
@@ -416,7 +416,8 @@
 }
 
 // A process that cannot take over does not affect the running one: a process with another version of the format, a
-// program that does not start, and one that starts while the running one shuts down.
+// process that sends invalid frames, one with an invalid configuration, and one that starts while the running process
+// shuts down.
 func TestInvalidSuccessors(t *testing.T) {
 	tier := newTier(t, 1, 1)
 	predecessor := startAll(t, tier)[0]
@@ -426,21 +427,21 @@
 	}
 	hello := `{"Format":2,"Name":"n0","Listen":"` + tier.Limiters[0].Addr + `"}`
 	if !c.Send(uint8(hotrestart.Hello), []byte(hello)) {
-		t.Error("hello was not sent")
+		t.Error("failed to send Hello with format 2")
 	}
 	if f, err := c.Read(); err != nil || f.Kind != uint8(hotrestart.Deny) || !strings.Contains(string(f.Body), "format 2") {
 		t.Errorf("got frame %+v, error %v; want a Deny that names format 2", f, err)
 	}
-	for _, noise := range []string{"", "x", "\xff\xff\xff\xff\xff\xff", "\x00\x00\x00\x02\x00\x00{}", "\x00\x00\x00\x01\x00\x09x"} {
+	for _, invalidFrame := range []string{"", "x", "\xff\xff\xff\xff\xff\xff", "\x00\x00\x00\x02\x00\x00{}", "\x00\x00\x00\x01\x00\x09x"} {
 		raw, err := net.Dial("unix", link.Path(tier.Limiters[0].Dir, "n0"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = raw.Write([]byte(noise)) // the process may have closed the connection already
+		_, _ = raw.Write([]byte(invalidFrame)) // the process may have closed the connection already
 		_ = raw.Close()
 	}
-	bad := tier.Limiters[0].Start(func(c map[string]any) { c["settings"] = map[string]any{} })
-	if err := bad.Wait(t); err == nil || !predecessor.Healthy() {
+	invalid := tier.Limiters[0].Start(func(c map[string]any) { c["settings"] = map[string]any{} })
+	if err := invalid.Wait(t); err == nil || !predecessor.Healthy() {
 		t.Error("a process with an invalid configuration started, or the running process is not healthy")
 	}
 	load := tier.StartLoad(50, func(n int) processharness.Request {
@@ -454,7 +455,7 @@
 	late.Await(t) // it listens once the address is free
 	processharness.WaitUntil(t, "the late process in phase serving", func() bool { return late.HasLogged("phase serving") })
 	if late.HasLogged("without the state") {
-		t.Error("the late process took over from one that shut down")
+		t.Error("the late process took over from a process that was shutting down, want a start without a predecessor")
 	}
 	checkResults(t, tier, results)
 }
@@ -465,7 +466,7 @@
 	const burst = 60
 	tier := newTier(t, 1, 2)
 	tier.Plans = append(tier.Plans, processharness.Plan{Name: "capped", Rate: 0.5, Burst: burst})
-	old := startAll(t, tier)[0]
+	predecessor := startAll(t, tier)[0]
 	for _, b := range tier.Backends {
 		b.Delay(30 * time.Millisecond) // so that several connections are in use
 	}
@@ -475,19 +476,19 @@
 	})
 	time.Sleep(250 * time.Millisecond)
 	for range 2 {
-		next := tier.Limiters[0].Start()
-		next.Await(t)
+		successor := tier.Limiters[0].Start()
+		successor.Await(t)
 		time.Sleep(400 * time.Millisecond)
-		old.Signal(syscall.SIGTERM)
-		if err := old.Wait(t); err != nil {
+		predecessor.Signal(syscall.SIGTERM)
+		if err := predecessor.Wait(t); err != nil {
 			t.Error(err)
 		}
-		old = next
+		predecessor = successor
 	}
 	checkResults(t, tier, load.End())
 	byID, _ := tier.Attempts()
 	maxUnits := burst + int(0.5*time.Since(begin).Seconds())
 	if len(byID) > maxUnits || len(byID) < burst*9/10 {
-		t.Errorf("%d requests were forwarded of a bucket of %d units, want at most that and at least nine tenths of the burst", len(byID), maxUnits)
+		t.Errorf("%d requests of the plan were forwarded, want at most the %d units of burst and refill, and at least nine tenths of the burst", len(byID), maxUnits)
 	}
 }
--- a/cmd/lemongate/lease_test.go
+++ b/cmd/lemongate/lease_test.go
@@ -15,8 +15,8 @@
 // leaseDuration is the shortest hold duration that the operators' file allows.
 const leaseDuration = time.Second
 
-// The check of histories finds a late attempt, and accepts one that ends after the next lease holder's began.
-func TestLocked(t *testing.T) {
+// A history is rejected if an attempt arrived after one with a higher token had ended, and accepted if the two overlap.
+func TestIsFencedLockHistory(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, int64(ms)*1e6) }
 	attempts := []processharness.LeasedAttempt{{At: at(0), End: at(10), Token: 5}, {At: at(20), End: at(40), Token: 6}, {At: at(30), End: at(50), Token: 5}}
 	if !processharness.IsFencedLockHistory(attempts) {
@@ -29,9 +29,8 @@
 }
 
 // A backend that repeatedly goes down and comes back gets recovery attempts of one limiter at a time. Meanwhile the
-// lease holder is suspended for parts of a lease and for longer, cut off from its peers in one direction and in both,
-// or killed and started again without state. At the backends fencing tokens never fall, and there are far fewer
-// attempts than if each limiter made its own.
+// lease holder is suspended for less than the hold duration and for longer, cut off from its peers in one direction and
+// in both, or killed and started again without state. At the backends fencing tokens never decrease.
 func TestRecoveryAttemptsUnderLease(t *testing.T) {
 	for _, fault := range []string{"none", "suspended", "killed", "cut", "one way"} {
 		t.Run(fault, func(t *testing.T) {
@@ -100,7 +99,7 @@
 				t.Errorf("got %d recovery attempts, want at least 5", len(attempts))
 			}
 			if fault == "none" && holders != 1 {
-				t.Errorf("%d lease holders with nothing but loss of datagrams, want 1", holders)
+				t.Errorf("got %d lease holders while datagrams were lost, duplicated and delayed and nothing else failed, want 1", holders)
 			}
 			if fault == "killed" && holders < 2 {
 				t.Errorf("got %d lease holders although the holder was killed, want at least 2", holders)
@@ -110,9 +109,9 @@
 	}
 }
 
-// Random bytes, messages of an older format, ballots in another limiter's name and messages of unknown tasks change
-// nothing, nor does a limiter that is configured for a larger tier and so has other acceptors: fencing tokens at the
-// backends never fall, the lease is held and passes to another limiter, and invalid messages are counted.
+// Random bytes, messages of an older format, ballots in another limiter's name and messages of unknown tasks have no
+// effect, nor does a limiter that is configured for a larger tier and so has other acceptors: fencing tokens at the
+// backends never decrease, the lease is held and passes to another limiter, and invalid messages are counted.
 func TestForeignMessages(t *testing.T) {
 	tier := newTierWithLeases(t, 3, 3)
 	for _, b := range tier.Backends {
@@ -177,7 +176,7 @@
 	holder := awaitHolder(t, processes)
 	time.Sleep(4 * leaseDuration)
 	if now := awaitHolder(t, processes); now != holder {
-		t.Errorf("limiter %d holds the lease after limiter %d, although only foreign messages were sent", now, holder)
+		t.Errorf("limiter %d holds the lease after limiter %d, although the holder did not fail, want the same holder", now, holder)
 	}
 	processes[holder].Signal(syscall.SIGSTOP)
 	time.Sleep(3 * leaseDuration)
@@ -195,7 +194,7 @@
 		}
 	}
 	if invalid == 0 || len(attempts) < 3 {
-		t.Errorf("%d messages counted as invalid, want some; %d recovery attempts, want at least 3", invalid, len(attempts))
+		t.Errorf("%d messages counted as invalid, want at least 1; %d recovery attempts, want at least 3", invalid, len(attempts))
 	}
 	t.Logf("limiter %d, then %d; %d recovery attempts, %d invalid messages", holder, next, len(attempts), invalid)
 }
--- a/cmd/lemongate/main.go
+++ b/cmd/lemongate/main.go
@@ -1,8 +1,8 @@
-// Command lemongate runs a limiter on real sockets: it receives requests of clients, has internal/core decide which
-// are sent when to which backend, and returns the responses. Further subcommands read the configuration, call the
+// Command lemongate runs a limiter on real sockets: it receives requests of clients, sends them to backends as
+// internal/core decides, and returns the responses. Further subcommands read the configuration, call the
 // administration server of a running limiter, and merge usage files.
 //
-// Each subcommand has a file of its own.
+// Each subcommand has a file of its own, except schema and version.
 package main
 
 import (
--- a/cmd/lemongate/main_test.go
+++ b/cmd/lemongate/main_test.go
@@ -14,6 +14,7 @@
 	"lemongate/internal/processharness"
 )
 
+// run runs the program with the given arguments, and returns what it writes to standard output.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -64,15 +65,15 @@
 	t.Setenv("ROUTER_CONFIG", path)
 	for _, name := range []string{"check", "serve"} {
 		if _, err := run(t, name); err == nil || err.Error() != "configuration: settings: no classes" {
-			t.Errorf("%s with an invalid configuration: got error %v", name, err)
+			t.Errorf("%s with an invalid configuration: got error %v, want one that the settings have no classes", name, err)
 		}
 	}
 	if _, err := run(t, "serve", "--log-level", "loud"); err == nil || !strings.Contains(err.Error(), "log-level") {
-		t.Errorf("invalid level: %v", err)
+		t.Errorf("serve with an invalid log level: got error %v, want one that names the flag log-level", err)
 	}
 }
 
-// The Go runtime is limited to the platform's limits.
+// limitRuntime sets GOMAXPROCS to the whole cores of the limit, and the Go memory limit to heapFraction of the memory.
 func TestLimitRuntime(t *testing.T) {
 	procs, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	defer func() {
@@ -81,6 +82,6 @@
 	}()
 	limitRuntime(config.Limits{Cores: 1.5, MemoryMB: 200}, 1)
 	if p, m := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1); p != 1 || m != 140<<20 {
-		t.Errorf("got %d procs and a memory limit of %d bytes, want 1 and 140 MiB", p, m)
+		t.Errorf("got GOMAXPROCS %d and a memory limit of %d bytes, want 1 and 140 MiB", p, m)
 	}
 }
--- a/cmd/lemongate/restartslot_test.go
+++ b/cmd/lemongate/restartslot_test.go
@@ -12,8 +12,8 @@
 )
 
 // Operators restart all limiters at once, each when it is granted a slot, while datagrams are lost, delayed and
-// duplicated, and while the lease holder is suspended, cut off in one direction, and restarted itself. By the
-// operators' own count at most two are restarting at any time, and all have been restarted at the end.
+// duplicated, and while the lease holder is suspended, cut off in one direction, and restarted itself. As counted by
+// the test, at most two limiters are restarting at any time, and all have been restarted at the end.
 func TestRollingRestart(t *testing.T) {
 	const limiters, maxConcurrent = 5, 2
 	operator := t.TempDir() + "/operator.json"
@@ -51,7 +51,7 @@
 			count(1)
 			old := process(n)
 			old.Signal(syscall.SIGTERM)
-			_ = old.Wait(t) // it may be suspended at that moment
+			_ = old.Wait(t) // the process may be suspended at that moment
 			next := tier.Limiters[n].Start()
 			processharness.WaitUntil(t, "a process that accepts clients", next.Healthy)
 			count(-1)
@@ -73,7 +73,8 @@
 			}
 			t.Logf("%d limiters restarted, %d at once at most", limiters, maxRestarting)
 			return
-		case <-time.After([]time.Duration{4 * time.Second, time.Second}[min(round, 1)]): // the first slot is granted after the duration of two
+		// The first round is longer: a new coordinator grants no slot for twice the duration of a grant.
+		case <-time.After([]time.Duration{4 * time.Second, time.Second}[min(round, 1)]):
 		}
 		for n := range limiters {
 			if v, ok := recoveryLease(t, process(n)); ok && v.Holds {
@@ -118,7 +119,7 @@
 			t.Fatalf("got output %q, error %v; want a slot for limiter 0", out, err)
 		}
 		if _, err := run(t, "restart-slot", "--wait", "200ms", "--console", processes[1].AdminAddr); err == nil || !strings.Contains(err.Error(), "none came") {
-			t.Errorf("got %v while limiter 0 has the only slot, want an error that no slot was granted", err)
+			t.Errorf("got error %v while limiter 0 has the only slot, want one that no slot was granted", err)
 		}
 		if _, err := run(t, "restart-slot", "--back", "--console", processes[0].AdminAddr); err != nil {
 			t.Error(err)
--- a/cmd/lemongate/serve.go
+++ b/cmd/lemongate/serve.go
@@ -64,8 +64,8 @@
 	limitRuntime(conf.Limits, 1)
 	return eventloop.Run(conf, clock, log, eventloop.Controls{
 		Dump: dump, Stop: stop, Reload: reload,
-		SetResourceShare: func(fraction float64) { limitRuntime(conf.Limits, fraction) },
-		LoadConfig:       func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Origin()) },
+		SetResourceFraction: func(fraction float64) { limitRuntime(conf.Limits, fraction) },
+		LoadConfig:          func() (*config.Config, error) { return config.Reload(os.Getenv, clock.Origin()) },
 	})
 }
 
--- a/cmd/lemongate/shutdown_test.go
+++ b/cmd/lemongate/shutdown_test.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/processharness"
 )
 
-// A process is shut down repeatedly under load, with client connections that are in use, new and idle, and in every
-// second round it is suspended just then. It answers every request that it has read.
+// A process is shut down repeatedly under load, with client connections that are in use, new and idle. In every second
+// round it is suspended right after the signal. It answers every request that it has read.
 func TestShutdownUnderLoad(t *testing.T) {
 	tier := newSingleLimiter(t)
 	for round := range 6 {
@@ -40,8 +40,8 @@
 	}
 }
 
-// A limiter with many client connections is repeatedly suspended for nearly as long as they may be idle. Requests that
-// were sent meanwhile are answered.
+// A limiter with many client connections is repeatedly suspended for nearly as long as these connections may be idle.
+// Requests that were sent during the suspension are answered.
 func TestSuspendedUnderLoad(t *testing.T) {
 	tier := newSingleLimiter(t)
 	tier.Sockets = 256
@@ -50,7 +50,7 @@
 	load := tier.StartLoad(120, func(n int) processharness.Request {
 		return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 30)}
 	})
-	if err := load.OpenIdle(0, 70); err != nil { // more than a quarter of the bound on connections
+	if err := load.OpenIdle(0, 70); err != nil { // more than a quarter of the limit on client connections
 		t.Fatal(err)
 	}
 	for range 3 {
--- a/cmd/lemongate/tier_test.go
+++ b/cmd/lemongate/tier_test.go
@@ -28,7 +28,7 @@
 	return tier
 }
 
-// startAll starts each limiter once.
+// startAll starts a process of each limiter, and waits until all of them are ready.
 func startAll(t *testing.T, tier *processharness.Tier) (list []*processharness.Process) {
 	t.Helper()
 	for _, l := range tier.Limiters {
@@ -40,55 +40,55 @@
 	return list
 }
 
-// checkResults checks that each request got a complete response, of a backend or local, that nothing had its effect
-// twice, and that few requests reached backends more than once. It returns how many were served, and the longest time
-// without one that was served.
+// checkResults checks that each request got a complete response, of a backend or local, that no request with an
+// idempotency key was executed again, and that few requests reached backends more than once. It returns how many
+// requests were served, and the longest time between two responses to such requests.
 func checkResults(t *testing.T, tier *processharness.Tier, results []processharness.Result) (served int, gap time.Duration) {
 	t.Helper()
 	attempts, _ := tier.Attempts()
 	// The settings allow three attempts; on a slow machine one may take so long that it is canceled
 	// and another is started. A hot restart that forwarded requests twice would do so with all in flight.
 	const maxAttempts = 3
-	var last time.Time
-	bad, repeated := 0, 0
+	var lastServedAt time.Time
+	failures, repeated := 0, 0
 	for _, r := range results {
 		switch {
 		case r.ConnError != "":
-			t.Errorf("limiter %d: lost after %v: %s", r.Limiter, r.Took, r.ConnError)
-			bad++
+			t.Errorf("limiter %d: no complete response after %v: %s", r.Limiter, r.Took, r.ConnError)
+			failures++
 		case r.Status == http.StatusOK && r.Body != fmt.Sprintf("%s %d", r.ID, r.Request.Body):
 			t.Errorf("got response %q, want the request's ID and the length of its body", r.Body)
-			bad++
+			failures++
 		case r.Status != http.StatusOK && r.Status != http.StatusTooManyRequests:
-			t.Errorf("limiter %d: status %d after %v", r.Limiter, r.Status, r.Took)
-			bad++
+			t.Errorf("limiter %d: got status %d after %v, want 200 or 429", r.Limiter, r.Status, r.Took)
+			failures++
 		case attempts[r.ID] > maxAttempts:
-			t.Errorf("%s reached backends %d times", r.ID, attempts[r.ID])
-			bad++
+			t.Errorf("request %s reached backends %d times, want at most the 3 attempts that the settings allow", r.ID, attempts[r.ID])
+			failures++
 		case attempts[r.ID] > 1:
 			repeated++
 		}
 		if r.Status == http.StatusOK {
 			served++
-			if at := r.At.Add(r.Took); !last.IsZero() {
-				gap = max(gap, at.Sub(last))
+			if at := r.At.Add(r.Took); !lastServedAt.IsZero() {
+				gap = max(gap, at.Sub(lastServedAt))
 			}
-			last = r.At.Add(r.Took)
+			lastServedAt = r.At.Add(r.Took)
 		}
-		if bad > 10 {
+		if failures > 10 {
 			t.Fatal("more than 10 requests failed; further ones are not listed")
 		}
 	}
 	if n := tier.RepeatedExecutions(); n > 0 {
-		t.Errorf("%d keys had their effect twice", n)
+		t.Errorf("requests with an idempotency key were executed again %d times, want 0", n)
 	}
 	if repeated > 2+len(results)/8 {
-		t.Errorf("%d of %d requests reached backends more than once", repeated, len(results))
+		t.Errorf("%d of %d requests reached backends more than once, want at most an eighth and 2", repeated, len(results))
 	}
 	return served, gap
 }
 
-// p99 returns the 99th percentile of the time to the response, over the requests that were served and that include selects.
+// p99 returns the 99th percentile of the latency of the served requests for which include returns true.
 func p99(results []processharness.Result, include func(processharness.Result) bool) time.Duration {
 	var latencies []time.Duration
 	for _, r := range results {
@@ -104,28 +104,28 @@
 }
 
 // checkCeiling checks the first attempts of customer 7 against a token bucket: at any time, no more of them have reached
-// a backend than the bucket's burst and the units refilled since. An attempt takes a moment to arrive, so the bucket is
-// given the units refilled in that time.
-func checkCeiling(t *testing.T, seen []processharness.Attempt, rate, burst float64) {
+// a backend than the bucket's burst and the units refilled since. An attempt takes up to inFlightSeconds to arrive, so
+// the units refilled in that time are allowed on top.
+func checkCeiling(t *testing.T, attempts []processharness.Attempt, rate, burst float64) {
 	t.Helper()
 	const customer, inFlightSeconds = "0000000000000007", 0.15
 	level, last, counted := burst, time.Time{}, map[string]bool{}
 	lowest, forwarded := burst, 0
-	for _, s := range seen {
-		if s.Customer != customer || counted[s.CallID] {
+	for _, attempt := range attempts {
+		if attempt.Customer != customer || counted[attempt.CallID] {
 			continue
 		}
-		counted[s.CallID] = true
+		counted[attempt.CallID] = true
 		if !last.IsZero() {
-			level = min(level+rate*s.At.Sub(last).Seconds(), burst)
+			level = min(level+rate*attempt.At.Sub(last).Seconds(), burst)
 		}
-		last = s.At
+		last = attempt.At
 		level--
 		lowest = min(lowest, level)
 		forwarded++
 	}
 	if lowest < -rate*inFlightSeconds {
-		t.Errorf("the ceiling was exceeded by %.1f units in %d requests", -lowest, forwarded)
+		t.Errorf("the ceiling was exceeded by %.1f units in %d requests, want at most the units of inFlightSeconds", -lowest, forwarded)
 	}
 	if forwarded < 100 {
 		t.Errorf("%d of the customer's requests were forwarded, want at least 100", forwarded)
@@ -182,26 +182,26 @@
 	return holder
 }
 
-// checkFencingTokens checks that the fencing tokens of the attempts that reached backends under a lease never fall. It
-// returns the number of lease holders. An attempt in flight when the next lease holder began could have a lower token,
-// but a lease holder does not send the first byte of an attempt that its lease would not cover.
+// checkFencingTokens checks that the fencing tokens of the attempts that reached backends under a lease never decrease.
+// It returns the number of lease holders. An attempt in flight when the next lease holder began could have a lower
+// token, but a lease holder does not send the first byte of an attempt that its lease would not cover.
 func checkFencingTokens(t *testing.T, attempts []processharness.LeasedAttempt) (holders int) {
 	t.Helper()
 	for i, a := range attempts {
 		if i > 0 && a.Token < attempts[i-1].Token {
-			t.Errorf("attempt %d has token %d and came %v after one with token %d, want tokens that never fall", i, a.Token, a.At.Sub(attempts[i-1].At), attempts[i-1].Token)
+			t.Errorf("attempt %d has token %d and came %v after one with token %d, want tokens that never decrease", i, a.Token, a.At.Sub(attempts[i-1].At), attempts[i-1].Token)
 		}
 		if i == 0 || a.Token != attempts[i-1].Token {
 			holders++
 		}
 	}
 	if !processharness.IsFencedLockHistory(attempts) {
-		t.Error("the attempts are not a history of a lock with fencing tokens")
+		t.Error("the attempts under the lease are not a possible history of a lock with fencing tokens")
 	}
 	return holders
 }
 
-// counter returns a counter that a process logged last.
+// counter returns the value of a counter in the last line of counters that a process logged.
 func counter(t *testing.T, p *processharness.Process, name string) int {
 	t.Helper()
 	found := regexp.MustCompile(`"` + name + `":(\d+)`).FindStringSubmatch(p.LastLogged(`"msg":"counters"`))
@@ -212,22 +212,22 @@
 	return n
 }
 
-// checkAllAnswered checks that each request that a process counts as read, or as rejected for the bound on connections,
-// has one complete response, and that a request without a response was not read. It returns how many requests have no
-// response.
+// checkAllAnswered checks that each request that a process counts as read, or as rejected because of the limit on
+// connections, has one complete response, and that a request without a response was not read. It returns how many
+// requests have no response.
 func checkAllAnswered(t *testing.T, results []processharness.Result, p *processharness.Process) (unread int) {
 	t.Helper()
-	answered, faults := 0, map[string]int{}
+	answered, connErrors := 0, map[string]int{}
 	for _, r := range results {
 		if r.Status != 0 {
 			answered++
 		} else {
-			faults[regexp.MustCompile(`[0-9.]+:[0-9]+`).ReplaceAllString(r.ConnError, "")]++
+			connErrors[regexp.MustCompile(`[0-9.]+:[0-9]+`).ReplaceAllString(r.ConnError, "")]++
 			unread++
 		}
 	}
 	if n := counter(t, p, "received") + counter(t, p, "full"); n != answered {
-		t.Errorf("%d requests were read, %d of %d were answered; errors of those without a response: %v", n, answered, len(results), faults)
+		t.Errorf("%d requests were read or rejected, but %d of %d were answered; errors of those without a response, without addresses: %v", n, answered, len(results), connErrors)
 	}
 	return unread
 }
--- a/cmd/lemongate/usage_test.go
+++ b/cmd/lemongate/usage_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The usage command merges files, reports what is missing, and fails if anything is.
+// The usage command merges files, reports lines that cannot be read, and fails if there is a fault.
 func TestUsageCommand(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -25,7 +25,7 @@
 		t.Errorf("usage of two files: got %q, %v; want 3.5 units, a line that cannot be read, and an error", out, err)
 	}
 	if _, err := run(t, "usage", "no such file"); err == nil {
-		t.Error("a missing file gives no error")
+		t.Error("usage of a missing file succeeded, want an error")
 	}
 	if out, err := run(t, "schema"); err != nil || !strings.Contains(out, `"rollup"`) {
 		t.Errorf("the schema does not have the section of usage reports, or cannot be printed: %v", err)
--- a/internal/eventloop/components.go
+++ b/internal/eventloop/components.go
@@ -26,24 +26,24 @@
 	clientConnFraction  = 0.5
 	backendConnFraction = 0.25
 
-	// idleConnFraction is the fraction of the socket limit that is kept as idle connections per backend,
-	// at least minIdleConns. All limiters together keep at most maxIdleConnsOfTier at a backend, whose room
-	// for connections is limited; each limiter keeps at least one.
-	idleConnFraction   = 1.0 / 64
-	minIdleConns       = 4
-	maxIdleConnsOfTier = 128
-
-	// addressTimeout is the time to wait for a process that ends to release a listening address. The wait is
-	// logged after addressLogAfter.
-	addressTimeout       = 20 * time.Second
-	addressRetryInterval = 20 * time.Millisecond
-	addressLogAfter      = time.Second
+	// idleConnFraction is the fraction of the socket limit that a limiter keeps as idle connections per backend,
+	// at least minIdleConns. All limiters together keep at most maxIdleConnsPerBackendOfTier at a backend, whose
+	// room for connections is limited; each limiter keeps at least one.
+	idleConnFraction             = 1.0 / 64
+	minIdleConns                 = 4
+	maxIdleConnsPerBackendOfTier = 128
+
+	// addressReleaseTimeout is the maximum time to wait for another process to release a listening address, which
+	// is tried every addressRetryInterval. The wait is logged after addressLogAfter.
+	addressReleaseTimeout = 20 * time.Second
+	addressRetryInterval  = 20 * time.Millisecond
+	addressLogAfter       = time.Second
 )
 
 // maxIdleConns returns how many idle connections a limiter keeps per backend.
 func maxIdleConns(maxSockets float64, limiters int) int {
 	own := max(int(maxSockets*idleConnFraction), minIdleConns)
-	return max(min(own, maxIdleConnsOfTier/max(limiters, 1)), 1)
+	return max(min(own, maxIdleConnsPerBackendOfTier/max(limiters, 1)), 1)
 }
 
 func (l *Loop) startUpstream() {
@@ -111,12 +111,12 @@
 	for logged := false; ; time.Sleep(addressRetryInterval) {
 		err := open()
 		elapsed := time.Since(begin)
-		if err == nil || !wait || !errors.Is(err, syscall.EADDRINUSE) || elapsed > addressTimeout {
+		if err == nil || !wait || !errors.Is(err, syscall.EADDRINUSE) || elapsed > addressReleaseTimeout {
 			return err
 		}
 		if !logged && elapsed > addressLogAfter {
 			logged = true
-			l.log.Warn("waits for an address that another process holds", zap.Error(err))
+			l.log.Warn("waiting for another process to release a listening address", zap.Error(err))
 		}
 	}
 }
--- a/internal/eventloop/frames.go
+++ b/internal/eventloop/frames.go
@@ -46,7 +46,7 @@
 var frameCodec = jsoniter.Config{CaseSensitive: true}.Froze()
 
 // initTransferCodecs makes the codecs analyze the types of a handover state in advance. Otherwise they would do so
-// with the state of a hot restart, while no process admits requests.
+// in a hot restart, when the state is encoded or decoded and no process admits requests.
 func initTransferCodecs() {
 	admission.PrepareSnapshots()
 	body, _ := frameCodec.Marshal(newStateFrame(core.HandoverState{})) // an empty state can be encoded
@@ -352,7 +352,8 @@
 	}
 }
 
-// decode returns the event that a frame carries: nil with an error, and nil for frameClientConn.
+// decode returns the event that a frame carries. The event is nil if there is an error, and for frameClientConn, which
+// gives no error.
 func decode(f link.Frame) (core.Event, error) {
 	ev, err := decodeBody(f)
 	if err != nil {
@@ -361,6 +362,7 @@
 	return ev, nil
 }
 
+// decodeBody does the same as decode, but may return an event that is not nil together with an error.
 func decodeBody(f link.Frame) (core.Event, error) {
 	switch f.Kind {
 	case uint8(hotrestart.Transfer):
--- a/internal/eventloop/frames_codec_test.go
+++ b/internal/eventloop/frames_codec_test.go
@@ -10,7 +10,7 @@
 )
 
 // After initTransferCodecs, the first state that a process encodes or decodes costs no more allocations than later
-// ones: no process admits requests during the transfer, and every process does each only once.
+// ones: no process admits requests during the transfer, and in most processes the first state is the only one.
 func TestFirstTransferCostsNoMoreThanLater(t *testing.T) {
 	if !alloctest.InFreshProcess(t) {
 		return
--- a/internal/eventloop/frames_test.go
+++ b/internal/eventloop/frames_test.go
@@ -58,7 +58,7 @@
 				message.Sockets = nil
 			}
 			if err != nil || !reflect.DeepEqual(got, c.event) {
-				t.Errorf("%s: decoded as %+v, %v; want %+v", name, got, err, c.event)
+				t.Errorf("%s: decoded as %+v, error %v; want %+v", name, got, err, c.event)
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 	}
 	got, err := decode(link.Frame{Kind: frameRequestEnded, Body: data})
 	if want := (core.PredecessorRequestEnded{Request: 4711}); err != nil || got != want {
-		t.Errorf("decoded as %+v, %v; want %+v", got, err, want)
+		t.Errorf("decoded as %+v, error %v; want %+v", got, err, want)
 	}
 	if frameRequestEnded != frameInheritedUsageSent+1 || uint8(hotrestart.NumKinds)+7 != frameRequestEnded {
 		t.Errorf("frameRequestEnded is %d: its number is part of the format and must not change", frameRequestEnded)
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -20,12 +20,12 @@
 // This file exchanges the events and effects of a hot restart with the other process over the link. The format of
 // frames is in frames.go, the protocol in internal/hotrestart.
 
-// hotRestartResourceShare is the fraction of its resources that a process uses while two processes of a limiter run.
-const hotRestartResourceShare = 0.5
+// hotRestartResourceFraction is the fraction of its resources that a process uses while two processes of a limiter run.
+const hotRestartResourceFraction = 0.5
 
 var (
-	errNoListener   = errors.New("the predecessor sent no socket of a listener")
-	errNoClientConn = errors.New("frame of a client connection carries no socket")
+	errNoListener   = errors.New("the predecessor sent no listening socket")
+	errNoClientConn = errors.New("client connection frame carries no socket")
 )
 
 // acceptRetryInterval is the time to wait after a failed accept of a successor's connection.
@@ -60,11 +60,13 @@
 }
 
 // receiveLinkEvent returns the event for the core that a posted event contains, and reports whether there is one.
-// An event that was not received over a link is returned unchanged. Of those that were:
+// An event that was not received over a link is returned unchanged. An event that was received over a link is handled
+// by its kind:
 //
-//   - a client connection is served here, and is not passed to the core;
+//   - a client connection is served by this process, and is not passed to the core;
 //   - an event of a former link is dropped, and its sockets are closed;
-//   - the end of the current link is passed to the core, and there is no current link after it.
+//   - the end of the current link is passed to the core, and link becomes nil;
+//   - any other event of the current link is passed to the core.
 func (l *Loop) receiveLinkEvent(ev core.Event) (core.Event, bool) {
 	received, ok := ev.(linkEvent)
 	if !ok {
@@ -98,7 +100,7 @@
 // logDecoded logs how long it took to decode a protocol message. It may be called from any goroutine.
 func (l *Loop) logDecoded(received linkEvent) {
 	if kind, ok := protocolMessage(received.Event); ok {
-		l.log.Debug("message of the hot restart decoded", zap.Stringer("message", kind),
+		l.log.Debug("decoded a hot restart message", zap.Stringer("message", kind),
 			zap.Int64("read_us", received.readAt.UnixMicro()), zap.Duration("took", time.Since(received.readAt)))
 	}
 }
@@ -107,16 +109,16 @@
 // decide, and how long the effects took. Both processes take the times from the same system clock, so that the log
 // lines of both can be merged.
 func (l *Loop) stepMessage(kind hotrestart.Kind, ev core.Event, readAt time.Time) {
-	begun := time.Now()
+	startedAt := time.Now()
 	effects := l.core.Step(l.now(), ev)
-	decided := time.Now()
+	decidedAt := time.Now()
 	l.performEffects(effects)
-	l.log.Debug("message of the hot restart handled", zap.Stringer("message", kind),
-		zap.Int64("begun_us", begun.UnixMicro()), zap.Duration("waited", begun.Sub(readAt)),
-		zap.Duration("decided", decided.Sub(begun)), zap.Duration("carried_out", time.Since(decided)))
+	l.log.Debug("handled a hot restart message", zap.Stringer("message", kind),
+		zap.Int64("begun_us", startedAt.UnixMicro()), zap.Duration("waited", startedAt.Sub(readAt)),
+		zap.Duration("decided", decidedAt.Sub(startedAt)), zap.Duration("carried_out", time.Since(decidedAt)))
 }
 
-// closeSockets closes the sockets of an event that is dropped.
+// closeSockets closes the sockets that came with an event that is dropped.
 func closeSockets(ev core.Event) {
 	message, ok := ev.(*core.LinkMessageReceived)
 	if ok && message.Sockets != nil {
@@ -160,7 +162,7 @@
 	case core.SetAcceptingClients:
 		l.setAcceptingClients(e.Accepting)
 	case core.SetResourceFraction:
-		l.setResourceShare(e.Fraction)
+		l.setResourceFraction(e.Fraction)
 	case core.Abort:
 		l.fail(errors.New(e.Reason))
 	default:
@@ -208,7 +210,7 @@
 		var err error
 		data, err = frameCodec.Marshal(body)
 		if err != nil {
-			l.log.Error("frame for the other process could not be encoded", zap.Uint8("frame", kind), zap.Error(err))
+			l.log.Error("failed to encode a frame for the other process", zap.Uint8("frame", kind), zap.Error(err))
 			return
 		}
 	}
@@ -239,8 +241,8 @@
 // connectPredecessor posts LinkClosed.
 func (l *Loop) connectPredecessor() {
 	c, err := link.Dial(l.successorPath())
-	if err != nil { // at the first start there is no predecessor, so this is no warning
-		l.log.Debug("no process to take over from", zap.Error(err))
+	if err != nil { // expected at the first start, when there is no predecessor, so not logged as a warning
+		l.log.Debug("no predecessor to take over from", zap.Error(err))
 		// Posted from another goroutine, which ends once the event is queued: post waits while the queue is
 		// full, and the loop, which empties the queue, is in this call.
 		go l.post(linkEvent{Event: core.LinkClosed{Epoch: config.NewEpoch()}})
@@ -263,7 +265,7 @@
 	}
 	successors, err := link.Listen(l.successorPath())
 	if err != nil {
-		l.log.Info("no successor can take over", zap.Error(err))
+		l.log.Info("failed to listen for successors, hot restart is not possible", zap.Error(err))
 		return
 	}
 	l.other.successors = successors
@@ -317,7 +319,7 @@
 		readAt := time.Now()
 		received, err := receiveFrame(f)
 		if err != nil {
-			l.log.Error("frame of the other process could not be decoded", zap.Uint8("frame", f.Kind), zap.Error(err))
+			l.log.Error("failed to decode a frame of the other process", zap.Uint8("frame", f.Kind), zap.Error(err))
 			closeFiles(f.Sockets)
 			continue
 		}
@@ -346,12 +348,12 @@
 // transferState sends a successor the state, the listener for clients and the socket for peers. A successor that
 // cannot decode the state takes over without it.
 func (l *Loop) transferState(state core.HandoverState) {
-	begun := time.Now()
+	startedAt := time.Now()
 	body, err := frameCodec.Marshal(newStateFrame(state))
 	if err != nil {
-		l.log.Error("state for the successor could not be encoded", zap.Error(err))
+		l.log.Error("failed to encode the state for the successor", zap.Error(err))
 	}
-	l.log.Debug("state for the successor encoded", zap.Int("bytes", len(body)), zap.Duration("took", time.Since(begun)))
+	l.log.Debug("encoded the state for the successor", zap.Int("bytes", len(body)), zap.Duration("took", time.Since(startedAt)))
 	sockets := []syscall.Conn{l.listener.(syscall.Conn)}
 	if l.peers != nil {
 		sockets = append(sockets, l.peers.Socket())
@@ -370,7 +372,7 @@
 	clock := newClockAt(e.Now, l.clock.Load().rate)
 	l.clock.Store(&clock)
 	l.serve(listener, e.LastRequest, e.Discovery, e.Generation)
-	l.server.SetResourceShare(hotRestartResourceShare)
+	l.server.SetResourceShare(hotRestartResourceFraction)
 	return nil
 }
 
@@ -423,7 +425,7 @@
 		conn, err := net.FileConn(f)
 		_ = f.Close() // conn has its own copy of the socket
 		if err != nil {
-			l.log.Warn("client connection could not be adopted", zap.Error(err))
+			l.log.Warn("failed to adopt a client connection of the predecessor", zap.Error(err))
 			continue
 		}
 		go func() {
@@ -446,8 +448,8 @@
 	}
 }
 
-// setResourceShare sets the fraction of its resources that this process uses.
-func (l *Loop) setResourceShare(fraction float64) {
+// setResourceFraction sets the fraction of its resources that this process uses.
+func (l *Loop) setResourceFraction(fraction float64) {
 	l.upstream.SetResourceShare(fraction)
 	if l.server != nil {
 		l.server.SetResourceShare(fraction)
--- a/internal/eventloop/hotrestart_test.go
+++ b/internal/eventloop/hotrestart_test.go
@@ -16,7 +16,7 @@
 	"lemongate/internal/hotrestart/link"
 )
 
-// Any frame from the other process decodes to either an event or an error.
+// Any frame from the other process, except a client connection, decodes to either an event or an error.
 func FuzzDecode(f *testing.F) {
 	for k := range uint8(frameClientConn + 2) {
 		f.Add(k, []byte(`{"ID":7,"Class":"read","Budget":5,"Content":{"Method":"GET","Body":"eA=="},"Reply":{"Type":"t"},"Kind":0}`))
@@ -30,8 +30,8 @@
 	})
 }
 
-// A process still accepts successors after Accept has failed, here for lack of a file descriptor. The first error of
-// Accept used to end hot restarts for good.
+// A process still accepts successors after Accept has failed, here for lack of a file descriptor. An error of Accept
+// must not disable hot restarts.
 func TestSuccessorIsAcceptedAfterAcceptError(t *testing.T) {
 	logs, lines := observer.New(zap.WarnLevel)
 	l := &Loop{
@@ -98,7 +98,7 @@
 }
 
 // A frame for a client connection that comes without its socket gives the core no event, and sockets that come with
-// a frame that must have none are closed. They used to stay open until the garbage collector ran.
+// a frame that must have none are closed. Otherwise they would stay open until the garbage collector runs.
 func TestFramesWithWrongSockets(t *testing.T) {
 	l := &Loop{log: zap.NewNop(), events: make(chan core.Event, maxQueuedEvents)}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -63,11 +63,11 @@
 
 // Controls control a running program.
 type Controls struct {
-	Dump             <-chan os.Signal // makes the program log its counters
-	Stop             <-chan os.Signal // starts the shutdown
-	Reload           <-chan os.Signal // makes the program call LoadConfig
-	LoadConfig       func() (*config.Config, error)
-	SetResourceShare func(fraction float64) // limits the program to a fraction of its resources; may be nil
+	Dump                <-chan os.Signal // makes the program log its counters
+	Stop                <-chan os.Signal // starts the shutdown
+	Reload              <-chan os.Signal // makes the program call LoadConfig
+	LoadConfig          func() (*config.Config, error)
+	SetResourceFraction func(fraction float64) // limits the program to a fraction of its resources; may be nil
 }
 
 // Run serves until a shutdown is complete, and then returns nil. It returns an error if the program could not begin
@@ -77,7 +77,7 @@
 		config:         c,
 		log:            log,
 		loadConfig:     controls.LoadConfig,
-		limitResources: controls.SetResourceShare,
+		limitResources: controls.SetResourceFraction,
 		events:         make(chan core.Event, maxQueuedEvents),
 		timer:          time.NewTimer(time.Hour),
 		failed:         make(chan error, 1),
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -63,13 +63,13 @@
 	})
 
 	observed, lines := observer.New(zapcore.InfoLevel)
-	listening, counted := make(chan string, 1), make(chan bool, 2)
+	listenAddr, countersLogged := make(chan string, 1), make(chan bool, 2)
 	log := zap.New(observed, zap.Hooks(func(e zapcore.Entry) error {
 		if strings.HasPrefix(e.Message, "phase serving") {
-			listening <- lines.FilterMessage("listening").All()[0].ContextMap()["at"].(string)
+			listenAddr <- lines.FilterMessage("listening").All()[0].ContextMap()["at"].(string)
 		}
 		if e.Message == "counters" {
-			counted <- true
+			countersLogged <- true
 		}
 		return nil
 	}))
@@ -87,7 +87,7 @@
 		})
 	}()
 
-	base := "http://" + <-listening
+	base := "http://" + <-listenAddr
 	get := func(id string) (int, string) {
 		request, err := http.NewRequest("GET", base+"/read/00000000b4d65521", nil)
 		if err != nil {
@@ -120,7 +120,7 @@
 		t.Errorf("request beyond the quota: got status %d, want 429", status)
 	}
 	dump <- syscall.SIGUSR1
-	<-counted
+	<-countersLogged
 	reload <- syscall.SIGHUP // the configuration is invalid
 	reload <- syscall.SIGHUP
 	<-watched
@@ -141,10 +141,10 @@
 
 // Run returns an error if it cannot listen on an address.
 func TestRunFails(t *testing.T) {
-	taken := httptest.NewServer(nil)
-	defer taken.Close()
+	inUse := httptest.NewServer(nil)
+	defer inUse.Close()
 	c := testConfig("127.0.0.1:1", "127.0.0.1:1")
-	c.ListenAddr = strings.TrimPrefix(taken.URL, "http://")
+	c.ListenAddr = strings.TrimPrefix(inUse.URL, "http://")
 	if err := Run(c, NewClock(1), zap.NewNop(), Controls{}); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("Run with a listening address in use: got error %v, want one of listen", err)
 	}
--- a/internal/simprotocol/actions.go
+++ b/internal/simprotocol/actions.go
@@ -9,8 +9,8 @@
 	"lemongate/internal/admission"
 )
 
-// This file encodes the actions of an admission controller. The comment of each function names the parts of its
-// line.
+// This file encodes the actions of an admission controller. The comment of each function lists the parts of its
+// line, in order.
 
 // reply is the text of the reply to a batch.
 type reply struct{ text []byte }
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -6,8 +6,8 @@
 	"lemongate/internal/admission"
 )
 
-// This file decodes the events that are for an admission controller. The comment of each function names the parts of
-// its line. Parts that no decision uses are validated too.
+// This file decodes the events that are for an admission controller. The comment of each function lists the parts of
+// its line, in order. Parts that no decision uses are validated too.
 
 // decodeEvent returns the event of a line, or nil for an event that no controller needs.
 func (s *server) decodeEvent(l *line) (admission.Event, error) {
--- a/internal/simprotocol/line.go
+++ b/internal/simprotocol/line.go
@@ -19,7 +19,7 @@
 	maxSeconds = 1e9
 )
 
-// Indexes of the parts that stand at the same place on all lines of events that have them.
+// Indexes of parts that are the same on all lines of events that have these parts.
 const (
 	limiterIndex = 1
 	requestIndex = 2
@@ -78,7 +78,7 @@
 // limiter returns the name of the limiter that an event is for.
 func (l *line) limiter() string { return l.parts[limiterIndex] }
 
-// fail records that the part at an index is not what it should be, unless there was an error before.
+// fail records that the part at an index is invalid, unless there was an error before. want describes a valid part.
 func (l *line) fail(index int, want string) {
 	if l.err == nil {
 		l.err = &partError{verb: l.verb, index: index, want: want, got: l.parts[index]}
@@ -106,7 +106,7 @@
 	return number
 }
 
-// parseNumber returns the number that a text contains, and reports whether it is one, and finite.
+// parseNumber parses a number, and reports whether the text is one and finite.
 func parseNumber(text string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	finite := !math.IsNaN(number) && !math.IsInf(number, 0)
@@ -197,7 +197,7 @@
 	return report
 }
 
-// choice decodes one of a set of names, which is never absent.
+// choice decodes a name, which is never absent, to its value in values.
 func choice[T any](l *line, index int, values map[string]T) T {
 	value, known := values[l.value(index)]
 	if !known {
--- a/internal/simprotocol/mapping_test.go
+++ b/internal/simprotocol/mapping_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// Each event's line decodes into the event that the platform's page describes, with every part in its field.
+// Each event's line decodes into the event that the platform's documentation describes, with every part in its field.
 func TestEventOfEachLine(t *testing.T) {
 	for text, want := range map[string]admission.Event{
 		"accept\tdoor_3\t77\t0.29\t1\t1\t3\t1\tstarter\t2\tcust/x\tread-latest": &admission.Request{
@@ -41,7 +41,7 @@
 		}
 		got, err := (&server{}).decodeEvent(&l)
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: got %+v, %v, want %+v", text, got, err, want)
+			t.Errorf("%q: got event %+v, error %v; want event %+v", text, got, err, want)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 		ID: "b_one", Zone: "hall-a", Cell: 7, State: admission.Draining, RelativeCapacity: 1.5, StartedAt: 6100 * ms,
 	}
 	if err != nil || got != want {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got backend %+v, error %v; want %+v", got, err, want)
 	}
 }
 
--- a/internal/simprotocol/server.go
+++ b/internal/simprotocol/server.go
@@ -18,7 +18,7 @@
 	bufferBytes = 1 << 16
 )
 
-// LineError reports which line of the input could not be read.
+// LineError is an error with the number of the line of input at which it occurred.
 type LineError struct {
 	Line int // from 1
 	Err  error
@@ -26,7 +26,7 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the error that the line caused.
+// Unwrap returns the error without the line number.
 func (e *LineError) Unwrap() error { return e.Err }
 
 // server serves the limiters of one process. They share only the clock of the batch.
@@ -40,9 +40,9 @@
 	reply       reply                            // to the current batch
 }
 
-// Serve writes replies on w to the batches that it reads from r, until r ends between two batches. Each reply is
-// written at once. Serve fails with a *LineError if the input is malformed or cannot be read, or if the reply to the
-// batch that ended at that line cannot be written.
+// Serve writes replies on w to the batches that it reads from r, until r ends between two batches. It writes each reply
+// before it reads the next batch. Serve fails with a *LineError if the input is malformed or cannot be read, or if the
+// reply to the batch that ended at that line cannot be written.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{
 		input:       bufio.NewScanner(r),
@@ -84,7 +84,7 @@
 		return err
 	}
 	s.now = frame.seconds(1)
-	number := frame.integer(2)
+	batch := frame.integer(2)
 	if frame.err != nil {
 		return frame.err
 	}
@@ -92,7 +92,7 @@
 	if err := s.handleEvents(); err != nil {
 		return err
 	}
-	s.reply.ok(number)
+	s.reply.ok(batch)
 	if _, err := s.output.Write(s.reply.text); err != nil {
 		return err
 	}
--- a/internal/simprotocol/server_test.go
+++ b/internal/simprotocol/server_test.go
@@ -65,11 +65,11 @@
 		"membership\tdoor_0\t3\tC\t0\n"+
 		"your_turn\n")
 	if err != nil || !strings.HasSuffix(got, "defer\tdoor_0\t2.250000\tbeat\nok\t2\n") {
-		t.Errorf("got replies %q, error %v", got, err)
+		t.Errorf("got replies %q, error %v; want replies that end with a timer at 2.25 s and ok 2", got, err)
 	}
 }
 
-// Malformed input ends Serve with an error of one line that names the line and the part.
+// Malformed input ends Serve with an error text of a single line, which has the number of the line and what is wrong.
 func TestMalformed(t *testing.T) {
 	for input, want := range map[string]string{
 		"hello\n":                  "line 1: want frame",
@@ -90,7 +90,7 @@
 	} {
 		_, err := serve(t, input)
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: got %v, want %s", input, err, want)
+			t.Errorf("%q: got error %v, want one line that begins with %q", input, err, want)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	f.Fuzz(func(t *testing.T, input string) {
 		var out bytes.Buffer
 		if err := Serve(strings.NewReader(input), &out); err != nil && err.Error() == "" {
-			t.Error("an error without a message")
+			t.Error("Serve returned an error without a message")
 		}
 	})
 }
