--- a/internal/eventloop/clock_test.go
+++ b/internal/eventloop/clock_test.go
@@ -15,9 +15,9 @@
 	}
 	begin := time.Now()
 	time.Sleep(5 * time.Millisecond)
-	least := rate * time.Since(begin)
-	if passed := c.Now() - first; passed < least {
-		t.Errorf("the clock advanced by %v, want at least %v", passed, least)
+	minAdvance := rate * time.Since(begin)
+	if advance := c.Now() - first; advance < minAdvance {
+		t.Errorf("the clock advanced by %v, want at least %v", advance, minAdvance)
 	}
 	if wait := c.Until(c.Now() + rate*time.Hour); wait > time.Hour || wait < time.Hour-time.Minute {
 		t.Errorf("got %v of real time until a clock time that is %d h ahead, want about 1 h", wait, rate)
--- a/internal/eventloop/components.go
+++ b/internal/eventloop/components.go
@@ -42,8 +42,8 @@
 
 // maxIdleConns returns how many idle connections a limiter keeps per backend.
 func maxIdleConns(maxSockets float64, limiters int) int {
-	own := max(int(maxSockets*idleConnFraction), minIdleConns)
-	return max(min(own, maxIdleConnsPerBackendOfTier/max(limiters, 1)), 1)
+	perBackend := max(int(maxSockets*idleConnFraction), minIdleConns)
+	return max(min(perBackend, maxIdleConnsPerBackendOfTier/max(limiters, 1)), 1)
 }
 
 func (l *Loop) startUpstream() {
--- a/internal/eventloop/hotrestart_test.go
+++ b/internal/eventloop/hotrestart_test.go
@@ -33,10 +33,10 @@
 // A process still accepts successors after Accept has failed, here for lack of a file descriptor. An error of Accept
 // must not disable hot restarts.
 func TestSuccessorIsAcceptedAfterAcceptError(t *testing.T) {
-	logs, lines := observer.New(zap.WarnLevel)
+	observed, lines := observer.New(zap.WarnLevel)
 	l := &Loop{
 		config: &config.Config{Name: "n0", HotRestart: &config.HotRestart{Dir: t.TempDir()}},
-		log:    zap.New(logs),
+		log:    zap.New(observed),
 		events: make(chan core.Event, maxQueuedEvents),
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
--- a/internal/simprotocol/server_test.go
+++ b/internal/simprotocol/server_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// serve returns the replies that Serve writes to the batches of the input, and its error.
 func serve(t *testing.T, input string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -14,8 +15,8 @@
 	return out.String(), err
 }
 
-// start is a batch that starts a limiter with one backend.
-const start = "frame\t1.5\t1\n" +
+// startBatch is a batch that starts a limiter with one backend.
+const startBatch = "frame\t1.5\t1\n" +
 	"power_on\tdoor_0\t42\t" + settingsText + "\n" +
 	"membership\tdoor_0\t3\tC\t1\n" +
 	"row\tb_one\tnorth\tbox\t0\tlive\t1\t-\n" +
@@ -28,7 +29,7 @@
 
 // A request is sent to a backend and served, and the next one is rejected because it is beyond the quota.
 func TestTranscript(t *testing.T) {
-	got, err := serve(t, start+
+	got, err := serve(t, startBatch+
 		"frame\t1.6\t2\n"+
 		"accept\tdoor_0\t77\t1.25\t0\t0\t1\t0\tsmall\t1\tcust/x\tread\n"+
 		"your_turn\n"+
@@ -56,7 +57,7 @@
 // Events for a limiter that was halted or never started have no effect, and a halted limiter may start again in the
 // same batch.
 func TestHaltAndRestart(t *testing.T) {
-	got, err := serve(t, start+
+	got, err := serve(t, startBatch+
 		"frame\t2\t2\n"+
 		"halt\tdoor_0\n"+
 		"aborted\tdoor_0\t5\n"+
@@ -97,7 +98,7 @@
 
 // The error has the number of the malformed line, also if that follows a batch that was served.
 func TestLineError(t *testing.T) {
-	replies, err := serve(t, start+"frame\t2\t2\naborted\tdoor_0\tx\n")
+	replies, err := serve(t, startBatch+"frame\t2\t2\naborted\tdoor_0\tx\n")
 	var malformed *LineError
 	if !errors.As(err, &malformed) || malformed.Line != 7 {
 		t.Errorf("got %v, want an error in line 7", err)
@@ -109,10 +110,10 @@
 
 // No input makes Serve panic or return an error without a message.
 func FuzzServe(f *testing.F) {
-	f.Add(start)
+	f.Add(startBatch)
 	f.Add("frame\t1\t1\nyour_turn\n")
-	f.Add(start + "frame\t2\t2\nmessage\tdoor_0\t1\tAQAAAAE=\nreckoned\tdoor_0\t1\tdone\t1\tx\nyour_turn\n")
-	f.Add(start + "frame\t2\t2\nfirst\tdoor_0\t1\t0.1\tb\t0\nprobed\tdoor_0\tb\tdone\t1\t1,-,2\nyour_turn\n")
+	f.Add(startBatch + "frame\t2\t2\nmessage\tdoor_0\t1\tAQAAAAE=\nreckoned\tdoor_0\t1\tdone\t1\tx\nyour_turn\n")
+	f.Add(startBatch + "frame\t2\t2\nfirst\tdoor_0\t1\t0.1\tb\t0\nprobed\tdoor_0\tb\tdone\t1\t1,-,2\nyour_turn\n")
 	f.Fuzz(func(t *testing.T, input string) {
 		var out bytes.Buffer
 		if err := Serve(strings.NewReader(input), &out); err != nil && err.Error() == "" {
