--- a/cmd/lemongate-experiment/demo.go
+++ b/cmd/lemongate-experiment/demo.go
@@ -22,13 +22,14 @@
 	demoBackends = 6
 	// backendDelay is how long a backend takes to respond.
 	backendDelay = 30 * time.Millisecond
-	// maxLatency is the largest latency that the histogram distinguishes.
+	// maxLatency is the largest latency that the histogram records; longer ones count as this.
 	maxLatency = 10 * time.Second
 	// histogramDigits is the precision of the histogram, in significant digits.
 	histogramDigits = 3
 )
 
-// The customer that requests twice its quota: it sends a fifth of all requests, and its plan has a tenth of their rate.
+// The plan of the customer that requests twice its quota: it sends a fifth of all requests, and its plan's rate is a
+// tenth of theirs.
 const (
 	cappedPlan     = "capped"
 	cappedCustomer = 7
@@ -49,7 +50,7 @@
 	}
 }
 
-// runDemo runs the demo until its end or an interrupt.
+// runDemo runs the demo for its duration, or until an interrupt.
 func runDemo(ctx context.Context, cmd *cli.Command) error {
 	program, err := limiterProgram(cmd)
 	if err != nil {
@@ -67,18 +68,18 @@
 
 // demo is a small tier with its clients.
 type demo struct {
-	out      io.Writer
-	tier     *processharness.Tier
-	duration time.Duration
-	rate     float64 // requests per second
-	up       int     // backends that are not killed
-
-	mu     sync.Mutex
-	second *tally // of the current second
-	total  *tally
+	out        io.Writer
+	tier       *processharness.Tier
+	duration   time.Duration
+	rate       float64 // requests per second
+	upBackends int     // number of backends that are up
+
+	mu            sync.Mutex
+	currentSecond *tally // results in the current second
+	total         *tally // results in the whole run
 }
 
-// newDemo starts the limiters of a demo; they end with the host.
+// newDemo starts the limiters and backends of a demo. They end with the host.
 func newDemo(h *host, out io.Writer, program string, duration time.Duration, rate float64) *demo {
 	tier := processharness.New(h, demoLimiters, demoBackends, program, "serve", "--log-level", "error")
 	tier.Plans = append(tier.Plans, processharness.Plan{Name: cappedPlan, Rate: rate / 10, Burst: rate / 5})
@@ -89,12 +90,12 @@
 		l.Start().Await(h)
 	}
 	return &demo{
-		out: out, tier: tier, duration: duration, rate: rate, up: demoBackends,
-		second: newTally(), total: newTally(),
+		out: out, tier: tier, duration: duration, rate: rate, upBackends: demoBackends,
+		currentSecond: newTally(), total: newTally(),
 	}
 }
 
-// run sends requests and prints a line every second.
+// run sends requests, prints a line every second, and at the end a line for the whole run.
 func (d *demo) run(ctx context.Context) error {
 	printf(d.out, "%d limiters, %d backends; one customer sends a fifth of the requests, at twice its quota\n",
 		demoLimiters, demoBackends)
@@ -105,7 +106,7 @@
 	begin := time.Now()
 	d.printSeconds(ctx, begin)
 	load.End()
-	printf(d.out, "%s\n", d.total.row("in all", time.Since(begin).Seconds(), d.up))
+	printf(d.out, "%s\n", d.total.row("in all", time.Since(begin).Seconds(), d.upBackends))
 	if d.total.lost > 0 {
 		return fmt.Errorf("demo: %d requests had no response", d.total.lost)
 	}
@@ -134,12 +135,12 @@
 func (d *demo) record(result processharness.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.second.add(result)
+	d.currentSecond.add(result)
 	d.total.add(result)
 }
 
-// printSeconds prints a line every second until the end, kills a backend after a third of the time and
-// restarts it after two thirds.
+// printSeconds prints a line every second until the duration has passed or the context is done. It kills a backend after
+// a third of the duration and restarts it after two thirds.
 func (d *demo) printSeconds(ctx context.Context, begin time.Time) {
 	killAt, restartAt := int(d.duration.Seconds()/3), int(d.duration.Seconds()*2/3)
 	ticker := time.NewTicker(time.Second)
@@ -153,32 +154,32 @@
 		switch n {
 		case killAt:
 			d.tier.Backends[0].SetDown(true)
-			d.up--
+			d.upBackends--
 			printf(d.out, "         a backend is killed\n")
 		case restartAt:
 			d.tier.Backends[0].SetDown(false)
-			d.up++
+			d.upBackends++
 			printf(d.out, "         it is back\n")
 		}
 	}
 }
 
-// printSecond prints the line of a second and starts the tally of the next one.
+// printSecond prints the line of a second and starts the tally of the next second.
 func (d *demo) printSecond(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	printf(d.out, "%s\n", d.second.row(fmt.Sprint(n), 1, d.up))
-	d.second = newTally()
+	printf(d.out, "%s\n", d.currentSecond.row(fmt.Sprint(n), 1, d.upBackends))
+	d.currentSecond = newTally()
 }
 
-// tally counts the results of requests over some time.
+// tally counts the results of requests over some time. A lost request has no response.
 type tally struct {
 	requests, served, rejected, failed, lost int
-	latency                                  *hdrhistogram.Histogram // µs, of those served
+	latencies                                *hdrhistogram.Histogram // µs, of those served
 }
 
 func newTally() *tally {
-	return &tally{latency: hdrhistogram.New(1, maxLatency.Microseconds(), histogramDigits)}
+	return &tally{latencies: hdrhistogram.New(1, maxLatency.Microseconds(), histogramDigits)}
 }
 
 // add counts a result.
@@ -189,7 +190,7 @@
 		t.lost++
 	case http.StatusOK:
 		t.served++
-		_ = t.latency.RecordValue(min(r.Took.Microseconds(), maxLatency.Microseconds())) // within its range
+		_ = t.latencies.RecordValue(min(r.Took.Microseconds(), maxLatency.Microseconds())) // within its range
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		t.rejected++
 	default:
@@ -199,7 +200,7 @@
 
 // row formats a tally as a line of the table.
 func (t *tally) row(title string, seconds float64, up int) string {
-	milliseconds := func(percentile float64) float64 { return float64(t.latency.ValueAtQuantile(percentile)) / 1e3 }
+	milliseconds := func(percentile float64) float64 { return float64(t.latencies.ValueAtQuantile(percentile)) / 1e3 }
 	return fmt.Sprintf("%8s %8.0f %8d %8d %8d %6d %8.1f %8.1f %5d", title, float64(t.requests)/seconds,
 		t.served, t.rejected, t.failed, t.lost, milliseconds(50), milliseconds(99), up)
 }
--- a/cmd/lemongate-experiment/format_test.go
+++ b/cmd/lemongate-experiment/format_test.go
@@ -12,7 +12,7 @@
 	"lemongate/internal/golden"
 )
 
-// Subcommands, flags and the outcomes file are those that scripts of release 0.8.0 use. There may be more.
+// Subcommands, flags and the fields of the report include those that scripts of release 0.8.0 use.
 func TestFormatOfEarlierRelease(t *testing.T) {
 	var current []string
 	for _, c := range command().Commands {
@@ -29,7 +29,7 @@
 	}
 	for line := range strings.Lines(string(golden.Read(t, "commands.txt"))) {
 		if line = strings.TrimSpace(line); !slices.Contains(current, line) {
-			t.Errorf("no command or flag %s", line)
+			t.Errorf("no command or flag %q, which release 0.8.0 has", line)
 		}
 	}
 	var r report
--- a/cmd/lemongate-experiment/host.go
+++ b/cmd/lemongate-experiment/host.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// errStopped is the error of a run that Fatal ended; Fatal has printed the reason.
+// errStopped is the error of a run that Fatal stopped; Fatal has printed the reason.
 var errStopped = errors.New("the run stopped after a failure")
 
 // host takes the place of a test in a command that runs processes of the limiter; it implements
@@ -24,10 +24,10 @@
 	parent *host
 	fatal  chan struct{} // closed by the first Fatal
 
-	mu      sync.Mutex
-	cleanup []func()
-	ended   bool // cleanup functions were called, or are being called
-	failed  bool
+	mu       sync.Mutex
+	cleanups []func()
+	ended    bool // cleanup functions were called, or are being called
+	failed   bool
 
 	endOnce  sync.Once
 	failOnce sync.Once
@@ -35,15 +35,15 @@
 
 func newHost(out io.Writer) *host { return &host{out: out, fatal: make(chan struct{})} }
 
-// newChild returns a host that ends before this one does.
+// newChild returns a host that ends when its owner ends it, at the latest when h ends.
 func (h *host) newChild() *host {
 	child := &host{out: h.out, parent: h, fatal: make(chan struct{})}
 	h.Cleanup(child.end)
 	return child
 }
 
-// run calls a function and ends everything that it started. It returns early if the context is done or the host
-// fails; the goroutine of the function then ends with the program.
+// run calls a function, waits for it, and ends everything that it started. It returns early if the context is done or the
+// host fails; the goroutine of the function then ends with the program.
 func (h *host) run(ctx context.Context, do func() error) error {
 	done := make(chan error, 1)
 	go func() {
@@ -99,13 +99,13 @@
 	return h.failed
 }
 
-// Cleanup registers a function that is called at the end, the last one first. After the end it is called at once,
-// because an interrupted run may have been starting a process.
+// Cleanup registers a function that is called when the host ends; the function registered last is called first. After the
+// host has ended, Cleanup calls the function at once, because an interrupted run may have been starting a process.
 func (h *host) Cleanup(f func()) {
 	h.mu.Lock()
 	ended := h.ended
 	if !ended {
-		h.cleanup = append(h.cleanup, f)
+		h.cleanups = append(h.cleanups, f)
 	}
 	h.mu.Unlock()
 	if ended {
@@ -113,7 +113,7 @@
 	}
 }
 
-// TempDir returns a new directory that is removed with the host.
+// TempDir returns a new directory that is removed when the host ends.
 func (h *host) TempDir() string {
 	dir, err := os.MkdirTemp("", "lemongate-experiment")
 	if err != nil {
@@ -123,12 +123,12 @@
 	return dir
 }
 
-// end calls the registered cleanup functions, once.
+// end calls the registered cleanup functions in reverse order. Further calls do nothing.
 func (h *host) end() {
 	h.endOnce.Do(func() {
 		h.mu.Lock()
 		h.ended = true
-		cleanup := h.cleanup
+		cleanup := h.cleanups
 		h.mu.Unlock()
 		for _, f := range slices.Backward(cleanup) {
 			f()
@@ -136,7 +136,7 @@
 	})
 }
 
-// limiterProgram returns the path of the limiter program that a command is to start.
+// limiterProgram returns the path of the limiter program: that of the flag, by default lemongate beside this program.
 func limiterProgram(cmd *cli.Command) (string, error) {
 	program := cmd.String("program")
 	if program == "" {
--- a/cmd/lemongate-experiment/host_test.go
+++ b/cmd/lemongate-experiment/host_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The functions registered before the end are called once, the last one first. A function registered later is called
-// at once, as for a run that is interrupted while it starts a process.
+// Cleanup functions registered before the host ends are called once, the last one first. A child ends when its parent
+// calls the cleanup function that newChild has registered: here after the parent's own function, which was registered
+// later. A function registered after the end is called at once, as a run that is interrupted may be starting a process.
 func TestCleanupAfterEnd(t *testing.T) {
 	parent := newHost(io.Discard)
 	child := parent.newChild()
@@ -21,6 +22,6 @@
 	register(parent, "e")
 	parent.end()
 	if want := []string{"a", "c", "b", "d", "e"}; !slices.Equal(called, want) {
-		t.Errorf("called %q, want %q", called, want)
+		t.Errorf("cleanup functions called in the order %q, want %q", called, want)
 	}
 }
--- a/cmd/lemongate-experiment/main.go
+++ b/cmd/lemongate-experiment/main.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// printf prints to standard output. It ignores write errors, which could not be reported.
+// printf prints to out. It ignores write errors, because there is nowhere to report them.
 func printf(out io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(out, format, args...) }
 
 // programFlag is the flag for the path of the limiter program.
--- a/cmd/lemongate-experiment/run.go
+++ b/cmd/lemongate-experiment/run.go
@@ -21,14 +21,14 @@
 	"lemongate/internal/simulation"
 )
 
-// errBroken ends the program with exit code 1 after the verdict "broken" was printed.
+// errBroken makes the program exit with code 1 and print no error, because the verdict "broken" was printed.
 var errBroken = errors.New("broken")
 
 const (
-	// maxSeeds is how many seeds one command may run.
+	// maxSeeds is the largest number of seeds that one command may run.
 	maxSeeds = 100_000
-	// breachesShown is how many breaches are printed for each case.
-	breachesShown = 3
+	// maxBreachesShown is the largest number of breaches that are printed for each case, or each seed of a soak.
+	maxBreachesShown = 3
 )
 
 // runCommand runs an experiment.
@@ -55,7 +55,7 @@
 // run runs the experiment that a command names, and prints its outcomes.
 func run(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
-		return errors.New("run: want one experiment file")
+		return errors.New("run: want exactly one experiment file as the argument")
 	}
 	e, err := readExperiment(cmd.Args().First())
 	if err != nil {
@@ -111,13 +111,13 @@
 	return seedRange{1, uint64(max(e.Seeds, 1))}, nil
 }
 
-// parseSeedRange parses N..M.
+// parseSeedRange parses N..M, a range of at most maxSeeds seeds.
 func parseSeedRange(text string) (seedRange, error) {
 	firstText, lastText, _ := strings.Cut(text, "..")
 	first, firstErr := strconv.ParseUint(firstText, 10, 64)
 	last, lastErr := strconv.ParseUint(lastText, 10, 64)
 	if firstErr != nil || lastErr != nil || last < first || last-first >= maxSeeds {
-		return seedRange{}, fmt.Errorf("seeds: want N..M, got %q", text)
+		return seedRange{}, fmt.Errorf("seeds: want N..M with M at least N and at most 100000 seeds, got %q", text)
 	}
 	return seedRange{first, last}, nil
 }
@@ -149,7 +149,7 @@
 	return outcomes, err
 }
 
-// processRunner returns a RunFunc that runs scenarios on processes, which end with each run.
+// processRunner returns a RunFunc that runs a scenario on processes of the limiter program. They end with the run.
 func processRunner(h *host, program string) experiment.RunFunc {
 	return func(sc simulation.Scenario, seed uint64) simulation.Result {
 		child := h.newChild()
@@ -158,13 +158,13 @@
 	}
 }
 
-// printFailures prints the bounds that were missed and the first breaches of rules.
+// printFailures prints, for each case, the bounds that were missed and the breaches of its first runs that broke a rule.
 func printFailures(out io.Writer, outcomes []experiment.Outcome) {
 	for _, o := range outcomes {
 		for _, line := range o.Missed {
 			printf(out, "%s: missed: %s\n", o.Case, line)
 		}
-		for _, line := range o.Broken[:min(len(o.Broken), breachesShown)] {
+		for _, line := range o.Broken[:min(len(o.Broken), maxBreachesShown)] {
 			printf(out, "%s: broken: %s\n", o.Case, line)
 		}
 	}
@@ -197,7 +197,7 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
-// buildRevision returns the revision of the sources that the program was built from, with a + if they were modified.
+// buildRevision returns the revision of the source that the program was built from, with a + if it was modified.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/lemongate-experiment/soak.go
+++ b/cmd/lemongate-experiment/soak.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// runSoakSeed runs a seed, prints its result, and returns 1 if a rule was broken.
+// runSoakSeed runs a seed and prints its result. It returns 1 if a rule was broken or the host failed, otherwise 0.
 func runSoakSeed(cmd *cli.Command, h *host, seed uint64, program string) (broken int) {
 	out, duration := cmd.Root().Writer, cmd.Duration("duration")
 	if cmd.Bool("schedule") {
@@ -73,9 +73,9 @@
 	child := h.newChild()
 	defer child.end()
 	result := soak.Run(child, seed, duration, program, "serve", "--log-level", "info")
-	printf(out, "seed %d: %d requests, %d served, %d restarts (%d hot), %d killed while they shut down, %d clients left, %d long attempts, %d rules broken\n",
+	printf(out, "seed %d: %d requests, %d served, %d restarts (%d hot), %d killed while they shut down, %d clients disconnected, %d long attempts, %d rules broken\n",
 		seed, result.Requests, result.Served, result.Restarts, result.HotRestarts, result.Killed, result.Disconnected, result.LongAttempts, len(result.Breaches))
-	for _, breach := range result.Breaches[:min(len(result.Breaches), breachesShown)] {
+	for _, breach := range result.Breaches[:min(len(result.Breaches), maxBreachesShown)] {
 		printf(out, "  %s\n", breach)
 	}
 	if len(result.Breaches) > 0 || child.Failed() {
--- a/internal/experiment/equivalence_test.go
+++ b/internal/experiment/equivalence_test.go
@@ -24,8 +24,9 @@
 // equivalenceSeed is the seed of the recorded runs.
 const equivalenceSeed = 3
 
-// recordedExperiments are the experiments that are recorded, and how many seconds of each: past its first faults
-// if they come early enough. The other experiments take minutes, run on processes, or repeat these.
+// recordedExperiments are the experiments whose runs are recorded, and how many seconds of each run: long enough to
+// include the first faults, if they come early enough. The other experiments take minutes, run on processes, or repeat
+// these.
 var recordedExperiments = []struct {
 	name    string
 	seconds float64
@@ -33,13 +34,13 @@
 	{"empty-start", 14}, {"rejoin", 16}, {"upgrade", 9}, {"lease", 25}, {"rollup", 20}, {"walk", 22}, {"zone-loss", 8},
 }
 
-// largeTierSeconds is how many seconds are recorded of a tier of 80 limiters or more.
+// largeTierSeconds is how many seconds are recorded of a run with 80 limiters or more.
 const largeTierSeconds = 2
 
-// Every limiter of every case of the experiments handles the same events and returns the same effects as
-// the recorded release did. Each decision influences the later events of its run, so one decision that differs
-// changes all that comes after it. The digest is over kinds and values; no name of a type or field enters it.
-// Texts for people are left out.
+// Every limiter of every case of the recorded experiments handles the same events and returns the same effects as in the
+// recorded release. Each decision influences the later events of its run, so one decision that differs changes all that
+// comes after it. The digest contains the kinds and values of events and effects, but no name of a type or field, and no
+// text for people.
 func TestSameDecisionsAsEarlierRelease(t *testing.T) {
 	type run struct {
 		name     string
@@ -94,70 +95,70 @@
 
 func (d *digest) observe(limiter int, now time.Duration, ev core.Event, effects []core.Effect) {
 	d.events++
-	d.number(uint64(limiter))
-	d.number(uint64(now))
+	d.addNumber(uint64(limiter))
+	d.addNumber(uint64(now))
 	if ev != nil {
-		d.number(uint64(eventKind(ev)))
-		d.value(reflect.ValueOf(ev))
+		d.addNumber(uint64(eventKind(ev)))
+		d.addValue(reflect.ValueOf(ev))
 	}
 	for _, e := range effects {
 		if _, isText := e.(core.Log); isText {
 			continue
 		}
 		d.effects++
-		d.number(uint64(effectKind(e)))
-		d.value(reflect.ValueOf(e))
+		d.addNumber(uint64(effectKind(e)))
+		d.addValue(reflect.ValueOf(e))
 	}
 }
 
-func (d *digest) number(v uint64) {
+func (d *digest) addNumber(v uint64) {
 	d.hash.Write(binary.BigEndian.AppendUint64(nil, v))
 }
 
-// value adds all fields of a value, in their order, except values that the core passes through unread and texts
-// for people.
-func (d *digest) value(v reflect.Value) {
+// addValue adds all fields of a value in their order, except values that the core passes through without reading them,
+// and texts for people.
+func (d *digest) addValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
 		if v.Bool() {
-			d.number(1)
+			d.addNumber(1)
 		} else {
-			d.number(0)
+			d.addNumber(0)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		d.number(uint64(v.Int()))
+		d.addNumber(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		d.number(v.Uint())
+		d.addNumber(v.Uint())
 	case reflect.Float64:
-		d.number(math.Float64bits(v.Float()))
+		d.addNumber(math.Float64bits(v.Float()))
 	case reflect.String:
-		d.number(uint64(v.Len()))
+		d.addNumber(uint64(v.Len()))
 		d.hash.Write([]byte(v.String()))
 	case reflect.Pointer:
 		if v.IsNil() {
-			d.number(0)
+			d.addNumber(0)
 			return
 		}
-		d.value(v.Elem())
+		d.addValue(v.Elem())
 	case reflect.Slice, reflect.Array:
-		d.number(uint64(v.Len()))
+		d.addNumber(uint64(v.Len()))
 		for i := range v.Len() {
-			d.value(v.Index(i))
+			d.addValue(v.Index(i))
 		}
 	case reflect.Map:
 		keys := v.MapKeys()
 		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 		for _, key := range keys {
-			d.value(key)
-			d.value(v.MapIndex(key))
+			d.addValue(key)
+			d.addValue(v.MapIndex(key))
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if !textFields[v.Type().Field(i).Name] {
-				d.value(v.Field(i))
+				d.addValue(v.Field(i))
 			}
 		}
-	case reflect.Interface: // message contents and links, which the core passes through
+	case reflect.Interface: // message contents and links, which the core passes through without reading them
 	default:
 		panic(fmt.Sprintf("cannot digest a value of kind %v", v.Kind()))
 	}
@@ -186,12 +187,12 @@
 func kindOf(numbers map[reflect.Type]int, x any) int {
 	number, ok := numbers[reflect.TypeOf(x)]
 	if !ok {
-		panic(fmt.Sprintf("%T has no number, known are %v", x, slices.Collect(maps.Keys(numbers))))
+		panic(fmt.Sprintf("the type %T has no number in the digest; the types that have one are %v", x, slices.Collect(maps.Keys(numbers))))
 	}
 	return number
 }
 
-// events and effects are numbered by their positions here, which must not change.
+// events and effects list the types that the digest numbers by their positions here. Positions must not change.
 var (
 	events = []core.Event{
 		&core.RequestReceived{}, &core.ClientDisconnected{}, core.RequestMalformed{}, &core.ClientConnClosed{}, &core.AttemptFinished{},
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -19,33 +19,33 @@
 type Experiment struct {
 	Name      string              `json:"name"`
 	About     string              `json:"about"`
-	Seeds     int                 `json:"seeds"`   // runs of each case, unless the command line says otherwise
-	Shift     float64             `json:"shift_s"` // faults start up to this much later, depending on the seed
+	Seeds     int                 `json:"seeds"`   // number of runs of each case, unless the command line says otherwise
+	Shift     float64             `json:"shift_s"` // seconds; each run starts its faults up to this much later, depending on the seed
 	Base      simulation.Scenario `json:"scenario"`
 	Cases     []Case              `json:"cases"`
-	ExpectAll []Bound             `json:"expect"` // of every case
+	ExpectAll []Bound             `json:"expect"` // bounds for every case
 }
 
 // Case is a variant of the scenario with faults of its own.
 type Case struct {
 	Name   string             `json:"name"`
-	Faults []simulation.Fault `json:"faults"`
-	Change json.RawMessage    `json:"change"` // fields of the scenario that differ
-	Expect []Bound            `json:"expect"`
+	Faults []simulation.Fault `json:"faults"` // in addition to those of the scenario
+	Change json.RawMessage    `json:"change"` // the fields of the scenario that differ in this case
+	Expect []Bound            `json:"expect"` // in addition to Experiment.ExpectAll
 }
 
 // Bound limits a measure over all seeds: its mean, or its value in each run.
 type Bound struct {
-	Measure string   `json:"measure"` // a field of simulation.Result or SlotResult, as it is named in files
+	Measure string   `json:"measure"` // a field of simulation.Result or SlotResult, under its name in files
 	Over    string   `json:"over"`    // "mean" (default) or "each"
 	Max     *float64 `json:"most"`    // nil for no bound
 	Min     *float64 `json:"least"`   // nil for no bound
 }
 
-// overEach is the value of Bound.Over for a bound on each run.
+// overEach is the value of Bound.Over for a bound on the value in each run.
 const overEach = "each"
 
-// scenario returns the scenario of a case.
+// scenario returns the scenario of a case: that of the experiment with the case's changes and faults.
 func (e *Experiment) scenario(c Case) (simulation.Scenario, error) {
 	sc := e.Base
 	sc.Plans = slices.Clone(sc.Plans)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -34,7 +34,7 @@
 
 // The error of an invalid file is one line that names the field.
 func TestParseErrorNamesTheField(t *testing.T) {
-	for _, c := range []struct{ from, to, names string }{
+	for _, c := range []struct{ replaced, replacement, wantField string }{
 		{`"limiters": 3`, `"limiters": 0`, "/scenario/limiters"},
 		{`"limiters": 3`, `"limiters": "3"`, "/scenario/limiters"},
 		{`"rate": 5`, `"rat": 5`, "/scenario/plans/0"},
@@ -45,10 +45,10 @@
 		{`"name": "one case"`, `"name": "one case", "faults": [{"kind": "stall", "at_s": 1, "limiters": [3]}]`, "/cases/0/faults/0"},
 		{`{"name": "small"`, `{"name": "small`, "JSON"},
 	} {
-		text := strings.Replace(small, c.from, c.to, 1)
+		text := strings.Replace(small, c.replaced, c.replacement, 1)
 		_, err := Parse([]byte(text))
-		if err == nil || !strings.Contains(err.Error(), c.names) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s in place of %s: error %v, want one line with %s", c.to, c.from, err, c.names)
+		if err == nil || !strings.Contains(err.Error(), c.wantField) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("with %s in place of %s: error %v, want one line with %s", c.replacement, c.replaced, err, c.wantField)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		t.Errorf("two runs of the same seeds differ:\n%+v\n%+v", a, b)
 	}
 	if line, held := Verdict(a); !held || line != "verdict: held" || a[0].Mean["served"] < 20 {
-		t.Errorf("%s, %.0f served; want the verdict held and at least 20 served", line, a[0].Mean["served"])
+		t.Errorf("%q, %.0f requests served; want \"verdict: held\" and at least 20 requests served", line, a[0].Mean["served"])
 	}
 	most := 1.0
 	x.Cases[0].Expect = []Bound{{Measure: "served", Max: &most}}
@@ -78,7 +78,7 @@
 	}
 }
 
-// A limit of attempts in flight has measures and columns of its own.
+// An experiment with a limit of attempts in flight has its own measures and columns.
 func TestSlotMeasures(t *testing.T) {
 	text := strings.Replace(strings.Replace(small, `"customers": 2`, `"concurrency": 3, "customers": 2`, 1),
 		`{"measure": "beyond", "most": 100}`, `{"measure": "slots_probed", "over": "each", "least": 7}`, 1)
--- a/internal/experiment/format_test.go
+++ b/internal/experiment/format_test.go
@@ -25,7 +25,7 @@
 	golden.Equal(t, "experiment.json", data)
 	var got Experiment
 	if err := json.Unmarshal(golden.Read(t, "experiment.json"), &got); err != nil || !reflect.DeepEqual(got, x) {
-		t.Errorf("read as %+v, %v; want %+v", got, err, x)
+		t.Errorf("experiment.json read as %+v, error %v; want %+v", got, err, x)
 	}
 	var o Outcome
 	(&golden.Filler{}).Fill(&o)
@@ -41,8 +41,8 @@
 // recorded files. Such a property takes one line.
 const laterProperty = "; since 0."
 
-// withoutLaterProperties returns the schema without the properties that were added since. The rest has to stay byte
-// for byte, including which properties are required.
+// withoutLaterProperties returns the schema without the properties that were added after the recorded release. The rest
+// has to stay byte for byte, including which properties are required.
 func withoutLaterProperties(schema []byte) []byte {
 	var kept []byte
 	for line := range bytes.Lines(schema) {
@@ -53,13 +53,13 @@
 	return kept
 }
 
-// Plan.MaxConcurrent is read and written under the name that it has in the settings of limiters, and a plan without
-// a limit is written as before.
+// Plan.MaxConcurrent is read and written under the name that it has in the settings of limiters. A plan without a limit
+// is written without the field.
 func TestFormatOfConcurrency(t *testing.T) {
 	withLimit := strings.Replace(small, `"customers": 2`, `"concurrency": 6, "customers": 2`, 1)
 	x, err := Parse([]byte(withLimit))
 	if err != nil || x.Base.Plans[0].MaxConcurrent != 6 {
-		t.Fatalf("parsed as %+v, error %v", x, err)
+		t.Fatalf("a plan with \"concurrency\": 6 parsed as %+v, error %v", x, err)
 	}
 	for _, c := range []struct {
 		text string
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/simulation"
 )
 
-// Outcome holds the measures of a case over its seeds. Measures are fields of simulation.Result and SlotResult, as
-// they are named in files.
+// Outcome holds the measures of a case over the runs with its seeds. Measures are fields of simulation.Result and
+// SlotResult, under their names in files.
 type Outcome struct {
 	Case    string             `json:"case"`
 	Runs    int                `json:"runs"`
@@ -17,9 +17,9 @@
 	Worst   map[string]float64 `json:"worst"` // the largest value of all runs
 	P99     map[string]float64 `json:"p99"`
 	Min     map[string]float64 `json:"least"`
-	Broken  []string           `json:"broken,omitempty"`   // the first rule that each run broke
-	Missed  []string           `json:"missed,omitempty"`   // bounds
-	BadSeed uint64             `json:"bad_seed,omitempty"` // the first whose run broke a rule
+	Broken  []string           `json:"broken,omitempty"`   // the first breach of each run that broke a rule
+	Missed  []string           `json:"missed,omitempty"`   // the bounds that were missed
+	BadSeed uint64             `json:"bad_seed,omitempty"` // the seed of the first run that broke a rule
 }
 
 // summarize returns the outcome of a case; first is the seed of the first result.
@@ -64,7 +64,7 @@
 	return numbers
 }
 
-// recordBreach records the first rule that a run broke, if any.
+// recordBreach records the first breach of a run, if any.
 func (o *Outcome) recordBreach(r simulation.Result, seed uint64) {
 	if r.Breaches == 0 {
 		return
@@ -75,7 +75,7 @@
 	o.Broken = append(o.Broken, fmt.Sprintf("seed %d: %s", seed, r.Broken[0]))
 }
 
-// recordMeasure records the values of a measure, one per run.
+// recordMeasure records the statistics of a measure; values are those of the runs.
 func (o *Outcome) recordMeasure(measure string, values []float64) {
 	total := 0.0
 	for _, v := range values {
@@ -89,7 +89,7 @@
 	o.P99[measure] = sorted[min(int(0.99*float64(count)), count-1)]
 }
 
-// checkBound records a bound that is missed. A measure that is not a number (NaN) misses every bound.
+// checkBound records a bound if it is missed. A measure that is not a number (NaN) misses every bound.
 func (o *Outcome) checkBound(b Bound) {
 	high, low, prefix := o.Mean[b.Measure], o.Mean[b.Measure], "mean "
 	if b.Over == overEach {
@@ -103,7 +103,8 @@
 	}
 }
 
-// Verdict returns the last line of a run: whether all rules and bounds held, or the first that did not.
+// Verdict returns the last line to print, and whether all rules and bounds held. If not, the line names the first breach
+// or missed bound.
 func Verdict(outcomes []Outcome) (line string, held bool) {
 	for _, o := range outcomes {
 		if len(o.Broken) > 0 {
--- a/internal/experiment/parse.go
+++ b/internal/experiment/parse.go
@@ -19,25 +19,25 @@
 	if err := json.Unmarshal(data, &e); err != nil {
 		return nil, fmt.Errorf("bad JSON: %w", err)
 	}
-	known := measures(simulation.Result{})
+	knownMeasures := measures(simulation.Result{})
 	for i, c := range e.Cases {
-		if err := e.checkCase(c, known); err != nil {
+		if err := e.checkCase(c, knownMeasures); err != nil {
 			return nil, fmt.Errorf("/cases/%d%w", i, err)
 		}
 	}
-	if err := checkBounds(e.ExpectAll, known); err != nil {
+	if err := checkBounds(e.ExpectAll, knownMeasures); err != nil {
 		return nil, err
 	}
 	return &e, nil
 }
 
 // checkCase checks what the schema cannot express. Its error begins with the path of the field within the case.
-func (e *Experiment) checkCase(c Case, known map[string]float64) error {
+func (e *Experiment) checkCase(c Case, knownMeasures map[string]float64) error {
 	sc, err := e.scenario(c)
 	if err != nil {
 		return fmt.Errorf("/change: %w", err)
 	}
-	if err := checkBounds(c.Expect, known); err != nil {
+	if err := checkBounds(c.Expect, knownMeasures); err != nil {
 		return err
 	}
 	for i, f := range c.Faults {
@@ -49,17 +49,17 @@
 }
 
 // checkBounds checks bounds. Its error begins with the path of the field.
-func checkBounds(bounds []Bound, known map[string]float64) error {
+func checkBounds(bounds []Bound, knownMeasures map[string]float64) error {
 	for i, b := range bounds {
-		if err := b.check(known); err != nil {
+		if err := b.check(knownMeasures); err != nil {
 			return fmt.Errorf("/expect/%d: %w", i, err)
 		}
 	}
 	return nil
 }
 
-func (b Bound) check(known map[string]float64) error {
-	if _, ok := known[b.Measure]; !ok {
+func (b Bound) check(knownMeasures map[string]float64) error {
+	if _, ok := knownMeasures[b.Measure]; !ok {
 		return fmt.Errorf("measure: unknown measure %q", b.Measure)
 	}
 	if b.Max == nil && b.Min == nil {
--- a/internal/experiment/repeatable_test.go
+++ b/internal/experiment/repeatable_test.go
@@ -7,8 +7,8 @@
 	"lemongate/internal/simulation"
 )
 
-// The same seed gives the same run if backends crash. The open attempts of a crashed backend used to end in the
-// order of a map, so that a seed which showed a fault once did not show it again.
+// The same seed gives the same run if backends crash. If the open attempts of a crashed backend end in the order of a
+// map, a seed that shows a fault once may not show it again.
 func TestCrashedBackendsGiveSameRun(t *testing.T) {
 	const runs, seed = 3, 810008
 	data, err := os.ReadFile("../../experiments/lease.json")
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// Run runs every case with the seeds from first to last in virtual time, and returns the outcome of each case.
-// Runs are executed in parallel; the outcomes do not depend on how many at once.
+// Run runs every case with the seeds from first to last in virtual time, and returns the outcome of each case. It
+// executes runs in parallel; the outcomes do not depend on how many.
 func (e *Experiment) Run(first, last uint64) []Outcome {
 	return e.RunWith(first, last, simulation.Run, runtime.GOMAXPROCS(0))
 }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// statistic selects one of the statistics of an outcome's measures.
+// statistic returns one statistic of an outcome, by measure.
 type statistic func(*Outcome) map[string]float64
 
 func mean(o *Outcome) map[string]float64    { return o.Mean }
@@ -14,14 +14,14 @@
 func p99(o *Outcome) map[string]float64     { return o.P99 }
 func minimum(o *Outcome) map[string]float64 { return o.Min }
 
-// column shows a statistic of a measure.
+// column is a column of the table; it shows a statistic of a measure.
 type column struct {
 	title     string
 	statistic statistic
 	measure   string
 }
 
-// quotaColumns are the columns of experiments that need no others.
+// quotaColumns are the columns of experiments to which no other list applies.
 var quotaColumns = []column{
 	{"asked", mean, "asked"},
 	{"due", mean, "due"},
@@ -148,7 +148,7 @@
 	return b.String()
 }
 
-// cell formats a value, without decimals if it is long.
+// cell formats a value with its leading space, without decimals from 1000 on.
 func cell(value float64) string {
 	if math.Abs(value) >= 1000 {
 		return fmt.Sprintf(" %8.0f", value)
--- a/internal/experiment/usage_test.go
+++ b/internal/experiment/usage_test.go
@@ -7,11 +7,11 @@
 	"lemongate/internal/simulation"
 )
 
-// A successor reports the usage that it inherited and dies during its probation. That usage must not be reported
-// twice: the predecessor, which admits again, used to report it once more.
+// A successor reports the usage that it inherited and is killed during its probation. The predecessor, which then admits
+// requests again, must not report that usage once more.
 func TestFailedHotRestartReportsUsageOnce(t *testing.T) {
 	const (
-		seed              = 5 // of six seeds, the one that showed the fault
+		seed              = 5 // of six seeds, the one whose runs showed usage reported twice
 		maxDuplicateUnits = 1 // as in the experiments on usage
 	)
 	data, err := os.ReadFile("../../experiments/rollup.json")
@@ -34,18 +34,18 @@
 		}}
 		r := simulation.Run(scenario, seed)
 		if r.UsageOver > maxDuplicateUnits || r.UsageDuplicates > 0 {
-			t.Errorf("hot restarts at %v s: %.0f units reported too many, %d periods in two reports", at, r.UsageOver, r.UsageDuplicates)
+			t.Errorf("hot restarts at %v s: %.0f units reported too many, want at most 1; %d periods in two reports, want 0", at, r.UsageOver, r.UsageDuplicates)
 		}
 	}
 }
 
-// No usage is lost if a network partition cuts off the lease holder with a period that it collected from itself
-// alone, the others report that period without it, and the lease then passes to another holder once more.
+// A network partition cuts off the lease holder while it has a period that it collected from itself alone. The others
+// report that period without its usage, and the lease then passes to another holder once more. No usage may be lost.
 func TestCutOffHolderLosesNoUsage(t *testing.T) {
 	const (
 		seed            = 700001
 		caseName        = "one limiter is cut off for five periods"
-		maxMissingUnits = 8 // as in the experiment: units at backends at the end
+		maxMissingUnits = 8 // as in the experiment: units that are at backends when the run ends
 	)
 	data, err := os.ReadFile("../../experiments/rollup.json")
 	if err != nil {
@@ -65,9 +65,9 @@
 		}
 		r := simulation.Run(x.withShiftedFaults(scenario, seed), seed)
 		if r.UsageUnder > maxMissingUnits || r.UsageOver > 1 || r.UsageDuplicates > 0 {
-			t.Errorf("%.0f units missing in the reports, %.0f too many, %d periods in two reports", r.UsageUnder, r.UsageOver, r.UsageDuplicates)
+			t.Errorf("%.0f units missing in the reports, want at most 8; %.0f too many, want at most 1; %d periods in two reports, want 0", r.UsageUnder, r.UsageOver, r.UsageDuplicates)
 		}
 		return
 	}
-	t.Fatalf("no case %q", caseName)
+	t.Fatalf("experiment rollup has no case %q", caseName)
 }
--- a/internal/simulation/backends.go
+++ b/internal/simulation/backends.go
@@ -21,18 +21,18 @@
 	latencyWeight = 0.1
 )
 
-// backend models a backend: cores, a queue, a slow start, and the idempotency keys of earlier requests.
+// backend models a backend: cores, a queue, a slow start, and the idempotency keys of the requests it has served.
 type backend struct {
-	world        *world
-	number       int
-	up           bool
-	refuses      bool // refuses connections, while the endpoint list shows no change
-	unresponsive bool // its machine does not respond
-	startedAt    time.Duration
-	incarnation  int // incremented when a fault drops all attempts
-	busy         int // cores in use
-	queue        []*attempt
-	keys         map[uint64]time.Duration // when a request with an idempotency key was served
+	world              *world
+	number             int
+	up                 bool // false from a crash until the next start
+	refusesConnections bool // while the endpoint list shows no change
+	unresponsive       bool // connections to it time out
+	startedAt          time.Duration
+	incarnation        int // incremented when a fault drops all attempts
+	busyCores          int
+	queue              []*attempt
+	keysServedAt       map[uint64]time.Duration // by idempotency key; repeats excluded
 
 	utilization   float64 // moving average of the fraction of the cores in use
 	utilizationAt time.Duration
@@ -46,7 +46,7 @@
 	request     *request
 	id          core.AttemptID
 	backend     *backend
-	done        bool   // finished or canceled, or its process was killed
+	done        bool   // finished or canceled, or its limiter's process was killed
 	token       uint64 // fencing token, 0 for none
 }
 
@@ -66,7 +66,7 @@
 
 func (w *world) startBackends() {
 	for i := range w.scenario.Backends.Count {
-		w.backends = append(w.backends, &backend{world: w, number: i, up: true, keys: map[uint64]time.Duration{}})
+		w.backends = append(w.backends, &backend{world: w, number: i, up: true, keysServedAt: map[uint64]time.Duration{}})
 	}
 }
 
@@ -101,8 +101,8 @@
 // updateUtilization updates the moving average of the utilization to the current time.
 func (b *backend) updateUtilization() {
 	now := b.world.now
-	left := decay(now-b.utilizationAt, utilizationTimeConstant)
-	b.utilization = b.utilization*left + (1-left)*float64(b.busy)/float64(b.world.scenario.Backends.Cores)
+	previousWeight := decay(now-b.utilizationAt, utilizationTimeConstant)
+	b.utilization = b.utilization*previousWeight + (1-previousWeight)*float64(b.busyCores)/float64(b.world.scenario.Backends.Cores)
 	b.utilizationAt = now
 }
 
@@ -114,7 +114,7 @@
 		w.after(connectTimeout, func() { a.finish(admission.ConnectFailed, nil) })
 		return
 	}
-	if !b.up || b.refuses {
+	if !b.up || b.refusesConnections {
 		w.result.AttemptsAtDown++
 		a.finish(admission.Unreachable, nil)
 		return
@@ -123,7 +123,7 @@
 	w.recordArrival(a)
 	w.checkQuota(a)
 	switch {
-	case b.busy < w.scenario.Backends.Cores:
+	case b.busyCores < w.scenario.Backends.Cores:
 		b.serve(a)
 	case len(b.queue) < w.scenario.Backends.Queue:
 		b.queue = append(b.queue, a)
@@ -145,7 +145,7 @@
 func (b *backend) serve(a *attempt) {
 	w, incarnation := b.world, b.incarnation
 	b.updateUtilization()
-	b.busy++
+	b.busyCores++
 	work := time.Duration(float64(w.exponential(milliseconds(w.scenario.Backends.Work))) / b.speed())
 	if b.isRepeat(a.request) {
 		work = repeatServiceTime
@@ -160,28 +160,28 @@
 	})
 }
 
-// isRepeat reports whether a request repeats an idempotency key within IdempotencyWindow. If not, it records
-// the request's key.
+// isRepeat reports whether a request repeats an idempotency key that the backend served within IdempotencyWindow. If
+// not, it records the request's key as served now.
 func (b *backend) isRepeat(r *request) bool {
 	if !r.keyed {
 		return false
 	}
-	ranAt, ran := b.keys[r.key]
-	if ran && b.world.now-ranAt < seconds(b.world.scenario.Backends.IdempotencyWindow) {
+	servedAt, served := b.keysServedAt[r.key]
+	if served && b.world.now-servedAt < seconds(b.world.scenario.Backends.IdempotencyWindow) {
 		return true
 	}
-	b.keys[r.key] = b.world.now
+	b.keysServedAt[r.key] = b.world.now
 	return false
 }
 
 // complete responds to an attempt and serves queued attempts on the cores that are free.
 func (b *backend) complete(a *attempt, work time.Duration) {
 	b.updateUtilization()
-	b.busy--
+	b.busyCores--
 	b.latency += latencyWeight * (work.Seconds()*1e3 - b.latency)
 	a.finish(admission.Succeeded, []float64{b.latency, b.utilization})
 	b.world.recordEnd(a)
-	for len(b.queue) > 0 && b.busy < b.world.scenario.Backends.Cores {
+	for len(b.queue) > 0 && b.busyCores < b.world.scenario.Backends.Cores {
 		next := b.queue[0]
 		b.queue = b.queue[1:]
 		if !next.done {
@@ -193,7 +193,7 @@
 // dropAttempts drops all attempts at the backend without a response.
 func (b *backend) dropAttempts() {
 	b.incarnation++
-	b.busy, b.queue, b.utilization = 0, nil, 0
+	b.busyCores, b.queue, b.utilization = 0, nil, 0
 }
 
 // stopResponding makes the backend unresponsive; its open attempts get no response.
--- a/internal/simulation/bucket.go
+++ b/internal/simulation/bucket.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Bucket is a token bucket as the rules define it: the reference that a run is checked against.
+// Bucket is a token bucket that implements the definition of a quota directly. A run is checked against it.
 type Bucket struct {
-	rate  float64 // units per second
-	burst float64 // units
-	level float64 // units, at the time at
-	at    time.Duration
+	rate  float64       // units per second
+	burst float64       // units
+	level float64       // units after the last refill, less those consumed since
+	at    time.Duration // time of the last refill
 }
 
 // NewBucket returns a Bucket that is full. The rate is in units per second, the burst in units.
@@ -31,8 +31,7 @@
 	return true
 }
 
-// Consume consumes units even if the bucket does not have them, and returns its level, which may be below
-// zero.
+// Consume consumes units even if the bucket does not have them, and returns its level, which may be below zero.
 func (b *Bucket) Consume(now time.Duration, units float64) float64 {
 	b.Refill(now)
 	b.level -= units
--- a/internal/simulation/bucket_test.go
+++ b/internal/simulation/bucket_test.go
@@ -10,7 +10,7 @@
 func TestBucket(t *testing.T) {
 	b := NewBucket(2, 10, 0)
 	if !b.Take(0, 10) || b.Take(0, 1) {
-		t.Error("a full bucket must allow its burst and no more")
+		t.Error("a full bucket of 10 units did not allow 10 units, or allowed 1 more")
 	}
 	if level := b.Refill(3 * time.Second); level != 6 {
 		t.Errorf("level %g after 3 s at 2/s, want 6", level)
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -14,8 +14,8 @@
 const (
 	// clientDelay is the one-way latency between a client and a limiter.
 	clientDelay = 500 * time.Microsecond
-	// responseSlack is how much later than its deadline a response may be.
-	responseSlack = 100 * time.Millisecond
+	// deadlineSlack is how much later than its deadline a response may be; see slack.
+	deadlineSlack = 100 * time.Millisecond
 )
 
 // customer sends requests to the limiters of its set. Its reference buckets show how its quota is enforced.
@@ -32,33 +32,35 @@
 	slots        slotTally
 }
 
-// tally sums the units of one customer's requests.
+// tally sums the units of one customer's requests. A client whose request is rejected may send it again: each time that
+// it sends the request is a try. The limiter handles each try as a request of its own, and forwards it in one or more
+// attempts.
 type tally struct {
-	requested           float64 // first tries
-	due                 float64 // see Result.Due
-	within, beyond      float64 // forwarded, within the quota and beyond it
-	rejected            float64 // tries rejected without an attempt
-	rejectedWithinQuota float64 // see Result.RejectedWithinQuota
-	ceilingDebt         float64 // largest amount that the ceiling's bucket was below zero
+	requested                                  float64 // of first tries
+	due                                        float64 // see Result.Due
+	forwardedWithinQuota, forwardedBeyondQuota float64 // of tries that reached a backend
+	rejected                                   float64 // of tries rejected before an attempt reached a backend
+	rejectedWithinQuota                        float64 // see Result.RejectedWithinQuota
+	ceilingDebt                                float64 // most units by which the ceiling's bucket was below zero
 }
 
-// request is one try of a client at a limiter.
+// request is one try of a client's request, sent to a limiter; see tally.
 type request struct {
-	id       uint64
-	customer *customer
-	limiter  *limiter
-	units    float64
-	keyed    bool
-	key      uint64 // idempotency key
-	retries  int    // that the client may still send
-	sentAt   time.Duration
-	counted  bool // an attempt has reached a backend
-	answered bool // has a response
-	lost     bool // its limiter's process was killed
-	attempts map[int]*attempt
+	id             uint64
+	customer       *customer
+	limiter        *limiter
+	units          float64
+	keyed          bool   // has an idempotency key
+	key            uint64 // idempotency key
+	retriesLeft    int    // how often the client may still send it again
+	sentAt         time.Duration
+	reachedBackend bool // an attempt has reached a backend; see checkQuota
+	answered       bool // has a response
+	lost           bool // its limiter's process was killed
+	attempts       map[int]*attempt
 }
 
-// requestKey identifies a request of a limiter, whichever of its processes handles it.
+// requestKey identifies a request by the number of its limiter, whichever of the limiter's processes handles it.
 type requestKey struct {
 	limiter int
 	id      core.RequestID
@@ -93,8 +95,8 @@
 			c := w.newCustomer(i, n)
 			w.customers = append(w.customers, c)
 			w.scheduleArrival(c)
-			if moves := w.scenario.Traffic.BusiestDuration; moves > 0 {
-				w.scheduleBusiestChange(c, seconds(moves*w.random.Float64()))
+			if interval := w.scenario.Traffic.BusiestDuration; interval > 0 {
+				w.scheduleBusiestChange(c, seconds(interval*w.random.Float64()))
 			}
 		}
 	}
@@ -110,9 +112,9 @@
 		firstLimiter: w.random.IntN(w.scenario.Limiters),
 		setSize:      setSize,
 		busiest:      w.random.IntN(setSize),
-		quota:        NewBucket(plan.Rate, plan.Burst, start),
-		ideal:        NewBucket(plan.Rate, plan.Burst, start),
-		ceiling:      NewBucket(plan.CeilingRate, plan.CeilingBurst, start),
+		quota:        NewBucket(plan.Rate, plan.Burst, runStart),
+		ideal:        NewBucket(plan.Rate, plan.Burst, runStart),
+		ceiling:      NewBucket(plan.CeilingRate, plan.CeilingBurst, runStart),
 		slots:        slotTally{limit: plan.MaxConcurrent},
 	}
 }
@@ -139,7 +141,7 @@
 	})
 }
 
-// sendFirstTry sends a new request of a customer.
+// sendFirstTry sends a new request of a customer; see tally for tries.
 func (w *world) sendFirstTry(c *customer) {
 	traffic := &w.scenario.Traffic
 	units := traffic.Units[w.random.IntN(len(traffic.Units))]
@@ -149,7 +151,7 @@
 	}
 	keyed := w.random.Float64() < traffic.KeyedFraction
 	w.lastID++
-	r := &request{customer: c, units: units, keyed: keyed, key: w.lastID, retries: traffic.Retries}
+	r := &request{customer: c, units: units, keyed: keyed, key: w.lastID, retriesLeft: traffic.Retries}
 	w.send(r, w.selectLimiter(c))
 }
 
@@ -206,7 +208,7 @@
 			Budget:       budget,
 			FirstLimiter: r.customer.firstLimiter,
 			SetSize:      r.customer.setSize,
-			IsRetry:      r.retries < w.scenario.Traffic.Retries,
+			IsRetry:      r.retriesLeft < w.scenario.Traffic.Retries,
 		},
 		ReceivedAt: r.limiter.clock(),
 		CallID:     fmt.Sprintf("%016x", r.id),
@@ -214,27 +216,27 @@
 	}
 }
 
-// slack returns how much later than its deadline a response may be: a stalled limiter responds after its
-// stall.
+// slack returns how much later than its deadline a response of a limiter may be: deadlineSlack, and the rest of the
+// stall if the limiter is stalled, as it responds after the stall.
 func (w *world) slack(l *limiter) time.Duration {
-	return max(l.stalledUntil-w.now, 0) + responseSlack
+	return max(l.stalledUntil-w.now, 0) + deadlineSlack
 }
 
 // checkQuota handles the first attempt of a request that has reached a backend: it consumes the request's units
-// from the reference buckets and checks the ceiling.
+// from the reference buckets and checks that the ceiling holds.
 func (w *world) checkQuota(a *attempt) {
 	r := a.request
-	if r.counted || r.answered && a.done {
+	if r.reachedBackend || r.answered && a.done {
 		return // counted before, or canceled before it arrived
 	}
-	r.counted = true
+	r.reachedBackend = true
 	w.usage.unitsReached += r.units
 	w.queueTimes = append(w.queueTimes, (w.now-backendDelay-r.sentAt-clientDelay).Seconds()*1e3)
 	c := r.customer
 	if c.quota.Take(w.now, r.units) {
-		c.tally.within += r.units
+		c.tally.forwardedWithinQuota += r.units
 	} else {
-		c.tally.beyond += r.units
+		c.tally.forwardedBeyondQuota += r.units
 	}
 	plan := w.scenario.Plans[c.plan]
 	if plan.CeilingRate <= 0 {
@@ -243,7 +245,7 @@
 	level := c.ceiling.Consume(w.now, r.units)
 	c.tally.ceilingDebt = max(c.tally.ceilingDebt, -level)
 	if -level > plan.Tolerance {
-		w.breach("the ceiling's bucket of %s is at %.1f units, must not be below %.1f", c.name, level, -plan.Tolerance)
+		w.breach("the ceiling's reference bucket of customer %s is at %.1f units, want at least %.1f", c.name, level, -plan.Tolerance)
 	}
 }
 
@@ -271,9 +273,10 @@
 	}
 }
 
-// handleRejection counts a rejected request and schedules the client's retry.
+// handleRejection counts a rejected request and schedules the client's retry, unless an attempt of the request has
+// reached a backend.
 func (w *world) handleRejection(r *request, retryAfter time.Duration) {
-	if r.counted {
+	if r.reachedBackend {
 		return
 	}
 	c := r.customer
@@ -282,13 +285,13 @@
 		c.tally.rejectedWithinQuota += r.units
 	}
 	w.recordRejection(c, c.quota.level >= r.units)
-	if r.retries <= 0 {
+	if r.retriesLeft <= 0 {
 		return
 	}
 	wait := milliseconds(w.scenario.Traffic.RetryWait)
 	if retryAfter > 0 && w.random.Float64() < w.scenario.Traffic.RetryAfterFraction {
 		wait = max(wait, retryAfter)
 	}
-	retry := &request{customer: c, units: r.units, keyed: r.keyed, key: r.key, retries: r.retries - 1}
+	retry := &request{customer: c, units: r.units, keyed: r.keyed, key: r.key, retriesLeft: r.retriesLeft - 1}
 	w.after(wait, func() { w.send(retry, w.selectLimiter(c)) })
 }
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// start is the virtual time at which a run starts: late enough that a backend that started long before the run
-// still has a valid start time.
-const start = time.Hour
+// runStart is the virtual time at which a run starts: late enough that a backend that started long before the run
+// has a valid start time.
+const runStart = time.Hour
 
 // scheduler is the virtual clock and the queue of scheduled tasks.
 type scheduler struct {
 	now      time.Duration
 	queue    taskQueue
-	sequence uint64 // of the last task
+	sequence uint64 // of the task that was scheduled last
 }
 
-// task is a function to run at a time. Tasks of the same time run in the order in which they were
-// scheduled.
+// task is a function to run at a time. Tasks of the same time run in the order in which they were scheduled.
 type task struct {
 	at       time.Duration
 	sequence uint64
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -22,22 +22,22 @@
 	resolved := f
 	resolved.Limiters = w.faultLimiters(f)
 	resolved.Backends = w.faultBackends(f)
-	if startKind := faultStarters[f.Kind]; startKind != nil {
-		startKind(w, resolved)
+	if starter := faultStarters[f.Kind]; starter != nil {
+		starter(w, resolved)
 	}
 	if w.repeats(f) {
 		w.after(seconds(f.Every), func() { w.startFault(f) })
 	}
 }
 
-// repeats reports whether a fault that starts now is to start again. If For is set, a restart repeats only
-// within that time.
+// repeats reports whether a fault that starts now is to start again before the end of the run. A restart for which
+// For is set repeats only within that time.
 func (w *world) repeats(f Fault) bool {
 	next := w.now + seconds(f.Every)
 	if f.Every <= 0 || next >= w.end {
 		return false
 	}
-	return f.Kind != FaultRestart || f.For <= 0 || next <= start+seconds(f.At+f.For)
+	return f.Kind != FaultRestart || f.For <= 0 || next <= runStart+seconds(f.At+f.For)
 }
 
 // faultLimiters returns the numbers of the limiters that a fault affects.
@@ -173,8 +173,8 @@
 
 func (w *world) startRefusing(f Fault) {
 	w.forBackends(f.Backends, func(b *backend) {
-		b.refuses = true
-		w.after(seconds(f.For), func() { b.refuses = false })
+		b.refusesConnections = true
+		w.after(seconds(f.For), func() { b.refusesConnections = false })
 	})
 }
 
--- a/internal/simulation/hotrestart.go
+++ b/internal/simulation/hotrestart.go
@@ -23,11 +23,11 @@
 
 // link is one process's end of the link to the other process of its limiter.
 type link struct {
-	peer       *limiter // nil for none
-	generation int      // number of the link; messages sent over an earlier link are dropped
-	paused     bool     // the listeners are paused: datagrams are queued
-	queued     []func() // deliver the queued datagrams
-	closing    bool     // the process ends once all its requests have a response
+	peer             *limiter // nil for none
+	generation       int      // number of the link, from 1; messages sent over an earlier link are dropped
+	paused           bool     // the listeners are paused: datagrams are queued
+	queuedDeliveries []func() // each delivers a datagram that arrived while the listeners were paused
+	closing          bool     // the process ends once all its requests have a response
 }
 
 // hasHotRestarts reports whether a scenario has hot restarts. Limiters look for a predecessor only if it does.
@@ -59,15 +59,15 @@
 	}
 }
 
-// newSuccessor returns a process that is linked to a running one and not started yet.
+// newSuccessor returns a process that is linked to a running one and has not been started yet.
 func (w *world) newSuccessor(l *limiter) *limiter {
 	successor := &limiter{
-		world:       w,
-		number:      l.number,
-		clockRate:   l.clockRate,
-		clockOffset: l.clockOffset,
-		partition:   l.partition,
-		receiveAt:   l.receiveAt,
+		world:         w,
+		number:        l.number,
+		clockRate:     l.clockRate,
+		clockOffset:   l.clockOffset,
+		partition:     l.partition,
+		nextReceiveAt: l.nextReceiveAt,
 	}
 	l.link.generation++
 	l.link.peer = successor
@@ -83,7 +83,8 @@
 	}
 }
 
-// endProcess kills one of two linked processes. The other one has the sockets of both from then on.
+// endProcess kills one of two linked processes. The other one has the sockets of both from then on, and learns after
+// linkDelay that the link is closed.
 func (w *world) endProcess(l *limiter) {
 	peer := l.link.peer
 	if l.machine == nil || peer == nil {
@@ -97,8 +98,8 @@
 	if !peer.link.paused {
 		l.link.paused = false
 	}
-	peer.link.queued = append(peer.link.queued, l.link.queued...)
-	l.link.queued = nil
+	peer.link.queuedDeliveries = append(peer.link.queuedDeliveries, l.link.queuedDeliveries...)
+	l.link.queuedDeliveries = nil
 	w.after(linkDelay, func() { peer.post(core.LinkClosed{Epoch: w.epoch()}) })
 }
 
@@ -182,7 +183,7 @@
 func (l *limiter) adoptSockets() {
 	l.world.limiters[l.number] = l
 	if peer := l.link.peer; peer != nil {
-		l.link.queued, peer.link.queued = peer.link.queued, nil
+		l.link.queuedDeliveries, peer.link.queuedDeliveries = peer.link.queuedDeliveries, nil
 	}
 	l.resumeListeners()
 	l.step(&core.EndpointsUpdated{Kind: admission.ListComplete, Endpoints: l.world.endpointList()})
@@ -191,10 +192,10 @@
 // resumeListeners delivers the queued datagrams.
 func (l *limiter) resumeListeners() {
 	l.link.paused = false
-	for _, deliver := range l.link.queued {
+	for _, deliver := range l.link.queuedDeliveries {
 		l.world.after(0, deliver)
 	}
-	l.link.queued = nil
+	l.link.queuedDeliveries = nil
 }
 
 // endWhenIdle ends a closing process once all its requests have a response.
--- a/internal/simulation/hotrestart_test.go
+++ b/internal/simulation/hotrestart_test.go
@@ -10,13 +10,13 @@
 // request gets the response of another one. With no process killed, the tier forwards as much of the due units,
 // and as little beyond the quotas, as the same tier without hot restarts.
 func TestHotRestarts(t *testing.T) {
-	// LEMONGATE_LONG=1 runs larger tiers, which takes minutes.
-	sizes, seedsOfThree := []int{3, 30}, uint64(8)
+	// LEMONGATE_LONG=1 runs more seeds and larger tiers, which takes minutes.
+	sizes, seedsOfSmallestTier := []int{3, 30}, uint64(8)
 	if os.Getenv("LEMONGATE_LONG") != "" {
-		sizes, seedsOfThree = []int{3, 80, 300}, 200
+		sizes, seedsOfSmallestTier = []int{3, 80, 300}, 200
 	}
 	for _, n := range sizes {
-		seeds := map[int]uint64{3: seedsOfThree, 30: 1, 80: 2, 300: 1}[n]
+		seeds := map[int]uint64{3: seedsOfSmallestTier, 30: 1, 80: 2, 300: 1}[n]
 		all := everyNth(n, 1, 0)
 		for seed := range seeds {
 			baseline := Run(shortScenario(n), seed)
@@ -27,16 +27,16 @@
 				t.Errorf("%d limiters, seed %d: %d rules broken: %v", n, seed, r.Breaches, r.Broken)
 			}
 			if seed == 0 {
-				t.Logf("%d limiters: within %.3f of due (without hot restarts %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.WithinQuota/r.Due,
+				t.Logf("%d limiters: forwarded within the quotas %.3f of due (without hot restarts %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.WithinQuota/r.Due,
 					baseline.WithinQuota/baseline.Due, r.BeyondQuota/r.Due, baseline.BeyondQuota/baseline.Due, r.Messages, baseline.Messages)
 			}
 			if r.WithinQuota/r.Due < 0.95*baseline.WithinQuota/baseline.Due || r.BeyondQuota/r.Due > baseline.BeyondQuota/baseline.Due+0.02 {
-				t.Errorf("%d limiters, seed %d: within %.3f, without hot restarts %.3f; beyond %.3f, without %.3f", n, seed,
+				t.Errorf("%d limiters, seed %d: forwarded within the quotas %.3f of due, want at least 0.95 times the %.3f without hot restarts; beyond %.3f, want at most 0.02 more than the %.3f without", n, seed,
 					r.WithinQuota/r.Due, baseline.WithinQuota/baseline.Due, r.BeyondQuota/r.Due, baseline.BeyondQuota/baseline.Due)
 			}
-			for i, dies := range []Process{Predecessor, Successor, Predecessor, Successor} {
+			for i, killed := range []Process{Predecessor, Successor, Predecessor, Successor} {
 				sc.Faults = []Fault{{
-					Kind: FaultHotRestart, At: 1, For: 0.6, Every: 1.1, Limiters: everyNth(n, 3, i%3), KilledProcess: dies,
+					Kind: FaultHotRestart, At: 1, For: 0.6, Every: 1.1, Limiters: everyNth(n, 3, i%3), KilledProcess: killed,
 					Down: 0.0005 * float64(1+seed+3*uint64(i)),
 				}}
 				if i > 1 {
@@ -44,7 +44,7 @@
 				}
 				r := Run(sc, seed)
 				if r.Breaches > 0 {
-					t.Errorf("%d limiters, seed %d, %s killed after %.1f ms: %d rules broken: %v", n, seed, dies,
+					t.Errorf("%d limiters, seed %d, %s killed after %.1f ms: %d rules broken: %v", n, seed, killed,
 						1e3*sc.Faults[0].Down, r.Breaches, r.Broken)
 				}
 			}
@@ -52,7 +52,8 @@
 	}
 }
 
-// shortScenario is largeTier with n limiters and a short run; below 30 limiters it has fewer customers and backends.
+// shortScenario is largeTier with n limiters and a short run. Above 100 limiters the run is shorter still, to bound the
+// time of the test; below 30 limiters the tier has fewer customers and backends.
 func shortScenario(n int) Scenario {
 	sc := largeTier(max(n, 30))
 	sc.Limiters, sc.Seconds = n, 6
--- a/internal/simulation/largetier_test.go
+++ b/internal/simulation/largetier_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// largeTier is a scenario in which the set of each customer has three quarters of the limiters, traffic is low, and
-// some customers request three times their quota or more.
+// largeTier is a scenario in which the set of each customer has three quarters of the limiters. Most customers request
+// 0.45 times their quota, some three times or more.
 func largeTier(limiters int) Scenario {
 	sc := Scenario{
 		Limiters: limiters, Seconds: 9,
@@ -47,9 +47,9 @@
 	for r := range 3 {
 		partition.Groups = append(partition.Groups, everyNth(n, 3, r))
 	}
-	rolling := []Fault{}
+	rollingRestart := []Fault{}
 	for r := range 10 {
-		rolling = append(rolling, Fault{Kind: FaultRestart, At: 1.5 + 0.5*float64(r), Down: 0.8, Limiters: everyNth(n, 10, r)})
+		rollingRestart = append(rollingRestart, Fault{Kind: FaultRestart, At: 1.5 + 0.5*float64(r), Down: 0.8, Limiters: everyNth(n, 10, r)})
 	}
 	for _, c := range []struct {
 		name        string
@@ -58,14 +58,14 @@
 	}{
 		{"no fault", nil, 0.92},
 		{"seven in ten killed at once", []Fault{{Kind: FaultRestart, At: 2, Down: 2, Limiters: everyNth(n, 10, 0, 1, 2, 3, 4, 5, 6)}}, 0.8},
-		{"a tenth at a time", rolling, 0.8},
+		{"a tenth at a time", rollingRestart, 0.8},
 		{"three partitions", []Fault{partition}, 0.8},
-		{"three partitions, and a tenth at a time", append([]Fault{partition}, rolling...), 0.75},
+		{"three partitions, and a tenth at a time", append([]Fault{partition}, rollingRestart...), 0.75},
 	} {
 		sc := largeTier(n)
 		sc.Faults = c.faults
 		r := Run(sc, 7)
-		t.Logf("%s: %.3f within, %.3f beyond, %.2f rejected within the quota, of the due units", c.name, r.WithinQuota/r.Due, r.BeyondQuota/r.Due, r.RejectedWithinQuota/r.Due)
+		t.Logf("%s: %.3f of the due units forwarded within the quotas, %.3f beyond, %.2f rejected within the quotas", c.name, r.WithinQuota/r.Due, r.BeyondQuota/r.Due, r.RejectedWithinQuota/r.Due)
 		if r.Breaches > 0 {
 			t.Errorf("%s: %d rules broken: %v", c.name, r.Breaches, r.Broken)
 		}
--- a/internal/simulation/leasechecker.go
+++ b/internal/simulation/leasechecker.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// leaseCheckInterval is the time between two checks of the leases.
+	// leaseCheckInterval is the virtual time between two checks of the leases.
 	leaseCheckInterval = 2 * time.Millisecond
-	// clockDrift is the assumed bound of the difference between the rates of clocks, as a fraction.
+	// clockDrift is the bound that limiters assume for the difference between the rates of clocks, as a fraction.
 	clockDrift = 0.01
 )
 
 // leaseChecker checks the leases of one task from outside of the limiters: by the attempts that reach the backends,
-// and by whether each limiter, even a stalled one, would act as holder now by its own clock. At most one limiter
-// holds the lease at a time, and fencing tokens do not decrease.
+// and by whether each limiter, even a stalled one, holds the lease now by its own clock. At most one limiter may hold
+// the lease at a time, and fencing tokens must not decrease.
 type leaseChecker struct {
-	task            string
-	enabled         bool
-	maxAttemptToken uint64 // of the attempts that reached a backend
-	maxHeldToken    uint64 // under which the lease was held
-	vacantSince     time.Duration
-	vacancies       []time.Duration // times without a holder
-	messages        map[int]int     // by receiver
-	leaseBytes      int             // in these messages
+	task               string
+	enabled            bool
+	maxAttemptToken    uint64          // highest token of the attempts that reached a backend
+	maxHeldToken       uint64          // highest token under which a limiter held the lease
+	vacantSince        time.Duration   // 0 while the lease has a holder
+	vacancies          []time.Duration // durations without a holder
+	messagesByReceiver map[int]int     // messages about leases
+	leaseBytes         int             // total size of these messages
 }
 
 // leaseSettings returns the lease settings of a limiter that starts now.
@@ -45,7 +45,7 @@
 	if w.scenario.Leases == nil {
 		return
 	}
-	w.leases = leaseChecker{task: w.scenario.Leases.Tasks[0], enabled: true, messages: map[int]int{}}
+	w.leases = leaseChecker{task: w.scenario.Leases.Tasks[0], enabled: true, messagesByReceiver: map[int]int{}}
 	w.after(0, w.checkLeasesPeriodically)
 }
 
@@ -54,7 +54,7 @@
 	w.after(leaseCheckInterval, w.checkLeasesPeriodically)
 }
 
-// holds reports whether a limiter holds the lease now, by its own clock, and under which token.
+// holds reports whether a limiter holds the lease now, by its own clock, and returns the token of the lease.
 func (w *world) holds(l *limiter) (token uint64, held bool) {
 	if l.machine == nil {
 		return 0, false
@@ -102,7 +102,7 @@
 	}
 }
 
-// recordVacancy records whether the lease has no holder now.
+// recordVacancy records the start or the end of a time without a lease holder; vacant means that there is none now.
 func (c *leaseChecker) recordVacancy(now time.Duration, vacant bool) {
 	switch {
 	case vacant && c.vacantSince == 0:
@@ -129,13 +129,13 @@
 // recordDatagram counts a datagram, if it is about leases.
 func (c *leaseChecker) recordDatagram(e core.SendToPeer) {
 	if c.enabled && lease.IsMessage(e.Data) {
-		c.messages[e.Peer]++
+		c.messagesByReceiver[e.Peer]++
 		c.leaseBytes += len(e.Data)
 	}
 }
 
-// summarizeLeases stores the measures of the leases in the result. The first vacancy is the one at the start and
-// does not count; a vacancy that has not ended at the end does.
+// summarizeLeases stores the measures of the leases in the result. The first vacancy, at the start of the run, does not
+// count. A vacancy that lasts until the end of the run does.
 func (w *world) summarizeLeases() {
 	c, r := &w.leases, &w.result
 	if !c.enabled {
@@ -150,7 +150,7 @@
 		r.NoHolderWorst = max(r.NoHolderWorst, ms)
 	}
 	messages := 0
-	for _, n := range c.messages {
+	for _, n := range c.messagesByReceiver {
 		messages += n
 		r.LeaseBusiest = max(r.LeaseBusiest, float64(n)/w.scenario.Seconds)
 	}
--- a/internal/simulation/limiter.go
+++ b/internal/simulation/limiter.go
@@ -9,26 +9,26 @@
 	"lemongate/internal/hotrestart"
 )
 
-// limiter is one process of a limiter: the real state machine in a simulated environment.
+// limiter is one process of a limiter: the state machine of the real program in a simulated environment.
 type limiter struct {
 	world         *world
 	number        int
-	incarnation   int           // starts and ends so far; tasks scheduled for an earlier one do nothing
+	incarnation   int           // incremented by each start and end; tasks scheduled for an earlier one do nothing
 	machine       *core.Machine // nil while the process is down
-	clockRate     float64       // of its clock, relative to virtual time
+	clockRate     float64       // rate of its clock, relative to virtual time
 	clockOffset   time.Duration
 	stalledUntil  time.Duration
-	stalledEvents []func()      // handle the events that arrived during a stall
+	stalledEvents []func()      // each handles an event that arrived during a stall
 	dropsOutgoing bool          // all datagrams that it sends are lost
 	dropsIncoming bool          // all datagrams that are sent to it are lost
-	partition     int           // limiters of other partitions are not reached
-	receiveAt     time.Duration // see receive
+	partition     int           // datagrams to and from limiters of other partitions are lost
+	nextReceiveAt time.Duration // when the next datagram is due at the maximum rate; see receive
 	link          link
 }
 
 func (w *world) startLimiters() {
 	for i := range w.scenario.Limiters {
-		l := &limiter{world: w, number: i, clockRate: 1, receiveAt: start}
+		l := &limiter{world: w, number: i, clockRate: 1, nextReceiveAt: runStart}
 		w.limiters = append(w.limiters, l)
 		l.boot()
 	}
@@ -36,7 +36,7 @@
 
 // clock returns the time of the limiter's own clock.
 func (l *limiter) clock() time.Duration {
-	return l.clockOffset + time.Duration(float64(l.world.now-start)*l.clockRate) + start
+	return l.clockOffset + time.Duration(float64(l.world.now-runStart)*l.clockRate) + runStart
 }
 
 // boot starts the process.
@@ -82,7 +82,7 @@
 // settings returns the settings of a limiter.
 func (w *world) settings(number int) admission.Settings {
 	backends := w.scenario.Backends
-	set := admission.Settings{
+	settings := admission.Settings{
 		Self:                  number,
 		Limiters:              w.scenario.Limiters,
 		Zone:                  w.zone(number),
@@ -101,7 +101,7 @@
 		OverloadDuration:      1500 * time.Millisecond,
 	}
 	for _, p := range w.scenario.Plans {
-		set.Plans = append(set.Plans, admission.Plan{
+		settings.Plans = append(settings.Plans, admission.Plan{
 			Name:           p.Name,
 			Rate:           p.Rate,
 			Burst:          p.Burst,
@@ -113,10 +113,10 @@
 			MaxConcurrent:  p.MaxConcurrent,
 		})
 	}
-	return set
+	return settings
 }
 
-// classes returns the request classes; backends drop repeats of an idempotency key within the window.
+// classes returns the request classes. The idempotency window is how long backends drop repeats of a key.
 func classes(window time.Duration) []admission.Class {
 	return []admission.Class{
 		{
@@ -169,7 +169,7 @@
 	}
 }
 
-// post delivers an event to the limiter, now or at the end of its stall.
+// post delivers an event to the limiter, now or at the end of its stall; a process that is down gets none.
 func (l *limiter) post(ev core.Event) {
 	if l.machine == nil {
 		return
@@ -191,7 +191,7 @@
 	}
 }
 
-// step handles an event.
+// step passes an event to the state machine and executes the effects.
 func (l *limiter) step(ev core.Event) {
 	begin := time.Now()
 	effects := l.machine.Step(l.clock(), ev)
@@ -207,7 +207,7 @@
 	}
 }
 
-// execute executes effects.
+// execute executes effects in their order.
 func (l *limiter) execute(effects []core.Effect) {
 	for _, e := range effects {
 		l.executeOne(e)
@@ -240,7 +240,7 @@
 	}
 }
 
-// openRequest returns an open request of the limiter, nil if there is none with the ID.
+// openRequest returns the open request of the limiter with an ID, nil if there is none.
 func (l *limiter) openRequest(id core.RequestID) *request {
 	return l.world.openRequests[requestKey{l.number, id}]
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -10,7 +10,8 @@
 const (
 	// maxDatagramSize is the largest allowed size of a datagram, in bytes.
 	maxDatagramSize = 256
-	// receiveBurst is the time whose datagrams, at its maximum rate, a limiter can receive at once.
+	// receiveBurst bounds the burst of datagrams that a limiter can receive: as many as arrive in this time at its
+	// maximum rate.
 	receiveBurst = 500 * time.Millisecond
 )
 
@@ -20,7 +21,7 @@
 	w.result.Bytes += len(e.Data)
 	w.leases.recordDatagram(e)
 	if len(e.Data) > maxDatagramSize {
-		w.breach("a datagram of %d bytes exceeds the size limit", len(e.Data))
+		w.breach("a datagram of %d bytes exceeds maxDatagramSize", len(e.Data))
 	}
 	for to := range w.limiters {
 		if to != from.number && (e.Peer < 0 || e.Peer == to) {
@@ -29,8 +30,8 @@
 	}
 }
 
-// transmit sends a datagram over the network, which may lose, delay or duplicate it. The random draws are
-// the same whether limiters are separated or not.
+// transmit sends a datagram over the network, which may lose, delay or duplicate it. Whether limiters are separated does
+// not change which random numbers are drawn.
 func (w *world) transmit(from *limiter, to int, data []byte) {
 	network := w.scenario.Network
 	if w.networkRandom.Float64() < network.Loss || from.dropsOutgoing {
@@ -52,7 +53,7 @@
 	}
 }
 
-// separated reports whether a fault separates a sender from a receiver.
+// separated reports whether a partition or a lost direction separates a sender from a receiver.
 func (w *world) separated(from *limiter, to int) bool {
 	return from.partition != w.limiters[to].partition || w.lostDirections[[2]int{from.number, to}]
 }
@@ -64,16 +65,16 @@
 		return
 	}
 	if rate := w.scenario.Network.MaxReceivedPerSecond; rate > 0 {
-		to.receiveAt = max(to.receiveAt, w.now-receiveBurst)
-		if to.receiveAt > w.now {
+		to.nextReceiveAt = max(to.nextReceiveAt, w.now-receiveBurst)
+		if to.nextReceiveAt > w.now {
 			w.result.Dropped++
 			return
 		}
-		to.receiveAt += seconds(1 / rate)
+		to.nextReceiveAt += seconds(1 / rate)
 	}
 	deliver := func() { w.limiters[number].post(&core.PeerMessageReceived{From: from, Data: data}) }
 	if to.link.paused {
-		to.link.queued = append(to.link.queued, deliver)
+		to.link.queuedDeliveries = append(to.link.queuedDeliveries, deliver)
 		return
 	}
 	deliver()
--- a/internal/simulation/restartchecker.go
+++ b/internal/simulation/restartchecker.go
@@ -11,30 +11,30 @@
 // restartSlotPollInterval is how often a limiter that waits for its restart slot is checked.
 const restartSlotPollInterval = 50 * time.Millisecond
 
-// restartChecker checks rolling restarts: no more limiters restart at once than MaxRestarting allows, and never
-// all limiters that hold the buckets of one customer.
+// restartChecker holds the state of the rolling restarts. checkRestarts checks that no more limiters restart at once
+// than MaxRestarting allows, and never all limiters that hold the buckets of one customer.
 type restartChecker struct {
-	waiting    int          // limiters that wait for a restart slot
-	restarting map[int]bool // by number: killed under a restart slot, and not serving yet
-	ownerSets  [][]int      // the limiters that hold each customer's buckets, if more than one does
+	waiting    int          // number of limiters that wait for a restart slot
+	restarting map[int]bool // by limiter: killed under a restart slot, and not serving yet
+	holderSets [][]int      // of each customer whose buckets several limiters hold: these limiters
 }
 
 // requestRestart restarts a limiter once it has a restart slot.
 func (w *world) requestRestart(number int, down time.Duration) {
 	if w.restarts.restarting == nil {
-		w.restarts = restartChecker{restarting: map[int]bool{}, ownerSets: w.ownerSets()}
+		w.restarts = restartChecker{restarting: map[int]bool{}, holderSets: w.holderSets()}
 	}
 	w.restarts.waiting++
 	w.restartWithSlot(number, down)
 }
 
-// ownerSets returns the limiters that hold each customer's buckets, if more than one does.
-func (w *world) ownerSets() [][]int {
+// holderSets returns, of each customer whose buckets several limiters hold, these limiters.
+func (w *world) holderSets() [][]int {
 	var sets [][]int
 	for _, c := range w.customers {
-		owners := admission.HoldersOf(c.name, c.firstLimiter, c.setSize, w.scenario.Limiters)
-		if len(owners) > 1 {
-			sets = append(sets, owners)
+		holders := admission.HoldersOf(c.name, c.firstLimiter, c.setSize, w.scenario.Limiters)
+		if len(holders) > 1 {
+			sets = append(sets, holders)
 		}
 	}
 	return sets
@@ -53,7 +53,7 @@
 	w.after(down, l.bootIfDown)
 }
 
-// hasRestartSlot reports whether a limiter has a restart slot, and requests one if the limiter has not yet.
+// hasRestartSlot reports whether a limiter has a restart slot. If the limiter has not requested one yet, it does so now.
 func (l *limiter) hasRestartSlot() bool {
 	if l.machine == nil || l.world.now < l.stalledUntil {
 		return false
@@ -68,7 +68,7 @@
 	return false
 }
 
-// checkRestarts checks which limiters are restarting under restart slots now.
+// checkRestarts updates which limiters are restarting under restart slots, and checks the rules for them.
 func (w *world) checkRestarts() {
 	restarting := w.restarts.restarting
 	for number := range restarting {
@@ -83,9 +83,9 @@
 	if len(restarting) < 2 {
 		return
 	}
-	for _, owners := range w.restarts.ownerSets {
-		if !slices.ContainsFunc(owners, func(n int) bool { return !restarting[n] }) {
-			w.breach("limiters %v restart at once: they are all that hold the buckets of one customer", owners)
+	for _, holders := range w.restarts.holderSets {
+		if !slices.ContainsFunc(holders, func(n int) bool { return !restarting[n] }) {
+			w.breach("limiters %v restart at once: they are all that hold the buckets of one customer", holders)
 		}
 	}
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -6,25 +6,25 @@
 	"lemongate/internal/usage"
 )
 
-// Result holds the measures of a run. Units are the mean over the customers, unless the name says Worst (their
-// maximum) or 99 (their 99th percentile). The names in files are older: there "refused" are rejections, "fetches"
-// attempts, "reqs" requests.
+// Result holds the measures of a run. Numbers of units are means over the customers, unless the name says Worst (their
+// maximum) or 99 (their 99th percentile). A client may send a request again after a rejection; each time that it sends
+// it is a try. The names in files differ: there "refused" are rejections, "fetches" attempts, "reqs" requests.
 type Result struct {
 	Requested           float64 `json:"asked"`         // units of first tries
-	Due                 float64 `json:"due"`           // units that one limiter that gets all first tries would forward
+	Due                 float64 `json:"due"`           // units that a single limiter that receives all first tries would forward
 	WithinQuota         float64 `json:"inside"`        // units forwarded within the quota
-	BeyondQuota         float64 `json:"beyond"`        // units forwarded beyond it
-	BeyondWorst         float64 `json:"beyond_worst"`  // units, of the customer with most
+	BeyondQuota         float64 `json:"beyond"`        // units forwarded beyond the quota
+	BeyondWorst         float64 `json:"beyond_worst"`  // units, of the customer with the most
 	Beyond99            float64 `json:"beyond_99"`     // units
-	RejectedUnits       float64 `json:"refused_units"` // units of tries rejected without an attempt
-	RejectedWithinQuota float64 `json:"refused_room"`  // of these, while the reference bucket was over half full
+	RejectedUnits       float64 `json:"refused_units"` // units of tries rejected before an attempt reached a backend
+	RejectedWithinQuota float64 `json:"refused_room"`  // of these, units rejected while the reference bucket was over half full
 	CeilingDebtWorst    float64 `json:"under_worst"`   // units by which a ceiling's reference bucket was below zero
 	CeilingDebt99       float64 `json:"under_99"`      // units
 
 	Requests       int `json:"reqs"`
 	Served         int `json:"served"`
 	Lost           int `json:"lost"`    // without a complete response, though the limiter was up; only on processes
-	Resent         int `json:"resent"`  // on a new connection, as a kept one had ended; only on processes
+	Resent         int `json:"resent"`  // sent again on a new connection, because a kept-alive one had ended; only on processes
 	Doubled        int `json:"doubled"` // requests with an idempotency key that ran twice; only on processes
 	Rejected       int `json:"refused"`
 	Failed         int `json:"failed"`
@@ -38,37 +38,37 @@
 	Dropped            int     `json:"dropped"` // datagrams beyond what a limiter receives
 	MessagesPerRequest float64 `json:"messages_per_req"`
 	BytesPerRequest    float64 `json:"bytes_per_req"`
-	CPUPerRequest      float64 `json:"cpu_us_per_req"` // of the state machines; the only figure that a seed does not fix
+	CPUPerRequest      float64 `json:"cpu_us_per_req"` // µs in the state machines; the only measure that a seed does not determine
 
-	QueueTime50 float64 `json:"wait_50_ms"` // from a request's arrival to its first attempt
-	QueueTime99 float64 `json:"wait_99_ms"`
+	QueueTime50 float64 `json:"wait_50_ms"` // ms from a request's arrival to its first attempt, median
+	QueueTime99 float64 `json:"wait_99_ms"` // the same, 99th percentile
 
-	// Measures of the first task that is done under a lease.
-	Holders         int     `json:"holders"`      // times that another incarnation of a limiter acquired it
-	Overlaps        int     `json:"overlaps"`     // observations of two holders
-	NoHolder        float64 `json:"no_holder_ms"` // mean time without one, of the times after the first
+	// Measures of the first task that is done under a lease, of usage reports and of rolling restarts.
+	Holders         int     `json:"holders"`      // times that another incarnation of a limiter acquired the lease
+	Overlaps        int     `json:"overlaps"`     // checks that found two holders
+	NoHolder        float64 `json:"no_holder_ms"` // mean duration without a holder, except that before the first one
 	NoHolderWorst   float64 `json:"no_holder_worst_ms"`
-	LeasedAttempts  int     `json:"acts"`        // attempts that reached backends under it
-	TokenDecreases  int     `json:"token_falls"` // of these, under a lower token than an earlier one
+	LeasedAttempts  int     `json:"acts"`        // attempts under the lease that reached backends
+	TokenDecreases  int     `json:"token_falls"` // of these, those under a lower token than an earlier one
 	Periods         int     `json:"periods"`     // usage reports that count
-	UsageFaults     int     `json:"use_faults"`  // faults of their summary
-	UsageDuplicates int     `json:"use_twice"`   // periods in two reports
-	UsageRepeats    int     `json:"use_again"`   // reports that count and were written again
-	UsageOver       float64 `json:"use_over"`    // units in the reports beyond what reached backends
-	UsageUnder      float64 `json:"use_under"`   // units that reached them and are neither reported nor recorded
+	UsageFaults     int     `json:"use_faults"`  // faults that the summary of the reports lists
+	UsageDuplicates int     `json:"use_twice"`   // periods in two reports without MayRepeat
+	UsageRepeats    int     `json:"use_again"`   // reports that count and have MayRepeat: an earlier lease holder may have written one
+	UsageOver       float64 `json:"use_over"`    // units in the reports beyond those that reached backends
+	UsageUnder      float64 `json:"use_under"`   // units that reached backends and are neither reported nor recorded
 	Restarted       int     `json:"walked"`      // limiters that restarted under a restart slot and serve again
-	RestartsOpen    int     `json:"walking"`     // those that wait for one or restart, at the end
+	RestartsOpen    int     `json:"walking"`     // limiters that wait for a restart slot or restart, at the end
 	LeaseMessages   float64 `json:"lease_messages_per_s"`
 	LeaseBytes      float64 `json:"lease_bytes_per_s"`
 	LeaseBusiest    float64 `json:"lease_busiest_per_s"` // messages to the limiter that receives most
 
-	Slots SlotResult `json:"-"` // its measures are listed beside those of the Result
+	Slots SlotResult `json:"-"` // experiments list its measures together with those of Result
 
 	Breaches int      `json:"breaches"` // of rules
 	Broken   []string `json:"broken,omitempty"`
 }
 
-// maxBreachesKept is how many breaches a Result describes.
+// maxBreachesKept is how many descriptions of breaches a Result keeps.
 const maxBreachesKept = 5
 
 // RecordBreach counts a breach of a rule and keeps the description if it is one of the first.
@@ -79,8 +79,8 @@
 	}
 }
 
-// RecordUsage records the summary of all usage reports and returns the units that they report. It calls breach
-// for each period that is in two reports which do not say so.
+// RecordUsage records the summary of all usage reports and returns the units that they report. It calls breach for each
+// period that is in two reports without MayRepeat.
 func (r *Result) RecordUsage(summary usage.Summary, breach func(format string, args ...any)) float64 {
 	r.Periods = len(summary.Reports)
 	r.UsageFaults = len(summary.Faults)
@@ -119,11 +119,11 @@
 		t := c.tally
 		r.Requested += t.requested / count
 		r.Due += t.due / count
-		r.WithinQuota += t.within / count
-		r.BeyondQuota += t.beyond / count
+		r.WithinQuota += t.forwardedWithinQuota / count
+		r.BeyondQuota += t.forwardedBeyondQuota / count
 		r.RejectedWithinQuota += t.rejectedWithinQuota / count
 		r.RejectedUnits += t.rejected / count
-		beyond = append(beyond, t.beyond)
+		beyond = append(beyond, t.forwardedBeyondQuota)
 		ceilingDebts = append(ceilingDebts, t.ceilingDebt)
 	}
 	slices.Sort(beyond)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -2,8 +2,8 @@
 
 import "lemongate/internal/lease"
 
-// Scenario describes a tier, its traffic and its faults. Times are in seconds unless the name of the field in
-// files says otherwise.
+// Scenario describes a tier, its traffic and its faults. Times are in seconds unless the name of the field in files has
+// another unit.
 type Scenario struct {
 	Limiters int     `json:"limiters"`
 	Seconds  float64 `json:"seconds"`
@@ -11,7 +11,7 @@
 	Traffic  Traffic `json:"traffic"`
 	Backends Backend `json:"backends"`
 	Network  Network `json:"network"`
-	Zones    int     `json:"zones"` // limiters and backends are assigned to them round-robin; 0 for one
+	Zones    int     `json:"zones"` // limiters and backends are assigned to zones round-robin; 0 for one zone
 	Leases   *Leases `json:"leases,omitempty"`
 	Faults   []Fault `json:"faults"`
 }
@@ -34,13 +34,13 @@
 	return numbers
 }
 
-// Leases describes the tasks that one limiter at a time does; see lease.Settings and core.RestartSlots.
+// Leases describes the tasks that only the holder of a lease does; see lease.Settings and core.RestartSlots.
 type Leases struct {
 	Tasks               []string `json:"tasks"`
 	Duration            float64  `json:"length_ms"`
 	AcceptorCount       int      `json:"keepers"`             // acceptors of each task
-	UsagePeriod         float64  `json:"rollup_ms,omitempty"` // of usage reports; 0 for none
-	MaxRestarting       int      `json:"out_most,omitempty"`  // limiters that may restart at once
+	UsagePeriod         float64  `json:"rollup_ms,omitempty"` // period of usage reports; 0 for no reports
+	MaxRestarting       int      `json:"out_most,omitempty"`  // limiters that may restart at once under restart slots
 	RestartSlotDuration float64  `json:"turn_ms,omitempty"`   // how long a restart slot is valid
 }
 
@@ -56,19 +56,19 @@
 	ExcessFraction float64 `json:"excess_worth"`  // see admission.Plan.ExcessFraction
 	OverQuotaCost  float64 `json:"over_cost"`     // see admission.Plan.OverQuotaCost
 	Customers      int     `json:"customers"`
-	LoadFactor     float64 `json:"times"`                               // units that a customer requests, in multiples of the rate
+	LoadFactor     float64 `json:"times"`                               // units that a customer requests, as a multiple of its rate
 	MaxConcurrent  int     `json:"concurrency,omitempty" since:"0.9.2"` // attempts in flight of a customer; 0 for no limit
 }
 
 // Traffic describes how requests arrive.
 type Traffic struct {
 	LimitersPerCustomer int       `json:"spread"`      // limiters in a customer's set; 0 for all
-	BusiestFraction     float64   `json:"busiest"`     // fraction of a customer's requests that its busiest limiter gets
-	BusiestDuration     float64   `json:"moves_s"`     // how long a limiter stays the busiest
+	BusiestFraction     float64   `json:"busiest"`     // fraction of a customer's requests that its busiest limiter receives
+	BusiestDuration     float64   `json:"moves_s"`     // how long a limiter stays a customer's busiest
 	Units               []float64 `json:"units"`       // units of requests, each equally likely
-	Retries             int       `json:"retries"`     // retries of a client after a rejection
-	RetryWait           float64   `json:"retry_ms"`    // how long a client waits before one, unless it follows Retry-After
-	RetryAfterFraction  float64   `json:"heed"`        // fraction of the clients that follow Retry-After
+	Retries             int       `json:"retries"`     // how often a client may retry a rejected request
+	RetryWait           float64   `json:"retry_ms"`    // how long a client waits before a retry, or longer if it follows Retry-After
+	RetryAfterFraction  float64   `json:"heed"`        // fraction of the rejections after which the client follows Retry-After
 	KeyedFraction       float64   `json:"keyed"`       // fraction of the requests that have an idempotency key
 	Deadline            float64   `json:"deadline_ms"` // how long a client waits for the response
 }
@@ -86,22 +86,22 @@
 type Backend struct {
 	Count             int     `json:"count"`
 	Cores             int     `json:"cores"`
-	Work              float64 `json:"work_ms"`     // mean, exponentially distributed
-	Queue             int     `json:"queue"`       // length of the queue, beyond which attempts are rejected
-	ColdFraction      float64 `json:"cold"`        // fraction of full speed just after a start; it grows linearly ...
+	Work              float64 `json:"work_ms"`     // mean service time of an attempt; exponentially distributed
+	Queue             int     `json:"queue"`       // maximum length of the queue, beyond which attempts are rejected
+	ColdFraction      float64 `json:"cold"`        // fraction of full speed at a start; it grows linearly ...
 	SlowStartDuration float64 `json:"warm_s"`      // ... to 1 within this time
-	IdempotencyWindow float64 `json:"window_s"`    // how long repeats of an idempotency key are dropped
-	ListLag           float64 `json:"list_lag_ms"` // time until the endpoint list shows a change
+	IdempotencyWindow float64 `json:"window_s"`    // how long a backend recognizes repeats of an idempotency key
+	ListLag           float64 `json:"list_lag_ms"` // time from a crash or start of a backend until the endpoint list shows it
 }
 
 // Network describes how datagrams travel between limiters.
 type Network struct {
 	DelayMin             float64 `json:"delay_min_ms"`
 	DelayMax             float64 `json:"delay_max_ms"`
-	Loss                 float64 `json:"loss"`     // fraction that is lost
-	Duplicated           float64 `json:"twice"`    // fraction that is duplicated
-	Delayed              float64 `json:"old"`      // fraction that is delayed by DelayedFor
-	DelayedFor           float64 `json:"old_s"`    // see Delayed
+	Loss                 float64 `json:"loss"`     // fraction of the datagrams that is lost
+	Duplicated           float64 `json:"twice"`    // fraction of the datagrams that is duplicated
+	Delayed              float64 `json:"old"`      // fraction of the datagrams that is delayed by DelayedFor
+	DelayedFor           float64 `json:"old_s"`    // additional delay, see Delayed
 	MaxReceivedPerSecond float64 `json:"in_per_s"` // datagrams per second that a limiter receives; 0 for no bound
 }
 
@@ -110,8 +110,8 @@
 
 // The kinds of faults.
 const (
-	// FaultPartition separates limiters in different Groups, and loses datagrams between both ends of each pair
-	// of LostDirections, in that direction only.
+	// FaultPartition separates limiters in different Groups. For each pair of LostDirections it also loses the datagrams
+	// from the first limiter to the second.
 	FaultPartition FaultKind = "cut"
 	// FaultOutgoingLoss loses all datagrams that Limiters send.
 	FaultOutgoingLoss FaultKind = "mute"
@@ -119,16 +119,16 @@
 	FaultIncomingLoss FaultKind = "deaf"
 	// FaultLoss loses the fraction Rate of all datagrams.
 	FaultLoss FaultKind = "loss"
-	// FaultClock makes the clocks of Limiters run Rate times as fast from then on.
+	// FaultClock makes the clocks of Limiters run at Rate times their normal rate from then on.
 	FaultClock FaultKind = "clock"
-	// FaultStall stops Limiters; events that arrive meanwhile are handled at the end of the fault.
+	// FaultStall stalls the processes of Limiters; events that arrive meanwhile are handled at the end of the fault.
 	FaultStall FaultKind = "stall"
-	// FaultRestart kills Limiters, and starts them without any state after Down.
+	// FaultRestart kills Limiters, and starts them without any state after the time Down.
 	FaultRestart FaultKind = "restart"
-	// FaultHotRestart starts a successor of each of Limiters. The predecessor is shut down after For. The process
-	// that KilledProcess names is killed Down after the start of the fault.
+	// FaultHotRestart starts a successor of each of Limiters. The predecessor is shut down after the time For. The process
+	// that KilledProcess names is killed the time Down after the start of the fault.
 	FaultHotRestart FaultKind = "takeover"
-	// FaultRollingRestart restarts Limiters once they have a restart slot, each down for Down.
+	// FaultRollingRestart restarts Limiters once they have a restart slot; each is down for the time Down.
 	FaultRollingRestart FaultKind = "walk"
 	// FaultBackendCrash kills Backends, and starts them cold at the end of the fault.
 	FaultBackendCrash FaultKind = "backend"
@@ -157,19 +157,19 @@
 	RoleOneAcceptor Role = "keeper"  // selected at random
 )
 
-// Fault is a fault that starts at a time and lasts for a time. Each kind uses the fields that its constant
-// names.
+// Fault is a fault that starts at the time At and lasts for the time For. Each kind uses the fields that the comment on
+// its constant names.
 type Fault struct {
 	Kind           FaultKind `json:"kind"`
 	At             float64   `json:"at_s"`
 	For            float64   `json:"for_s"`
-	Groups         [][]int   `json:"groups,omitempty"`   // of limiters
-	LostDirections [][]int   `json:"ways,omitempty"`     // sender and receiver
+	Groups         [][]int   `json:"groups,omitempty"`   // numbers of limiters, one list for each partition
+	LostDirections [][]int   `json:"ways,omitempty"`     // pairs of sender and receiver
 	Limiters       []int     `json:"limiters,omitempty"` // replaced by those of Role, if that is set
 	Backends       []int     `json:"backends,omitempty"` // replaced by Zone, if that is set
 	Down           float64   `json:"down_s,omitempty"`
 	Every          float64   `json:"every_s,omitempty"` // the fault starts again after this; 0 for never
-	Rate           float64   `json:"rate,omitempty"`
+	Rate           float64   `json:"rate,omitempty"`    // see FaultLoss and FaultClock
 	KilledProcess  Process   `json:"dies,omitempty"`
 	Role           Role      `json:"who,omitempty"`
 	Zone           int       `json:"zone,omitempty"` // from 1: all backends of this zone
--- a/internal/simulation/slotchecker.go
+++ b/internal/simulation/slotchecker.go
@@ -9,11 +9,10 @@
 )
 
 const (
-	// slotSettleDuration is the time without requests before the probe of slots. Every loan of a slot has ended by
-	// then, even if the message that returns the slot was lost.
+	// slotSettleDuration is the time without new requests between the end of the run and the probe of slots. Every loan of
+	// a slot has ended by then, even if the message that returns the slot was lost.
 	slotSettleDuration = 8 * time.Second
-	// slotProbeDuration is how long each customer's slots are probed. It is shorter than the deadline
-	// of a request.
+	// slotProbeDuration is how long each customer's slots are probed. It is shorter than the deadline of a request.
 	slotProbeDuration = 1500 * time.Millisecond
 	// maxProbedCustomers is how many customers are probed.
 	maxProbedCustomers = 2
@@ -26,10 +25,10 @@
 // SlotResult holds the measures of the limits of attempts in flight, see Plan.MaxConcurrent. All are zero if no plan
 // has a limit. Experiments use them like the measures of Result; releases up to 0.9.1 do not have them.
 type SlotResult struct {
-	Excess               float64 `json:"slots_over"`         // attempts in flight beyond the limit, of the customer with most
-	ExcessWithOrphaned   float64 `json:"slots_over_killed"`  // the same, with attempts still served for killed processes
-	TriesOverLimit       float64 `json:"slots_over_tries"`   // tries whose first attempt came while the limit was reached
-	RejectedWithFreeSlot float64 `json:"slots_refused_free"` // fraction of the tries, rejected while a slot and the units were free
+	Excess               float64 `json:"slots_over"`         // most attempts in flight beyond the limit of any customer
+	ExcessWithOrphaned   float64 `json:"slots_over_killed"`  // the same, counting also attempts that backends still serve for ended processes
+	TriesOverLimit       float64 `json:"slots_over_tries"`   // tries whose first attempt arrived while the limit was reached
+	RejectedWithFreeSlot float64 `json:"slots_refused_free"` // tries rejected while a slot and the units were free, as a fraction of all tries
 	Unusable             float64 `json:"slots_unusable"`     // slots that the probe after the run could not use
 	Probed               float64 `json:"slots_probed"`       // slots of the customers that were probed
 	Messages             float64 `json:"slots_messages_per_s"`
@@ -40,26 +39,26 @@
 // ended. An attempt whose process ends is orphaned from then until the backend has finished it, at most until its
 // request's deadline.
 type slotChecker struct {
-	tries              int
-	rejectedFree       int
-	triesOverLimit     int
-	excess             int // largest excess over a limit
-	excessWithOrphaned int // see SlotResult.ExcessWithOrphaned
-	probing            bool
+	tries                int  // requests sent; each retry counts
+	rejectedWithFreeSlot int  // see SlotResult.RejectedWithFreeSlot
+	triesOverLimit       int  // see SlotResult.TriesOverLimit
+	excess               int  // see SlotResult.Excess
+	excessWithOrphaned   int  // see SlotResult.ExcessWithOrphaned
+	probing              bool // the probe after the run has started
 }
 
 // slotTally holds the attempts in flight of one customer.
 type slotTally struct {
 	limit       int        // 0 for none
 	inFlight    []*attempt // in the order of their arrival
-	orphaned    []*attempt // of processes that ended
-	maxInFlight int        // most attempts in flight at once; reset when the customer's probe starts
+	orphaned    []*attempt // attempts of processes that ended, which backends still serve
+	maxInFlight int        // most attempts in flight at once; set to 0 when the customer's probe starts
 }
 
-// free returns how many further attempts the limit allows.
+// free returns how many further attempts the limit allows; it is negative if the limit is exceeded.
 func (t *slotTally) free() int { return t.limit - len(t.inFlight) }
 
-// limitsSlots reports whether a plan has a limit of attempts in flight.
+// limitsSlots reports whether any plan limits the attempts in flight.
 func (sc *Scenario) limitsSlots() bool {
 	return slices.ContainsFunc(sc.Plans, func(p Plan) bool { return p.MaxConcurrent > 0 })
 }
@@ -70,7 +69,7 @@
 	if t.limit <= 0 || a.done {
 		return
 	}
-	if !a.request.counted && t.free() <= 0 {
+	if !a.request.reachedBackend && t.free() <= 0 {
 		w.slots.triesOverLimit++
 	}
 	t.inFlight = append(t.inFlight, a)
@@ -79,21 +78,21 @@
 	w.slots.excessWithOrphaned = max(w.slots.excessWithOrphaned, len(t.orphaned)-t.free())
 }
 
-// recordEnd records an attempt that has ended for its backend: it is finished or its connection has ended.
+// recordEnd records that an attempt has ended at its backend: it is finished or its connection has ended.
 func (w *world) recordEnd(a *attempt) {
 	t := &a.request.customer.slots
 	t.inFlight = removeAttempt(t.inFlight, a)
 	t.orphaned = removeAttempt(t.orphaned, a)
 }
 
-// recordCancel records an attempt whose connection its limiter closes now.
+// recordCancel records an attempt whose connection its limiter closes now. The backend learns of it after backendDelay.
 func (w *world) recordCancel(a *attempt) {
 	if a.request.customer.slots.limit > 0 {
 		w.after(backendDelay, func() { w.recordEnd(a) })
 	}
 }
 
-// recordLateCancel is recordCancel for an attempt of a request that has its response.
+// recordLateCancel is recordCancel for an attempt of a request that already has its response.
 func (w *world) recordLateCancel(l *limiter, id core.AttemptID) {
 	for _, c := range w.customers {
 		for _, a := range c.slots.inFlight {
@@ -120,23 +119,23 @@
 	}
 }
 
-// recordBackendCrash removes the orphaned attempts at a backend that crashes.
+// recordBackendCrash removes the orphaned attempts at a backend that has crashed.
 func (w *world) recordBackendCrash(b *backend) {
 	for _, c := range w.customers {
 		c.slots.orphaned = slices.DeleteFunc(c.slots.orphaned, func(a *attempt) bool { return a.backend == b })
 	}
 }
 
-// recordRejection records a rejected try; unitsFree means that its units were in the customer's bucket.
-func (w *world) recordRejection(c *customer, unitsFree bool) {
-	if c.slots.limit > 0 && c.slots.free() > 0 && unitsFree {
-		w.slots.rejectedFree++
+// recordRejection records a rejected try; unitsAvailable means that the customer's bucket had the try's units.
+func (w *world) recordRejection(c *customer, unitsAvailable bool) {
+	if c.slots.limit > 0 && c.slots.free() > 0 && unitsAvailable {
+		w.slots.rejectedWithFreeSlot++
 	}
 }
 
-// probeSlots runs the probe after the run, which shows which slots can still be used: no requests until every loan
-// has ended, then each probed customer in turn requests as many attempts as its limit allows, none of which finishes
-// before the end of its turn.
+// probeSlots finds out after the run how many slots can still be used. It sends no requests until every loan has ended.
+// Then each probed customer in turn requests as many attempts as its limit allows; none of them finishes before the end
+// of the customer's turn.
 func (w *world) probeSlots() {
 	w.runUntil(w.end + slotSettleDuration)
 	w.slots.probing = true
@@ -151,7 +150,7 @@
 	}
 }
 
-// probedCustomers returns the first customers that have a limit of attempts in flight.
+// probedCustomers returns the customers to probe: the first ones that have a limit of attempts in flight.
 func (w *world) probedCustomers() (list []*customer) {
 	for _, c := range w.customers {
 		if c.slots.limit > 0 && len(list) < maxProbedCustomers {
@@ -173,13 +172,13 @@
 	w.after(slotProbeInterval, func() { w.probeUntil(c, end) })
 }
 
-// result returns the measures of the limits so far; the probe adds to them.
+// result returns the measures of the slots in the run. summarizeProbe updates them after the probe.
 func (c *slotChecker) result(sc *Scenario, messages int) SlotResult {
 	return SlotResult{
 		Excess:               float64(c.excess),
 		ExcessWithOrphaned:   float64(c.excessWithOrphaned),
 		TriesOverLimit:       float64(c.triesOverLimit),
-		RejectedWithFreeSlot: float64(c.rejectedFree) / float64(max(c.tries, 1)),
+		RejectedWithFreeSlot: float64(c.rejectedWithFreeSlot) / float64(max(c.tries, 1)),
 		Messages:             float64(messages) / sc.Seconds,
 	}
 }
--- a/internal/simulation/slotchecker_test.go
+++ b/internal/simulation/slotchecker_test.go
@@ -8,8 +8,8 @@
 	"lemongate/internal/golden"
 )
 
-// slotWorld returns a world with one customer that may have two attempts in flight, two limiters and a backend that
-// does not finish attempts by itself.
+// slotWorld returns a world with one customer that may have two attempts in flight, two limiters and a backend whose
+// service times are longer than a test.
 func slotWorld() (*world, *customer) {
 	sc := Scenario{
 		Limiters: 2, Seconds: 10,
@@ -39,11 +39,11 @@
 func checkSlots(t *testing.T, w *world, excess, excessWithOrphaned, triesOverLimit int) {
 	t.Helper()
 	if c := w.slots; c.excess != excess || c.excessWithOrphaned != excessWithOrphaned || c.triesOverLimit != triesOverLimit {
-		t.Errorf("%d over, %d with those left behind, %d tries; want %d, %d and %d", c.excess, c.excessWithOrphaned, c.triesOverLimit, excess, excessWithOrphaned, triesOverLimit)
+		t.Errorf("excess %d, with orphaned attempts %d, tries over the limit %d; want %d, %d and %d", c.excess, c.excessWithOrphaned, c.triesOverLimit, excess, excessWithOrphaned, triesOverLimit)
 	}
 }
 
-// The slot checker counts the attempts of all limiters together.
+// The slot checker counts the attempts of all limiters together against a customer's limit.
 func TestSlotCheckerCountsExcess(t *testing.T) {
 	w, _ := slotWorld()
 	w.arrive(w.limiters[0])
@@ -54,11 +54,11 @@
 	w.arrive(w.limiters[1])
 	checkSlots(t, w, 2, 2, 2)
 	if r := w.slots.result(&w.scenario, 0); r.Excess != 2 || r.ExcessWithOrphaned != 2 || r.TriesOverLimit != 2 {
-		t.Errorf("result %+v, want 2 over, 2 with orphaned attempts and 2 tries", r)
+		t.Errorf("result %+v, want an excess of 2, 2 with orphaned attempts, and 2 tries over the limit", r)
 	}
 }
 
-// An attempt is in flight until its backend has responded or learns that its connection has ended.
+// An attempt is in flight until its backend has responded or has learned that its connection has ended.
 func TestSlotCheckerCountsUntilConnectionEnds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -77,16 +77,16 @@
 		w.arrive(w.limiters[1])
 		c.end(w, a)
 		w.runUntil(w.now + c.wait)
-		w.now = max(w.now, start+c.wait)
+		w.now = max(w.now, runStart+c.wait)
 		w.arrive(w.limiters[1])
 		if w.slots.excess != c.excess {
-			t.Errorf("%s: %d over, want %d", c.name, w.slots.excess, c.excess)
+			t.Errorf("%s: excess of %d attempts, want %d", c.name, w.slots.excess, c.excess)
 		}
 	}
 }
 
-// The attempts of a killed process are counted separately until the backend has finished them, at most until the
-// request's deadline.
+// The attempts of a killed process are counted separately, as orphaned, until the backend has finished them, at most
+// until the request's deadline.
 func TestSlotCheckerCountsOrphanedAttempts(t *testing.T) {
 	w, c := slotWorld()
 	a := w.arrive(w.limiters[0])
@@ -105,7 +105,7 @@
 	}
 }
 
-// A rejection counts if a slot and the units are free.
+// A rejection counts if the customer has a free slot and its bucket has the request's units.
 func TestSlotCheckerCountsRejectionsWithFreeSlot(t *testing.T) {
 	w, c := slotWorld()
 	reject := func() { w.handleRejection(&request{customer: c, units: 1}, 0) }
@@ -114,33 +114,33 @@
 	reject()
 	w.arrive(w.limiters[1])
 	reject()
-	if w.slots.rejectedFree != 2 {
-		t.Errorf("%d rejections with a free slot, want 2", w.slots.rejectedFree)
+	if w.slots.rejectedWithFreeSlot != 2 {
+		t.Errorf("%d rejections with a free slot, want 2", w.slots.rejectedWithFreeSlot)
 	}
 	a := c.slots.inFlight[0]
 	a.backend.complete(a, time.Second)
 	c.quota.Consume(w.now, 200)
 	reject()
-	if w.slots.rejectedFree != 2 {
-		t.Errorf("%d rejections with a free slot after one without units, want 2", w.slots.rejectedFree)
+	if w.slots.rejectedWithFreeSlot != 2 {
+		t.Errorf("%d rejections with a free slot after one without units, want 2", w.slots.rejectedWithFreeSlot)
 	}
 }
 
-// The probe finds the slots that no limiter can use.
+// The probe counts the slots that no limiter can use: those of a stalled limiter that lends none.
 func TestSlotProbe(t *testing.T) {
 	sc := smallTier(3, 3)
 	sc.Seconds = 4
 	sc.Plans = []Plan{{Name: "p", Rate: 100, Burst: 100, Customers: 1, LoadFactor: 0.2, MaxConcurrent: 6}}
 	if r := Run(sc, 1); r.Slots.Excess != 0 || r.Slots.Unusable != 0 || r.Slots.Probed != 6 || r.Slots.Messages <= 0 {
-		t.Errorf("without faults %+v, want 6 slots probed, all usable, none over, and messages", r.Slots)
+		t.Errorf("without faults %+v, want 6 slots probed, none unusable, no excess, and messages", r.Slots)
 	}
 	sc.Faults = []Fault{{Kind: FaultIncomingLoss, At: 1, For: 100, Limiters: []int{0, 1, 2}}, {Kind: FaultStall, At: 1, For: 100, Limiters: []int{0}}}
 	if r := Run(sc, 1); r.Slots.Unusable != 2 {
-		t.Errorf("%v slots unusable with a stalled limiter and no loans, want its 2", r.Slots.Unusable)
+		t.Errorf("%v slots unusable while limiter 0 is stalled and no messages arrive, want its 2", r.Slots.Unusable)
 	}
 }
 
-// The measures have the names that the bounds of experiments use.
+// The measures of slots have the JSON names that the bounds of experiments use.
 func TestSlotResultNames(t *testing.T) {
 	var r SlotResult
 	(&golden.Filler{}).Fill(&r)
--- a/internal/simulation/smalltier_test.go
+++ b/internal/simulation/smalltier_test.go
@@ -24,7 +24,7 @@
 	return sc
 }
 
-// In a tier of few limiters nearly all due units are forwarded, also in sets of five and six, where a
+// In a tier of few limiters nearly all due units are forwarded, also with sets of five limiters or more, where a
 // customer's buckets have one owner.
 func TestSmallTierForwardsWhatIsDue(t *testing.T) {
 	for _, c := range []struct{ limiters, setSize int }{{3, 3}, {6, 3}, {6, 5}, {6, 6}, {9, 8}} {
@@ -36,9 +36,9 @@
 			}
 			due, within, rejected, beyond = due+r.Due, within+r.WithinQuota, rejected+r.RejectedWithinQuota, beyond+r.BeyondQuota
 		}
-		t.Logf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota, of the due units", c, within/due, beyond/due, rejected/due)
+		t.Logf("%+v: of the due units %.3f forwarded within the quotas, %.3f beyond, %.3f rejected within the quotas", c, within/due, beyond/due, rejected/due)
 		if within < 0.95*due || rejected > 0.12*due || beyond > 0.02*due {
-			t.Errorf("%+v: %.3f within, %.3f beyond, %.3f rejected within the quota; want at least 0.95, at most 0.02 and at most 0.12 of the due units", c, within/due, beyond/due, rejected/due)
+			t.Errorf("%+v: of the due units %.3f forwarded within the quotas, %.3f beyond, %.3f rejected within the quotas; want at least 0.95, at most 0.02 and at most 0.12", c, within/due, beyond/due, rejected/due)
 		}
 	}
 }
--- a/internal/simulation/usagechecker.go
+++ b/internal/simulation/usagechecker.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// diskDelay is how long a usage report takes to be written, and then the limiter to learn of it.
+	// diskDelay is the time to write a usage report, and again the time until the limiter learns that it is written.
 	diskDelay = 3 * time.Millisecond
-	// maxUnitsAtBackends is how many units may be at backends at the end of a run: they are not recorded yet.
+	// maxUnitsAtBackends is how many units may be at backends at the end of a run. Limiters have not recorded them yet.
 	maxUnitsAtBackends = 10
 )
 
-// usageChecker checks the usage reports by the units that reached the backends.
+// usageChecker checks the usage reports against the units that reached the backends.
 type usageChecker struct {
-	reports      []usage.Report // as written
+	reports      []usage.Report // in the order in which they were written
 	unitsReached float64        // units that reached backends
 }
 
@@ -26,7 +26,7 @@
 	l.world.after(diskDelay, l.ifAlive(func() { l.finishWrite(e) }))
 }
 
-// finishWrite writes a usage report, after the end of a stall of the limiter.
+// finishWrite writes a usage report unless the lease has expired; a stalled limiter does so after its stall.
 func (l *limiter) finishWrite(e core.WriteUsage) {
 	w := l.world
 	written := core.UsageWritten{Token: e.Token}
@@ -43,8 +43,8 @@
 	w.after(diskDelay, l.ifAlive(func() { l.post(written) }))
 }
 
-// summarizeUsage stores the measures of the usage reports in the result. A period that is in two reports which do
-// not say so breaks a rule, and so do units that are in no report if no report says so.
+// summarizeUsage stores the measures of the usage reports in the result. It is a breach if a period is in two reports
+// without MayRepeat, or if more than maxUnitsAtBackends units are missing and the summary lists no fault.
 func (w *world) summarizeUsage() {
 	if w.scenario.Leases.UsagePeriod <= 0 {
 		return
@@ -60,7 +60,7 @@
 	r.UsageOver = max(accounted-w.usage.unitsReached, 0)
 	r.UsageUnder = max(w.usage.unitsReached-accounted, 0)
 	if r.UsageUnder > maxUnitsAtBackends && r.UsageFaults == 0 {
-		w.breach("%.0f units are in no report, and no report says so", r.UsageUnder)
+		w.breach("%.0f units are in no usage report, and the summary of the reports lists no fault", r.UsageUnder)
 	}
 }
 
--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -66,7 +66,7 @@
 		{finding{"simulation.checkRestarts", "restarting"}, "each limiter is handled independently"},
 		{finding{"simulation.kill", "l.world.openRequests"}, "each request is handled independently"},
 		{finding{"simulation.kill", "r.attempts"}, "each attempt is handled independently"},
-		{finding{"simulation.summarizeLeases", "c.messages"}, "sums and a maximum of whole numbers"},
+		{finding{"simulation.summarizeLeases", "c.messagesByReceiver"}, "sums and a maximum of whole numbers"},
 		{finding{"usage.UnreportedUnits", "r.open"}, "a sum of whole numbers"},
 		{finding{"usage.openEntries", "r.open"}, "the entries are sorted afterwards"},
 		{finding{"usage.sumUsage", "units"}, "the list is sorted afterwards"},
