--- a/internal/experiment/equivalence_test.go
+++ b/internal/experiment/equivalence_test.go
@@ -168,11 +168,11 @@
 var textFields = map[string]bool{"Why": true, "Reason": true}
 
 var (
-	eventKinds  = kinds(events)
-	effectKinds = kinds(effects)
+	eventKinds  = typeNumbers(events)
+	effectKinds = typeNumbers(effects)
 )
 
-func kinds[T any](list []T) map[reflect.Type]int {
+func typeNumbers[T any](list []T) map[reflect.Type]int {
 	numbers := map[reflect.Type]int{}
 	for i, e := range list {
 		numbers[reflect.TypeOf(e)] = i + 1
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// small is an experiment whose runs take a few milliseconds.
-const small = `{"name": "small", "scenario": {"limiters": 3, "seconds": 4,
+// smallExperiment is an experiment whose runs take a few milliseconds.
+const smallExperiment = `{"name": "small", "scenario": {"limiters": 3, "seconds": 4,
 	"plans": [{"name": "p", "rate": 5, "burst": 10, "customers": 2, "times": 3}],
 	"traffic": {"busiest": 0.8, "moves_s": 1, "units": [1], "deadline_ms": 1000},
 	"backends": {"count": 3, "cores": 2, "work_ms": 20, "queue": 10},
@@ -45,7 +45,7 @@
 		{`"name": "one case"`, `"name": "one case", "faults": [{"kind": "stall", "at_s": 1, "limiters": [3]}]`, "/cases/0/faults/0"},
 		{`{"name": "small"`, `{"name": "small`, "JSON"},
 	} {
-		text := strings.Replace(small, c.replaced, c.replacement, 1)
+		text := strings.Replace(smallExperiment, c.replaced, c.replacement, 1)
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.wantField) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("with %s in place of %s: error %v, want one line with %s", c.replacement, c.replaced, err, c.wantField)
@@ -55,7 +55,7 @@
 
 // The same seed gives the same run, and a bound that is missed gives the verdict "broken".
 func TestVerdict(t *testing.T) {
-	x, err := Parse([]byte(small))
+	x, err := Parse([]byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 
 // An experiment with a limit of attempts in flight has its own measures and columns.
 func TestSlotMeasures(t *testing.T) {
-	text := strings.Replace(strings.Replace(small, `"customers": 2`, `"concurrency": 3, "customers": 2`, 1),
+	text := strings.Replace(strings.Replace(smallExperiment, `"customers": 2`, `"concurrency": 3, "customers": 2`, 1),
 		`{"measure": "beyond", "most": 100}`, `{"measure": "slots_probed", "over": "each", "least": 7}`, 1)
 	x, err := Parse([]byte(text))
 	if err != nil {
@@ -96,7 +96,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallExperiment))
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, err := Parse(data); err != nil && strings.Contains(err.Error(), "\n") {
--- a/internal/experiment/format_test.go
+++ b/internal/experiment/format_test.go
@@ -56,7 +56,7 @@
 // Plan.MaxConcurrent is read and written under the name that it has in the settings of limiters. A plan without a limit
 // is written without the field.
 func TestFormatOfConcurrency(t *testing.T) {
-	withLimit := strings.Replace(small, `"customers": 2`, `"concurrency": 6, "customers": 2`, 1)
+	withLimit := strings.Replace(smallExperiment, `"customers": 2`, `"concurrency": 6, "customers": 2`, 1)
 	x, err := Parse([]byte(withLimit))
 	if err != nil || x.Base.Plans[0].MaxConcurrent != 6 {
 		t.Fatalf("a plan with \"concurrency\": 6 parsed as %+v, error %v", x, err)
@@ -64,7 +64,7 @@
 	for _, c := range []struct {
 		text string
 		want bool
-	}{{withLimit, true}, {small, false}} {
+	}{{withLimit, true}, {smallExperiment, false}} {
 		x, err := Parse([]byte(c.text))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/simulation/hotrestart.go
+++ b/internal/simulation/hotrestart.go
@@ -179,7 +179,7 @@
 	l.sendOverLink(&core.SuccessorConnected{Link: l})
 }
 
-// adoptSockets makes the process the owner of its limiter's sockets.
+// adoptSockets gives the process its limiter's sockets, with the datagrams that are queued at the other process.
 func (l *limiter) adoptSockets() {
 	l.world.limiters[l.number] = l
 	if peer := l.link.peer; peer != nil {
--- a/internal/simulation/hotrestart_test.go
+++ b/internal/simulation/hotrestart_test.go
@@ -17,22 +17,22 @@
 	}
 	for _, n := range sizes {
 		seeds := map[int]uint64{3: seedsOfSmallestTier, 30: 1, 80: 2, 300: 1}[n]
-		all := everyNth(n, 1, 0)
+		allLimiters := everyNth(n, 1, 0)
 		for seed := range seeds {
 			baseline := Run(shortScenario(n), seed)
 			sc := shortScenario(n)
-			sc.Faults = []Fault{{Kind: FaultHotRestart, At: 1, For: 0.4, Every: 1.3, Limiters: all}}
-			r := Run(sc, seed)
-			if r.Breaches > 0 {
-				t.Errorf("%d limiters, seed %d: %d rules broken: %v", n, seed, r.Breaches, r.Broken)
+			sc.Faults = []Fault{{Kind: FaultHotRestart, At: 1, For: 0.4, Every: 1.3, Limiters: allLimiters}}
+			result := Run(sc, seed)
+			if result.Breaches > 0 {
+				t.Errorf("%d limiters, seed %d: %d rules broken: %v", n, seed, result.Breaches, result.Broken)
 			}
 			if seed == 0 {
-				t.Logf("%d limiters: forwarded within the quotas %.3f of due (without hot restarts %.3f), beyond %.3f (%.3f), messages %d (%d)", n, r.WithinQuota/r.Due,
-					baseline.WithinQuota/baseline.Due, r.BeyondQuota/r.Due, baseline.BeyondQuota/baseline.Due, r.Messages, baseline.Messages)
+				t.Logf("%d limiters: forwarded within the quotas %.3f of due (without hot restarts %.3f), beyond %.3f (%.3f), messages %d (%d)", n, result.WithinQuota/result.Due,
+					baseline.WithinQuota/baseline.Due, result.BeyondQuota/result.Due, baseline.BeyondQuota/baseline.Due, result.Messages, baseline.Messages)
 			}
-			if r.WithinQuota/r.Due < 0.95*baseline.WithinQuota/baseline.Due || r.BeyondQuota/r.Due > baseline.BeyondQuota/baseline.Due+0.02 {
+			if result.WithinQuota/result.Due < 0.95*baseline.WithinQuota/baseline.Due || result.BeyondQuota/result.Due > baseline.BeyondQuota/baseline.Due+0.02 {
 				t.Errorf("%d limiters, seed %d: forwarded within the quotas %.3f of due, want at least 0.95 times the %.3f without hot restarts; beyond %.3f, want at most 0.02 more than the %.3f without", n, seed,
-					r.WithinQuota/r.Due, baseline.WithinQuota/baseline.Due, r.BeyondQuota/r.Due, baseline.BeyondQuota/baseline.Due)
+					result.WithinQuota/result.Due, baseline.WithinQuota/baseline.Due, result.BeyondQuota/result.Due, baseline.BeyondQuota/baseline.Due)
 			}
 			for i, killed := range []Process{Predecessor, Successor, Predecessor, Successor} {
 				sc.Faults = []Fault{{
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -45,7 +45,7 @@
 	for range copies {
 		delay := milliseconds(network.DelayMin + w.networkRandom.Float64()*(network.DelayMax-network.DelayMin))
 		if w.networkRandom.Float64() < network.Delayed {
-			delay += seconds(network.DelayedFor) // counts as sent before any partition
+			delay += seconds(network.DelayedFor) // crosses partitions, as if it was sent before them
 		} else if w.separated(from, to) {
 			continue
 		}
