--- a/internal/sourcecheck/sourcecheck_test.go
+++ b/internal/sourcecheck/sourcecheck_test.go
@@ -66,7 +66,7 @@
 		{finding{"simulation.checkRestarts", "restarting"}, "each limiter is handled independently"},
 		{finding{"simulation.kill", "l.world.openRequests"}, "each request is handled independently"},
 		{finding{"simulation.kill", "r.attempts"}, "each attempt is handled independently"},
-		{finding{"simulation.summarizeLeases", "c.messages"}, "only adds integers and takes their maximum"},
+		{finding{"simulation.summarizeLeases", "c.messagesByReceiver"}, "only adds integers and takes their maximum"},
 		{finding{"usage.UnreportedUnits", "r.open"}, "only adds integers"},
 		{finding{"usage.openEntries", "r.open"}, "the entries are sorted afterwards"},
 		{finding{"usage.sumUsage", "units"}, "the list is sorted afterwards"},
