--- a/cmd/lemongate-experiment/demo.go
+++ b/cmd/lemongate-experiment/demo.go
@@ -84,10 +84,10 @@
 	tier := processharness.New(h, demoLimiters, demoBackends, program, "serve", "--log-level", "error")
 	tier.Plans = append(tier.Plans, processharness.Plan{Name: cappedPlan, Rate: rate / 10, Burst: rate / 5})
 	for _, b := range tier.Backends {
-		b.Delay(backendDelay)
+		b.SetDelay(backendDelay)
 	}
 	for _, l := range tier.Limiters {
-		l.Start().Await(h)
+		l.Start().AwaitHealthy(h)
 	}
 	return &demo{
 		out: out, tier: tier, duration: duration, rate: rate, upBackends: demoBackends,
--- a/cmd/lemongate-experiment/main.go
+++ b/cmd/lemongate-experiment/main.go
@@ -19,7 +19,7 @@
 	if err == nil {
 		return
 	}
-	if !errors.Is(err, errBroken) {
+	if !errors.Is(err, errVerdictBroken) {
 		fmt.Fprintln(os.Stderr, "lemongate-experiment:", err)
 	}
 	os.Exit(1)
--- a/cmd/lemongate-experiment/run.go
+++ b/cmd/lemongate-experiment/run.go
@@ -21,8 +21,8 @@
 	"lemongate/internal/simulation"
 )
 
-// errBroken makes the program exit with code 1 and print no error, because the verdict "broken" was printed.
-var errBroken = errors.New("broken")
+// errVerdictBroken makes the program exit with code 1 and print no error, because the verdict "broken" was printed.
+var errVerdictBroken = errors.New("broken")
 
 const (
 	// maxSeeds is the largest number of seeds that one command may run.
@@ -80,7 +80,7 @@
 	}
 	printf(out, "%s\n", verdict)
 	if !held {
-		return errBroken
+		return errVerdictBroken
 	}
 	return nil
 }
@@ -158,7 +158,8 @@
 	}
 }
 
-// printFailures prints, for each case, the bounds that were missed and the breaches of its first runs that broke a rule.
+// printFailures prints, for each case, the bounds that were missed, and the first breach of each of its first runs that
+// broke a rule.
 func printFailures(out io.Writer, outcomes []experiment.Outcome) {
 	for _, o := range outcomes {
 		for _, line := range o.Missed {
--- a/cmd/lemongate-experiment/soak.go
+++ b/cmd/lemongate-experiment/soak.go
@@ -56,7 +56,7 @@
 	}
 	if broken > 0 {
 		printf(cmd.Root().Writer, "verdict: broken: %d of %d seeds\n", broken, seeds.last-seeds.first+1)
-		return errBroken
+		return errVerdictBroken
 	}
 	printf(cmd.Root().Writer, "verdict: held\n")
 	return nil
--- a/cmd/lemongate/crossrelease_test.go
+++ b/cmd/lemongate/crossrelease_test.go
@@ -32,7 +32,7 @@
 	tier.Program[0] = previous
 	processes := startAll(t, tier)
 	for _, b := range tier.Backends {
-		b.Delay(15 * time.Millisecond)
+		b.SetDelay(15 * time.Millisecond)
 	}
 	load := tier.StartLoad(500, mixedRequest)
 	if err := load.OpenIdle(0, 30); err != nil {
@@ -45,7 +45,7 @@
 			tier.Program[0] = previous
 		}
 		successor := tier.Limiters[0].Start()
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		// This release logs the first text. The second is one of the earlier release.
 		if successor.HasLogged("without the state") || predecessor.HasLogged("with no state") {
@@ -91,7 +91,7 @@
 		processes = append(processes, l.Start())
 	}
 	for _, p := range processes {
-		p.Await(t)
+		p.AwaitHealthy(t)
 	}
 	load := tier.StartLoad(requestsPerSecond, func(n int) processharness.Request {
 		return processharness.Request{Limiter: n % 3, Class: "read", Plan: "free", Customer: uint64(n % 30), SetSize: 3}
@@ -101,7 +101,7 @@
 		n := i % 3
 		tier.Program[0] = releases[(n+i/3+1)%2]
 		successor := tier.Limiters[n].Start()
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		processes[n].Signal(syscall.SIGTERM)
 		if err := processes[n].Wait(t); err != nil {
--- a/cmd/lemongate/hotrestart_test.go
+++ b/cmd/lemongate/hotrestart_test.go
@@ -24,7 +24,7 @@
 	tier.Plans = append(tier.Plans, processharness.Plan{Name: "capped", Rate: rate, Burst: burst, CeilingRate: rate, CeilingBurst: burst})
 	processes := startAll(t, tier)
 	for _, b := range tier.Backends {
-		b.Delay(15 * time.Millisecond)
+		b.SetDelay(15 * time.Millisecond)
 	}
 	load := tier.StartLoad(500, mixedRequest)
 	if err := load.OpenIdle(0, 30); err != nil {
@@ -33,7 +33,7 @@
 	predecessor := processes[0]
 	for i := range restarts {
 		successor := tier.Limiters[0].Start()
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return successor.HasLogged("takes over") })
 		if i%3 == 0 { // leave the successor in probation for a while
 			time.Sleep(200 * time.Millisecond)
@@ -127,7 +127,7 @@
 				}
 				predecessor.Signal(syscall.SIGKILL)
 			}
-			successor.Await(t)
+			successor.AwaitHealthy(t)
 			load := tier.StartLoad(100, func(n int) processharness.Request {
 				return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 20)}
 			})
@@ -188,7 +188,7 @@
 		tier := newTier(t, 1, 1)
 		predecessor := startAll(t, tier)[0]
 		successor := tier.Limiters[0].Start()
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		predecessor.Signal(syscall.SIGTERM)
 		successor.Signal(syscall.SIGTERM)
 		if a, b := predecessor.Wait(t), successor.Wait(t); a != nil || b != nil {
@@ -200,7 +200,7 @@
 		tier := newTier(t, 1, 1)
 		predecessor := startAll(t, tier)[0]
 		successor := tier.Limiters[0].Start()
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		successor.Signal(syscall.SIGTERM)
 		if err := successor.Wait(t); err != nil {
 			t.Error(err)
@@ -216,7 +216,7 @@
 			predecessor.Signal(syscall.SIGHUP)
 			time.Sleep(3 * time.Millisecond)
 		}
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		successor.Signal(syscall.SIGHUP)
 		predecessor.Signal(syscall.SIGTERM)
 		if err := predecessor.Wait(t); err != nil {
@@ -232,7 +232,7 @@
 		tier := newTier(t, 1, 1)
 		predecessor := startAll(t, tier)[0]
 		successor := tier.Limiters[0].Start()
-		successor.Await(t) // it is in probation now
+		successor.AwaitHealthy(t) // it is in probation now
 		third := tier.Limiters[0].Start()
 		processharness.WaitUntil(t, "a reply to the third process", func() bool {
 			return predecessor.HasLogged("another takeover is under way") || predecessor.HasLogged("is handed")
@@ -256,7 +256,7 @@
 		successor := tier.Limiters[0].Start(func(c map[string]any) {
 			c["settings"].(map[string]any)["tiers_of_service"] = []map[string]any{{"name": "free"}, {"name": "more", "refill": 3, "depth": 9}}
 		})
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		processharness.WaitUntil(t, "rejection of the state of other settings", func() bool { return successor.HasLogged("of other settings") })
 		predecessor.Signal(syscall.SIGTERM)
 		if err := predecessor.Wait(t); err != nil || !successor.Healthy() {
@@ -283,9 +283,9 @@
 			t.Errorf("the killed process left %v, want one file", list)
 		}
 		next := tier.Limiters[0].Start()
-		next.Await(t)
+		next.AwaitHealthy(t)
 		again := tier.Limiters[0].Start()
-		again.Await(t)
+		again.AwaitHealthy(t)
 		processharness.WaitUntil(t, "a takeover from the process that replaced the socket of the killed one", func() bool { return again.HasLogged("takes over") })
 		next.Signal(syscall.SIGTERM)
 		_ = next.Wait(t)
@@ -304,7 +304,7 @@
 		}
 		startAll(t, tier)
 		next := tier.Limiters[0].Start()
-		next.Await(t)
+		next.AwaitHealthy(t)
 		processharness.WaitUntil(t, "the takeover by the successor", func() bool { return next.HasLogged("takes over") })
 	})
 }
@@ -354,7 +354,7 @@
 		partial = append(partial, c)
 	}
 	successor := tier.Limiters[0].Start()
-	successor.Await(t)
+	successor.AwaitHealthy(t)
 	predecessor.Signal(syscall.SIGTERM)
 	processharness.WaitUntil(t, "a predecessor in phase closing", func() bool { return predecessor.HasLogged("phase closing") })
 	for _, c := range partial {
@@ -383,14 +383,14 @@
 	tier := newTier(t, 1, 3)
 	predecessor := startAll(t, tier)[0]
 	for _, b := range tier.Backends {
-		b.Delay(400 * time.Millisecond)
+		b.SetDelay(400 * time.Millisecond)
 	}
 	load := tier.StartLoad(40, func(n int) processharness.Request {
 		return processharness.Request{Class: "post", Plan: "free", Customer: uint64(n % 5), Key: fmt.Sprintf("%032x", n/2), Body: 100}
 	})
 	time.Sleep(300 * time.Millisecond)
 	successor := tier.Limiters[0].Start()
-	successor.Await(t)
+	successor.AwaitHealthy(t)
 	tier.Backends[0].AbortConns() // while requests are in flight to it
 	predecessor.Signal(syscall.SIGTERM)
 	if err := predecessor.Wait(t); err != nil {
@@ -447,12 +447,12 @@
 	load := tier.StartLoad(50, func(n int) processharness.Request {
 		return processharness.Request{Class: "read", Plan: "free", Customer: 1}
 	})
-	tier.Backends[0].Delay(300 * time.Millisecond)
+	tier.Backends[0].SetDelay(300 * time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	results := load.End()
 	predecessor.Signal(syscall.SIGTERM)
 	late := tier.Limiters[0].Start()
-	late.Await(t) // it listens once the address is free
+	late.AwaitHealthy(t) // it listens once the address is free
 	processharness.WaitUntil(t, "the late process in phase serving", func() bool { return late.HasLogged("phase serving") })
 	if late.HasLogged("without the state") {
 		t.Error("the late process took over from a process that was shutting down, want a start without a predecessor")
@@ -468,7 +468,7 @@
 	tier.Plans = append(tier.Plans, processharness.Plan{Name: "capped", Rate: 0.5, Burst: burst})
 	predecessor := startAll(t, tier)[0]
 	for _, b := range tier.Backends {
-		b.Delay(30 * time.Millisecond) // so that several connections are in use
+		b.SetDelay(30 * time.Millisecond) // so that several connections are in use
 	}
 	begin := time.Now()
 	load := tier.StartLoad(100, func(n int) processharness.Request {
@@ -477,7 +477,7 @@
 	time.Sleep(250 * time.Millisecond)
 	for range 2 {
 		successor := tier.Limiters[0].Start()
-		successor.Await(t)
+		successor.AwaitHealthy(t)
 		time.Sleep(400 * time.Millisecond)
 		predecessor.Signal(syscall.SIGTERM)
 		if err := predecessor.Wait(t); err != nil {
--- a/cmd/lemongate/lease_test.go
+++ b/cmd/lemongate/lease_test.go
@@ -18,11 +18,11 @@
 // A history is rejected if an attempt arrived after one with a higher token had ended, and accepted if the two overlap.
 func TestIsFencedLockHistory(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, int64(ms)*1e6) }
-	attempts := []processharness.LeasedAttempt{{At: at(0), End: at(10), Token: 5}, {At: at(20), End: at(40), Token: 6}, {At: at(30), End: at(50), Token: 5}}
+	attempts := []processharness.LeasedAttempt{{ArrivedAt: at(0), RespondedAt: at(10), Token: 5}, {ArrivedAt: at(20), RespondedAt: at(40), Token: 6}, {ArrivedAt: at(30), RespondedAt: at(50), Token: 5}}
 	if !processharness.IsFencedLockHistory(attempts) {
 		t.Error("rejected a history in which two overlapping attempts may have come in either order")
 	}
-	attempts[2].At = at(41)
+	attempts[2].ArrivedAt = at(41)
 	if processharness.IsFencedLockHistory(attempts) {
 		t.Error("accepted a history in which an attempt with token 5 came after one with token 6 had ended")
 	}
@@ -38,7 +38,7 @@
 			tier := newTierWithLeases(t, 3, 3)
 			tier.Network.SetQuality(0.08, 0.1, 30*time.Millisecond)
 			for _, b := range tier.Backends {
-				b.Delay(40 * time.Millisecond) // so that all backends are in use
+				b.SetDelay(40 * time.Millisecond) // so that all backends are in use
 			}
 			processes := startAll(t, tier)
 			awaitHolder(t, processes)
@@ -73,7 +73,7 @@
 					processes[holder].Signal(syscall.SIGKILL)
 					_ = processes[holder].Wait(t) // fails, as the process was killed
 					processes[holder] = tier.Limiters[holder].Start()
-					processes[holder].Await(t)
+					processes[holder].AwaitHealthy(t)
 				case "cut", "one way":
 					for i := range 3 {
 						if i != holder {
@@ -115,7 +115,7 @@
 func TestForeignMessages(t *testing.T) {
 	tier := newTierWithLeases(t, 3, 3)
 	for _, b := range tier.Backends {
-		b.Delay(30 * time.Millisecond)
+		b.SetDelay(30 * time.Millisecond)
 	}
 	largerTier := func(c map[string]any) {
 		settings := c["settings"].(map[string]any)
@@ -124,7 +124,7 @@
 	}
 	processes := []*processharness.Process{tier.Limiters[0].Start(), tier.Limiters[1].Start(), tier.Limiters[2].Start(largerTier)}
 	for _, p := range processes {
-		p.Await(t)
+		p.AwaitHealthy(t)
 	}
 	stop, done := make(chan bool), make(chan bool)
 	go func() {
--- a/cmd/lemongate/restartslot.go
+++ b/cmd/lemongate/restartslot.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// pollRestartSlot returns the restart slots as the limiter sees them. It requests one if the limiter has neither a slot
+// pollRestartSlot returns the restart slots as the limiter reports them. It requests one if the limiter has neither a slot
 // nor a request.
 func pollRestartSlot(ctx context.Context, address string) (core.RestartSlotView, error) {
 	view, err := callRestartSlot(ctx, http.MethodGet, address, "/turn")
--- a/cmd/lemongate/shutdown_test.go
+++ b/cmd/lemongate/shutdown_test.go
@@ -15,7 +15,7 @@
 	tier := newSingleLimiter(t)
 	for round := range 6 {
 		p := tier.Limiters[0].Start()
-		p.Await(t)
+		p.AwaitHealthy(t)
 		load := tier.StartLoad(500, func(n int) processharness.Request {
 			return processharness.Request{Class: []string{"read", "post"}[n%2], Key: []string{"", strconv.Itoa(round) + "k" + strconv.Itoa(n)}[n%2], Plan: "free", Customer: uint64(n % 30), Body: n % 2 * 3000}
 		})
@@ -46,7 +46,7 @@
 	tier := newSingleLimiter(t)
 	tier.Sockets = 256
 	p := tier.Limiters[0].Start()
-	p.Await(t)
+	p.AwaitHealthy(t)
 	load := tier.StartLoad(120, func(n int) processharness.Request {
 		return processharness.Request{Class: "read", Plan: "free", Customer: uint64(n % 30)}
 	})
--- a/cmd/lemongate/tier_test.go
+++ b/cmd/lemongate/tier_test.go
@@ -35,7 +35,7 @@
 		list = append(list, l.Start())
 	}
 	for _, p := range list {
-		p.Await(t)
+		p.AwaitHealthy(t)
 	}
 	return list
 }
@@ -70,10 +70,10 @@
 		}
 		if r.Status == http.StatusOK {
 			served++
-			if at := r.At.Add(r.Took); !lastServedAt.IsZero() {
+			if at := r.SentAt.Add(r.Took); !lastServedAt.IsZero() {
 				gap = max(gap, at.Sub(lastServedAt))
 			}
-			lastServedAt = r.At.Add(r.Took)
+			lastServedAt = r.SentAt.Add(r.Took)
 		}
 		if failures > 10 {
 			t.Fatal("more than 10 requests failed; further ones are not listed")
@@ -117,9 +117,9 @@
 		}
 		counted[attempt.CallID] = true
 		if !last.IsZero() {
-			level = min(level+rate*attempt.At.Sub(last).Seconds(), burst)
+			level = min(level+rate*attempt.ArrivedAt.Sub(last).Seconds(), burst)
 		}
-		last = attempt.At
+		last = attempt.ArrivedAt
 		level--
 		lowest = min(lowest, level)
 		forwarded++
@@ -154,7 +154,7 @@
 	return tier
 }
 
-// recoveryLease returns the lease on recovery attempts as a limiter sees it, and whether the limiter responded.
+// recoveryLease returns the lease on recovery attempts as a limiter reports it, and whether the limiter responded.
 func recoveryLease(t *testing.T, p *processharness.Process) (v lease.View, ok bool) {
 	t.Helper()
 	out, err := run(t, "leases", "--json", "--console", p.AdminAddr)
@@ -183,13 +183,14 @@
 }
 
 // checkFencingTokens checks that the fencing tokens of the attempts that reached backends under a lease never decrease.
-// It returns the number of lease holders. An attempt in flight when the next lease holder began could have a lower
-// token, but a lease holder does not send the first byte of an attempt that its lease would not cover.
+// It returns the number of lease holders. An attempt that is still in flight when the next limiter acquires the
+// lease could arrive with a lower token, but a lease holder does not write the first byte of an attempt once its lease
+// has ended (see core.StartAttempt.StartBefore).
 func checkFencingTokens(t *testing.T, attempts []processharness.LeasedAttempt) (holders int) {
 	t.Helper()
 	for i, a := range attempts {
 		if i > 0 && a.Token < attempts[i-1].Token {
-			t.Errorf("attempt %d has token %d and came %v after one with token %d, want tokens that never decrease", i, a.Token, a.At.Sub(attempts[i-1].At), attempts[i-1].Token)
+			t.Errorf("attempt %d has token %d and came %v after one with token %d, want tokens that never decrease", i, a.Token, a.ArrivedAt.Sub(attempts[i-1].ArrivedAt), attempts[i-1].Token)
 		}
 		if i == 0 || a.Token != attempts[i-1].Token {
 			holders++
@@ -238,7 +239,7 @@
 	tier := processharness.New(t, 1, 2, os.Args[0], "serve")
 	tier.Env = []string{"LEMONGATE_TEST=serve"}
 	for _, b := range tier.Backends {
-		b.Delay(30 * time.Millisecond)
+		b.SetDelay(30 * time.Millisecond)
 	}
 	return tier
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -38,7 +38,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			fake := newFakeDiscovery(t)
-			events := fake.watcher(t, nil)
+			events := fake.startEvents(t, nil)
 			w := <-fake.watches
 			w.lines <- text + "\n" + indented(t, strings.Replace(changeTemplate, "%", "99", 1), "  ")
 			if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListComplete || len(ev.Endpoints) != 3 {
@@ -61,7 +61,7 @@
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
 				fake := newFakeDiscovery(t)
-				events := fake.watcher(t, func(w *Watcher) { w.silenceTimeout = time.Hour })
+				events := fake.startEvents(t, func(w *Watcher) { w.silenceTimeout = time.Hour })
 				(<-fake.watches).lines <- text[:i] + trailing
 				if reopened := <-fake.watches; reopened.uri != "/v1/endpoints?stream=1&index=0" {
 					t.Errorf("cut off at %q: requested %s, want index 0", text[:i], reopened.uri)
@@ -78,7 +78,7 @@
 func TestNotAList(t *testing.T) {
 	for _, text := range []string{"]", "}", "7", `"up"`, "[]", `{"generation":43,"reset":true}`, `{"generation":43,"reset":true,"instances":null}`, "\x00"} {
 		fake := newFakeDiscovery(t)
-		events := fake.watcher(t, nil)
+		events := fake.startEvents(t, nil)
 		(<-fake.watches).lines <- text + "\n"
 		if reopened := <-fake.watches; reopened.uri != "/v1/endpoints?stream=1&index=0" || len(events) > 0 {
 			t.Errorf("%q: requested %s, %d events; want index 0 and no events", text, reopened.uri, len(events))
@@ -89,7 +89,7 @@
 // The watch ends when a message exceeds maxMessageBytes.
 func TestEndlessMessage(t *testing.T) {
 	fake := newFakeDiscovery(t)
-	fake.watcher(t, nil)
+	fake.startEvents(t, nil)
 	w := <-fake.watches
 	go func() {
 		w.lines <- "{"
@@ -145,7 +145,7 @@
 			}()
 			defer close(done)
 			fake.server = newFakeDiscovery(t).server
-			events := fake.watcher(t, func(w *Watcher) { w.Addr, w.silenceTimeout = l.Addr().String(), 100*time.Millisecond })
+			events := fake.startEvents(t, func(w *Watcher) { w.Addr, w.silenceTimeout = l.Addr().String(), 100*time.Millisecond })
 			for {
 				select {
 				case ev := <-events:
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -100,8 +100,8 @@
 	return d
 }
 
-// watcher does what start does, and returns only the events.
-func (d *fakeDiscovery) watcher(t *testing.T, configure func(*Watcher)) <-chan core.Event {
+// startEvents calls start, and returns only the events.
+func (d *fakeDiscovery) startEvents(t *testing.T, configure func(*Watcher)) <-chan core.Event {
 	_, events := d.start(t, configure)
 	return events
 }
@@ -131,7 +131,7 @@
 }
 
 // A limiter of another process retries its watch on 127.0.0.1, on a port that the kernel may have assigned again. That
-// watch must not be passed to a test: TestCutOffAtAnyByte once failed because it received such a watch, which requested
+// watch must not be passed to a test: TestCutOffAtAnyByte, for example, fails if it receives such a watch, which requests
 // generation 1.
 func TestWatchOfOtherProcessIsNotReceived(t *testing.T) {
 	fake := newFakeDiscovery(t)
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	ended := make(chan bool, 1)
-	fake.watcher(t, func(w *Watcher) {
+	fake.startEvents(t, func(w *Watcher) {
 		w.Addr, w.Generation = "127.0.0.1:"+port, 1
 		w.sleepOverride = func(time.Duration) {
 			select {
@@ -189,7 +189,7 @@
 // an invalid line.
 func TestResume(t *testing.T) {
 	fake := newFakeDiscovery(t)
-	events := fake.watcher(t, nil)
+	events := fake.startEvents(t, nil)
 	first := <-fake.watches
 	first.lines <- "\n" + strings.Replace(changeTemplate, "%", "43", 1) + "\n\n"
 	if ev := (<-events).(*core.EndpointsUpdated); ev.Kind != admission.ListDelta || len(ev.Endpoints) != 1 {
@@ -214,7 +214,7 @@
 // become unreachable.
 func TestSilenceTimeout(t *testing.T) {
 	fake := newFakeDiscovery(t)
-	fake.watcher(t, func(w *Watcher) { w.silenceTimeout = 20 * time.Millisecond })
+	fake.startEvents(t, func(w *Watcher) { w.silenceTimeout = 20 * time.Millisecond })
 	first := <-fake.watches
 	<-first.closed
 	<-fake.watches
@@ -225,7 +225,7 @@
 func TestInvalidLines(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	var slept time.Duration
-	events := fake.watcher(t, func(w *Watcher) { w.sleepOverride = func(d time.Duration) { slept += d } })
+	events := fake.startEvents(t, func(w *Watcher) { w.sleepOverride = func(d time.Duration) { slept += d } })
 	for range 3 {
 		(<-fake.watches).lines <- "{\"generation\x00:7}\n"
 	}
@@ -240,7 +240,7 @@
 func TestBackoff(t *testing.T) {
 	fake := newFakeDiscovery(t)
 	pauses := make(chan time.Duration, 1)
-	fake.watcher(t, func(w *Watcher) {
+	fake.startEvents(t, func(w *Watcher) {
 		w.sleepOverride, w.random = func(d time.Duration) { pauses <- d }, func() float64 { return 0.5 }
 	})
 	for _, want := range []int{10, 20, 40, 80, 100, 100} { // at most 100 ms, because a failed watch puts no load on discovery
--- a/internal/eventloop/frames_test.go
+++ b/internal/eventloop/frames_test.go
@@ -88,7 +88,7 @@
 }
 
 // The end of a predecessor's request has a frame of its own, which releases up to 0.9.1 do not send and log as unknown.
-func TestFrameOfTheEndOfARequest(t *testing.T) {
+func TestRequestEndedFrame(t *testing.T) {
 	data, err := frameCodec.Marshal(core.ReportRequestEnded{Request: 4711}.Request)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/hotrestart.go
+++ b/internal/eventloop/hotrestart.go
@@ -33,7 +33,7 @@
 
 // otherProcess holds a Loop's link to the other process of a hot restart. It belongs to the goroutine of Run.
 //
-// The core either learns of the end of a link by LinkClosed, in the same step in which link becomes nil here, or
+// The core either receives LinkClosed for the end of a link, in the same step in which link becomes nil here, or
 // closes the link itself. It emits KillOtherProcess, TransferState and MoveClientConns only while there is a link,
 // so the code that performs these effects does not check for one.
 type otherProcess struct {
@@ -76,13 +76,13 @@
 		l.adoptClientConns(received.clientConn)
 		return nil, false
 	}
-	if received.from != l.other.link {
+	if received.from != l.otherProcess.link {
 		closeSockets(received.Event)
 		return nil, false
 	}
 	_, closed := received.Event.(core.LinkClosed)
 	if closed {
-		l.other.link = nil
+		l.otherProcess.link = nil
 	}
 	return received.Event, true
 }
@@ -140,7 +140,7 @@
 	case core.ListenForSuccessors:
 		l.listenForSuccessors()
 	case core.AcceptSuccessor:
-		l.other.link = e.Link.(*link.Conn)
+		l.otherProcess.link = e.Link.(*link.Conn)
 	case core.DenySuccessor:
 		l.denySuccessor(e)
 	case core.TransferState:
@@ -148,7 +148,7 @@
 	case core.CloseLink:
 		l.closeLink()
 	case core.KillOtherProcess:
-		l.other.link.Kill()
+		l.otherProcess.link.Kill()
 	case core.OpenListeners:
 		l.failOnError(l.openListeners(e.Wait))
 	case core.AdoptSockets:
@@ -202,7 +202,7 @@
 // sendFrame sends a frame with a body, or without one if body is nil. If it cannot be sent, the link has ended, and
 // the goroutine that reads from the link posts LinkClosed.
 func (l *Loop) sendFrame(kind uint8, body any) {
-	if l.other.link == nil {
+	if l.otherProcess.link == nil {
 		return
 	}
 	var data []byte
@@ -214,15 +214,15 @@
 			return
 		}
 	}
-	l.other.link.Send(kind, data)
+	l.otherProcess.link.Send(kind, data)
 }
 
 // closeLink closes the link once the frames that were sent before are written. Events received over it after that
 // are dropped.
 func (l *Loop) closeLink() {
-	if l.other.link != nil {
-		l.other.link.CloseAfterFlush()
-		l.other.link = nil
+	if l.otherProcess.link != nil {
+		l.otherProcess.link.CloseAfterFlush()
+		l.otherProcess.link = nil
 	}
 }
 
@@ -249,7 +249,7 @@
 		return
 	}
 	l.log.Info("takes over", zap.Int("from", c.PID()))
-	l.other.link = c
+	l.otherProcess.link = c
 	l.sendFrame(uint8(hotrestart.Hello), l.hello())
 	go l.readLink(c)
 }
@@ -260,7 +260,7 @@
 // listenForSuccessors lets successors connect to this process. If it cannot listen, the process goes on without hot
 // restarts. The goroutine that it starts ends when otherProcess is closed.
 func (l *Loop) listenForSuccessors() {
-	if l.config.HotRestart == nil || l.other.successors != nil {
+	if l.config.HotRestart == nil || l.otherProcess.successors != nil {
 		return
 	}
 	successors, err := link.Listen(l.successorPath())
@@ -268,7 +268,7 @@
 		l.log.Info("failed to listen for successors, hot restart is not possible", zap.Error(err))
 		return
 	}
-	l.other.successors = successors
+	l.otherProcess.successors = successors
 	go l.acceptSuccessors(successors)
 }
 
@@ -358,7 +358,7 @@
 	if l.peers != nil {
 		sockets = append(sockets, l.peers.Socket())
 	}
-	l.other.link.Send(uint8(hotrestart.Transfer), body, sockets...)
+	l.otherProcess.link.Send(uint8(hotrestart.Transfer), body, sockets...)
 }
 
 // adoptSockets serves on the sockets that the predecessor sent, and continues the predecessor's clock.
@@ -372,7 +372,7 @@
 	clock := newClockAt(e.Now, l.clock.Load().rate)
 	l.clock.Store(&clock)
 	l.serve(listener, e.LastRequest, e.Discovery, e.Generation)
-	l.server.SetResourceShare(hotRestartResourceFraction)
+	l.server.SetResourceFraction(hotRestartResourceFraction)
 	return nil
 }
 
@@ -414,7 +414,7 @@
 
 // moveClientConns moves client connections to the successor: the idle ones at once, the others as they become idle.
 func (l *Loop) moveClientConns() {
-	successor := l.other.link
+	successor := l.otherProcess.link
 	l.server.MoveConns(func(c syscall.Conn) error { return successor.SendSync(frameClientConn, nil, c) })
 }
 
@@ -450,9 +450,9 @@
 
 // setResourceFraction sets the fraction of its resources that this process uses.
 func (l *Loop) setResourceFraction(fraction float64) {
-	l.upstream.SetResourceShare(fraction)
+	l.upstream.SetResourceFraction(fraction)
 	if l.server != nil {
-		l.server.SetResourceShare(fraction)
+		l.server.SetResourceFraction(fraction)
 	}
 	if l.limitResources != nil {
 		l.limitResources(fraction)
--- a/internal/eventloop/hotrestart_test.go
+++ b/internal/eventloop/hotrestart_test.go
@@ -42,7 +42,7 @@
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	defer l.cancel()
 	l.listenForSuccessors()
-	defer l.other.close()
+	defer l.otherProcess.close()
 
 	socket, err := syscall.Socket(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -35,7 +35,7 @@
 	config         *config.Config
 	log            *zap.Logger
 	loadConfig     func() (*config.Config, error)
-	limitResources func(fraction float64) // see Controls.SetResourceShare; may be nil
+	limitResources func(fraction float64) // see Controls.SetResourceFraction; may be nil
 
 	clock  atomic.Pointer[Clock] // replaced in a hot restart; read from any goroutine
 	core   *core.Machine
@@ -48,9 +48,9 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	upstream *upstream.Client
-	admin    *admin.Server // nil if there is none
-	other    otherProcess  // of a hot restart
+	upstream     *upstream.Client
+	admin        *admin.Server // nil if there is none
+	otherProcess otherProcess  // of a hot restart
 
 	// The components that serve clients and peers, set once the sockets are open. serving is closed then.
 	serving    chan struct{}
@@ -126,7 +126,7 @@
 	l.cancel()
 	l.background.Wait()
 	l.upstream.Close()
-	l.other.close()
+	l.otherProcess.close()
 	if l.admin != nil {
 		l.admin.Close()
 	}
--- a/internal/httpserver/clientconn.go
+++ b/internal/httpserver/clientconn.go
@@ -111,7 +111,7 @@
 	if n = c.takeReadAhead(p); n > 0 {
 		return n, nil
 	}
-	if c.tryHandOver() {
+	if c.tryMove() {
 		return 0, io.EOF // closed in this process, open in the other one
 	}
 	if c.raw == nil {
@@ -160,7 +160,7 @@
 		return !errors.Is(err, syscall.EAGAIN)
 	})
 	if errors.Is(waitErr, os.ErrDeadlineExceeded) {
-		if c.tryHandOver() {
+		if c.tryMove() {
 			return 0, io.EOF
 		}
 		controlErr := c.raw.Control(func(fd uintptr) { n, err = c.receive(fd, p) })
--- a/internal/httpserver/connset.go
+++ b/internal/httpserver/connset.go
@@ -43,7 +43,7 @@
 	now      func() time.Time
 	// onClosed is called for each evicted connection, and for each other connection that is closed in stateNew or
 	// stateReading, even if its client has closed it. It is not called for idle connections that net/http's idle
-	// timeout or their clients close, nor for connections that drain, stopReading, mustClose or tryHandOver close.
+	// timeout or their clients close, nor for connections that drain, stopReading, mustClose or tryMove close.
 	onClosed         func(previous connState)
 	onRejected       func(notified bool) // called for each rejected new connection: whether its client was notified
 	rejection        []byte              // the response to the request of a rejected connection
@@ -59,32 +59,32 @@
 	mu      sync.Mutex
 	byState [numStates]list.List // of *clientConn, longest in the state first
 	open    int                  // number of connections in byState, rejected ones included
-	// resourceShare is the fraction of maxConns that may be open while another process has the rest. It is copied from
-	// Server.resourceShare.
-	resourceShare float64
-	resumed       chan struct{} // closed by resume; nil while accepting is not paused
-	scratch       [4 << 10]byte // buffer for reading ahead
-	draining      bool          // a connection that becomes idle is closed
-	readsStopped  bool          // incomplete requests are not read any further
+	// resourceFraction is the fraction of maxConns that may be open while another process has the rest. It is copied from
+	// Server.resourceFraction.
+	resourceFraction float64
+	resumed          chan struct{} // closed by resume; nil while accepting is not paused
+	scratch          [4 << 10]byte // buffer for reading ahead
+	draining         bool          // a connection that becomes idle is closed
+	readsStopped     bool          // incomplete requests are not read any further
 
-	// handOver hands an idle connection over to another process; nil while no handover is in progress.
-	handOver func(syscall.Conn) error
+	// moveConn moves an idle connection to another process; nil while no connections are being moved.
+	moveConn func(syscall.Conn) error
 }
 
 func newConnSet(listener net.Listener, maxConns int, now func() time.Time) *connSet {
 	return &connSet{
 		Listener: listener, maxConns: maxConns, now: now,
-		rejectionTimeout: newConnTimeout, stopped: make(chan struct{}), resourceShare: 1,
+		rejectionTimeout: newConnTimeout, stopped: make(chan struct{}), resourceFraction: 1,
 	}
 }
 
 // connLimit returns the number of connections that may be open now. The caller holds s.mu.
-func (s *connSet) connLimit() int { return max(int(float64(s.maxConns)*s.resourceShare), 1) }
+func (s *connSet) connLimit() int { return max(int(float64(s.maxConns)*s.resourceFraction), 1) }
 
-// setResourceShare sets the fraction of maxConns that may be open.
-func (s *connSet) setResourceShare(fraction float64) {
+// setResourceFraction sets the fraction of maxConns that may be open.
+func (s *connSet) setResourceFraction(fraction float64) {
 	s.mu.Lock()
-	s.resourceShare = fraction
+	s.resourceFraction = fraction
 	s.mu.Unlock()
 }
 
--- a/internal/httpserver/crossing_test.go
+++ b/internal/httpserver/crossing_test.go
@@ -253,7 +253,7 @@
 	}
 }
 
-// Small writes are sent immediately, also on connections that another process has handed over: if the kernel delayed
+// Small writes are sent immediately, also on connections that another process has moved here: if the kernel delayed
 // them, a close with unread input would lose them.
 func TestNoDelay(t *testing.T) {
 	server := startServer(t)
--- a/internal/httpserver/handover.go
+++ b/internal/httpserver/handover.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// This file pauses accepting, and hands client connections over to another process for a hot restart.
+// This file pauses accepting, and moves client connections to another process for a hot restart.
 
 // pause stops accepting until resume. Connections that arrive in the meantime stay in the kernel's accept queue.
 func (s *connSet) pause() {
@@ -17,11 +17,11 @@
 	}
 }
 
-// resume resumes accepting unless Close was called, and ends the handover of connections.
+// resume resumes accepting unless Close was called, and stops moving connections.
 func (s *connSet) resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handOver = nil
+	s.moveConn = nil
 	if s.resumed == nil {
 		return
 	}
@@ -32,38 +32,38 @@
 	s.resumed = nil
 }
 
-// startHandover starts to hand connections that are between requests over to another process. It interrupts the
-// reads that wait for a next request, and each reader then hands its connection over; see tryHandOver.
-func (s *connSet) startHandover(handOver func(syscall.Conn) error) {
+// startMove starts to move connections that are between requests to another process. It interrupts the reads that wait
+// for a next request, and each reader then moves its connection; see tryMove.
+func (s *connSet) startMove(moveConn func(syscall.Conn) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handOver = handOver
+	s.moveConn = moveConn
 	for _, c := range s.conns(stateIdle, stateNew) {
 		_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 	}
 }
 
-// isHandingOver reports whether startHandover was called, and resume was not called since.
-func (s *connSet) isHandingOver() bool {
+// isMovingConns reports whether startMove was called, and resume was not called since.
+func (s *connSet) isMovingConns() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.handOver != nil
+	return s.moveConn != nil
 }
 
-// tryHandOver hands the connection over if a handover is in progress and no byte of a next request was read. It blocks
-// until handOver returns, and reports whether the connection was handed over.
-func (c *clientConn) tryHandOver() bool {
+// tryMove moves the connection to the other process if connections are being moved and no byte of a next request was
+// read. It blocks until moveConn returns, and reports whether the connection was moved.
+func (c *clientConn) tryMove() bool {
 	c.set.mu.Lock()
-	handOver := c.set.handOver
+	moveConn := c.set.moveConn
 	socket, isSocket := c.Conn.(syscall.Conn)
 	betweenRequests := c.state == stateIdle || c.state == stateNew
-	if handOver == nil || !isSocket || !betweenRequests {
+	if moveConn == nil || !isSocket || !betweenRequests {
 		c.set.mu.Unlock()
 		return false
 	}
-	c.setStateLocked(stateBusy) // prevents eviction during the handover
+	c.setStateLocked(stateBusy) // prevents eviction while the connection is moved
 	c.set.mu.Unlock()
-	if err := handOver(socket); err != nil { // this process keeps the connection, and the caller continues to read
+	if err := moveConn(socket); err != nil { // this process keeps the connection, and the caller continues to read
 		c.setState(stateIdle)
 		_ = c.SetReadDeadline(time.Time{}) // fails only on a closed connection
 		return false
--- a/internal/httpserver/model_test.go
+++ b/internal/httpserver/model_test.go
@@ -57,7 +57,7 @@
 	switch ev := ev.(type) {
 	case *core.RequestReceived:
 		if m.posted[ev.CallID] {
-			panic("posted twice: " + ev.CallID)
+			panic("request posted twice: X-Call-Id " + ev.CallID)
 		}
 		m.posted[ev.CallID], m.openRequests[ev.CallID] = true, ev.ID
 	case *core.ClientDisconnected:
@@ -70,7 +70,8 @@
 	}
 }
 
-// answer serves an open request with its X-Call-Id as the body: a request drawn from t, or the first one if t is nil.
+// answer responds to an open request, which is drawn from t, or is the first one if t is nil. The body of the response
+// is the X-Call-Id of the request.
 func (m *model) answer(t *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -5,7 +5,7 @@
 // Files: server.go has the server itself, handler.go serves a request from its head to its response, request.go
 // validates requests, parse.go parses paths and header values, response.go writes responses. Client connections:
 // connset.go has the set of all connections, accept.go accepts and rejects new ones, evict.go evicts connections,
-// shutdown.go closes them for a shutdown, handover.go hands them over to another process, and clientconn.go has the
+// shutdown.go closes them for a shutdown, handover.go moves them to another process, and clientconn.go has the
 // type of a single connection.
 package httpserver
 
@@ -75,9 +75,9 @@
 	conns          atomic.Pointer[connSet] // nil until Serve is called
 	serving        chan struct{}           // closed once conns is set
 	acceptingEnded chan struct{}           // closed once Serve adds no more connections to conns
-	// resourceShare is the fraction of MaxConns that may be open; guarded by mu. Server has it because it may be set
+	// resourceFraction is the fraction of MaxConns that may be open; guarded by mu. Server has it because it may be set
 	// before conns exists.
-	resourceShare float64
+	resourceFraction float64
 
 	finalReadMargin time.Duration // see defaultFinalReadMargin; tests change it
 
@@ -97,7 +97,7 @@
 		pendingResponses: map[core.RequestID]chan core.Respond{},
 		serving:          make(chan struct{}),
 		acceptingEnded:   make(chan struct{}),
-		resourceShare:    1,
+		resourceFraction: 1,
 		finalReadMargin:  defaultFinalReadMargin,
 	}
 	for i, class := range options.Settings.Classes {
@@ -149,7 +149,7 @@
 	}
 	conns.rejection = s.connRejection()
 	s.mu.Lock()
-	conns.setResourceShare(s.resourceShare)
+	conns.setResourceFraction(s.resourceFraction)
 	s.conns.Store(conns)
 	s.mu.Unlock()
 	close(s.serving)
@@ -173,7 +173,7 @@
 	return fmt.Appendf(nil, "HTTP/1.1 429 Too Many Requests\r\n%sContent-Length: 0\r\nConnection: close\r\n\r\n", retryAfter)
 }
 
-// AdoptConn serves an idle client connection that another process has handed over. It blocks until Serve is called.
+// AdoptConn serves an idle client connection that another process has moved here. It blocks until Serve is called.
 func (s *Server) AdoptConn(adopted net.Conn) {
 	<-s.serving
 	conns := s.conns.Load()
@@ -218,20 +218,20 @@
 	s.conns.Load().resume()
 }
 
-// MoveConns hands idle client connections over to another process, now and as they become idle, until Resume. handOver
+// MoveConns moves idle client connections to another process, now and as they become idle, until Resume. moveConn
 // returns once the connection may be closed in this process; if it fails, this process keeps the connection.
-func (s *Server) MoveConns(handOver func(syscall.Conn) error) {
+func (s *Server) MoveConns(moveConn func(syscall.Conn) error) {
 	<-s.serving
-	s.conns.Load().startHandover(handOver)
+	s.conns.Load().startMove(moveConn)
 }
 
-// SetResourceShare sets the fraction of Options.MaxConns that may be open while another process has the rest.
-func (s *Server) SetResourceShare(fraction float64) {
+// SetResourceFraction sets the fraction of Options.MaxConns that may be open while another process has the rest.
+func (s *Server) SetResourceFraction(fraction float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resourceShare = fraction
+	s.resourceFraction = fraction
 	if conns := s.conns.Load(); conns != nil {
-		conns.setResourceShare(fraction)
+		conns.setResourceFraction(fraction)
 	}
 }
 
@@ -256,7 +256,7 @@
 	}
 }
 
-// Close stops accepting, and waits until all connections are closed or handed over, but no longer than the timeout.
+// Close stops accepting, and waits until all connections are closed or moved, but no longer than the timeout.
 // Shortly before the timeout it stops reading requests.
 func (s *Server) Close(timeout time.Duration) {
 	s.closing.Store(true)
@@ -266,7 +266,7 @@
 	_ = s.server.Close() // all connections are closed, or the timeout has passed
 }
 
-// closeConns waits until all connections are closed or handed over.
+// closeConns waits until all connections are closed or moved.
 func (s *Server) closeConns(conns *connSet, timeout time.Duration) {
 	timedOut, stopReading := time.After(timeout), time.After(timeout-s.finalReadMargin)
 	_ = conns.Close() // Accept reports errors of the listener
@@ -278,7 +278,7 @@
 		select {
 		case <-acceptingEnded:
 			acceptingEnded = nil
-			if !conns.isHandingOver() { // otherwise the other process receives the idle connections
+			if !conns.isMovingConns() { // otherwise the other process receives the idle connections
 				conns.drain()
 			}
 		case <-poll.C:
--- a/internal/processharness/backend.go
+++ b/internal/processharness/backend.go
@@ -39,16 +39,16 @@
 
 // LeasedAttempt is an attempt that arrived under a lease.
 type LeasedAttempt struct {
-	At, End time.Time // when the attempt arrived, and when its response began
-	Token   uint64    // fencing token
+	ArrivedAt, RespondedAt time.Time // when the attempt arrived, and when its response began
+	Token                  uint64    // fencing token
 }
 
 // Attempt is an attempt that arrived at a backend.
 type Attempt struct {
-	At       time.Time
-	CallID   string
-	Customer string
-	IsKeyed  bool // the request has an idempotency key
+	ArrivedAt time.Time
+	CallID    string
+	Customer  string
+	IsKeyed   bool // the request has an idempotency key
 }
 
 // listenAttempts limits how often listen tries another address.
@@ -87,8 +87,8 @@
 	})
 }
 
-// Delay sets how long the backend takes to respond.
-func (b *Backend) Delay(d time.Duration) {
+// SetDelay sets how long the backend takes to respond.
+func (b *Backend) SetDelay(d time.Duration) {
 	b.mu.Lock()
 	b.delay = d
 	b.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 	customer := r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	key := r.Header.Get("Idempotency-Key")
-	attempt := Attempt{At: time.Now(), CallID: callID, Customer: customer, IsKeyed: key != ""}
+	attempt := Attempt{ArrivedAt: time.Now(), CallID: callID, Customer: customer, IsKeyed: key != ""}
 	delay := b.recordAttempt(attempt)
 	if minServiceTime := b.tier.MinServiceTime; minServiceTime != nil {
 		delay = max(delay, minServiceTime(attempt))
@@ -133,7 +133,7 @@
 
 // trackAttempt records that an attempt is in flight. The caller calls end when it has written the response. If the
 // connection ends earlier, the attempt ends at that time.
-func (b *Backend) trackAttempt(connection context.Context, attempt Attempt) (end func()) {
+func (b *Backend) trackAttempt(ctx context.Context, attempt Attempt) (end func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	index := len(b.spans)
@@ -145,7 +145,7 @@
 			span.End, span.Closed = time.Now(), closed
 		}
 	}
-	stop := context.AfterFunc(connection, func() { finish(true) })
+	stop := context.AfterFunc(ctx, func() { finish(true) })
 	return func() {
 		stop()
 		finish(false)
@@ -156,7 +156,7 @@
 func (b *Backend) recordLeasedAttempt(arrivedAt time.Time, token uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.leasedAttempts = append(b.leasedAttempts, LeasedAttempt{At: arrivedAt, End: time.Now(), Token: token})
+	b.leasedAttempts = append(b.leasedAttempts, LeasedAttempt{ArrivedAt: arrivedAt, RespondedAt: time.Now(), Token: token})
 }
 
 func (b *Backend) isAbortingConns() bool {
--- a/internal/processharness/checker.go
+++ b/internal/processharness/checker.go
@@ -53,7 +53,7 @@
 	case 0:
 		if !r.excused(result) {
 			counts.Lost++
-			r.breach("limiter %d, %.3f s: no response after %v: %s", result.Limiter, r.sinceStart(result.At).Seconds(), result.Took, result.ConnError)
+			r.breach("limiter %d, %.3f s: no response after %v: %s", result.Limiter, r.sinceStart(result.SentAt).Seconds(), result.Took, result.ConnError)
 		}
 	case http.StatusOK:
 		counts.Served++
@@ -74,8 +74,8 @@
 		if outage.to.IsZero() {
 			return true
 		}
-		sentBefore := result.At.Before(outage.to.Add(excuseMargin))
-		endedAfter := result.At.Add(result.Took).After(outage.from.Add(-excuseMargin))
+		sentBefore := result.SentAt.Before(outage.to.Add(excuseMargin))
+		endedAfter := result.SentAt.Add(result.Took).After(outage.from.Add(-excuseMargin))
 		if sentBefore && endedAfter {
 			return true
 		}
@@ -106,7 +106,7 @@
 			continue
 		}
 		counted[a.CallID] = true
-		r.checkAttempt(int(number), &customers[number-1], r.sinceStart(a.At), requestUnits)
+		r.checkAttempt(int(number), &customers[number-1], r.sinceStart(a.ArrivedAt), requestUnits)
 	}
 }
 
@@ -143,7 +143,7 @@
 		switch {
 		case a.Token < token:
 			r.result.TokenDecreases++
-			r.breach("attempt %d under a lease, %.3f s: fencing token %d after %d", i, r.sinceStart(a.At).Seconds(), a.Token, token)
+			r.breach("attempt %d under a lease, %.3f s: fencing token %d after %d", i, r.sinceStart(a.ArrivedAt).Seconds(), a.Token, token)
 		case a.Token > token:
 			r.result.Holders++
 		}
--- a/internal/processharness/faults.go
+++ b/internal/processharness/faults.go
@@ -57,7 +57,7 @@
 	switch f.Role {
 	case "":
 		return f.Limiters
-	case simulation.RoleHolder:
+	case simulation.RoleLeaseHolder:
 		return r.leaseHolder()
 	}
 	acceptors := r.scenario.Acceptors()
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// holdsLease reports whether a process says that it holds the lease of the first task.
+// holdsLease reports whether a process reports that it holds the lease of the first task.
 func (p *Process) holdsLease() bool {
 	resp, err := adminClient(leaseQueryTimeout).Get("http://" + p.AdminAddr + "/leases")
 	if err != nil {
@@ -173,7 +173,7 @@
 
 func (r *tierRun) startLimiter(n int) {
 	p := r.Limiters[n].Start()
-	p.Await(r.Host)
+	p.AwaitHealthy(r.Host)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.processes[n] = p
--- a/internal/processharness/leasehistory.go
+++ b/internal/processharness/leasehistory.go
@@ -26,8 +26,8 @@
 		history = append(history, porcupine.Operation{
 			ClientId: i,
 			Input:    a.Token,
-			Call:     a.At.UnixNano(),
-			Return:   max(a.End.UnixNano(), a.At.UnixNano()),
+			Call:     a.ArrivedAt.UnixNano(),
+			Return:   max(a.RespondedAt.UnixNano(), a.ArrivedAt.UnixNano()),
 		})
 	}
 	return porcupine.CheckOperationsTimeout(fencedLock, history, historyTimeout) == porcupine.Ok
--- a/internal/processharness/linkpeer.go
+++ b/internal/processharness/linkpeer.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	// linkFormat is the version of the link's messages.
-	linkFormat = 1
+	// linkVersion is the version of the link's messages.
+	linkVersion = 1
 	// heartbeatCount is how many heartbeats RunFailingSuccessor sends before its last step, at heartbeatInterval.
 	heartbeatCount    = 5
 	heartbeatInterval = 20 * time.Millisecond
@@ -61,7 +61,7 @@
 // hello returns the body of a successor's first message.
 func (a limiterAddresses) hello() []byte {
 	body, err := json.Marshal(map[string]any{
-		"Format": linkFormat, "Name": a.Name, "Listen": a.Listen, "Peers": a.PeerListen,
+		"Format": linkVersion, "Name": a.Name, "Listen": a.Listen, "Peers": a.PeerListen,
 	})
 	if err != nil {
 		panic(err)
--- a/internal/processharness/load.go
+++ b/internal/processharness/load.go
@@ -69,8 +69,8 @@
 type Result struct {
 	Request
 	ID             string
-	At             time.Time     // when the last byte of the request was written
-	Took           time.Duration // from At until the response was read or the read failed
+	SentAt         time.Time     // when the last byte of the request was written
+	Took           time.Duration // from SentAt until the response was read or the read failed
 	Status         int           // 0 if no complete response was read
 	ConnError      string        // error on the connection, "" for none
 	Body           string
@@ -156,7 +156,7 @@
 			c.close()
 		}
 	}
-	slices.SortFunc(l.Results, func(a, b Result) int { return a.At.Compare(b.At) })
+	slices.SortFunc(l.Results, func(a, b Result) int { return a.SentAt.Compare(b.SentAt) })
 	return l.Results
 }
 
@@ -166,7 +166,7 @@
 	id := fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, n)
 	conn, kept, err := l.connection(request.Limiter)
 	if err != nil {
-		l.record(Result{Request: request, ID: id, At: time.Now(), ConnError: "connect: " + err.Error()})
+		l.record(Result{Request: request, ID: id, SentAt: time.Now(), ConnError: "connect: " + err.Error()})
 		return
 	}
 	if request.Mode == Pipelining {
@@ -197,18 +197,18 @@
 	}
 	at, err := conn.write(requestText(first, id) + requestText(second, secondID))
 	if err != nil {
-		l.finish(Result{Request: first, ID: id, At: at, ConnError: err.Error()}, kept)
-		l.finish(Result{Request: second, ID: secondID, At: at, ConnError: err.Error()}, kept)
+		l.finish(Result{Request: first, ID: id, SentAt: at, ConnError: err.Error()}, kept)
+		l.finish(Result{Request: second, ID: secondID, SentAt: at, ConnError: err.Error()}, kept)
 		return
 	}
-	result, state := receive(Result{Request: first, ID: id, At: at}, conn)
+	result, state := receive(Result{Request: first, ID: id, SentAt: at}, conn)
 	l.finish(result, state == connUnanswered && kept)
 	hasFirstResponse := result.Status > 0 // the limiter may close the connection after the first response
 	if hasFirstResponse {
-		at = result.At.Add(result.Took)
+		at = result.SentAt.Add(result.Took)
 		conn.setDeadline(time.Now().Add(requestTimeout))
 	}
-	result, state = receive(Result{Request: second, ID: secondID, At: at}, conn)
+	result, state = receive(Result{Request: second, ID: secondID, SentAt: at}, conn)
 	l.release(first.Limiter, conn, state)
 	l.finish(result, state == connUnanswered && (hasFirstResponse || kept))
 }
@@ -219,7 +219,7 @@
 	at, err := conn.write(requestText(request, id))
 	if err != nil {
 		conn.close()
-		return Result{Request: request, ID: id, At: at, ConnError: err.Error()}, true
+		return Result{Request: request, ID: id, SentAt: at, ConnError: err.Error()}, true
 	}
 	switch request.Mode {
 	case Disconnecting:
@@ -227,7 +227,7 @@
 	case HalfClosing:
 		conn.endSending()
 	}
-	result, state := receive(Result{Request: request, ID: id, At: at}, conn)
+	result, state := receive(Result{Request: request, ID: id, SentAt: at}, conn)
 	if request.Mode == Normal {
 		l.release(request.Limiter, conn, state)
 	} else {
@@ -252,7 +252,7 @@
 func receive(result Result, conn *clientConn) (Result, connState) {
 	_, firstByteErr := conn.reader.Peek(1)
 	resp, body, err := conn.readResponse()
-	result.Took = time.Since(result.At)
+	result.Took = time.Since(result.SentAt)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		result.ConnError, result.timedOut = "read: "+err.Error(), true
--- a/internal/processharness/load_test.go
+++ b/internal/processharness/load_test.go
@@ -69,7 +69,7 @@
 	const wait = 30 * time.Millisecond
 	addr, ended := serveRequests(t, "silent")
 	results := sendOne(t, addr, Request{Class: ClassIdempotent, Mode: Disconnecting, DisconnectAfter: wait})
-	if len(results) != 1 || results[0].DisconnectedAt.Sub(results[0].At) < wait || results[0].Status != 0 {
+	if len(results) != 1 || results[0].DisconnectedAt.Sub(results[0].SentAt) < wait || results[0].Status != 0 {
 		t.Errorf("disconnecting: results %+v, want one without a response, disconnected after DisconnectAfter", results)
 	}
 	if err := <-ended; err == nil {
--- a/internal/processharness/process.go
+++ b/internal/processharness/process.go
@@ -88,8 +88,8 @@
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// Await waits until the process accepts clients, and fails the host if it does not within waitTimeout.
-func (p *Process) Await(h Host) {
+// AwaitHealthy waits until the process accepts clients, and fails the host if it does not within waitTimeout.
+func (p *Process) AwaitHealthy(h Host) {
 	h.Helper()
 	WaitUntil(h, "a process that accepts clients", p.Healthy)
 }
--- a/internal/processharness/run.go
+++ b/internal/processharness/run.go
@@ -92,7 +92,7 @@
 		})
 	}
 	for _, b := range r.Backends {
-		b.Delay(milliseconds(sc.Backends.Work))
+		b.SetDelay(milliseconds(sc.Backends.Work))
 	}
 	r.setClocks()
 	r.restoreNetwork()
@@ -118,7 +118,7 @@
 		r.processes[i] = l.Start()
 	}
 	for _, p := range r.processes {
-		p.Await(r.Host)
+		p.AwaitHealthy(r.Host)
 	}
 }
 
--- a/internal/processharness/run_test.go
+++ b/internal/processharness/run_test.go
@@ -36,7 +36,7 @@
 		limiter, at, took int
 		want              bool
 	}{{0, 100, 200, false}, {0, 700, 200, true}, {0, 1500, 10, true}, {0, 2100, 10, true}, {0, 2300, 10, false}, {1, 9000, 10, true}} {
-		q := Result{Request: Request{Limiter: c.limiter}, At: at(c.at), Took: time.Duration(c.took) * time.Millisecond}
+		q := Result{Request: Request{Limiter: c.limiter}, SentAt: at(c.at), Took: time.Duration(c.took) * time.Millisecond}
 		if r.excused(q) != c.want {
 			t.Errorf("%+v: want excused %v", c, c.want)
 		}
--- a/internal/processharness/tier.go
+++ b/internal/processharness/tier.go
@@ -59,7 +59,7 @@
 		attempts = append(attempts, b.leasedAttempts...)
 		b.mu.Unlock()
 	}
-	slices.SortStableFunc(attempts, func(a, b LeasedAttempt) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(attempts, func(a, b LeasedAttempt) int { return a.ArrivedAt.Compare(b.ArrivedAt) })
 	return attempts
 }
 
@@ -75,7 +75,7 @@
 	for _, a := range attempts {
 		byID[a.CallID]++
 	}
-	slices.SortFunc(attempts, func(a, b Attempt) int { return a.At.Compare(b.At) })
+	slices.SortFunc(attempts, func(a, b Attempt) int { return a.ArrivedAt.Compare(b.ArrivedAt) })
 	return byID, attempts
 }
 
--- a/internal/simprotocol/line.go
+++ b/internal/simprotocol/line.go
@@ -106,7 +106,7 @@
 	return number
 }
 
-// parseNumber parses a number, and reports whether the text is one and finite.
+// parseNumber parses a number, and reports whether the text is a finite number.
 func parseNumber(text string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	finite := !math.IsNaN(number) && !math.IsInf(number, 0)
--- a/internal/simulation/backends.go
+++ b/internal/simulation/backends.go
@@ -146,23 +146,23 @@
 	w, incarnation := b.world, b.incarnation
 	b.updateUtilization()
 	b.busyCores++
-	work := time.Duration(float64(w.exponential(milliseconds(w.scenario.Backends.Work))) / b.speed())
-	if b.isRepeat(a.request) {
-		work = repeatServiceTime
+	serviceTime := time.Duration(float64(w.exponential(milliseconds(w.scenario.Backends.Work))) / b.speed())
+	if b.recordKey(a.request) {
+		serviceTime = repeatServiceTime
 	}
 	if w.slots.probing {
-		work = slotProbeServiceTime
+		serviceTime = slotProbeServiceTime
 	}
-	w.after(work, func() {
+	w.after(serviceTime, func() {
 		if b.incarnation == incarnation {
-			b.complete(a, work)
+			b.complete(a, serviceTime)
 		}
 	})
 }
 
-// isRepeat reports whether a request repeats an idempotency key that the backend served within IdempotencyWindow. If
-// not, it records the request's key as served now.
-func (b *backend) isRepeat(r *request) bool {
+// recordKey records the idempotency key of a request as served now, unless the backend served it within
+// IdempotencyWindow. It reports whether the backend did.
+func (b *backend) recordKey(r *request) bool {
 	if !r.keyed {
 		return false
 	}
@@ -175,10 +175,10 @@
 }
 
 // complete responds to an attempt and serves queued attempts on the cores that are free.
-func (b *backend) complete(a *attempt, work time.Duration) {
+func (b *backend) complete(a *attempt, serviceTime time.Duration) {
 	b.updateUtilization()
 	b.busyCores--
-	b.latency += latencyWeight * (work.Seconds()*1e3 - b.latency)
+	b.latency += latencyWeight * (serviceTime.Seconds()*1e3 - b.latency)
 	a.finish(admission.Succeeded, []float64{b.latency, b.utilization})
 	b.world.recordEnd(a)
 	for len(b.queue) > 0 && b.busyCores < b.world.scenario.Backends.Cores {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -45,7 +45,7 @@
 	switch f.Role {
 	case "":
 		return f.Limiters
-	case RoleHolder:
+	case RoleLeaseHolder:
 		if holder := w.leaseHolder(); holder >= 0 {
 			return []int{holder}
 		}
--- a/internal/simulation/hotrestart.go
+++ b/internal/simulation/hotrestart.go
@@ -40,8 +40,8 @@
 	return false
 }
 
-// startHotRestart starts a successor of a limiter, and schedules the shutdown of the predecessor and the kill
-// of the process that the fault names, if any.
+// startHotRestart starts a successor of a limiter, and schedules the shutdown of the predecessor after f.For and the kill
+// of the process that the fault names, if any, after f.Down.
 func (w *world) startHotRestart(l *limiter, f Fault) {
 	if l.machine == nil || l.link.peer != nil {
 		return // down, or in a hot restart already
@@ -53,9 +53,9 @@
 	}
 	switch f.KilledProcess {
 	case Predecessor:
-		w.after(seconds(f.Down), func() { w.endProcess(l) })
+		w.after(seconds(f.Down), func() { w.killLinkedProcess(l) })
 	case Successor:
-		w.after(seconds(f.Down), func() { w.endProcess(successor) })
+		w.after(seconds(f.Down), func() { w.killLinkedProcess(successor) })
 	}
 }
 
@@ -76,16 +76,16 @@
 	return successor
 }
 
-// shutDownIfHandedOver shuts a predecessor down, unless its successor was denied or has ended.
+// shutDownIfHandedOver shuts a predecessor down if it has handed over to its successor.
 func (l *limiter) shutDownIfHandedOver() {
 	if l.machine != nil && l.machine.Phase() == core.HandedOver {
 		l.post(core.ShutdownRequested{})
 	}
 }
 
-// endProcess kills one of two linked processes. The other one has the sockets of both from then on, and learns after
-// linkDelay that the link is closed.
-func (w *world) endProcess(l *limiter) {
+// killLinkedProcess kills one of two linked processes. The other one has the sockets of both from then on, and receives
+// LinkClosed after linkDelay.
+func (w *world) killLinkedProcess(l *limiter) {
 	peer := l.link.peer
 	if l.machine == nil || peer == nil {
 		return
@@ -126,7 +126,7 @@
 	case core.ConnectPredecessor:
 		l.world.after(0, l.ifAlive(l.connectPredecessor))
 	case core.KillOtherProcess:
-		l.world.endProcess(l.link.peer)
+		l.world.killLinkedProcess(l.link.peer)
 	case core.PauseListeners:
 		l.link.paused = true
 	case core.ResumeListeners:
@@ -209,7 +209,7 @@
 			return
 		}
 	}
-	l.world.endProcess(l)
+	l.world.killLinkedProcess(l)
 }
 
 // selectProcess returns the process of the limiter at which a request arrives: during a hot restart some clients
--- a/internal/simulation/leasechecker.go
+++ b/internal/simulation/leasechecker.go
@@ -22,8 +22,8 @@
 	enabled            bool
 	maxAttemptToken    uint64          // highest token of the attempts that reached a backend
 	maxHeldToken       uint64          // highest token under which a limiter held the lease
-	vacantSince        time.Duration   // 0 while the lease has a holder
-	vacancies          []time.Duration // durations without a holder
+	withoutHolderSince time.Duration   // 0 while the lease has a holder
+	timesWithoutHolder []time.Duration // durations without a holder
 	messagesByReceiver map[int]int     // messages about leases
 	leaseBytes         int             // total size of these messages
 }
@@ -88,7 +88,7 @@
 		w.checkHeldToken(i, token)
 	}
 	w.checkRestarts()
-	w.leases.recordVacancy(w.now, holder < 0)
+	w.leases.recordTimeWithoutHolder(w.now, holder < 0)
 }
 
 // checkHeldToken checks the fencing token under which a limiter holds the lease.
@@ -102,14 +102,15 @@
 	}
 }
 
-// recordVacancy records the start or the end of a time without a lease holder; vacant means that there is none now.
-func (c *leaseChecker) recordVacancy(now time.Duration, vacant bool) {
+// recordTimeWithoutHolder records the start or the end of a time without a lease holder; withoutHolder means that there
+// is none now.
+func (c *leaseChecker) recordTimeWithoutHolder(now time.Duration, withoutHolder bool) {
 	switch {
-	case vacant && c.vacantSince == 0:
-		c.vacantSince = now
-	case !vacant && c.vacantSince > 0:
-		c.vacancies = append(c.vacancies, now-c.vacantSince)
-		c.vacantSince = 0
+	case withoutHolder && c.withoutHolderSince == 0:
+		c.withoutHolderSince = now
+	case !withoutHolder && c.withoutHolderSince > 0:
+		c.timesWithoutHolder = append(c.timesWithoutHolder, now-c.withoutHolderSince)
+		c.withoutHolderSince = 0
 	}
 }
 
@@ -134,20 +135,20 @@
 	}
 }
 
-// summarizeLeases stores the measures of the leases in the result. The first vacancy, at the start of the run, does not
-// count. A vacancy that lasts until the end of the run does.
+// summarizeLeases stores the measures of the leases in the result. The time before the first lease holder does
+// not count. A time without a lease holder that lasts until the end of the run does.
 func (w *world) summarizeLeases() {
 	c, r := &w.leases, &w.result
 	if !c.enabled {
 		return
 	}
-	if c.vacantSince > 0 {
-		c.vacancies = append(c.vacancies, w.now-c.vacantSince)
+	if c.withoutHolderSince > 0 {
+		c.timesWithoutHolder = append(c.timesWithoutHolder, w.now-c.withoutHolderSince)
 	}
-	for _, vacancy := range c.vacancies[min(len(c.vacancies), 1):] {
-		ms := float64(vacancy) / float64(time.Millisecond)
-		r.NoHolder += ms / float64(len(c.vacancies)-1)
-		r.NoHolderWorst = max(r.NoHolderWorst, ms)
+	for _, duration := range c.timesWithoutHolder[min(len(c.timesWithoutHolder), 1):] {
+		ms := float64(duration) / float64(time.Millisecond)
+		r.MeanTimeWithoutHolder += ms / float64(len(c.timesWithoutHolder)-1)
+		r.MaxTimeWithoutHolder = max(r.MaxTimeWithoutHolder, ms)
 	}
 	messages := 0
 	for _, n := range c.messagesByReceiver {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -44,23 +44,23 @@
 	QueueTime99 float64 `json:"wait_99_ms"` // the same, 99th percentile
 
 	// Measures of the first task that is done under a lease, of usage reports and of rolling restarts.
-	Holders         int     `json:"holders"`      // times that another incarnation of a limiter acquired the lease
-	Overlaps        int     `json:"overlaps"`     // checks that found two holders
-	NoHolder        float64 `json:"no_holder_ms"` // mean duration without a holder, except that before the first one
-	NoHolderWorst   float64 `json:"no_holder_worst_ms"`
-	LeasedAttempts  int     `json:"acts"`        // attempts under the lease that reached backends
-	TokenDecreases  int     `json:"token_falls"` // of these, those under a lower token than an earlier one
-	Periods         int     `json:"periods"`     // usage reports that count
-	UsageFaults     int     `json:"use_faults"`  // faults that the summary of the reports lists
-	UsageDuplicates int     `json:"use_twice"`   // periods in two reports without MayRepeat
-	UsageRepeats    int     `json:"use_again"`   // reports that count and have MayRepeat: an earlier lease holder may have written one
-	UsageOver       float64 `json:"use_over"`    // units in the reports beyond those that reached backends
-	UsageUnder      float64 `json:"use_under"`   // units that reached backends and are neither reported nor recorded
-	Restarted       int     `json:"walked"`      // limiters that restarted under a restart slot and serve again
-	RestartsOpen    int     `json:"walking"`     // limiters that wait for a restart slot or restart, at the end
-	LeaseMessages   float64 `json:"lease_messages_per_s"`
-	LeaseBytes      float64 `json:"lease_bytes_per_s"`
-	LeaseBusiest    float64 `json:"lease_busiest_per_s"` // messages to the limiter that receives most
+	Holders               int     `json:"holders"`      // times that another incarnation of a limiter acquired the lease
+	Overlaps              int     `json:"overlaps"`     // checks that found two holders
+	MeanTimeWithoutHolder float64 `json:"no_holder_ms"` // mean duration without a holder, except that before the first one
+	MaxTimeWithoutHolder  float64 `json:"no_holder_worst_ms"`
+	LeasedAttempts        int     `json:"acts"`        // attempts under the lease that reached backends
+	TokenDecreases        int     `json:"token_falls"` // of these, those under a lower token than an earlier one
+	Periods               int     `json:"periods"`     // usage reports that count
+	UsageFaults           int     `json:"use_faults"`  // faults that the summary of the reports lists
+	UsageDuplicates       int     `json:"use_twice"`   // periods in two reports without MayRepeat
+	UsageRepeats          int     `json:"use_again"`   // reports that count and have MayRepeat: an earlier lease holder may have written one
+	UsageOver             float64 `json:"use_over"`    // units in the reports beyond those that reached backends
+	UsageUnder            float64 `json:"use_under"`   // units that reached backends and are neither reported nor recorded
+	Restarted             int     `json:"walked"`      // limiters that restarted under a restart slot and serve again
+	RestartsOpen          int     `json:"walking"`     // limiters that wait for a restart slot or restart, at the end
+	LeaseMessages         float64 `json:"lease_messages_per_s"`
+	LeaseBytes            float64 `json:"lease_bytes_per_s"`
+	LeaseBusiest          float64 `json:"lease_busiest_per_s"` // messages to the limiter that receives most
 
 	Slots SlotResult `json:"-"` // experiments list its measures together with those of Result
 
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -152,7 +152,7 @@
 
 // The roles of limiters for the first task that is done under a lease.
 const (
-	RoleHolder      Role = "holder"
+	RoleLeaseHolder Role = "holder"
 	RoleAcceptors   Role = "keepers" // all of them
 	RoleOneAcceptor Role = "keeper"  // selected at random
 )
--- a/internal/simulation/usagechecker.go
+++ b/internal/simulation/usagechecker.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// diskDelay is the time to write a usage report, and again the time until the limiter learns that it is written.
+	// diskDelay is the time to write a usage report, and again the time until the limiter is notified that it is written.
 	diskDelay = 3 * time.Millisecond
 	// maxUnitsAtBackends is how many units may be at backends at the end of a run. Limiters have not recorded them yet.
 	maxUnitsAtBackends = 10
@@ -60,7 +60,7 @@
 	r.UsageOver = max(accounted-w.usage.unitsReached, 0)
 	r.UsageUnder = max(w.usage.unitsReached-accounted, 0)
 	if r.UsageUnder > maxUnitsAtBackends && r.UsageFaults == 0 {
-		w.breach("%.0f units are in no usage report, and the summary of the reports lists no fault", r.UsageUnder)
+		w.breach("%.0f units are in no report, and no report says so", r.UsageUnder)
 	}
 }
 
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -79,8 +79,8 @@
 	breach := func(format string, args ...any) { breaches = append(breaches, fmt.Sprintf(format, args...)) }
 	o.lastArrival = map[string]time.Time{}
 	for _, a := range o.arrivals {
-		if a.At.After(o.lastArrival[a.CallID]) {
-			o.lastArrival[a.CallID] = a.At
+		if a.ArrivedAt.After(o.lastArrival[a.CallID]) {
+			o.lastArrival[a.CallID] = a.ArrivedAt
 		}
 	}
 	for _, r := range o.results {
@@ -142,12 +142,12 @@
 		return ""
 	}
 	for _, out := range o.outages {
-		if out.isHotRestart || out.limiter != r.Limiter || r.At.Add(r.Took).Before(out.from) || r.At.After(out.to) {
+		if out.isHotRestart || out.limiter != r.Limiter || r.SentAt.Add(r.Took).Before(out.from) || r.SentAt.After(out.to) {
 			continue
 		}
 		isRefused := strings.HasPrefix(r.ConnError, "connect:")
 		isUnread := o.attempts[r.ID] == 0 && r.Took < longestDeadline
-		isSentLate := out.killed && r.At.After(out.from.Add(responseWindow))
+		isSentLate := out.killed && r.SentAt.After(out.from.Add(responseWindow))
 		if isRefused || isUnread || isSentLate {
 			return ""
 		}
@@ -160,8 +160,8 @@
 // excuseMargin of that.
 func (o *observations) duringCrash(r processharness.Result) bool {
 	for _, out := range o.outages {
-		sentBefore := r.At.Before(out.to.Add(excuseMargin))
-		endedAfter := r.At.Add(r.Took).After(out.from.Add(-excuseMargin))
+		sentBefore := r.SentAt.Before(out.to.Add(excuseMargin))
+		endedAfter := r.SentAt.Add(r.Took).After(out.from.Add(-excuseMargin))
 		if out.isCrash && out.limiter == r.Limiter && sentBefore && endedAfter {
 			return true
 		}
@@ -197,7 +197,7 @@
 // isUnlisted reports whether an attempt arrived at a backend that every limiter must know to be unlisted.
 func (o *observations) isUnlisted(a processharness.BackendAttempt) bool {
 	for _, u := range o.unlistings {
-		if u.backend == a.Backend && a.At.After(u.from.Add(listPropagationTime)) && a.At.Before(u.to) {
+		if u.backend == a.Backend && a.ArrivedAt.After(u.from.Add(listPropagationTime)) && a.ArrivedAt.Before(u.to) {
 			return true
 		}
 	}
--- a/internal/soak/hotrestart.go
+++ b/internal/soak/hotrestart.go
@@ -48,7 +48,7 @@
 	out.from = time.Now()
 	r.kill(successor)
 	out.isCrash = successor.HasLogged(servingText) // the successor may have accepted clients
-	predecessor.Await(r.tier.Host)
+	predecessor.AwaitHealthy(r.tier.Host)
 	out.to = time.Now()
 	out.readyIn = out.to.Sub(out.from)
 	r.release(predecessor, out)
@@ -85,7 +85,7 @@
 	out.from = time.Now()
 	out.log = append(predecessor.LogTail(logLines), successor.LogTail(logLines)...)
 	r.kill(successor)
-	predecessor.Await(r.tier.Host)
+	predecessor.AwaitHealthy(r.tier.Host)
 	out.to = time.Now()
 	r.release(predecessor, out)
 }
--- a/internal/soak/inflight.go
+++ b/internal/soak/inflight.go
@@ -53,7 +53,7 @@
 	byCustomer := map[string][]inFlightChange{}
 	for i := range o.spans {
 		span := &o.spans[i]
-		changes := append(byCustomer[span.Customer], inFlightChange{span.At, 1, span})
+		changes := append(byCustomer[span.Customer], inFlightChange{span.ArrivedAt, 1, span})
 		if !span.End.IsZero() {
 			changes = append(changes, inFlightChange{earliestEnd(span), -1, span})
 		}
@@ -73,10 +73,10 @@
 	if !span.Closed {
 		return span.End
 	}
-	if early := span.End.Add(-closeSlack); early.After(span.At) {
+	if early := span.End.Add(-closeSlack); early.After(span.ArrivedAt) {
 		return early
 	}
-	return span.At.Add(1)
+	return span.ArrivedAt.Add(1)
 }
 
 // describe returns a line for each attempt: when it started, its request, the limiter to which the request was sent,
@@ -89,7 +89,7 @@
 	var lines []string
 	for span := range inFlight {
 		lines = append(lines, fmt.Sprintf("\n    %.3f s: request %s at limiter %d, attempt %d of its request",
-			span.At.Sub(o.startedAt).Seconds(), span.CallID, limiters[span.CallID], o.attemptNumber(span)))
+			span.ArrivedAt.Sub(o.startedAt).Seconds(), span.CallID, limiters[span.CallID], o.attemptNumber(span)))
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "")
@@ -99,7 +99,7 @@
 func (o *observations) attemptNumber(span *processharness.AttemptSpan) int {
 	number := 1
 	for i := range o.spans {
-		if other := &o.spans[i]; other.CallID == span.CallID && other.At.Before(span.At) {
+		if other := &o.spans[i]; other.CallID == span.CallID && other.ArrivedAt.Before(span.ArrivedAt) {
 			number++
 		}
 	}
@@ -109,7 +109,7 @@
 // countLongAttempts returns how many attempts lasted longer than the loan of a slot.
 func (o *observations) countLongAttempts() (count int) {
 	for _, span := range o.spans {
-		if !span.End.IsZero() && span.End.Sub(span.At) > loanDuration {
+		if !span.End.IsZero() && span.End.Sub(span.ArrivedAt) > loanDuration {
 			count++
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -119,7 +119,7 @@
 	tier.Plans = []processharness.Plan{{Name: "free"}, {Name: "small", Rate: 5, Burst: 24, CeilingRate: 10, CeilingBurst: 48}, {Name: limitedPlan, MaxConcurrent: maxInFlight}}
 	tier.MinServiceTime = minServiceTime
 	for _, b := range tier.Backends {
-		b.Delay(normalDelay)
+		b.SetDelay(normalDelay)
 	}
 	tier.Network.SetQuality(normalLoss, 0, time.Millisecond)
 	r := &run{tier: tier}
@@ -127,7 +127,7 @@
 		r.processes[i] = l.Start()
 	}
 	for _, p := range r.processes {
-		p.Await(host)
+		p.AwaitHealthy(host)
 	}
 	r.observed.fresh = resourcesOf(r.processes[0])
 	r.startedAt = time.Now()
@@ -245,9 +245,9 @@
 	case Unlist:
 		r.unlist(step)
 	case SlowBackend:
-		r.tier.Backends[step.Target].Delay(slowDelay)
+		r.tier.Backends[step.Target].SetDelay(slowDelay)
 		time.Sleep(step.For)
-		r.tier.Backends[step.Target].Delay(normalDelay)
+		r.tier.Backends[step.Target].SetDelay(normalDelay)
 	case LoseDatagrams:
 		r.tier.Network.SetQuality(faultLoss, 0, time.Millisecond)
 		time.Sleep(step.For)
@@ -301,7 +301,7 @@
 	end(&out)
 	startedAt := time.Now()
 	next := r.tier.Limiters[limiter].Start()
-	next.Await(r.tier.Host)
+	next.AwaitHealthy(r.tier.Host)
 	out.to = time.Now()
 	out.readyIn = out.to.Sub(startedAt)
 	r.release(next, out)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -39,14 +39,14 @@
 // servedAt returns the result of a request that was sent at a time in ms from runStart and served by limiter 0.
 func servedAt(ms int) processharness.Result {
 	return processharness.Result{
-		Request: processharness.Request{Class: processharness.ClassIdempotent}, ID: "a", At: at(ms), Took: 20 * time.Millisecond,
+		Request: processharness.Request{Class: processharness.ClassIdempotent}, ID: "a", SentAt: at(ms), Took: 20 * time.Millisecond,
 		Status: http.StatusOK, Body: "a 0",
 	}
 }
 
 // span returns the span of an attempt of customer 29 that was in flight between two times, in ms from runStart.
 func span(id string, from, to int) processharness.AttemptSpan {
-	return processharness.AttemptSpan{Attempt: processharness.Attempt{At: at(from), CallID: id, Customer: "29"}, End: at(to)}
+	return processharness.AttemptSpan{Attempt: processharness.Attempt{ArrivedAt: at(from), CallID: id, Customer: "29"}, End: at(to)}
 }
 
 // observationsWithoutBreach returns the observations of a run in which no rule is broken. Limiter 0 shuts down from 5
@@ -56,7 +56,7 @@
 	return &observations{
 		results:  []processharness.Result{servedAt(0)},
 		attempts: map[string]int{"a": 1},
-		arrivals: []processharness.BackendAttempt{{Attempt: processharness.Attempt{At: at(21000), CallID: "z"}, Backend: 2}},
+		arrivals: []processharness.BackendAttempt{{Attempt: processharness.Attempt{ArrivedAt: at(21000), CallID: "z"}, Backend: 2}},
 		outages: []outage{
 			{limiter: 0, from: at(5000), to: at(7000), took: time.Second, readyIn: 50 * time.Millisecond},
 			{limiter: 1, from: at(10000), to: at(10500), isCrash: true, readyIn: 50 * time.Millisecond},
@@ -86,18 +86,18 @@
 	}{
 		{"no response", func(o *observations) { o.results[0].Status, o.results[0].ConnError = 0, "read: EOF" }, "no response after"},
 		{"sent to a backend during a shutdown, no response", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5100), 0, "read: EOF"
+			o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(5100), 0, "read: EOF"
 		}, "no response during the shutdown"},
 		{"unread during a shutdown", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5100), 0, "read: EOF"
+			o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(5100), 0, "read: EOF"
 			o.attempts["a"] = 0
 		}, ""},
 		{"sent soon after SIGTERM, no response at SIGKILL", func(o *observations) {
 			o.outages[0].killed = true
-			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5500), 0, "read: EOF"
+			o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(5500), 0, "read: EOF"
 		}, "no response during the shutdown"},
 		{"no response in a crash", func(o *observations) {
-			o.results[0].Limiter, o.results[0].At, o.results[0].Status = 1, at(9990), 0
+			o.results[0].Limiter, o.results[0].SentAt, o.results[0].Status = 1, at(9990), 0
 		}, ""},
 		{"late response", func(o *observations) { o.results[0].Took = 2600 * time.Millisecond }, "due within"},
 		{"response of another request", func(o *observations) { o.results[0].Body = "b 0" }, "unexpected body"},
@@ -114,7 +114,7 @@
 			o.outages[0].killed, o.outages[0].took, o.outages[0].suspended = true, killAfter, maxSuspend
 		}, "when SIGKILL was sent"},
 		{"slow start", func(o *observations) { o.outages[1].readyIn = 11 * time.Second }, "ready 11s"},
-		{"attempt at an unlisted backend", func(o *observations) { o.arrivals[0].At = at(27000) }, "not listed"},
+		{"attempt at an unlisted backend", func(o *observations) { o.arrivals[0].ArrivedAt = at(27000) }, "not listed"},
 		{"more attempts in flight than the plan allows", func(o *observations) {
 			o.spans = append(o.spans, span("e", 1499, 1501))
 		}, "customer 29: 3 attempts in flight at once, 2 allowed"},
@@ -143,11 +143,11 @@
 		}, ""},
 		{"sent to a backend just as its client disconnects", func(o *observations) {
 			o.results[0].Status, o.results[0].DisconnectedAt = 0, at(20)
-			o.arrivals[0].CallID, o.arrivals[0].At = "a", at(20).Add(disconnectSlack)
+			o.arrivals[0].CallID, o.arrivals[0].ArrivedAt = "a", at(20).Add(disconnectSlack)
 		}, ""},
 		{"sent to a backend after its client disconnected", func(o *observations) {
 			o.results[0].Status, o.results[0].DisconnectedAt = 0, at(20)
-			o.arrivals[0].CallID, o.arrivals[0].At = "a", at(21).Add(disconnectSlack)
+			o.arrivals[0].CallID, o.arrivals[0].ArrivedAt = "a", at(21).Add(disconnectSlack)
 		}, "after its client disconnected"},
 		{"repeated for a client that disconnected, although it must not be", func(o *observations) {
 			o.results[0].Status, o.results[0].DisconnectedAt, o.results[0].Class = 0, at(20), processharness.ClassNonIdempotent
@@ -160,17 +160,17 @@
 			o.results[0].Mode, o.results[0].Body = processharness.Pipelining, "f 0"
 		}, "unexpected body"},
 		{"no response in a hot restart", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(12100), 0, "read: EOF"
+			o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(12100), 0, "read: EOF"
 			o.attempts["a"] = 0
 		}, "no response after"},
 		{"connection refused in a hot restart", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(12100), 0, "connect: refused"
+			o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(12100), 0, "connect: refused"
 		}, "connect: refused"},
 		{"no response when a successor is killed that may have had clients", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(14000), 0, "read: reset"
+			o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(14000), 0, "read: reset"
 		}, ""},
 		{"no response when a successor is killed that had no clients", func(o *observations) {
-			o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(14000), 0, "read: reset"
+			o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(14000), 0, "read: reset"
 			o.outages[3].isCrash = false
 		}, "no response after"},
 		{"exit code of a predecessor", func(o *observations) { o.outages[2].exitErr = errors.New("exit status 1") }, "exit status 1"},
@@ -198,7 +198,7 @@
 func TestLateRequestAtSIGKILLNeedsNoResponse(t *testing.T) {
 	o := observationsWithoutBreach()
 	o.outages[0].killed = true
-	o.results[0].At, o.results[0].Status, o.results[0].ConnError = at(5900), 0, "read: EOF"
+	o.results[0].SentAt, o.results[0].Status, o.results[0].ConnError = at(5900), 0, "read: EOF"
 	if breaches := o.check(); len(breaches) != 1 || !strings.Contains(breaches[0], "when SIGKILL was sent") {
 		t.Errorf("breaches %q, want only one that SIGKILL was sent", breaches)
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -16,9 +16,9 @@
 const (
 	// maxStaleConns is the number of stale connections after which an attempt ends with admission.NotSent.
 	maxStaleConns = 8
-	// noResponseTimeout is the initial value of the response timer, which applies until the first byte of the
+	// initialResponseTimeout is the initial value of the response timer, which applies until the first byte of the
 	// response. The event loop decides how long an attempt may wait for that byte.
-	noResponseTimeout = time.Hour
+	initialResponseTimeout = time.Hour
 )
 
 // An attempt is one try of a request at a backend, from StartAttempt to its outcome. It ends with a
@@ -189,7 +189,7 @@
 func (c *Client) roundTrip(ctx context.Context, a *attempt, e core.StartAttempt) outcome {
 	// A valid response is complete shortly after its first byte. The timer closes the connection of a response
 	// whose header never ends or whose length is wrong, which would otherwise stay open.
-	responseTimer := time.AfterFunc(noResponseTimeout, a.closeConn)
+	responseTimer := time.AfterFunc(initialResponseTimeout, a.closeConn)
 	defer responseTimer.Stop()
 	ctx = httptrace.WithClientTrace(ctx, c.trace(a, e.Attempt, responseTimer))
 	content := e.Content.(*Request)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -88,13 +88,13 @@
 	}
 	c := &Client{options: options, backends: map[string]*backend{}, attempts: map[core.AttemptID]*attempt{}}
 	c.hooks = hooks{onConnected: func(core.AttemptID) {}, onWritten: func(int) {}}
-	c.SetResourceShare(1)
+	c.SetResourceFraction(1)
 	return c
 }
 
-// SetResourceShare sets the fraction of Options.MaxConns that this process may have open while the other process of
+// SetResourceFraction sets the fraction of Options.MaxConns that this process may have open while the other process of
 // a hot restart has the rest. Connections that are already open stay open.
-func (c *Client) SetResourceShare(fraction float64) {
+func (c *Client) SetResourceFraction(fraction float64) {
 	c.maxConns.Store(int64(math.Ceil(float64(c.options.MaxConns) * fraction)))
 }
 
--- a/internal/upstream/model_test.go
+++ b/internal/upstream/model_test.go
@@ -139,7 +139,7 @@
 					if !ok {
 						return
 					}
-					c.send("HTTP/1.1 " + rapid.SampledFrom([]string{"200 OK", "500 Internal Server Error", "503 Service Unavailable\r\nX-Rejected: 1"}).Draw(t, "status") +
+					c.send("HTTP/1.1 " + rapid.SampledFrom([]string{"200 OK", "500 Oops", "503 Full\r\nX-Rejected: 1"}).Draw(t, "status") +
 						fmt.Sprintf("\r\nContent-Length: %d\r\n\r\n%s", len(receivedCallID), receivedCallID) + rapid.SampledFrom([]string{"", "", "noise"}).Draw(t, "behind"))
 				case <-time.After(time.Millisecond):
 				}
--- a/internal/upstream/probe_test.go
+++ b/internal/upstream/probe_test.go
@@ -17,7 +17,7 @@
 	}{
 		"header": {response("200 OK", "X-Load-Report: TEXT util=0.5, latency_ms=7\r\n", "ok"), admission.Succeeded, []float64{7, 0.5}},
 		"body":   {response("200 OK", "", "TEXT latency_ms=3, util=0.25\n"), admission.Succeeded, []float64{3, 0.25}},
-		"error":  {response("503 Service Unavailable", "", ""), admission.Errored, nil},
+		"error":  {response("503 Ill", "", ""), admission.Errored, nil},
 		"closed": {closeWithoutResponse, admission.Unreachable, nil},
 	} {
 		backend := startBackend(t, c.response)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -52,7 +52,7 @@
 }
 
 // isFramed reports whether a response states where it ends. A response that ends with its connection cannot be
-// told from a truncated one, and 101 is not a response to a request.
+// distinguished from a truncated one, and 101 is not a response to a request.
 func isFramed(response *http.Response) bool {
 	chunked := len(response.TransferEncoding) == 1 && response.TransferEncoding[0] == "chunked"
 	return response.ProtoMajor == 1 && response.StatusCode >= 200 && (response.ContentLength >= 0 || chunked)
