--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,7 +9,8 @@
 // slot that first tries need.
 func TestClientRetryAfterObjectiveIsRejected(t *testing.T) {
 	f := newFixture(t, testSettings(), backendList("a", "b")...)
-	isForwarded := func(budget time.Duration) bool {
+	// sendRequest sends a request, ends its attempts with success, and reports whether it was forwarded.
+	sendRequest := func(budget time.Duration) bool {
 		id := f.requestWithBudget("read", "free", "x", budget)
 		attempts := actionsOf[StartAttempt](f.takeActions())
 		for _, attempt := range attempts {
@@ -18,14 +19,14 @@
 		return len(attempts) > 0
 	}
 	for range 40 {
-		if !isForwarded(1500 * ms) {
+		if !sendRequest(1500 * ms) {
 			t.Fatal("a first try was rejected")
 		}
 	}
-	if isForwarded(1000 * ms) {
+	if sendRequest(1000 * ms) {
 		t.Error("a client retry with 1 s left of a 2 s deadline and an objective of 500 ms was forwarded, want a rejection")
 	}
-	if !isForwarded(1900 * ms) {
+	if !sendRequest(1900 * ms) {
 		t.Error("a client retry 100 ms after the first try was rejected, want it forwarded")
 	}
 }
--- a/internal/admission/customers.go
+++ b/internal/admission/customers.go
@@ -239,7 +239,7 @@
 func (ctl *Controller) quotaConfig() quota.Config {
 	config := quota.Config{
 		Self: ctl.settings.Self, Limiters: ctl.settings.Limiters, GossipEnabled: ctl.canGossip(), Epoch: ctl.settings.Epoch,
-		LongestAttempt: ctl.longestAttempt(),
+		LongestAttempt: ctl.maxAttemptEnd(),
 	}
 	for _, p := range ctl.settings.Plans {
 		config.Plans = append(config.Plans, quota.Plan{
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -140,12 +140,13 @@
 	return b == nil || b.unavailable || b.ejected()
 }
 
-// rejectionKind numbers the kind of a request, which a backend may reject separately: a class of a plan.
+// rejectionKind returns the index of the combination of plan and class of a request. A backend that rejects requests of
+// one combination may accept those of others.
 func (ctl *Controller) rejectionKind(r *request) int {
 	return r.customer.planIndex*len(ctl.classes.all) + slices.Index(ctl.classes.all, r.class)
 }
 
-// avoidKind makes one kind of request avoid a backend until a clock time.
+// avoidKind makes requests of one kind avoid a backend until the given time of the Controller's clock.
 func (b *backend) avoidKind(kind int, until time.Duration) {
 	if b.rejectedUntil == nil {
 		b.rejectedUntil = map[int]time.Duration{}
--- a/internal/admission/heldslots.go
+++ b/internal/admission/heldslots.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// This file holds the slots of requests of another process of this limiter that have no attempt in flight here but may
-// still have one there: a retry decided by that process, or an attempt that a backend still runs after that process died.
+// This file holds slots for requests of another process of this limiter. Such a request has no attempt in flight in
+// this process, but may have one in the other process: a retry decided by that process, or an attempt that a backend
+// still runs after that process died.
 
 // heldSlotState is the stored form of a held slot.
 type heldSlotState struct {
@@ -19,8 +20,8 @@
 	Until        time.Duration `json:"Until"`
 }
 
-// longestAttempt returns the longest time after the arrival of a request for which an attempt of it can be in flight.
-func (ctl *Controller) longestAttempt() time.Duration {
+// maxAttemptEnd returns how long after the arrival of a request its last attempt can still be in flight.
+func (ctl *Controller) maxAttemptEnd() time.Duration {
 	return ctl.classes.longestDeadline() + attemptEndMargin
 }
 
@@ -34,7 +35,7 @@
 func (ctl *Controller) newAdoptedRequest(ev *Request) *request {
 	r := &request{
 		Request: ev, customer: ctl.lookupCustomer(ev), receivedAt: ctl.now, ended: true,
-		adoptedUntil: ctl.now + ctl.longestAttempt(),
+		adoptedUntil: ctl.now + ctl.maxAttemptEnd(),
 	}
 	if held := ctl.customers.held[ev.ID]; held != nil {
 		delete(ctl.customers.held, ev.ID)
--- a/internal/admission/heldslots_test.go
+++ b/internal/admission/heldslots_test.go
@@ -38,9 +38,9 @@
 		},
 		"the retry is at an unknown backend, and nothing more was reported": func(s *slotLimiter) {
 			s.handle(&AttemptAdopted{Request: adoptedRequest(1000), Attempt: 1, Backend: "gone"})
-			s.advance(s.ctl.longestAttempt() + 50*ms)
+			s.advance(s.ctl.maxAttemptEnd() + 50*ms)
 		},
-		"nothing more was reported": func(s *slotLimiter) { s.advance(s.ctl.longestAttempt() + 50*ms) },
+		"nothing more was reported": func(s *slotLimiter) { s.advance(s.ctl.maxAttemptEnd() + 50*ms) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSlotLimiterWithoutPeers(t)
@@ -72,7 +72,7 @@
 		s.handle(&AttemptAdopted{Request: adoptedRequest(1000 + id), Backend: "a"})
 		s.handle(&AttemptFinished{Request: 1000 + id, Backend: "a", Result: Canceled, Final: true})
 	}
-	s.advance(s.ctl.longestAttempt() - timerStep)
+	s.advance(s.ctl.maxAttemptEnd() - timerStep)
 	if s.start(); len(s.inFlight) > 0 {
 		t.Error("an attempt started while both slots were held")
 	}
@@ -135,7 +135,7 @@
 		if got := limiter.slotsInUse(); got != 1 {
 			t.Errorf("%s: %d slots in use, want 1", name, got)
 		}
-		limiter.advance(limiter.ctl.longestAttempt() + 50*ms)
+		limiter.advance(limiter.ctl.maxAttemptEnd() + 50*ms)
 		if got := limiter.slotsInUse(); got != 0 || len(limiter.ctl.customers.held) > 0 {
 			t.Errorf("%s: %d slots in use after the longest attempt, want 0 and none held", name, got)
 		}
@@ -174,7 +174,7 @@
 				s.handle(&AttemptFinished{Request: id, Attempt: attempt, Result: Canceled, Final: true})
 			}
 		}
-		s.advance(s.ctl.longestAttempt() + 50*ms)
+		s.advance(s.ctl.maxAttemptEnd() + 50*ms)
 		if got := s.slotsInUse(); got != 0 || len(s.ctl.customers.held)+len(s.ctl.requests) > 0 {
 			t.Fatalf("seed %d: %d slots in use, %d held, %d requests, want none",
 				seed, got, len(s.ctl.customers.held), len(s.ctl.requests))
--- a/internal/admission/retry_test.go
+++ b/internal/admission/retry_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// A retry of a request with an idempotency key that waits for a connection may not start when backends may no longer
-// drop the repeat: connecting may take longer than the idempotency window.
+// A retry that waits for a connection starts only while backends certainly deduplicate the request: connecting can take
+// longer than the idempotency window.
 func TestRetryStartsWithinIdempotencyWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].IdempotencyWindow = 300 * ms
--- a/internal/admission/snapshot_codec_test.go
+++ b/internal/admission/snapshot_codec_test.go
@@ -23,6 +23,6 @@
 			t.Fatal(err)
 		}
 	}
-	alloctest.CompareFirst(t, "Snapshot", takeSnapshot)
-	alloctest.CompareFirst(t, "Resume", resume)
+	alloctest.CompareFirstCall(t, "Snapshot", takeSnapshot)
+	alloctest.CompareFirstCall(t, "Resume", resume)
 }
--- a/internal/alloctest/alloctest.go
+++ b/internal/alloctest/alloctest.go
@@ -27,9 +27,9 @@
 	return false
 }
 
-// CompareFirst reports an error if the first call of a function makes more than 5/4 of the allocations of a later
+// CompareFirstCall reports an error if the first call of a function makes more than 5/4 of the allocations of a later
 // call, plus 20.
-func CompareFirst(t *testing.T, name string, call func()) {
+func CompareFirstCall(t *testing.T, name string, call func()) {
 	t.Helper()
 	first := allocations(call)
 	call()
--- a/internal/core/collection.go
+++ b/internal/core/collection.go
@@ -173,7 +173,7 @@
 	return 0
 }
 
-// startCollection starts to collect a period. With mayBeReported, a report of the period may exist already.
+// startCollection starts to collect a period. If mayBeReported is set, a report of the period may exist already.
 func (m *Machine) startCollection(period, previous uint32, mayBeReported bool) {
 	c := &m.usage.collection
 	c.phase = collectionOpening
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -39,7 +39,7 @@
 	ClosedUnread         uint64          `json:"closed_unread"` // client connections closed with no complete request read
 	ClosedIdle           uint64          `json:"closed_idle"`   // client connections closed between requests
 	ConnsRejected        uint64          `json:"full"`          // new client connections beyond the limit, answered with Retry-After
-	AttemptsStarted      uint64          `json:"fetched"`       // attempts started
+	AttemptsStarted      uint64          `json:"fetched"`       // attempts at backends, retries included
 	Retries              uint64          `json:"retries"`       // retries among AttemptsStarted
 	NotSent              uint64          `json:"not_sent"`      // attempts past the deadline, beyond the attempt limit, without a live backend or a lease, or withdrawn
 	Served               uint64          `json:"served"`        // responses of backends sent to clients
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -107,7 +107,7 @@
 	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Number, b.Number))
 }
 
-// resumeAdmitting admits requests again. With newEpoch, the successor has admitted requests meanwhile.
+// resumeAdmitting admits requests again. If newEpoch is set, the successor has admitted requests meanwhile.
 func (m *Machine) resumeAdmitting(newEpoch bool) {
 	m.hotRestart.forwarding = false
 	m.hotRestart.stateSent = false
@@ -181,8 +181,9 @@
 	m.emit(SetAcceptingClients{Accepting: true})
 }
 
-// takeReceivedState returns the state that the predecessor sent. The endpoint list and its address are taken from the
-// configuration where the state lacks them or could not be read.
+// takeReceivedState returns the state that the predecessor sent. Where it lacks the endpoint list or the address of
+// discovery, or could not be read, the known endpoint list of the configuration and this process's address of discovery
+// are used.
 func (m *Machine) takeReceivedState() *HandoverState {
 	state := m.hotRestart.received
 	m.hotRestart.received = nil
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -44,7 +44,7 @@
 	return [...]string{"starting", "awaiting", "serving", "handing", "handed", "draining", "closing", "stopped"}[p]
 }
 
-// Time limits of the life cycle. The platform determines them; operators cannot set them.
+// Time limits of the life cycle. Operators cannot set them; most follow from the behaviour of the platform.
 const (
 	// discoveryTimeout is the time after which a limiter without an endpoint list becomes ready even if discovery has
 	// not replied. cachedListTimeout is that time for a limiter with a known list, which may still have backends that
@@ -66,7 +66,8 @@
 // Phase returns the phase of the process.
 func (m *Machine) Phase() Phase { return m.phase }
 
-// startFresh starts without a predecessor. With wait, a process that is ending may still hold the addresses.
+// startFresh starts without a predecessor. If wait is set, OpenListeners waits for the addresses, which a process that
+// is ending may still hold.
 func (m *Machine) startFresh(wait bool) {
 	m.emit(OpenListeners{Wait: wait})
 	m.emit(ListenForSuccessors{})
--- a/internal/eventloop/frames_codec_test.go
+++ b/internal/eventloop/frames_codec_test.go
@@ -18,8 +18,8 @@
 	initTransferCodecs()
 	state := filled[core.HandoverState](1)
 	var body []byte
-	alloctest.CompareFirst(t, "encoding", func() { body, _ = frameCodec.Marshal(newStateFrame(state)) })
-	alloctest.CompareFirst(t, "decoding", func() {
+	alloctest.CompareFirstCall(t, "encoding", func() { body, _ = frameCodec.Marshal(newStateFrame(state)) })
+	alloctest.CompareFirstCall(t, "decoding", func() {
 		ev, _ := decode(link.Frame{Kind: uint8(hotrestart.Transfer), Body: body})
 		if ev.(*core.LinkMessageReceived).State == nil {
 			t.Fatal("the state was not decoded")
--- a/internal/hotrestart/link/frame.go
+++ b/internal/hotrestart/link/frame.go
@@ -64,7 +64,7 @@
 	}
 	size, kind, sockets := int(binary.BigEndian.Uint32(r.data)), r.data[4], int(r.data[5])
 	if size > maxBodyBytes || sockets > maxSockets {
-		return Frame{}, fmt.Errorf("frame header exceeds the limits: body of %d bytes, %d sockets", size, sockets)
+		return Frame{}, fmt.Errorf("frame header: body of %d bytes or %d sockets exceed the limits", size, sockets)
 	}
 	if err := r.fill(headerBytes + size); err != nil {
 		return Frame{}, err
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -171,7 +171,7 @@
 // withLease adds the accepted lease to a reply.
 func (a *Acceptor) withLease(reply Message) Message {
 	reply.HasLease = true
-	reply.Holder, reply.Incarnation = a.accepted.ballot.By, a.accepted.ballot.Epoch
+	reply.Holder, reply.HolderEpoch = a.accepted.ballot.By, a.accepted.ballot.Epoch
 	reply.Token = a.accepted.token
 	return reply
 }
@@ -228,7 +228,7 @@
 	StartedAt        time.Duration `json:"Born"`
 	Promised         Ballot        `json:"Promised"`
 	Accepted         Ballot        `json:"Under"` // of the accepted lease, which ends at Until
-	Incarnation      uint32        `json:"Life"`  // Accepted.Epoch; restore reads it from Accepted
+	AcceptedEpoch    uint32        `json:"Life"`  // Accepted.Epoch; restore reads it from Accepted
 	Token            uint64        `json:"Token"`
 	Until            time.Duration `json:"Until"`
 	HighestToken     uint64        `json:"Known"`
@@ -244,7 +244,7 @@
 		StartedAt:        a.startedAt,
 		Promised:         a.promised,
 		Accepted:         a.accepted.ballot,
-		Incarnation:      a.accepted.ballot.Epoch,
+		AcceptedEpoch:    a.accepted.ballot.Epoch,
 		Token:            a.accepted.token,
 		Until:            a.accepted.until,
 		HighestToken:     a.highestToken,
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -172,10 +172,10 @@
 	t.Logf("won %d times, %d payloads set", wins, payloads)
 }
 
-// With message loss as the only fault a task keeps its lease holder, but for one change per 200 seeds at most.
-// After the limiters start, and after the holder dies, stalls or releases the lease, there is a holder within the
-// given number of lease durations: at the median, for 99 of 100 seeds and at the worst. LEMONGATE_LONG=1 runs
-// 1,000 seeds.
+// If messages are lost and nothing else fails, a task keeps its lease holder: at most one change per 200 seeds. After
+// the limiters start, and after the holder dies, stalls or releases the lease, the median, the 99th percentile and the
+// maximum of the time without a holder are at most the given numbers of lease durations. LEMONGATE_LONG=1 runs 1,000
+// seeds.
 func TestTimesWithoutHolder(t *testing.T) {
 	seeds := uint64(60)
 	if os.Getenv("LEMONGATE_LONG") != "" {
@@ -327,18 +327,18 @@
 	}
 }
 
-// A lease of an earlier incarnation counts as another limiter's, because two processes of one limiter may run
-// at once.
+// A lease of an earlier epoch of the same limiter counts as another limiter's, because two processes of one limiter may
+// run at once.
 func TestEarlierIncarnation(t *testing.T) {
 	p := NewProposer(Config{Self: 4, Epoch: 9, Acceptors: []Limiter{0}, Duration: leaseDuration})
 	p.SetWanted(0, true, 0)
 	p.Tick(0, 0)
-	for _, incarnation := range []uint32{8, 9} {
+	for _, holderEpoch := range []uint32{8, 9} {
 		attempt := p
-		promise := Message{Kind: Promise, Ballot: p.ballot, HasLease: true, Holder: 4, Incarnation: incarnation, Token: 3}
+		promise := Message{Kind: Promise, Ballot: p.ballot, HasLease: true, Holder: 4, HolderEpoch: holderEpoch, Token: 3}
 		out := attempt.HandleMessage(0, 0, promise, 0)
-		if (len(out) > 0) != (incarnation == 9) {
-			t.Errorf("after a promise that reports a lease of incarnation %d: sent messages %v, want some only for incarnation 9, the proposer's own", incarnation, out)
+		if (len(out) > 0) != (holderEpoch == 9) {
+			t.Errorf("after a promise that reports a lease of epoch %d: sent messages %v, want some only for epoch 9, the proposer's own", holderEpoch, out)
 		}
 	}
 }
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -58,7 +58,7 @@
 	Task         uint32  // see TaskID
 	Ballot       Ballot  // RecoveryQuery and RecoveryReply: only Epoch is set, to that of the querying acceptor's start
 	Holder       Limiter // Promise: the holder of the lease, if HasLease
-	Incarnation  uint32  // Promise: the epoch of the holder's start, if HasLease
+	HolderEpoch  uint32  // Promise: the epoch of the holder's start, if HasLease
 	HasLease     bool    // Promise: the acceptor has accepted a valid lease. RecoveryReply: the acceptor is active
 	Token        uint64  // Propose: of the lease; Promise: of the reported lease
 	HighestToken uint64  // the greatest token known to the sender
@@ -75,7 +75,7 @@
 // messages, so that a limiter of another version ignores it.
 //
 //	 0  magic         17  Holder, 2 bytes
-//	 1  Kind          19  Incarnation, 4 bytes
+//	 1  Kind          19  HolderEpoch, 4 bytes
 //	 2  HasLease      23  Token, 8 bytes
 //	 3  Task          31  HighestToken, 8 bytes
 //	 7  Ballot.Round  39  Payload, 8 bytes
@@ -89,7 +89,8 @@
 // IsMessage reports whether a datagram is a message of this package.
 func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == magic }
 
-// Append appends the datagram of a message to data, which must be empty.
+// Append encodes a message into data, which must be empty, because the checksum covers all of data. Its capacity is
+// reused.
 func (m Message) Append(data []byte) []byte {
 	hasLease := byte(0)
 	if m.HasLease {
@@ -102,7 +103,7 @@
 	data = order.AppendUint32(data, m.Ballot.Epoch)
 	data = order.AppendUint16(data, m.Ballot.By)
 	data = order.AppendUint16(data, m.Holder)
-	data = order.AppendUint32(data, m.Incarnation)
+	data = order.AppendUint32(data, m.HolderEpoch)
 	data = order.AppendUint64(data, m.Token)
 	data = order.AppendUint64(data, m.HighestToken)
 	data = order.AppendUint64(data, m.Payload)
@@ -124,7 +125,7 @@
 		Task:         order.Uint32(data[3:]),
 		Ballot:       Ballot{Round: order.Uint32(data[7:]), Epoch: order.Uint32(data[11:]), By: order.Uint16(data[15:])},
 		Holder:       order.Uint16(data[17:]),
-		Incarnation:  order.Uint32(data[19:]),
+		HolderEpoch:  order.Uint32(data[19:]),
 		Token:        order.Uint64(data[23:]),
 		HighestToken: order.Uint64(data[31:]),
 		Payload:      order.Uint64(data[39:]),
--- a/internal/lease/message_test.go
+++ b/internal/lease/message_test.go
@@ -11,7 +11,7 @@
 // a byte is wrong.
 func FuzzParse(f *testing.F) {
 	m := Message{
-		Kind: Promise, Task: TaskID("trials"), Ballot: Ballot{1 << 30, 1 << 31, 299}, Holder: 298, Incarnation: 1 << 31, HasLease: true,
+		Kind: Promise, Task: TaskID("trials"), Ballot: Ballot{1 << 30, 1 << 31, 299}, Holder: 298, HolderEpoch: 1 << 31, HasLease: true,
 		Token: 1 << 60, HighestToken: 1<<60 + 1, Payload: 1<<40 + 7,
 	}
 	datagram := m.Append(nil)
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -88,8 +88,9 @@
 // has accepted it, and any quorum of promises reports it.
 func (p *Proposer) Payload() uint64 { return p.payload }
 
-// SetPayload sets a greater payload. It reports whether a quorum has accepted it under this lease, so
-// that every later lease holder knows it; until then the call has to be repeated.
+// SetPayload raises the payload to the given value, if that is greater and this limiter holds the lease. It reports
+// whether a quorum has accepted it under this lease, so that every later lease holder knows it; until then the call has
+// to be repeated.
 func (p *Proposer) SetPayload(now time.Duration, payload uint64) bool {
 	if _, _, held := p.Holds(now); !held {
 		return false
@@ -290,10 +291,10 @@
 	return nil
 }
 
-// reportsOtherLease reports whether a Promise reports a valid lease of another limiter, or of another
-// incarnation of this one. Such a message is not counted as a promise.
+// reportsOtherLease reports whether a Promise reports a valid lease of another limiter, or of another epoch of this
+// one. Such a message is not counted as a promise.
 func (p *Proposer) reportsOtherLease(m Message) bool {
-	return m.HasLease && (m.Holder != p.Self || m.Incarnation != p.Epoch)
+	return m.HasLease && (m.Holder != p.Self || m.HolderEpoch != p.Epoch)
 }
 
 // waitForHolder ends an attempt because another limiter holds the lease, and schedules the next one.
--- a/internal/lease/tier_test.go
+++ b/internal/lease/tier_test.go
@@ -9,7 +9,7 @@
 // leaseDuration is the lease duration of all tests.
 const leaseDuration = time.Second
 
-// simulatedLimiter is a limiter of a simulated tier.
+// simulatedLimiter is a proposer, and an acceptor if the limiter is one, with a clock of its own.
 type simulatedLimiter struct {
 	config      Config
 	acceptor    *Acceptor // nil if this limiter is no acceptor
--- a/internal/quota/lostpeers.go
+++ b/internal/quota/lostpeers.go
@@ -8,7 +8,8 @@
 
 // resetStaleLinks ends the loans, grants and transfer requests of earlier epochs of peers. Shares that were
 // lent to an earlier epoch are available here again from the first message of the new epoch on, not before: until
-// then the earlier epoch may have used them. Shares borrowed from it belong to the peer's new epoch.
+// then the earlier epoch may have used them. Shares borrowed from an earlier epoch are given up: the peer's new epoch
+// has them.
 func (a *Account) resetStaleLinks() {
 	for _, lk := range a.links {
 		peer := a.ledger.peers[lk.peerID]
@@ -45,9 +46,9 @@
 	return min((a.ledger.lastMessageAt - lk.reportedAt).Seconds(), maxUnreportedSeconds)
 }
 
-// recoverUnits adds to the quota here this limiter's part of the units that a peer had when it shut down, died
-// or restarted. The customer's bucket still has them, and the peer's next epoch starts without them. Debt is taken
-// over likewise.
+// recoverUnits adds to this limiter's quota level its part of the units that a peer had when it shut down, died
+// or restarted. The customer's bucket still has them, and the peer's next epoch starts without them. A peer's debt is
+// divided in the same way.
 func (a *Account) recoverUnits(lk *link) {
 	plan := a.plan()
 	if !lk.known || lk.recovered || a.baseFraction <= 0 || plan.Quota.Rate <= 0 {
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -8,18 +8,20 @@
 	"lemongate/internal/rate"
 )
 
-// This file handles accounts of large sets: their owner and backup owners, what these have, and what the other
-// limiters know of it. owner_reserve.go decides on requests, owner_transfer.go is the exchange with the owner,
-// and owner_ceiling.go what an owner borrows of a ceiling. Account.owners and "owners" in names are the owner
-// and its backup owners together; HoldersOf also covers small sets, in which all limiters are holders.
+// This file handles accounts of large sets: the owner and the backup owners of an account, their allocations, and what
+// the other limiters know of the owner's level. owner_reserve.go decides on requests, owner_transfer.go is the exchange
+// with the owner, and owner_ceiling.go borrows units of a ceiling from the backup owners. Account.owners and "owners"
+// in names are the owner and its backup owners together; HoldersOf also covers small sets, in which all limiters are
+// holders.
 //
 // The owner has the customer's complete quota, and two backup owners decide, in their order, while those
 // before them are silent: a limiter sends its transfer request to the first owner that is not silent.
 //
-// A quota may be exceeded by what a backup owner grants while the owner grants too, at most its level; by
-// restartLevelFraction of the burst at each start of an owner; and by credit: a limiter that gets no
-// decision at all consumes from a small bucket of its own. All credit of a set together is at most
-// creditRateFactor times the rate, and one request for each limiter.
+// A quota may be exceeded by:
+//   - grants of a backup owner while the owner grants too: at most the backup owner's level;
+//   - the start of an owner: restartLevelFraction of the burst at each start;
+//   - credit: a limiter that gets no decision at all consumes from a small bucket of its own. All credit of a set
+//     together is at most creditRateFactor times the rate, plus one request for each limiter.
 
 const (
 	// ownerCount is the number of owners of a customer: the owner and its backups.
@@ -68,7 +70,7 @@
 	arrivesBy time.Duration
 }
 
-// initLargeSet sets the owners of an account of a large set, and what this limiter has by its rank among them.
+// initLargeSet sets the owners of an account of a large set, and this limiter's allocations by its rank among them.
 func (a *Account) initLargeSet() {
 	l := a.ledger
 	plan := a.plan()
--- a/internal/quota/owner_ceiling.go
+++ b/internal/quota/owner_ceiling.go
@@ -6,10 +6,10 @@
 // allocations of the ceiling, whichever of them are silent. An owner whose allocation runs short borrows from its
 // backup owners.
 
-// minBorrowedCeiling is the minimum that an owner requests of a backup owner, in units.
+// minBorrowedCeiling is the minimum that an owner requests from a backup owner, in units.
 const minBorrowedCeiling = 1.0
 
-// borrowCeiling requests of the backup owners their refill of the ceiling since the last request: while the
+// borrowCeiling requests from the backup owners their refill of the ceiling since the last request: while the
 // owner is alive they have no use for it. This creates no units: a unit leaves one allocation before it is added to
 // another, and the owner requests no more than its own allocation can hold.
 func (l *Ledger) borrowCeiling(a *Account, now time.Duration) {
@@ -42,7 +42,7 @@
 	return need
 }
 
-// borrowCeilingFrom requests of a backup owner with a fraction of the ceiling its refill, up to what is
+// borrowCeilingFrom requests its refill from a backup owner, which has a fraction of the ceiling, up to what is
 // needed, and returns the units requested.
 func (l *Ledger) borrowCeilingFrom(a *Account, lk *link, fraction, need float64, now time.Duration) float64 {
 	ceiling := a.plan().Ceiling
--- a/internal/quota/owner_transfer.go
+++ b/internal/quota/owner_transfer.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleRequestAsOwner grants what a limiter requests of its owner, all of it or nothing.
+// handleRequestAsOwner grants what a limiter requests from its owner, all of it or nothing.
 func (l *Ledger) handleRequestAsOwner(peerID int, a *Account, request gossip.TransferRequest, now time.Duration) {
 	lk := a.link(peerID)
 	if lk.known && lk.lastGrant.Nonce == request.Nonce { // a repeated request: the grant was lost
--- a/internal/quota/sendqueue.go
+++ b/internal/quota/sendqueue.go
@@ -10,7 +10,7 @@
 
 // This file queues transfer requests and grants for each peer, and composes messages from them.
 
-// queueTransferRequest queues a message to a peer about an account.
+// queueTransferRequest queues a transfer request for an account to the peer of lk, unless one is queued.
 func (l *Ledger) queueTransferRequest(a *Account, lk *link) {
 	if lk.queued {
 		return
@@ -46,8 +46,8 @@
 	return list
 }
 
-// HasGrantsFor reports whether a grant to a peer is queued. There are no more grants than transfer requests
-// received.
+// HasGrantsFor reports whether a grant to a peer is queued. No more grants are queued than transfer requests were
+// received, so messages with grants need no limit of their own.
 func (l *Ledger) HasGrantsFor(peerID int) bool {
 	peer := l.peers[peerID]
 	return peer != nil && len(peer.queuedGrants) > 0
--- a/internal/rollingrestart/coordinator.go
+++ b/internal/rollingrestart/coordinator.go
@@ -86,7 +86,8 @@
 // Payload returns the payload that a quorum has to accept before anything is granted.
 func (c *Coordinator) Payload() uint64 { return c.payload }
 
-// HandleRequest handles a request for a slot and its grant.
+// HandleRequest queues a limiter's request for a restart slot, which Tick answers with a grant. A repeated request
+// replaces the earlier one and keeps its place.
 func (c *Coordinator) HandleRequest(now time.Duration, from Limiter, nonce uint32) {
 	for i, w := range c.waiting {
 		if w.limiter == from {
--- a/internal/rollingrestart/message.go
+++ b/internal/rollingrestart/message.go
@@ -15,7 +15,7 @@
 
 // The kinds of messages, with their senders.
 const (
-	SlotRequest Kind = iota // requester: requests a slot and its grant
+	SlotRequest Kind = iota // requester: requests the grant of a slot
 	SlotGrant               // coordinator: permits a restart within ValidFor, while those in Restarting restart too
 	StatusQuery             // coordinator, to a limiter that has a slot: does it still have its grant, and does it serve?
 	StatusReply             // requester: the reply to a StatusQuery
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -31,7 +31,7 @@
 	Rules   rulesDocument   `json:"rules"`
 }
 
-// allowedDocument is what the site allows.
+// allowedDocument is what the platform allows.
 type allowedDocument struct {
 	MaxAttempts    int     `json:"max_attempts"` // of one request
 	Cancel         bool    `json:"may_cancel"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
 // Package settings decodes the settings that the platform gives a limiter: the classes and plans of the service, the
-// size of the tier, and what the site allows. The simulator sends them at the start of a limiter; a limiter on sockets
-// reads them from its configuration file. Only this package maps the platform's names to the terms of package admission.
+// size of the tier, and what the platform allows. The simulator sends them at the start of a limiter; a limiter on
+// sockets reads them from its configuration file. Only this package maps the platform's names to the terms of package
+// admission.
 package settings
 
 import (
--- a/internal/usage/confirm.go
+++ b/internal/usage/confirm.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// This file decides which unconfirmed usage counts. A limiter sent the usage for the report of its period;
-// the reports themselves show whether one of them includes it.
+// This file decides which unconfirmed usage counts. A limiter sent this usage to a lease holder for the report of an
+// earlier period, without learning whether that report includes it; the reports themselves show whether one does.
 
 // countUnconfirmed adds the unconfirmed usage that counts to s.countedUnconfirmed.
 func (s *Summary) countUnconfirmed() {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -171,7 +171,7 @@
 	r.Add(Key{strings.Repeat("n", maxNameBytes+1), 0}, 1)
 	overflow := r.open[Key{OverflowCustomer, 0}]
 	if len(r.open) != maxKeys+1 || overflow != 51*UnitParts || r.UnreportedUnits(0) != maxKeys+51 {
-		t.Errorf("%d keys, want 65537; overflow of %d parts of a unit, want 51000; or not 65587 unreported units", len(r.open), overflow)
+		t.Errorf("%d keys, want 65537; overflow of %d parts of a unit, want 51000; and want 65587 unreported units", len(r.open), overflow)
 	}
 }
 
