--- a/internal/simulation/slotchecker.go
+++ b/internal/simulation/slotchecker.go
@@ -85,7 +85,8 @@
 	t.orphaned = removeAttempt(t.orphaned, a)
 }
 
-// recordCancel records an attempt whose connection its limiter closes now. The attempt ends at the backend after backendDelay.
+// recordCancel records an attempt whose connection its limiter closes now. The attempt ends at the backend
+// after backendDelay.
 func (w *world) recordCancel(a *attempt) {
 	if a.request.customer.slots.limit > 0 {
 		w.after(backendDelay, func() { w.recordEnd(a) })
